--- a/kelpcourse/cli/main.py
+++ b/kelpcourse/cli/main.py
@@ -24,6 +24,7 @@
     from kelpcourse.store.folder import InUse
     from kelpcourse.store.spool import NoAnswer
     from kelpcourse.zones.errors import BadZone
+
     try:
         yield
     except (BadSettings, BadConfig, BadZone, InUse, NoAnswer) as error:
@@ -40,6 +41,7 @@
     def run(*args: Any, **options: Any) -> Any:
         with _mistakes():
             return command(*args, **options)
+
     return run
 
 
@@ -57,8 +59,11 @@
     from kelpcourse.service.director import main
     from kelpcourse.zones.settings import read_settings
     from kelpcourse.zones.source import ZoneSource
+
     zones = read_settings(file)
-    sys.exit(main(os.environ, lambda parts, settings, keep: ZoneSource(parts, settings, zones, keep)))
+    sys.exit(
+        main(os.environ, lambda parts, settings, keep: ZoneSource(parts, settings, zones, keep))
+    )
 
 
 @cli.command("check")
@@ -69,6 +74,7 @@
     from kelpcourse.limits import Limits
     from kelpcourse.zones.offline import check_file
     from kelpcourse.zones.settings import read_settings
+
     settings, problems = read_settings(file), list[str]()
     for zone in settings.zones:
         if zone.file is not None:
@@ -92,7 +98,9 @@
 @zones.command("check")
 @click.argument("zonefile", type=FILE)
 @click.option("--origin", required=True, help="The zone's name.")
-@click.option("--service", default="_game._tcp", show_default=True, help="The labels before a zone of hosts.")
+@click.option(
+    "--service", default="_game._tcp", show_default=True, help="The labels before a zone of hosts."
+)
 @click.option("--json", "as_json", is_flag=True, help="An array as discovery has it.")
 @plainly
 def zones_check(zonefile: Path, origin: str, service: str, as_json: bool) -> None:
@@ -100,6 +108,7 @@
     from kelpcourse.limits import Limits
     from kelpcourse.zones.errors import BadZone
     from kelpcourse.zones.offline import check_file
+
     try:
         checked = check_file(zonefile, origin, service, Limits())
     except BadZone as error:
@@ -113,6 +122,7 @@
     import orjson
 
     from kelpcourse.zones.offline import entry
+
     if as_json:
         click.echo(orjson.dumps([entry(m) for m in hosts], option=orjson.OPT_INDENT_2).decode())
         return
@@ -123,18 +133,27 @@
 @zones.command("serve")
 @click.argument("file", type=FILE)
 @click.option("--listen", default="", help="In place of the address in FILE.")
-@click.option("--state", type=click.Path(path_type=Path, file_okay=False), help="In place of the folder in FILE.")
+@click.option(
+    "--state",
+    type=click.Path(path_type=Path, file_okay=False),
+    help="In place of the folder in FILE.",
+)
 @plainly
 def zones_serve(file: Path, listen: str, state: Path | None) -> None:
     """A primary or secondary on its own, without a director."""
     from kelpcourse.zones.settings import read_settings
     from kelpcourse.zones.standalone import serve
+
     sys.exit(serve(read_settings(file, listen, state)))
 
 
 @zones.command("hosts")
 @click.argument("file", type=FILE)
-@click.option("--state", type=click.Path(path_type=Path, file_okay=False), help="In place of the folder in FILE.")
+@click.option(
+    "--state",
+    type=click.Path(path_type=Path, file_okay=False),
+    help="In place of the folder in FILE.",
+)
 @click.option("--json", "as_json", is_flag=True, help="An array as discovery has it.")
 @plainly
 def zones_hosts(file: Path, state: Path | None, as_json: bool) -> None:
@@ -143,6 +162,7 @@
     from kelpcourse.zones.errors import BadZone
     from kelpcourse.zones.offline import hosts_of, read_state
     from kelpcourse.zones.settings import read_settings
+
     settings = read_settings(file, "", state)
     if settings.state is None:
         raise BadZone(f"{file}: no state is named, there or by --state")
@@ -154,7 +174,12 @@
 @zones.command("restore")
 @click.argument("file", type=FILE)
 @click.argument("origin")
-@click.option("--serial", type=click.IntRange(0, (1 << 32) - 1), required=True, help="As the zone was at this one.")
+@click.option(
+    "--serial",
+    type=click.IntRange(0, (1 << 32) - 1),
+    required=True,
+    help="As the zone was at this one.",
+)
 @click.option("--json", "as_json", is_flag=True)
 @plainly
 def zones_restore(file: Path, origin: str, serial: int, as_json: bool) -> None:
@@ -164,14 +189,25 @@
     from kelpcourse.zones.errors import BadZone
     from kelpcourse.zones.offline import restore
     from kelpcourse.zones.settings import read_settings
+
     restored = restore(read_settings(file), origin, serial)
     if restored.error:
         raise BadZone(restored.error)
     if as_json:
-        click.echo(orjson.dumps({"origin": origin, "as_at": serial, "serial": restored.serial,
-                                 "hosts": restored.hosts}).decode())
+        click.echo(
+            orjson.dumps(
+                {
+                    "origin": origin,
+                    "as_at": serial,
+                    "serial": restored.serial,
+                    "hosts": restored.hosts,
+                }
+            ).decode()
+        )
     else:
-        click.echo(f"{origin} is as it was at {serial}, now serial {restored.serial}, {restored.hosts} hosts")
+        click.echo(
+            f"{origin} is as it was at {serial}, now serial {restored.serial}, {restored.hosts} hosts"
+        )
 
 
 @cli.group()
@@ -182,15 +218,20 @@
 @shared.command("keys")
 @click.argument("folder", type=click.Path(path_type=Path, file_okay=False, exists=True))
 @click.argument("names", nargs=-1, required=True)
-@click.option("--days", type=click.IntRange(1, 3650), default=365, show_default=True, help="Until they end.")
+@click.option(
+    "--days", type=click.IntRange(1, 3650), default=365, show_default=True, help="Until they end."
+)
 @plainly
 def shared_keys(folder: Path, names: tuple[str, ...], days: int) -> None:
     """An authority in FOLDER, if there is none, and a certificate with its key for each of NAMES."""
     from kelpcourse.shared import keys
+
     try:
         if not (folder / "ca.pem").exists():
             keys.make_authority(folder)
-            click.echo(f"{folder / 'ca.pem'}: a new authority; keep {folder / 'ca.key'} where no controller runs")
+            click.echo(
+                f"{folder / 'ca.pem'}: a new authority; keep {folder / 'ca.key'} where no controller runs"
+            )
         for name in names:
             keys.make_member(folder, name, days)
             click.echo(f"{folder / name}.pem: for {name}, {days} days")
@@ -205,8 +246,11 @@
 def shared_check(file: Path) -> None:
     """Checks the settings in FILE and the keys that they name."""
     from kelpcourse.shared.settings import WARN_DAYS, read_settings
+
     settings = read_settings(file)
-    click.echo(f"{settings.me} of {len(settings.addresses)} controllers, {settings.shape.groups} groups")
+    click.echo(
+        f"{settings.me} of {len(settings.addresses)} controllers, {settings.shape.groups} groups"
+    )
     if settings.days_left is not None and settings.days_left < WARN_DAYS:
         _end_with([f"the certificate ends in {settings.days_left:.0f} days"])
 
@@ -219,6 +263,7 @@
     from kelpcourse.shared.disk import Forgotten
     from kelpcourse.shared.settings import read_settings
     from kelpcourse.shared.standalone import serve
+
     try:
         sys.exit(serve(file, read_settings(file)))
     except Forgotten as error:
@@ -236,6 +281,7 @@
 
     from kelpcourse.shared.settings import read_settings
     from kelpcourse.shared.standalone import command, status_lines
+
     told = command(read_settings(file).state, "status", "")
     click.echo(orjson.dumps(told).decode() if as_json else "\n".join(status_lines(told)))
 
@@ -248,6 +294,7 @@
     def run(file: Path, member: str) -> None:
         from kelpcourse.shared.settings import read_settings
         from kelpcourse.shared.standalone import command
+
         told = command(read_settings(file).state, name, member)
         if told.get("error"):
             click.echo(f"kelpcourse: {told['error']}", err=True)
@@ -256,11 +303,15 @@
 
 
 for _name, _help in (
-        ("add", "Adds MEMBER: first it learns, and said again, once it has caught up, it votes. At the leader."),
-        ("remove", "Removes MEMBER from the fleet. At the leader."),
-        ("transfer", "Hands leadership to MEMBER. At the leader."),
-        ("drain", "MEMBER is given no groups any more, and those it has go to others. At the leader."),
-        ("undrain", "MEMBER may hold groups again. At the leader.")):
+    (
+        "add",
+        "Adds MEMBER: first it learns, and said again, once it has caught up, it votes. At the leader.",
+    ),
+    ("remove", "Removes MEMBER from the fleet. At the leader."),
+    ("transfer", "Hands leadership to MEMBER. At the leader."),
+    ("drain", "MEMBER is given no groups any more, and those it has go to others. At the leader."),
+    ("undrain", "MEMBER may hold groups again. At the leader."),
+):
     _member_command(_name, _help)
 
 
@@ -269,4 +320,5 @@
 def run_demo() -> None:
     """Plays a director on a zone on loopback: a room is removed by an update and put back. Under a minute."""
     from kelpcourse.lab.view import demo
+
     sys.exit(demo())
--- a/kelpcourse/facade.py
+++ b/kelpcourse/facade.py
@@ -10,16 +10,47 @@
 
 from kelpcourse.decide import Director
 from kelpcourse.interface import (
-    Action, BindProxy, Checkpoint, ClearTable, DemandReport, Event, FetchList, Host, HostList, HostReport,
-    HostState, ListKind, Log, OrdersApplied, OrdersDoubted, OrdersTaken, ProbeAnswered, ProbeHost, ProbeStatus,
-    ProxyJoined, ProxyLeft, RepeatOrders, SetLevel, SetLine, SetTimer, Settings, Started, TellPeer, TimerFired,
-    WatchList, Withdraw,
+    Action,
+    BindProxy,
+    Checkpoint,
+    ClearTable,
+    DemandReport,
+    Event,
+    FetchList,
+    Host,
+    HostList,
+    HostReport,
+    HostState,
+    ListKind,
+    Log,
+    OrdersApplied,
+    OrdersDoubted,
+    OrdersTaken,
+    ProbeAnswered,
+    ProbeHost,
+    ProbeStatus,
+    ProxyJoined,
+    ProxyLeft,
+    RepeatOrders,
+    SetLevel,
+    SetLine,
+    SetTimer,
+    Settings,
+    Started,
+    TellPeer,
+    TimerFired,
+    WatchList,
+    Withdraw,
 )
 from kelpcourse.memory.hosts import Hosts, Member, Phase
 from kelpcourse.memory.orders import EmptyTable, Limit, Mark, Order, SetShare, ShutOut, UseTable
 from kelpcourse.limits import Limits
 
-STATES = {Phase.READY: HostState.READY, Phase.DRAINING: HostState.DRAINING, Phase.GONE: HostState.GONE}
+STATES = {
+    Phase.READY: HostState.READY,
+    Phase.DRAINING: HostState.DRAINING,
+    Phase.GONE: HostState.GONE,
+}
 Load = Sequence[tuple[str, float]]
 
 
@@ -45,8 +76,13 @@
 
 
 class Facade:
-    def __init__(self, settings: Settings, seed: int, limits: Limits,
-                 make: Callable[[Settings], Decider] = Director) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        seed: int,
+        limits: Limits,
+        make: Callable[[Settings], Decider] = Director,
+    ) -> None:
         self._settings = settings
         self._limits = limits
         self._module = make(settings)
@@ -59,7 +95,9 @@
         self._may_repeat = False
         self._classes = {cls.name: at for at, cls in enumerate(settings.classes)}
         self._stamps: dict[int, None] = {}  # of marks that were ordered, oldest first
-        self._longest_us = limits.late_aims * max((cls.deadline_us for cls in settings.classes), default=0)
+        self._longest_us = limits.late_aims * max(
+            (cls.deadline_us for cls in settings.classes), default=0
+        )
         self._now = 0
 
     # Reports
@@ -79,7 +117,9 @@
         return zone in self._settings.zones
 
     def report_joined(self, proxy: int, zone: str, share: float, standing: bool) -> None:
-        self._events.append(ProxyJoined(self._proxy(proxy), self._zone(zone), _figure(share), standing))
+        self._events.append(
+            ProxyJoined(self._proxy(proxy), self._zone(zone), _figure(share), standing)
+        )
 
     def report_left(self, proxy: int) -> None:
         self._events.append(ProxyLeft(self._proxy(proxy)))
@@ -102,8 +142,16 @@
         """Whether the module has let them go since."""
         return self._may_repeat
 
-    def report_tries(self, host: str, zone: str, tries: int, failed: int, window_ms: float,
-                     mean_ms: float | None, load: Load) -> None:
+    def report_tries(
+        self,
+        host: str,
+        zone: str,
+        tries: int,
+        failed: int,
+        window_ms: float,
+        mean_ms: float | None,
+        load: Load,
+    ) -> None:
         """What the proxies of a zone met at a host; without good answers there is no mean time."""
         span_us = self._span(window_ms)
         good = self._within(tries, span_us) - _count(failed)
@@ -114,20 +162,33 @@
         mean_us = _us(mean_ms or 0.0)
         if mean_us > self._longest_us:
             raise Unknown(f"mean time {mean_ms} is beyond every deadline")
-        self._events.append(HostReport(self._host(host), self._zone(zone), tries, failed, span_us, mean_us,
-                                       _load(load)))
-
-    def report_usage(self, proxy: int, kind: str, arrived: int, unanswered: int, window_ms: float) -> None:
+        self._events.append(
+            HostReport(
+                self._host(host), self._zone(zone), tries, failed, span_us, mean_us, _load(load)
+            )
+        )
+
+    def report_usage(
+        self, proxy: int, kind: str, arrived: int, unanswered: int, window_ms: float
+    ) -> None:
         """The requests of a class that reached a proxy."""
         if kind not in self._classes:
             raise Unknown(f"class {kind!r:.60} is not in the settings")
         span_us = self._span(window_ms)
-        self._events.append(DemandReport(self._proxy(proxy), self._classes[kind],
-                                         self._within(arrived, span_us), self._within(unanswered, span_us),
-                                         span_us))
+        self._events.append(
+            DemandReport(
+                self._proxy(proxy),
+                self._classes[kind],
+                self._within(arrived, span_us),
+                self._within(unanswered, span_us),
+                span_us,
+            )
+        )
 
     def report_probe(self, host: str, outcome: str, took_us: int, load: Load) -> None:
-        self._events.append(ProbeAnswered(self._host(host), ProbeStatus(outcome), took_us, _load(load)))
+        self._events.append(
+            ProbeAnswered(self._host(host), ProbeStatus(outcome), took_us, _load(load))
+        )
 
     # Steps
 
@@ -154,7 +215,9 @@
         events, self._events, self._gathered_us = [*self._events, *map(TimerFired, fired)], [], None
         try:
             actions = self._module.step(now_us, events)
-        except Exception:  # whoever hosts this tells of it; a timer lost with the step would stop the module
+        except (
+            Exception
+        ):  # whoever hosts this tells of it; a timer lost with the step would stop the module
             for name in fired:
                 self._set_timer(name, now_us + self._limits.restart_us)
             raise
@@ -187,7 +250,9 @@
         self._events.append(HostList(kind, version, hosts))
 
     def _listed(self, m: Member) -> Host:
-        return Host(self._host(m.name), m.zone, m.kind, m.cell, m.size, STATES[m.phase], _us(m.up_since_ms))
+        return Host(
+            self._host(m.name), m.zone, m.kind, m.cell, m.size, STATES[m.phase], _us(m.up_since_ms)
+        )
 
     def _host(self, name: str) -> int:
         number = self._hosts.number(name)
--- a/kelpcourse/interface.py
+++ b/kelpcourse/interface.py
@@ -248,9 +248,21 @@
 
 
 Event = (
-    Started | HostList | TimerFired | ProxyJoined | ProxyLeft | OrdersApplied | OrdersTaken
-    | OrdersDoubted | HostReport
-    | DemandReport | SliceDemand | ProbeAnswered | SliceLeased | SliceLine | PeerMessage
+    Started
+    | HostList
+    | TimerFired
+    | ProxyJoined
+    | ProxyLeft
+    | OrdersApplied
+    | OrdersTaken
+    | OrdersDoubted
+    | HostReport
+    | DemandReport
+    | SliceDemand
+    | ProbeAnswered
+    | SliceLeased
+    | SliceLine
+    | PeerMessage
 )
 
 
@@ -336,6 +348,17 @@
 
 
 Action = (
-    SetTimer | SetLine | ClearTable | BindProxy | SetLevel | Withdraw | Checkpoint | RepeatOrders | WatchList
-    | FetchList | ProbeHost | TellPeer | Log
+    SetTimer
+    | SetLine
+    | ClearTable
+    | BindProxy
+    | SetLevel
+    | Withdraw
+    | Checkpoint
+    | RepeatOrders
+    | WatchList
+    | FetchList
+    | ProbeHost
+    | TellPeer
+    | Log
 )
--- a/kelpcourse/kdl.py
+++ b/kelpcourse/kdl.py
@@ -88,14 +88,21 @@
         self._lines = lines
         self.mistakes: list[Mistake] = []
 
-    def block(self, kind: type[B], values: Sequence[Any], properties: dict[str, Any], children: list[Any],
-              line: int, path: str) -> B | None:
+    def block(
+        self,
+        kind: type[B],
+        values: Sequence[Any],
+        properties: dict[str, Any],
+        children: list[Any],
+        line: int,
+        path: str,
+    ) -> B | None:
         """A setting that is wrong is noted and left at its default; None: there is none."""
         hints = typing.get_type_hints(kind, include_extras=True)
         fields: dict[str, Any] = {}
         for name, value in zip(kind.args, values, strict=False):
             self._value(fields, hints, name, value, line, path)
-        for value in values[len(kind.args):]:
+        for value in values[len(kind.args) :]:
             self._note(line, path or "file", f"one argument too many: {value!r:.60}")
         for name, value in properties.items():
             self._value(fields, hints, name.replace("-", "_"), value, line, path)
@@ -120,7 +127,9 @@
         inner = _path(path, node.name)
         kind = _block_in(hints.get(name)) if name not in ("line", "args") else None
         if kind is not None:
-            made = self.block(kind, list(node.args), dict(node.properties), list(node.children), line, inner)
+            made = self.block(
+                kind, list(node.args), dict(node.properties), list(node.children), line, inner
+            )
             if _repeats(hints[name]):
                 fields[name] = (*fields.get(name, ()), *([made] if made is not None else []))
             elif name in fields:
@@ -134,16 +143,31 @@
             self._note(line, inner, "holds a value alone" if name in hints else "is not a setting")
         elif name in hints and _repeats(hints[name]):
             before = fields.get(name, ())
-            self._value(fields, hints, name, [*(before if before is not WRONG else ()), *node.args], line, path,
-                        again=True)
+            self._value(
+                fields,
+                hints,
+                name,
+                [*(before if before is not WRONG else ()), *node.args],
+                line,
+                path,
+                again=True,
+            )
         elif len(node.args) != 1 and name in hints:
             self._note(line, inner, f"takes one value, has {len(node.args)}")
             fields[name] = WRONG
         else:
             self._value(fields, hints, name, node.args[0] if node.args else None, line, path)
 
-    def _value(self, fields: dict[str, Any], hints: dict[str, Any], name: str, value: Any, line: int, path: str,
-               again: bool = False) -> None:
+    def _value(
+        self,
+        fields: dict[str, Any],
+        hints: dict[str, Any],
+        name: str,
+        value: Any,
+        line: int,
+        path: str,
+        again: bool = False,
+    ) -> None:
         field = _path(path, name.replace("_", "-"))
         if name not in hints or name in ("line", "args") or _block_in(hints[name]) is not None:
             self._note(line, field, "is not a setting")
@@ -179,7 +203,8 @@
 def _repeats(hint: Any) -> bool:
     return typing.get_origin(hint) is tuple or (
         typing.get_origin(hint) in (typing.Union, types.UnionType)
-        and any(typing.get_origin(a) is tuple for a in typing.get_args(hint)))
+        and any(typing.get_origin(a) is tuple for a in typing.get_args(hint))
+    )
 
 
 def _nodes_below(node: Any) -> Iterator[Any]:
@@ -194,7 +219,9 @@
     r'(?P<raw>(?P<hash>#+)(?P<quotes>"""|").*?(?P=quotes)(?P=hash))'
     r'|(?P<text>"""(?:\\.|[^\\])*?"""|"(?:\\.|[^"\\])*")'
     r"|(?P<note>//[^\n]*)|(?P<open_note>/\*)|(?P<off>/-)|(?P<continue>\\[^\n]*\n)"
-    r"|(?P<end>[\n;])|(?P<open>\{)|(?P<close>\})|(?P<space>[^\S\n]+)|(?P<word>[^\s;{}\"\\/]+|.)", re.DOTALL)
+    r"|(?P<end>[\n;])|(?P<open>\{)|(?P<close>\})|(?P<space>[^\S\n]+)|(?P<word>[^\s;{}\"\\/]+|.)",
+    re.DOTALL,
+)
 
 
 def lines_of(text: str) -> Iterator[int]:
--- a/kelpcourse/lab/http.py
+++ b/kelpcourse/lab/http.py
@@ -50,7 +50,9 @@
         yield from self.say(head, h11.Data(data=body), h11.EndOfMessage())
 
     def open_body(self) -> Act[None]:
-        yield from self.say(h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")]))
+        yield from self.say(
+            h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")])
+        )
 
     def line(self, text: bytes) -> Act[None]:
         yield from self.say(h11.Data(data=text + b"\n"))
@@ -87,7 +89,9 @@
             yield Wait(fd=self._sock.fileno(), mask=READ)
             connection, _ = self._sock.accept()
             self.connections += 1
-            self._loop.start("stand-in caller", self._guarded(Caller(Stream(connection), self._loop)))
+            self._loop.start(
+                "stand-in caller", self._guarded(Caller(Stream(connection), self._loop))
+            )
 
     def _guarded(self, caller: Caller) -> Routine:
         try:
--- a/kelpcourse/lab/rules.py
+++ b/kelpcourse/lab/rules.py
@@ -18,7 +18,9 @@
     bare_us: int
     ready_us: dict[str, int] = field(default_factory=dict)  # since when
     stopped_us: dict[str, int] = field(default_factory=dict)  # drained or gone, since when
-    out_at: dict[int, set[str]] = field(default_factory=dict)  # by forwarder: hosts that it was told to leave
+    out_at: dict[int, set[str]] = field(
+        default_factory=dict
+    )  # by forwarder: hosts that it was told to leave
     breaks: list[str] = field(default_factory=list)
     picks: int = 0
     worst_us: int = 0  # the longest that a host was still picked after it had stopped
@@ -36,8 +38,14 @@
         held = self.out_at.setdefault(forwarder, set())
         (held.add if out else held.discard)(host)
 
-    def picked(self, forwarder: int, cls: str, host: str | None, now_us: int,
-               able: Iterable[str] | None = None) -> None:
+    def picked(
+        self,
+        forwarder: int,
+        cls: str,
+        host: str | None,
+        now_us: int,
+        able: Iterable[str] | None = None,
+    ) -> None:
         """`able`: hosts that serve the class, if not all do."""
         self.picks += 1
         if host is None:
@@ -54,7 +62,9 @@
         late_us = now_us - self.stopped_us[host]
         self.worst_us = max(self.worst_us, late_us)
         if late_us > self.grace_us:
-            self._break(f"forwarder {forwarder} picks {host} {late_us / 1e6:.3f} s after it stopped")
+            self._break(
+                f"forwarder {forwarder} picks {host} {late_us / 1e6:.3f} s after it stopped"
+            )
 
     def _bare(self, forwarder: int, cls: str, now_us: int, able: set[str]) -> None:
         since = max((when for host, when in self.ready_us.items() if host in able), default=None)
--- a/kelpcourse/lab/view.py
+++ b/kelpcourse/lab/view.py
@@ -33,7 +33,9 @@
         table = Table("host", "room", "state", "board-read", "move-submit", "served")
         for host, room, state, reads, submits, served in story.table():
             style = "red" if state.startswith("gone") else ""
-            table.add_row(host, room, state, f"{reads:.2f}", f"{submits:.2f}", str(served), style=style)
+            table.add_row(
+                host, room, state, f"{reads:.2f}", f"{submits:.2f}", str(served), style=style
+            )
         self._live.update(Group(table, Text("\n".join(self._lines))), refresh=True)
 
     def run(self) -> Summary:
@@ -42,10 +44,13 @@
 
 
 def summary_lines(summary: Summary) -> list[str]:
-    lines = [f"requests sent by forwarders: {summary.picks}",
-             f"removed by one update: {', '.join(summary.removed) or 'nothing'}",
-             f"left by every forwarder after {summary.out_ms:.0f} ms, back after {summary.back_ms:.0f} ms",
-             f"rules broken: {len(summary.breaks)}", *summary.breaks]
+    lines = [
+        f"requests sent by forwarders: {summary.picks}",
+        f"removed by one update: {', '.join(summary.removed) or 'nothing'}",
+        f"left by every forwarder after {summary.out_ms:.0f} ms, back after {summary.back_ms:.0f} ms",
+        f"rules broken: {len(summary.breaks)}",
+        *summary.breaks,
+    ]
     if summary.failed:
         lines.append(f"failed: {summary.failed}")
     return [*lines, "all as it should be" if summary.good else "not as it should be"]
@@ -58,6 +63,13 @@
         summary = Terminal(console).run()
     else:
         summary = play(lambda text: print(f"{time.monotonic() - began:6.2f} s  {text}", flush=True))
-    print("\n".join(["", "Hosts and requests are simulated; every message crossed a loopback socket.",
-                     *summary_lines(summary)]))
+    print(
+        "\n".join(
+            [
+                "",
+                "Hosts and requests are simulated; every message crossed a loopback socket.",
+                *summary_lines(summary),
+            ]
+        )
+    )
     return 0 if summary.good else 1
--- a/kelpcourse/limits.py
+++ b/kelpcourse/limits.py
@@ -10,7 +10,9 @@
     """Filled once at start and handed down. Times in microseconds, sizes in bytes."""
 
     # Steps
-    gather_us: int = 10_000  # what arrives within this time goes into one step, also where it comes in pieces
+    gather_us: int = (
+        10_000  # what arrives within this time goes into one step, also where it comes in pieces
+    )
     timers: int = 1_000  # the module's timers that may wait
 
     # Routines
@@ -26,7 +28,9 @@
     read_bytes: int = 16 << 10  # a read buffer at first
     held_bytes: int = 32 << 20  # in all read buffers of the listener together
     stranger_bytes: int = 512  # the read buffer of one that has not joined, and a message of its
-    join_us: int = 1_200_000  # from connecting to a first whole message; a collector says its zone at once
+    join_us: int = (
+        1_200_000  # from connecting to a first whole message; a collector says its zone at once
+    )
     pinger_us: int = 20_000_000  # without a ping, from one that does not join
     collector_us: int = 60_000_000  # without a line
     accept_wait_us: int = 50_000  # after room or descriptors ran out
@@ -55,16 +59,24 @@
     news_settle_us: int = 1_200_000  # a snapshot is whole by then, sign of life or not
     news_streams: int = 2  # at once, so that one may break without a gap
     news_ahead: int = 2_000  # lines by which one may be ahead of another, or four a proxy
-    news_cover_us: int = 300_000  # by which a stream outlives another's snapshot to have told all before it
+    news_cover_us: int = (
+        300_000  # by which a stream outlives another's snapshot to have told all before it
+    )
     invalid_most: int = 8  # times in a row that a call is taken for none before it is given up
     orders: int = 20_000  # not yet taken, or eight a proxy; hosts shut out are never given up
     marks: int = 64  # remembered of those that went out as part of a later one
 
     # Discovery
     list_us: int = 3_000_000  # for the first object of a watch, or a whole list
-    watch_silence_us: int = 2_600_000  # an empty line comes every 2 s; after 6 s changes count as told, heard or not
-    older_most: int = 3  # whole lists in a row, all older than what was told, until discovery has started over
-    watch_wait_us: int = 800_000  # between two tries at an address that the watch moves to, twice as long at most
+    watch_silence_us: int = (
+        2_600_000  # an empty line comes every 2 s; after 6 s changes count as told, heard or not
+    )
+    older_most: int = (
+        3  # whole lists in a row, all older than what was told, until discovery has started over
+    )
+    watch_wait_us: int = (
+        800_000  # between two tries at an address that the watch moves to, twice as long at most
+    )
     names: int = 16_384  # hosts whose names are remembered; those listed are, however many
 
     # Probes
@@ -78,7 +90,9 @@
     dns_half_us: int = 3_000_000  # a message that is not whole, or an answer that is not taken
     dns_udp_bytes: int = 1_232  # an answer over UDP at most, whatever the client takes (RFC 9715)
     dns_datagrams: int = 16  # read in one go before others have their turn
-    dns_updates: int = 256  # signed updates that wait to be durable, and so hold on to their answers
+    dns_updates: int = (
+        256  # signed updates that wait to be durable, and so hold on to their answers
+    )
 
     # Zones
     zone_records: int = 1_000_000
@@ -86,7 +100,9 @@
     zone_transfers: int = 8  # going out at once
     zone_transfer_bytes: int = 256 << 20  # coming in
     zone_transfer_us: int = 120_000_000  # coming in, all of it
-    zone_inline_bytes: int = 4_096  # a message or file up to this is read in the loop, a larger one beside it
+    zone_inline_bytes: int = (
+        4_096  # a message or file up to this is read in the loop, a larger one beside it
+    )
     zone_silence_us: int = 10_000_000  # between two of its messages
     zone_ask_us: int = 2_000_000  # for the answer to a question over UDP
     zone_notify_us: int = 20_000  # between two rounds of questions, however many NOTIFY come
@@ -123,13 +139,21 @@
 
     def within(self, sockets: int, memory_mb: int) -> Limits:
         """These limits on a machine that grants so many descriptors and so much memory."""
-        return replace(self, connections=min(self.connections, max(4, sockets // 2)),
-                       probes_at_once=min(self.probes_at_once, max(1, sockets // 16)),
-                       held_bytes=min(self.held_bytes, (memory_mb << 20) // 4))
+        return replace(
+            self,
+            connections=min(self.connections, max(4, sockets // 2)),
+            probes_at_once=min(self.probes_at_once, max(1, sockets // 16)),
+            held_bytes=min(self.held_bytes, (memory_mb << 20) // 4),
+        )
 
     def serving(self, proxies: int, report_period_us: int = 0) -> Limits:
         """These limits for a fleet of so many proxies, all of which may come to this director: each may be bound,
         told of as joined, left and applied, and bring its group a table, before any of it is taken."""
         patience_us = 4 * report_period_us  # reports are late, and one may be lost
-        return replace(self, news_ahead=max(self.news_ahead, 4 * proxies), orders=max(self.orders, 8 * proxies),
-                       window_us=max(self.window_us, patience_us), collector_us=max(self.collector_us, patience_us))
+        return replace(
+            self,
+            news_ahead=max(self.news_ahead, 4 * proxies),
+            orders=max(self.orders, 8 * proxies),
+            window_us=max(self.window_us, patience_us),
+            collector_us=max(self.collector_us, patience_us),
+        )
--- a/kelpcourse/memory/outbox.py
+++ b/kelpcourse/memory/outbox.py
@@ -5,7 +5,16 @@
 from collections import deque
 from collections.abc import Sequence
 
-from kelpcourse.memory.orders import MARK, EmptyTable, Limit, Mark, Order, SetShare, ShutOut, UseTable
+from kelpcourse.memory.orders import (
+    MARK,
+    EmptyTable,
+    Limit,
+    Mark,
+    Order,
+    SetShare,
+    ShutOut,
+    UseTable,
+)
 
 
 class Outbox:
@@ -16,8 +25,12 @@
         self._batches: deque[list[Order]] = deque()
         self._calling = False  # the first batch is with the relay: it must stay as it is
         self._left: set[int] = set()  # proxies that left while it was
-        self._telling: int | None = None  # stamp of a mark that only this call carried: an answer proves it
-        self._spent: int | None = None  # stamp of the mark of the last call that was taken, or of its like
+        self._telling: int | None = (
+            None  # stamp of a mark that only this call carried: an answer proves it
+        )
+        self._spent: int | None = (
+            None  # stamp of the mark of the last call that was taken, or of its like
+        )
         self._proved = False
 
     def __len__(self) -> int:
@@ -133,7 +146,9 @@
         urgent = [order for order in merged.values() if withdraws(order, out)]
         rest = [order for order in merged.values() if not withdraws(order, out)]
         urgent += [merged[MARK]] if urgent and MARK in merged else []
-        self._batches = deque(batch for batch in (*first, urgent, rest if rest != urgent[-1:] else []) if batch)
+        self._batches = deque(
+            batch for batch in (*first, urgent, rest if rest != urgent[-1:] else []) if batch
+        )
 
     def _cut(self) -> int:
         """Gives up the oldest orders beyond the limit, but no host shut out: proxies would go on sending there."""
@@ -153,7 +168,9 @@
 def withdraws(order: Order, out: set[str]) -> bool:
     """Whether it shuts one of these hosts out or takes its line. The lines go first, as ordered: a proxy that
     holds the host no more is not written to for it."""
-    return shuts_out(order) or (isinstance(order, SetShare) and order.share == 0 and order.host in out)
+    return shuts_out(order) or (
+        isinstance(order, SetShare) and order.share == 0 and order.host in out
+    )
 
 
 def shuts_out(order: Order) -> bool:
@@ -164,8 +181,11 @@
     """Adds an order behind others: what it overrides is taken out, what it does not keeps its place. A mark
     stays last, as it answers for all that its call carries, and also for up to so many marks before it."""
     if isinstance(order, EmptyTable):
-        for key in [k for k, o in merged.items()
-                    if isinstance(o, SetShare | Limit) and o.table == order.table]:
+        for key in [
+            k
+            for k, o in merged.items()
+            if isinstance(o, SetShare | Limit) and o.table == order.table
+        ]:
             del merged[key]
     mark = merged.pop(MARK, None)
     if isinstance(order, Mark):
--- a/kelpcourse/memory/proxies.py
+++ b/kelpcourse/memory/proxies.py
@@ -38,10 +38,14 @@
     opened_us: int
     settles_us: int  # when its snapshot counts as whole at the latest
     ahead: deque[News]  # told by others in step and not yet by this one, or before its snapshot
-    early: deque[News]  # while not in step: told by this one since its snapshot and not yet by one in step
+    early: deque[
+        News
+    ]  # while not in step: told by this one since its snapshot and not yet by one in step
     view: dict[int, Joined] = field(default_factory=dict)
     settled: bool = False
-    met: bool = False  # it has told what another told before, so nothing from before its snapshot is ahead
+    met: bool = (
+        False  # it has told what another told before, so nothing from before its snapshot is ahead
+    )
     in_step: bool = False  # it has missed nothing that was reported
     signs: int = 0
 
@@ -63,7 +67,9 @@
         return len(self._joined)
 
     def opened(self, stream: int, now_us: int, settles_us: int) -> None:
-        feed = Feed(now_us, settles_us, deque(maxlen=self._most_ahead), deque(maxlen=self._most_ahead))
+        feed = Feed(
+            now_us, settles_us, deque(maxlen=self._most_ahead), deque(maxlen=self._most_ahead)
+        )
         feed.in_step = not self.steady
         self._feeds[stream] = feed
 
--- a/kelpcourse/service/config.py
+++ b/kelpcourse/service/config.py
@@ -42,7 +42,9 @@
 
 def reread_config(environment: Mapping[str, str]) -> Config:
     """The file as it is now. Discovery may have moved since the variable was set."""
-    return read_config({name: value for name, value in environment.items() if name != "NODE_DISCOVERY"})
+    return read_config(
+        {name: value for name, value in environment.items() if name != "NODE_DISCOVERY"}
+    )
 
 
 def differing(old: Config, new: Config, fields: tuple[str, ...]) -> list[str]:
@@ -56,14 +58,18 @@
     root = _load(path)
     for variable, field in HOLDS.items():
         if variable in environment and environment[variable] != root.get(field):
-            raise BadConfig(f"variable {variable} and field '{field}' differ:"
-                            f" {environment[variable]!r:.60}, {root.get(field)!r:.60}")
+            raise BadConfig(
+                f"variable {variable} and field '{field}' differ:"
+                f" {environment[variable]!r:.60}, {root.get(field)!r:.60}"
+            )
     try:
         return Config(
             name=_text(root, "name"),
             listen=address(_text(root, "listen"), "listen"),
             discovery=address(_text(root, "discovery"), "discovery"),
-            relay=address(_text(_object(root, "registry"), "address", "registry."), "registry.address"),
+            relay=address(
+                _text(_object(root, "registry"), "address", "registry."), "registry.address"
+            ),
             seed=_seed(_text(root, "seed")),
             known=read_list(_object(root, "known"), _refuse),
             settings=_settings(root),
@@ -102,7 +108,13 @@
     have names here that nobody else knows."""
     if isinstance(value, str) and (" " in value or "," in value):
         raise BadConfig(f"field '{path}' holds a space or a comma: {value!r:.60}")
-    pairs = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
+    pairs = (
+        value.items()
+        if isinstance(value, dict)
+        else enumerate(value)
+        if isinstance(value, list)
+        else ()
+    )
     for name, item in pairs:
         _check_names(item, f"{path}.{name}")
 
--- a/kelpcourse/service/director.py
+++ b/kelpcourse/service/director.py
@@ -20,7 +20,13 @@
 from kelpcourse.memory.outbox import Outbox
 from kelpcourse.service.clock import Clock
 from kelpcourse.service.config import (
-    MOVES, WAITS, BadConfig, Config, differing, read_config, reread_config,
+    MOVES,
+    WAITS,
+    BadConfig,
+    Config,
+    differing,
+    read_config,
+    reread_config,
 )
 from kelpcourse.limits import Limits
 from kelpcourse.service.logs import Log
@@ -59,8 +65,15 @@
 
 
 class Service:
-    def __init__(self, config: Config, limits: Limits, environment: Mapping[str, str], signals: Signals,
-                 sock: socket.socket | None, make_source: MakeSource | None = None) -> None:
+    def __init__(
+        self,
+        config: Config,
+        limits: Limits,
+        environment: Mapping[str, str],
+        signals: Signals,
+        sock: socket.socket | None,
+        make_source: MakeSource | None = None,
+    ) -> None:
         """`sock`: listens on the address already, unless the process before this one still holds it."""
         clock = Clock()
         self._signals = signals
@@ -75,9 +88,14 @@
         self._config = config
         self._outbox = Outbox(limits.orders, limits.marks)
         self._waiting = Signal()
-        self._source = make_source(self._parts, config.settings, self._keep) if make_source is not None else None
+        self._source = (
+            make_source(self._parts, config.settings, self._keep)
+            if make_source is not None
+            else None
+        )
         self._discovery = self._source or Discovery(
-            self._parts, config.discovery, config.known.version, config.seed % 1_024 / 1_024)
+            self._parts, config.discovery, config.known.version, config.seed % 1_024 / 1_024
+        )
         self._probes = Probes(self._parts)
         self._calls = RelayCalls(self._parts, config.relay, self._outbox, self._waiting)
         self._events = EventStreams(self._parts, config.relay, self._outbox, self._calls.reachable)
@@ -85,8 +103,12 @@
         self._reloading: Task | None = None
 
     def run(self) -> int:
-        self._log.always("start", pid=os.getpid(), hosts=len(self._config.known.members),
-                         proxies=self._config.settings.proxies)
+        self._log.always(
+            "start",
+            pid=os.getpid(),
+            hosts=len(self._config.known.members),
+            proxies=self._config.settings.proxies,
+        )
         self._facade.report_known(self._config.known.members, self._config.known.version)
         if self._source is not None:
             self._source.start()
@@ -155,7 +177,9 @@
     def _step(self, act: Callable[[int], object]) -> None:
         try:
             act(self._loop.clock())
-        except Exception as error:  # the tables that stand serve on; the module goes on with the next step
+        except (
+            Exception
+        ) as error:  # the tables that stand serve on; the module goes on with the next step
             self._defect("module", error)
         self._carry_out(self._facade.pick())
 
@@ -192,7 +216,9 @@
     def _defect(self, routine: str, error: Exception) -> None:
         """A routine has ended by an error that nobody foresaw."""
         self._counters.add("defects")
-        self._log.always("defect", routine=routine, error="".join(traceback.format_exception(error))[-3000:])
+        self._log.always(
+            "defect", routine=routine, error="".join(traceback.format_exception(error))[-3000:]
+        )
 
 
 def main(environment: Mapping[str, str], make_source: MakeSource | None = None) -> int:
@@ -217,5 +243,7 @@
         return listen(address, Limits().listen_queue)
     except OSError as error:
         if error.errno != errno.EADDRINUSE:
-            raise BadConfig(f"field 'listen': {address[0]}:{address[1]}: {error.strerror}") from None
+            raise BadConfig(
+                f"field 'listen': {address[0]}:{address[1]}: {error.strerror}"
+            ) from None
         return None
--- a/kelpcourse/service/logs.py
+++ b/kelpcourse/service/logs.py
@@ -12,8 +12,14 @@
 
 
 class Log:
-    def __init__(self, clock: Callable[[], int], limits: Limits, counters: Counters, node: str = "",
-                 fd: int = 1) -> None:
+    def __init__(
+        self,
+        clock: Callable[[], int],
+        limits: Limits,
+        counters: Counters,
+        node: str = "",
+        fd: int = 1,
+    ) -> None:
         self._clock = clock
         self._limits = limits
         self._counters = counters
@@ -42,11 +48,19 @@
     def _write(self, now: int, name: str, fields: dict[str, object]) -> None:
         line = _encode({"t": round(now / 1e6, 6), "event": name, "node": self._node, **fields})
         if len(line) > self._limits.log_bytes:
-            line = _encode({"t": round(now / 1e6, 6), "event": name, "node": self._node,
-                            "cut": line[:self._limits.log_bytes // 4].decode("utf-8", "replace")})
+            line = _encode(
+                {
+                    "t": round(now / 1e6, 6),
+                    "event": name,
+                    "node": self._node,
+                    "cut": line[: self._limits.log_bytes // 4].decode("utf-8", "replace"),
+                }
+            )
         try:
             os.write(self._fd, line)
-        except BlockingIOError:  # whoever reads the log is behind: lines are lost rather than the director
+        except (
+            BlockingIOError
+        ):  # whoever reads the log is behind: lines are lost rather than the director
             self._counters.add("log_lines_lost")
         except OSError:  # nobody reads the log any more
             self._counters.add("log_lines_lost")
--- a/kelpcourse/service/process.py
+++ b/kelpcourse/service/process.py
@@ -31,7 +31,9 @@
         """Runs a routine that can't be done without: one that ends by a defect starts again."""
         self.loop.start(name, kept(self.loop, self._limits, name, make, self._defect))
 
-    def run(self, start: Callable[[], None], close: Callable[[], None], hang_up: Callable[[], None]) -> int:
+    def run(
+        self, start: Callable[[], None], close: Callable[[], None], hang_up: Callable[[], None]
+    ) -> int:
         self._hang_up = hang_up
         signals = Signals()
         self.log.always("start", pid=os.getpid(), hosts=0, proxies=0)
@@ -54,11 +56,18 @@
 
     def _defect(self, routine: str, error: Exception) -> None:
         self.counters.add("defects")
-        self.log.always("defect", routine=routine, error="".join(traceback.format_exception(error))[-3000:])
+        self.log.always(
+            "defect", routine=routine, error="".join(traceback.format_exception(error))[-3000:]
+        )
 
 
-def kept(loop: Loop, limits: Limits, name: str, make: Callable[[], Routine],
-         on_defect: Callable[[str, Exception], None]) -> Routine:
+def kept(
+    loop: Loop,
+    limits: Limits,
+    name: str,
+    make: Callable[[], Routine],
+    on_defect: Callable[[str, Exception], None],
+) -> Routine:
     while True:
         try:
             yield from make()
--- a/kelpcourse/settings.py
+++ b/kelpcourse/settings.py
@@ -8,7 +8,9 @@
 from kelpcourse.fields import Fields, WireError
 
 EFFECTS = {
-    "read_like": Effect.SAFE, "idempotency_key": Effect.KEYED, "non_idempotent": Effect.UNSAFE,
+    "read_like": Effect.SAFE,
+    "idempotency_key": Effect.KEYED,
+    "non_idempotent": Effect.UNSAFE,
 }
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
 ADMISSIONS = {"fraction": Admission.SHARE, "per_second": Admission.RATE, "off": Admission.NONE}
@@ -45,12 +47,15 @@
 
 Figure = Callable[[Settings], float]
 ABOVE_0: dict[str, Figure] = {  # without these nothing could ever be ordered
-    "family_info.proxy_count": lambda s: s.proxies, "family_info.egress_per_s": lambda s: s.channel_lines_per_s,
-    "family_info.pending_max": lambda s: s.channel_backlog, "zones": lambda s: len(s.zones),
+    "family_info.proxy_count": lambda s: s.proxies,
+    "family_info.egress_per_s": lambda s: s.channel_lines_per_s,
+    "family_info.pending_max": lambda s: s.channel_backlog,
+    "zones": lambda s: len(s.zones),
     "lanes.count": lambda s: len(s.classes),
 }
 FROM_0: dict[str, Figure] = {
-    "family_info.head": lambda s: s.message_head, "family_info.conns_least": lambda s: s.connections_least,
+    "family_info.head": lambda s: s.message_head,
+    "family_info.conns_least": lambda s: s.connections_least,
     "invariants.cold_from": lambda s: s.cold_from,
 }
 
@@ -73,7 +78,9 @@
     if settings.cold_from > 1:
         raise WireError("field 'invariants.cold_from' is above 1")
     if settings.messages_most and not settings.messages_over_us:
-        raise WireError("field 'family_info.messages_over_us' is not above 0 beside 'family_info.messages_most'")
+        raise WireError(
+            "field 'family_info.messages_over_us' is not above 0 beside 'family_info.messages_most'"
+        )
     for at, cls in enumerate(settings.classes):
         if cls.aim_us == 0:
             raise WireError(f"field 'lanes.{at}.aim_us' is not above 0")
--- a/kelpcourse/shared/codec.py
+++ b/kelpcourse/shared/codec.py
@@ -15,43 +15,104 @@
 from kelpcourse.shared.controller import PeerMessage, Tell
 from kelpcourse.shared.leases import Ask, Renewed
 from kelpcourse.shared.messages import (
-    Append, AppendReply, Config, ElectNow, Entry, Kind, Piece, PieceReply, Vote, VoteReply,
+    Append,
+    AppendReply,
+    Config,
+    ElectNow,
+    Entry,
+    Kind,
+    Piece,
+    PieceReply,
+    Vote,
+    VoteReply,
 )
 
 VERSION = 1
 PACKAGE = "kelpcourse.shared"
 FIELD = descriptor_pb2.FieldDescriptorProto
-TYPES = {"u64": FIELD.TYPE_UINT64, "i64": FIELD.TYPE_SINT64, "text": FIELD.TYPE_STRING, "bytes": FIELD.TYPE_BYTES,
-         "flag": FIELD.TYPE_BOOL}
+TYPES = {
+    "u64": FIELD.TYPE_UINT64,
+    "i64": FIELD.TYPE_SINT64,
+    "text": FIELD.TYPE_STRING,
+    "bytes": FIELD.TYPE_BYTES,
+    "flag": FIELD.TYPE_BOOL,
+}
 # Message, then fields as number, name, type; `*` repeats, a capital names a message.
 SCHEMA: dict[str, tuple[tuple[int, str, str], ...]] = {
     "Members": ((1, "voters", "*text"), (2, "learners", "*text")),
-    "LogEntry": ((1, "index", "u64"), (2, "term", "u64"), (3, "kind", "text"), (4, "data", "bytes"),
-                 (5, "members", "Members")),
+    "LogEntry": (
+        (1, "index", "u64"),
+        (2, "term", "u64"),
+        (3, "kind", "text"),
+        (4, "data", "bytes"),
+        (5, "members", "Members"),
+    ),
     "Held": ((1, "group", "u64"), (2, "epoch", "u64")),
-    "Vote": ((1, "term", "u64"), (2, "last_index", "u64"), (3, "last_term", "u64"), (4, "pre", "flag"),
-             (5, "forced", "flag")),
+    "Vote": (
+        (1, "term", "u64"),
+        (2, "last_index", "u64"),
+        (3, "last_term", "u64"),
+        (4, "pre", "flag"),
+        (5, "forced", "flag"),
+    ),
     "VoteReply": ((1, "term", "u64"), (2, "pre", "flag"), (3, "granted", "flag")),
-    "Append": ((1, "term", "u64"), (2, "prev_index", "u64"), (3, "prev_term", "u64"), (4, "entries", "*LogEntry"),
-               (5, "commit", "u64"), (6, "sent_us", "i64")),
-    "AppendReply": ((1, "term", "u64"), (2, "ok", "flag"), (3, "match", "u64"), (4, "last", "u64"),
-                    (5, "sent_us", "i64")),
-    "Piece": ((1, "term", "u64"), (2, "index", "u64"), (3, "snap_term", "u64"), (4, "members", "Members"),
-              (5, "offset", "u64"), (6, "data", "bytes"), (7, "total", "u64"), (8, "sent_us", "i64")),
-    "PieceReply": ((1, "term", "u64"), (2, "index", "u64"), (3, "offset", "u64"), (4, "sent_us", "i64")),
+    "Append": (
+        (1, "term", "u64"),
+        (2, "prev_index", "u64"),
+        (3, "prev_term", "u64"),
+        (4, "entries", "*LogEntry"),
+        (5, "commit", "u64"),
+        (6, "sent_us", "i64"),
+    ),
+    "AppendReply": (
+        (1, "term", "u64"),
+        (2, "ok", "flag"),
+        (3, "match", "u64"),
+        (4, "last", "u64"),
+        (5, "sent_us", "i64"),
+    ),
+    "Piece": (
+        (1, "term", "u64"),
+        (2, "index", "u64"),
+        (3, "snap_term", "u64"),
+        (4, "members", "Members"),
+        (5, "offset", "u64"),
+        (6, "data", "bytes"),
+        (7, "total", "u64"),
+        (8, "sent_us", "i64"),
+    ),
+    "PieceReply": (
+        (1, "term", "u64"),
+        (2, "index", "u64"),
+        (3, "offset", "u64"),
+        (4, "sent_us", "i64"),
+    ),
     "ElectNow": ((1, "term", "u64"),),
     "Ask": ((1, "asked_us", "i64"), (2, "holds", "*Held")),
     "Renewed": ((1, "asked_us", "i64"), (2, "holds", "*Held")),
     "Tell": ((1, "facts", "*bytes"),),
     "Hello": ((1, "member", "text"),),
 }
-BODIES = ("Hello", "Vote", "VoteReply", "Append", "AppendReply", "Piece", "PieceReply", "ElectNow", "Ask", "Renewed",
-          "Tell")
+BODIES = (
+    "Hello",
+    "Vote",
+    "VoteReply",
+    "Append",
+    "AppendReply",
+    "Piece",
+    "PieceReply",
+    "ElectNow",
+    "Ask",
+    "Renewed",
+    "Tell",
+)
 FIRST_BODY = 16  # field number of the first body in an envelope
 
 
 def _file() -> descriptor_pb2.FileDescriptorProto:
-    file = descriptor_pb2.FileDescriptorProto(name="kelpcourse/shared.proto", package=PACKAGE, syntax="proto3")
+    file = descriptor_pb2.FileDescriptorProto(
+        name="kelpcourse/shared.proto", package=PACKAGE, syntax="proto3"
+    )
     for name, fields in SCHEMA.items():
         made = file.message_type.add(name=name)
         for number, field, type_ in fields:
@@ -67,8 +128,9 @@
 
 def _add_field(made: Any, number: int, name: str, type_: str) -> Any:
     repeats, plain = type_.startswith("*"), type_.lstrip("*")
-    field = made.field.add(name=name, number=number,
-                           label=FIELD.LABEL_REPEATED if repeats else FIELD.LABEL_OPTIONAL)
+    field = made.field.add(
+        name=name, number=number, label=FIELD.LABEL_REPEATED if repeats else FIELD.LABEL_OPTIONAL
+    )
     if plain in TYPES:
         field.type = TYPES[plain]
     else:
@@ -127,7 +189,9 @@
         _put_config(place.members, body.config)
     elif type_ == "*LogEntry":
         for entry in body.entries:
-            made = place.entries.add(index=entry.index, term=entry.term, kind=entry.kind.value, data=entry.data)
+            made = place.entries.add(
+                index=entry.index, term=entry.term, kind=entry.kind.value, data=entry.data
+            )
             if entry.config is not None:
                 _put_config(made.members, entry.config)
     elif type_ == "*Held":
@@ -150,8 +214,13 @@
 
 
 def _entry(place: Any) -> Entry:
-    return Entry(place.index, place.term, Kind(place.kind), place.data,
-                 _config(place.members) if place.HasField("members") else None)
+    return Entry(
+        place.index,
+        place.term,
+        Kind(place.kind),
+        place.data,
+        _config(place.members) if place.HasField("members") else None,
+    )
 
 
 def _holds(place: Any) -> dict[int, int]:
@@ -162,9 +231,13 @@
     "hello": lambda p: Hello(p.member),
     "vote": lambda p: Vote(p.term, p.last_index, p.last_term, p.pre, p.forced),
     "votereply": lambda p: VoteReply(p.term, p.pre, p.granted),
-    "append": lambda p: Append(p.term, p.prev_index, p.prev_term, tuple(map(_entry, p.entries)), p.commit, p.sent_us),
+    "append": lambda p: Append(
+        p.term, p.prev_index, p.prev_term, tuple(map(_entry, p.entries)), p.commit, p.sent_us
+    ),
     "appendreply": lambda p: AppendReply(p.term, p.ok, p.match, p.last, p.sent_us),
-    "piece": lambda p: Piece(p.term, p.index, p.snap_term, _config(p.members), p.offset, p.data, p.total, p.sent_us),
+    "piece": lambda p: Piece(
+        p.term, p.index, p.snap_term, _config(p.members), p.offset, p.data, p.total, p.sent_us
+    ),
     "piecereply": lambda p: PieceReply(p.term, p.index, p.offset, p.sent_us),
     "electnow": lambda p: ElectNow(p.term),
     "ask": lambda p: Ask(p.asked_us, _holds(p)),
--- a/kelpcourse/shared/controller.py
+++ b/kelpcourse/shared/controller.py
@@ -13,7 +13,18 @@
 
 from kelpcourse.shared.leases import Ask, Holder, Keeper, Renewed, Terms
 from kelpcourse.shared.ledger import (
-    Began, Carried, Cleared, Drained, Fact, Granted, Ledger, Released, Withdrew, decode, encode, restored,
+    Began,
+    Carried,
+    Cleared,
+    Drained,
+    Fact,
+    Granted,
+    Ledger,
+    Released,
+    Withdrew,
+    decode,
+    encode,
+    restored,
 )
 from kelpcourse.shared.messages import Config, Entry, Kind, Member, Message, Snapshot, Stored, Write
 from kelpcourse.shared.placement import Group
@@ -78,9 +89,17 @@
 
 
 class Controller:
-    def __init__(self, me: Member, stored: Stored, shape: Shape, seed: int, now_us: int,
-                 make: type[Raft] = Raft, make_holder: type[Holder] = Holder,
-                 make_keeper: type[Keeper] = Keeper) -> None:
+    def __init__(
+        self,
+        me: Member,
+        stored: Stored,
+        shape: Shape,
+        seed: int,
+        now_us: int,
+        make: type[Raft] = Raft,
+        make_holder: type[Holder] = Holder,
+        make_keeper: type[Keeper] = Keeper,
+    ) -> None:
         self.me = me
         self.shape = shape
         self.raft = make(me, stored, shape.timing, seed, now_us)
@@ -163,8 +182,9 @@
     def _renewed(self, answer: Renewed) -> None:
         for group in self.holder.renewed(answer):
             lease = self.ledger.leases[group]
-            self._out.events.append(Gained(group, lease.epoch, self.ledger.to_finish(group), lease.levels,
-                                           lease.volume))
+            self._out.events.append(
+                Gained(group, lease.epoch, self.ledger.to_finish(group), lease.levels, lease.volume)
+            )
 
     def _lose(self, groups: list[Group]) -> None:
         self._out.events += [Lost(group) for group in groups]
@@ -191,12 +211,16 @@
 
     def _tell(self, now_us: int) -> None:
         """What still is not in the ledger is told to whoever leads now."""
-        self._untold = {key: fact for key, fact in self._untold.items() if not stands(fact, self.ledger)}
+        self._untold = {
+            key: fact for key, fact in self._untold.items() if not stands(fact, self.ledger)
+        }
         leader = self.raft.leader
         if now_us < self._tell_us or not self._untold or leader is None:
             return
         self._tell_us = now_us + self.shape.terms.renew_us
-        facts = tuple(encode(fact) for fact in list(self._untold.values())[:self.shape.timing.entries])
+        facts = tuple(
+            encode(fact) for fact in list(self._untold.values())[: self.shape.timing.entries]
+        )
         self._send(now_us, leader, Tell(facts))
 
     # After each input
@@ -220,7 +244,9 @@
         out = self.raft.take()
         self._out.messages += out.messages
         self._out.writes += out.writes
-        for entry in out.committed:  # with one voter alone an entry is committed as soon as it is written
+        for (
+            entry
+        ) in out.committed:  # with one voter alone an entry is committed as soon as it is written
             self._apply(now_us, entry)
 
     def _install(self, snapshot: Snapshot) -> None:
@@ -249,7 +275,10 @@
         return fits
 
     def _compact(self) -> None:
-        if len(self.raft.log) > self.shape.keep_entries and self.raft.commit > self.raft.log.snapshot.index:
+        if (
+            len(self.raft.log) > self.shape.keep_entries
+            and self.raft.commit > self.raft.log.snapshot.index
+        ):
             self.raft.compact(self.raft.commit, self.ledger.snapshot())
 
     def _note_leader(self) -> None:
@@ -309,7 +338,11 @@
             return known is None or known.since_ms != since_ms or group not in known.open
         case Carried(group, epoch, levels, volume):
             lease = ledger.leases.get(group)
-            return lease is None or lease.epoch != epoch or (lease.levels, lease.volume) == (levels, volume)
+            return (
+                lease is None
+                or lease.epoch != epoch
+                or (lease.levels, lease.volume) == (levels, volume)
+            )
         case Released(group, epoch):
             lease = ledger.leases.get(group)
             return lease is None or lease.epoch != epoch or not lease.holder
--- a/kelpcourse/shared/disk.py
+++ b/kelpcourse/shared/disk.py
@@ -15,7 +15,14 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.shared.messages import Config, Stored, Write
-from kelpcourse.shared.recovery import applied, decode_stored, encode, encode_stored, nothing, replay
+from kelpcourse.shared.recovery import (
+    applied,
+    decode_stored,
+    encode,
+    encode_stored,
+    nothing,
+    replay,
+)
 from kelpcourse.store.commit import Settled
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.journal import Journal
@@ -33,8 +40,17 @@
 class Disk:
     """Raises InUse, OSError or Forgotten at the start."""
 
-    def __init__(self, path: Path, name: str, begins: bool, loop: Loop, limits: Limits, runner: Runner,
-                 written: Callable[[int], None], failed: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        path: Path,
+        name: str,
+        begins: bool,
+        loop: Loop,
+        limits: Limits,
+        runner: Runner,
+        written: Callable[[int], None],
+        failed: Callable[[str], None],
+    ) -> None:
         journal = Journal(Folder(path))
         found = journal.open()
         self.remarks: list[Remark] = found.remarks
@@ -42,23 +58,31 @@
         fresh = found.snapshot is None
         if fresh and (token.exists() or any(remark.alarming for remark in found.remarks)):
             journal.close()
-            raise Forgotten(f"{path} has lost what {name} promised; remove the folder and add the member anew")
+            raise Forgotten(
+                f"{path} has lost what {name} promised; remove the folder and add the member anew"
+            )
         if any(remark.alarming for remark in found.remarks):
             journal.close()
-            raise Forgotten(f"{path} is damaged: {'; '.join(r.what for r in found.remarks if r.alarming)}")
+            raise Forgotten(
+                f"{path} is damaged: {'; '.join(r.what for r in found.remarks if r.alarming)}"
+            )
         self.member = _member(token, name)
         self._stored = self._recover(found.snapshot, [r.payload for r in found.records], begins)
         journal.begin(found, self._snapshot())
         self._journal_failed = failed
         self._written = written
         self._halted = False
-        self._writer: Writer[Write] = Writer(loop, limits, journal, found, runner, self._snapshot, self._settled,
-                                             self._job_failed)
+        self._writer: Writer[Write] = Writer(
+            loop, limits, journal, found, runner, self._snapshot, self._settled, self._job_failed
+        )
 
     def _recover(self, snapshot: bytes | None, payloads: list[bytes], begins: bool) -> Stored:
         try:
-            start = decode_stored(snapshot) if snapshot else nothing(
-                Config(frozenset({self.member}) if begins else frozenset()))
+            start = (
+                decode_stored(snapshot)
+                if snapshot
+                else nothing(Config(frozenset({self.member}) if begins else frozenset()))
+            )
             return replay(start, payloads)
         except msgspec.DecodeError as error:
             raise Forgotten(f"an entry can't be read: {error}") from None
--- a/kelpcourse/shared/keys.py
+++ b/kelpcourse/shared/keys.py
@@ -37,25 +37,40 @@
 
 
 def _private(key: ec.EllipticCurvePrivateKey) -> bytes:
-    return key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8,
-                             serialization.NoEncryption())
-
-
-def _builder(subject: str, issuer: x509.Name, key: ec.EllipticCurvePublicKey, days: int,
-             now: datetime.datetime) -> x509.CertificateBuilder:
-    return (x509.CertificateBuilder().subject_name(_name(subject)).issuer_name(issuer).public_key(key)
-            .serial_number(x509.random_serial_number()).not_valid_before(now - BACKDATED)
-            .not_valid_after(now + datetime.timedelta(days=days)))
+    return key.private_bytes(
+        serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
+    )
+
+
+def _builder(
+    subject: str,
+    issuer: x509.Name,
+    key: ec.EllipticCurvePublicKey,
+    days: int,
+    now: datetime.datetime,
+) -> x509.CertificateBuilder:
+    return (
+        x509.CertificateBuilder()
+        .subject_name(_name(subject))
+        .issuer_name(issuer)
+        .public_key(key)
+        .serial_number(x509.random_serial_number())
+        .not_valid_before(now - BACKDATED)
+        .not_valid_after(now + datetime.timedelta(days=days))
+    )
 
 
 def make_authority(folder: Path, name: str = "kelpcourse fleet") -> None:
     """`ca.pem` and `ca.key`. Raises BadKeys."""
     key, now = ec.generate_private_key(ec.SECP256R1()), datetime.datetime.now(datetime.UTC)
     usage = x509.KeyUsage(False, False, False, False, False, True, True, False, False)
-    made = (_builder(name, _name(name), key.public_key(), CA_DAYS, now)
-            .add_extension(x509.BasicConstraints(True, 0), True).add_extension(usage, True)
-            .add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), False)
-            .sign(key, hashes.SHA256()))
+    made = (
+        _builder(name, _name(name), key.public_key(), CA_DAYS, now)
+        .add_extension(x509.BasicConstraints(True, 0), True)
+        .add_extension(usage, True)
+        .add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), False)
+        .sign(key, hashes.SHA256())
+    )
     _write(folder / "ca.key", _private(key), True)
     _write(folder / "ca.pem", made.public_bytes(serialization.Encoding.PEM), False)
 
@@ -71,11 +86,16 @@
         raise BadKeys(f"{folder / 'ca.key'}: not a key of this kind")
     key, now = ec.generate_private_key(ec.SECP256R1()), datetime.datetime.now(datetime.UTC)
     uses = x509.ExtendedKeyUsage([ExtendedKeyUsageOID.CLIENT_AUTH, ExtendedKeyUsageOID.SERVER_AUTH])
-    made = (_builder(name, authority.subject, key.public_key(), days, now)
-            .add_extension(x509.SubjectAlternativeName([x509.DNSName(name)]), False)
-            .add_extension(x509.BasicConstraints(False, None), True).add_extension(uses, False)
-            .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(signer.public_key()), False)
-            .sign(signer, hashes.SHA256()))
+    made = (
+        _builder(name, authority.subject, key.public_key(), days, now)
+        .add_extension(x509.SubjectAlternativeName([x509.DNSName(name)]), False)
+        .add_extension(x509.BasicConstraints(False, None), True)
+        .add_extension(uses, False)
+        .add_extension(
+            x509.AuthorityKeyIdentifier.from_issuer_public_key(signer.public_key()), False
+        )
+        .sign(signer, hashes.SHA256())
+    )
     into = into or folder
     _write(into / f"{name}.key", _private(key), True)
     _write(into / f"{name}.pem", made.public_bytes(serialization.Encoding.PEM), False)
--- a/kelpcourse/shared/leases.py
+++ b/kelpcourse/shared/leases.py
@@ -144,17 +144,27 @@
 
     def alive(self, members: Iterable[Member], now_us: int) -> set[Member]:
         """A member counts as there while it asks."""
-        return {m for m in members if now_us - self._heard_us.get(m, -1 << 62) < self._terms.silent_us}
+        return {
+            m for m in members if now_us - self._heard_us.get(m, -1 << 62) < self._terms.silent_us
+        }
 
-    def step(self, now_us: int, members: Iterable[Member], drains: Set[Member] = frozenset()) -> list[Fact]:
+    def step(
+        self, now_us: int, members: Iterable[Member], drains: Set[Member] = frozenset()
+    ) -> list[Fact]:
         """Grants to be proposed. `drains`: members that are to hold nothing."""
         able = self.alive(members, now_us) - drains
-        if not able or now_us - self._began_us < 2 * self._terms.renew_us:  # whoever is there has asked by then
+        if (
+            not able or now_us - self._began_us < 2 * self._terms.renew_us
+        ):  # whoever is there has asked by then
             return []
         leases = self._ledger.leases
-        wanted = place(sorted(leases), sorted(able), {g: lease.holder for g, lease in leases.items()})
+        wanted = place(
+            sorted(leases), sorted(able), {g: lease.holder for g, lease in leases.items()}
+        )
         there = self.alive(members, now_us)
-        self._leaving &= {g for g, lease in leases.items() if lease.holder in there and wanted[g] != lease.holder}
+        self._leaving &= {
+            g for g, lease in leases.items() if lease.holder in there and wanted[g] != lease.holder
+        }
         out: list[Fact] = []
         for group, member in sorted(wanted.items()):
             lease = leases[group]
--- a/kelpcourse/shared/ledger.py
+++ b/kelpcourse/shared/ledger.py
@@ -159,7 +159,9 @@
 
     def held_by(self, member: Member) -> dict[Group, int]:
         """Groups and their epochs."""
-        return {group: lease.epoch for group, lease in self.leases.items() if lease.holder == member}
+        return {
+            group: lease.epoch for group, lease in self.leases.items() if lease.holder == member
+        }
 
     def to_finish(self, group: Group) -> dict[str, int]:
         """Hosts that a new holder of the group shuts out first, and since when they are to be left."""
--- a/kelpcourse/shared/log.py
+++ b/kelpcourse/shared/log.py
@@ -37,19 +37,19 @@
     def since(self, index: int, most: int) -> tuple[Entry, ...]:
         """Entries from `index` on, so many at most."""
         start = index - self.snapshot.index - 1
-        return tuple(self._entries[start:start + most])
+        return tuple(self._entries[start : start + most])
 
     def append(self, entries: Sequence[Entry]) -> None:
         self._entries += entries
 
     def cut(self, index: int) -> None:
         """Drops the entry at `index` and all after it."""
-        del self._entries[index - self.snapshot.index - 1:]
+        del self._entries[index - self.snapshot.index - 1 :]
 
     def compact(self, snapshot: Snapshot) -> None:
         """Everything up to the snapshot goes; what follows it stays if it belongs to it."""
         if self.term_at(snapshot.index) == snapshot.term:
-            del self._entries[:snapshot.index - self.snapshot.index]
+            del self._entries[: snapshot.index - self.snapshot.index]
         else:
             self._entries.clear()
         self.snapshot = snapshot
@@ -62,7 +62,7 @@
         return self.snapshot.index, self.snapshot.config
 
     def config_at(self, index: int) -> Config:
-        for entry in reversed(self._entries[:index - self.snapshot.index]):
+        for entry in reversed(self._entries[: index - self.snapshot.index]):
             if entry.kind is Kind.CONFIG and entry.config is not None:
                 return entry.config
         return self.snapshot.config
--- a/kelpcourse/shared/member.py
+++ b/kelpcourse/shared/member.py
@@ -36,26 +36,52 @@
 
 
 class FleetMember:
-    def __init__(self, loop: Loop, limits: Limits, counters: Counters, log: LogLike, place: Place, shape: Shape,
-                 runner: Runner, on_event: Callable[[Event], None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        limits: Limits,
+        counters: Counters,
+        log: LogLike,
+        place: Place,
+        shape: Shape,
+        runner: Runner,
+        on_event: Callable[[Event], None],
+    ) -> None:
         self._loop = loop
         self._log = log
         self._counters = counters
         self._place = place
         self._shape = shape
         self._on_event = on_event
-        self._disk = Disk(place.state, place.name, place.begins, loop, limits, runner, self._written, self._failed)
+        self._disk = Disk(
+            place.state, place.name, place.begins, loop, limits, runner, self._written, self._failed
+        )
         self.me: Member = self._disk.member
         self.controller: Controller | None = None
-        self._peers = Peers(loop, limits, counters, log, self.me, place.address, place.others, place.tls, self._heard)
+        self._peers = Peers(
+            loop,
+            limits,
+            counters,
+            log,
+            self.me,
+            place.address,
+            place.others,
+            place.tls,
+            self._heard,
+        )
         self.address = self._peers.address
         self._stir = Signal()
         self.halted = ""
 
     def start(self, keep: Keep) -> None:
         for remark in self._disk.remarks:
-            self._log.always("store_remark", file=remark.file, what=remark.what, lost_bytes=remark.lost_bytes,
-                             alarming=remark.alarming)
+            self._log.always(
+                "store_remark",
+                file=remark.file,
+                what=remark.what,
+                lost_bytes=remark.lost_bytes,
+                alarming=remark.alarming,
+            )
         keep("shared disk", self._disk.run)
         self._peers.start(keep)
         keep("shared", self.run)
@@ -65,10 +91,15 @@
         while not self._disk.ready and not self.halted:
             yield Wait(self._loop.clock() + 5_000)
         if not self.halted and self.controller is None:
-            self.controller = Controller(self.me, self._disk.stored, self._shape, secrets.randbits(48),
-                                         self._loop.clock())
-            self._log.always("shared_start", member=self.me, term=self.controller.raft.term,
-                             entries=len(self.controller.raft.log))
+            self.controller = Controller(
+                self.me, self._disk.stored, self._shape, secrets.randbits(48), self._loop.clock()
+            )
+            self._log.always(
+                "shared_start",
+                member=self.me,
+                term=self.controller.raft.term,
+                entries=len(self.controller.raft.log),
+            )
         while self.controller is not None:
             self.controller.tick(self._loop.clock())
             self._carry_out()
@@ -103,7 +134,11 @@
             self._carry_out()
 
     def epoch(self, group: int) -> int | None:
-        return self.controller.epoch(group, self._loop.clock()) if self.controller is not None else None
+        return (
+            self.controller.epoch(group, self._loop.clock())
+            if self.controller is not None
+            else None
+        )
 
     # Members
 
@@ -179,7 +214,9 @@
     def _tell(self, event: Event) -> None:
         match event:
             case Gained(group, epoch, first):
-                self._log.event("group_gained", group=group, epoch=epoch, shut_out_first=sorted(first))
+                self._log.event(
+                    "group_gained", group=group, epoch=epoch, shut_out_first=sorted(first)
+                )
             case Lost(group):
                 self._log.event("group_lost", group=group)
             case Led(leader, term):
@@ -193,10 +230,27 @@
             return {"member": self.me, "halted": self.halted}
         raft = controller.raft
         lags = {m: raft.log.last_index - p.match for m, p in sorted(raft.peers.items())}
-        groups = [{"group": g, "holder": lease.holder, "epoch": lease.epoch,
-                   "left_ms": controller.holder.left_us(g, now) // 1000 if lease.holder == self.me else None}
-                  for g, lease in sorted(controller.ledger.leases.items())]
-        return {"member": self.me, "role": raft.role.value, "leader": raft.leader, "term": raft.term,
-                "committed": raft.commit, "voters": sorted(raft.config.voters),
-                "learners": sorted(raft.config.learners), "lags": lags, "groups": groups,
-                "withdrawn": sorted(controller.ledger.withdrawn), "drained": sorted(controller.ledger.drained)}
+        groups = [
+            {
+                "group": g,
+                "holder": lease.holder,
+                "epoch": lease.epoch,
+                "left_ms": controller.holder.left_us(g, now) // 1000
+                if lease.holder == self.me
+                else None,
+            }
+            for g, lease in sorted(controller.ledger.leases.items())
+        ]
+        return {
+            "member": self.me,
+            "role": raft.role.value,
+            "leader": raft.leader,
+            "term": raft.term,
+            "committed": raft.commit,
+            "voters": sorted(raft.config.voters),
+            "learners": sorted(raft.config.learners),
+            "lags": lags,
+            "groups": groups,
+            "withdrawn": sorted(controller.ledger.withdrawn),
+            "drained": sorted(controller.ledger.drained),
+        }
--- a/kelpcourse/shared/peers.py
+++ b/kelpcourse/shared/peers.py
@@ -47,9 +47,18 @@
 
 
 class Peers:
-    def __init__(self, loop: Loop, limits: Limits, counters: Counters, log: LogLike, me: str, address: Address,
-                 others: Mapping[str, Address], tls: Callable[[], Tls | None],
-                 heard: Callable[[str, PeerMessage], None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        limits: Limits,
+        counters: Counters,
+        log: LogLike,
+        me: str,
+        address: Address,
+        others: Mapping[str, Address],
+        tls: Callable[[], Tls | None],
+        heard: Callable[[str, PeerMessage], None],
+    ) -> None:
         """`me`: our member; `others`: addresses by name."""
         self._loop = loop
         self._limits = limits
@@ -114,10 +123,14 @@
                 while line.waiting:
                     yield from self._put(stream, line.waiting.popleft())
                 # Nothing is ever said on this line but by us: what can be read is its end, or TLS's own.
-                woken = yield Wait(clock() + self._limits.peer_sign_us, stream.sock.fileno(), READ, line.more)
+                woken = yield Wait(
+                    clock() + self._limits.peer_sign_us, stream.sock.fileno(), READ, line.more
+                )
                 if woken is Woken.READY:
                     yield from self._still_open(stream)
-                elif woken is Woken.LATE:  # a sign of life: two followers have nothing to say to each other
+                elif (
+                    woken is Woken.LATE
+                ):  # a sign of life: two followers have nothing to say to each other
                     yield from self._put(stream, encode(self._me, "", Hello(self._me)))
         finally:
             stream.close()
@@ -131,7 +144,9 @@
             raise Broken("closed")
 
     def _put(self, stream: Stream, data: bytes) -> Act[None]:
-        yield from stream.send(len(data).to_bytes(HEAD, "big") + data, self._loop.clock() + self._limits.send_us)
+        yield from stream.send(
+            len(data).to_bytes(HEAD, "big") + data, self._loop.clock() + self._limits.send_us
+        )
         self._counters.add("peer_bytes_out", HEAD + len(data))
 
     # In
@@ -144,7 +159,9 @@
             except (BlockingIOError, ConnectionAbortedError):
                 continue
             except OSError as error:
-                self._log.event("descriptors_used_up", reason=str(error), connections=self._connections)
+                self._log.event(
+                    "descriptors_used_up", reason=str(error), connections=self._connections
+                )
                 yield Wait(self._loop.clock() + self._limits.accept_wait_us)
                 continue
             if self._connections >= self._limits.peer_connections:
@@ -168,7 +185,9 @@
             hello = self._read((yield from reader.next(until_us)))
             self._welcome(hello, name)
             while True:
-                letter = self._read((yield from reader.next(clock() + self._limits.peer_silence_us)))
+                letter = self._read(
+                    (yield from reader.next(clock() + self._limits.peer_silence_us))
+                )
                 self._take(letter, hello.sender)
         except (Broken, BadPeerMessage) as error:
             self._counters.add("peer_lines_ended")
@@ -193,7 +212,9 @@
 
     def _take(self, letter: Letter, sender: str) -> None:
         if letter.sender != sender:
-            raise BadPeerMessage(f"a message of {letter.sender!r:.60} on the line of {sender!r:.60}")
+            raise BadPeerMessage(
+                f"a message of {letter.sender!r:.60} on the line of {sender!r:.60}"
+            )
         if isinstance(letter.body, Unknown | Hello):
             self._counters.add("peer_messages_unknown")
         elif letter.to != self._me:  # meant for this name with another disk, which is not us
@@ -218,8 +239,8 @@
                 if size > self._most:
                     raise BadPeerMessage(f"a message of {size} bytes, {self._most} at most")
                 if len(self._held) >= HEAD + size:
-                    data = bytes(self._held[HEAD:HEAD + size])
-                    del self._held[:HEAD + size]
+                    data = bytes(self._held[HEAD : HEAD + size])
+                    del self._held[: HEAD + size]
                     return data
             count = yield from self._stream.recv_into(self._room, until_us)
             if not count:
--- a/kelpcourse/shared/placement.py
+++ b/kelpcourse/shared/placement.py
@@ -31,8 +31,9 @@
     return math.floor(groups / members / ROOM) if members else 0
 
 
-def place(groups: Sequence[Group], members: Sequence[str],
-          held: Mapping[Group, str] | None = None) -> dict[Group, str]:
+def place(
+    groups: Sequence[Group], members: Sequence[str], held: Mapping[Group, str] | None = None
+) -> dict[Group, str]:
     """A member for each group. What is held stays where it is unless its member is gone or over the bound: moving a
     group costs its proxies a takeover, and an even spread is worth less."""
     if not members:
@@ -75,7 +76,9 @@
 
 
 def ring(groups: Sequence[Group], members: Sequence[str]) -> dict[Group, str]:
-    points = sorted((score("point", member, k), member) for member in members for k in range(POINTS))
+    points = sorted(
+        (score("point", member, k), member) for member in members for k in range(POINTS)
+    )
     places = [place for place, _ in points]
     return {g: points[bisect.bisect(places, score(g_key(g))) % len(points)][1] for g in groups}
 
--- a/kelpcourse/shared/raft.py
+++ b/kelpcourse/shared/raft.py
@@ -19,8 +19,21 @@
 
 from kelpcourse.shared.log import Log
 from kelpcourse.shared.messages import (
-    Append, AppendReply, Config, ElectNow, Entry, Kind, Member, Message, Piece, PieceReply, Snapshot, Stored, Vote,
-    VoteReply, Write,
+    Append,
+    AppendReply,
+    Config,
+    ElectNow,
+    Entry,
+    Kind,
+    Member,
+    Message,
+    Piece,
+    PieceReply,
+    Snapshot,
+    Stored,
+    Vote,
+    VoteReply,
+    Write,
 )
 
 
@@ -83,8 +96,12 @@
         self._out = Output()
         self._writes = 0
         self._durable = 0  # writes
-        self._held: list[tuple[int, Member, Message]] = []  # messages and the write that each waits for
-        self._ours: list[tuple[int, int]] = []  # writes and up to where our log is durable with them
+        self._held: list[
+            tuple[int, Member, Message]
+        ] = []  # messages and the write that each waits for
+        self._ours: list[
+            tuple[int, int]
+        ] = []  # writes and up to where our log is durable with them
         self._durable_index = self.log.last_index
         self._granted: set[Member] = set()
         self._vote_write = 0
@@ -103,7 +120,9 @@
     def tick(self, now_us: int) -> None:
         if self.role is Role.LEADER:
             if not self._quorum_heard(now_us):
-                self._follow(now_us, self.term, None)  # check-quorum: whoever is cut off stops leading
+                self._follow(
+                    now_us, self.term, None
+                )  # check-quorum: whoever is cut off stops leading
             elif now_us >= self._beat_us:
                 self._beat(now_us)
         elif now_us >= self._elect_us:
@@ -163,7 +182,9 @@
         if at > self.commit:
             raise Refused("another change is under way")
         if self.log.term_at(self.commit) != self.term:
-            raise Refused("nothing of this term is committed yet")  # else two majorities could do without each other
+            raise Refused(
+                "nothing of this term is committed yet"
+            )  # else two majorities could do without each other
         if len(held.voters ^ config.voters) > 1:
             raise Refused("voters change one at a time")
         if not config.voters:
@@ -220,7 +241,9 @@
     # Elections
 
     def _draw(self, now_us: int) -> None:
-        self._elect_us = now_us + self._timing.election_us + self._random.randrange(self._timing.election_us)
+        self._elect_us = (
+            now_us + self._timing.election_us + self._random.randrange(self._timing.election_us)
+        )
 
     def _loyal(self, now_us: int) -> bool:
         if self.role is Role.LEADER:
@@ -258,9 +281,17 @@
     def _on_vote(self, now_us: int, sender: Member, ask: Vote) -> None:
         newer = (ask.last_term, ask.last_index) >= (self.log.last_term, self.log.last_index)
         if ask.pre:
-            self._send(sender, VoteReply(ask.term if newer else self.term, True, newer and ask.term > self.term))
+            self._send(
+                sender,
+                VoteReply(ask.term if newer else self.term, True, newer and ask.term > self.term),
+            )
             return
-        granted = ask.term == self.term and newer and self.vote in (None, sender) and self.role is Role.FOLLOWER
+        granted = (
+            ask.term == self.term
+            and newer
+            and self.vote in (None, sender)
+            and self.role is Role.FOLLOWER
+        )
         rests_on = self._writes
         if granted and self.vote is None:
             self.vote = sender
@@ -271,7 +302,9 @@
 
     def _on_vote_reply(self, now_us: int, sender: Member, reply: VoteReply) -> None:
         asked = self.role is Role.ASKER and reply.pre and reply.term == self.term + 1
-        if reply.granted and (asked or (self.role is Role.CANDIDATE and not reply.pre and reply.term == self.term)):
+        if reply.granted and (
+            asked or (self.role is Role.CANDIDATE and not reply.pre and reply.term == self.term)
+        ):
             self._count_vote(now_us, sender)
         elif reply.pre and not reply.granted and reply.term > self.term:
             self._follow(now_us, reply.term, None)
@@ -295,18 +328,28 @@
 
     def _note_members(self, now_us: int) -> None:
         for member in self.config.all - {self.me}:
-            self.peers.setdefault(member, Peer(self.log.last_index + 1, heard_us=now_us - self._timing.election_us))
+            self.peers.setdefault(
+                member, Peer(self.log.last_index + 1, heard_us=now_us - self._timing.election_us)
+            )
         for member in set(self.peers) - self.config.all:
             del self.peers[member]
 
     def _quorum_heard(self, now_us: int) -> bool:
         least = max(now_us - self._timing.election_us, 0)
-        fresh = {member for member, peer in self.peers.items() if peer.heard_us > least and not peer.regressed}
-        return now_us - self._led_us < self._timing.election_us or self.config.has_quorum(fresh | {self.me})
+        fresh = {
+            member
+            for member, peer in self.peers.items()
+            if peer.heard_us > least and not peer.regressed
+        }
+        return now_us - self._led_us < self._timing.election_us or self.config.has_quorum(
+            fresh | {self.me}
+        )
 
     def _check_leads(self) -> None:
         if self.role is not Role.LEADER:
-            raise Refused(f"not the leader; that is {self.leader}" if self.leader else "there is no leader")
+            raise Refused(
+                f"not the leader; that is {self.leader}" if self.leader else "there is no leader"
+            )
         if self._handing is not None:
             raise Refused(f"leadership is going to {self._handing}")
 
@@ -341,7 +384,10 @@
         peer.heard_us = max(peer.heard_us, min(reply.sent_us, now_us))
         if not reply.ok:
             if reply.last < peer.match and reply.sent_us > peer.matched_us:
-                peer.regressed, peer.match = True, 0  # it lost what it promised to hold: it must not count
+                peer.regressed, peer.match = (
+                    True,
+                    0,
+                )  # it lost what it promised to hold: it must not count
             peer.next_index = max(1, min(peer.next_index - 1, reply.match + 1))
             peer.probing = True
             self._tell(now_us, sender)
@@ -358,13 +404,17 @@
     def _advance(self, now_us: int) -> None:
         """Commits what a majority has on disk, if it is of this term (5.4.2): an entry of an earlier one could
         still be replaced."""
-        matches = sorted((self._durable_index if m == self.me else self._match(m) for m in self.config.voters),
-                         reverse=True)
+        matches = sorted(
+            (self._durable_index if m == self.me else self._match(m) for m in self.config.voters),
+            reverse=True,
+        )
         index = matches[len(matches) // 2]
         if index > self.commit and self.log.term_at(index) == self.term:
             self._commit_to(index)
             if self.me not in self.config.voters and self.log.config()[0] <= self.commit:
-                self._beat(now_us)  # removed: the others hear that it is committed, then find another leader
+                self._beat(
+                    now_us
+                )  # removed: the others hear that it is committed, then find another leader
                 self._follow(now_us, self.term, None)
             else:
                 self._beat(now_us)
@@ -400,24 +450,36 @@
 
     def _on_append(self, now_us: int, sender: Member, told: Append) -> None:
         if not self._heard(now_us, sender, told.term):
-            self._send_after(self._writes, sender, AppendReply(self.term, False, 0, self.log.last_index, told.sent_us))
+            self._send_after(
+                self._writes,
+                sender,
+                AppendReply(self.term, False, 0, self.log.last_index, told.sent_us),
+            )
             return
-        if told.prev_index < self.log.snapshot.index:  # all of it up to the snapshot is committed, so it matches
+        if (
+            told.prev_index < self.log.snapshot.index
+        ):  # all of it up to the snapshot is committed, so it matches
             told = self._after_snapshot(told)
         if self.log.term_at(told.prev_index) != told.prev_term:
             hint = min(told.prev_index - 1, self.log.last_index)
             if self.log.term_at(told.prev_index) is not None:
                 hint = self.log.first_of_term(told.prev_index) - 1
             hint = max(hint, self.commit)
-            self._send_after(self._writes, sender,
-                             AppendReply(self.term, False, hint, self.log.last_index, told.sent_us))
+            self._send_after(
+                self._writes,
+                sender,
+                AppendReply(self.term, False, hint, self.log.last_index, told.sent_us),
+            )
             return
         self._take_entries(told.entries)
         match = told.prev_index + len(told.entries)
         if min(told.commit, match) > self.commit:
             self._commit_to(min(told.commit, match))
-        self._send_after(self._writes, sender,
-                         AppendReply(self.term, True, match, self.log.last_index, told.sent_us))
+        self._send_after(
+            self._writes,
+            sender,
+            AppendReply(self.term, True, match, self.log.last_index, told.sent_us),
+        )
 
     def _after_snapshot(self, told: Append) -> Append:
         at = self.log.snapshot
@@ -445,16 +507,29 @@
             return
         snapshot = self.log.snapshot
         peer.offset = min(peer.offset, len(snapshot.data))
-        data = snapshot.data[peer.offset:peer.offset + self._timing.piece_bytes]
+        data = snapshot.data[peer.offset : peer.offset + self._timing.piece_bytes]
         peer.asked_us = now_us
-        self._send(member, Piece(self.term, snapshot.index, snapshot.term, snapshot.config, peer.offset, data,
-                                 len(snapshot.data), now_us))
+        self._send(
+            member,
+            Piece(
+                self.term,
+                snapshot.index,
+                snapshot.term,
+                snapshot.config,
+                peer.offset,
+                data,
+                len(snapshot.data),
+                now_us,
+            ),
+        )
 
     def _on_piece(self, now_us: int, sender: Member, piece: Piece) -> None:
         if not self._heard(now_us, sender, piece.term):
             return
         if piece.index <= self.commit:  # it has come already, or the log has it
-            self._send_after(self._writes, sender, PieceReply(self.term, piece.index, piece.total, piece.sent_us))
+            self._send_after(
+                self._writes, sender, PieceReply(self.term, piece.index, piece.total, piece.sent_us)
+            )
             return
         of = piece.index, piece.term
         if self._piece_of != of:
@@ -466,7 +541,9 @@
             return
         self._install(Snapshot(piece.index, piece.snap_term, piece.config, bytes(self._pieces)))
         self._piece_of, self._pieces = None, bytearray()
-        self._send_after(self._writes, sender, PieceReply(self.term, piece.index, piece.total, piece.sent_us))
+        self._send_after(
+            self._writes, sender, PieceReply(self.term, piece.index, piece.total, piece.sent_us)
+        )
 
     def _install(self, snapshot: Snapshot) -> None:
         self.log.compact(snapshot)
@@ -492,8 +569,12 @@
 
     # Out
 
-    def _write(self, cut: int | None = None, entries: tuple[Entry, ...] = (),
-               snapshot: Snapshot | None = None) -> int:
+    def _write(
+        self,
+        cut: int | None = None,
+        entries: tuple[Entry, ...] = (),
+        snapshot: Snapshot | None = None,
+    ) -> int:
         self._writes += 1
         self._out.writes.append(Write(self._writes, self.term, self.vote, cut, entries, snapshot))
         if cut is not None:  # what was durable beyond it is another's now
--- a/kelpcourse/shared/settings.py
+++ b/kelpcourse/shared/settings.py
@@ -1,13 +1,13 @@
 """The operators' settings for a shared fleet: a KDL file, checked and resolved.
 
-    shared {
-        me "n1"
-        state "state-n1"
-        groups 24
-        member "n1" address="10.0.0.1:7001"
-        member "n2" address="10.0.0.2:7001"
-        tls authority="ca.pem" certificate="n1.pem" key="n1.key"
-    }
+shared {
+    me "n1"
+    state "state-n1"
+    groups 24
+    member "n1" address="10.0.0.1:7001"
+    member "n2" address="10.0.0.2:7001"
+    tls authority="ca.pem" certificate="n1.pem" key="n1.key"
+}
 """
 
 from __future__ import annotations
@@ -65,9 +65,15 @@
         if self.me not in names:
             yield "me", f"{self.me} is not among the members"
         if self.election_ms < 3 * self.beat_ms:
-            yield "election-ms", f"{self.election_ms} is under three beats of {self.beat_ms}: one lost beat unseats"
+            yield (
+                "election-ms",
+                f"{self.election_ms} is under three beats of {self.beat_ms}: one lost beat unseats",
+            )
         if self.lease_ms < self.election_ms:
-            yield "lease-ms", f"{self.lease_ms} is under an election of {self.election_ms}: leases run out by each"
+            yield (
+                "lease-ms",
+                f"{self.lease_ms} is under an election of {self.election_ms}: leases run out by each",
+            )
 
 
 class File(Block, kw_only=True, frozen=True):
@@ -100,8 +106,14 @@
         try:
             addresses[member.name] = read_address(member.address, "address")
         except BadMessage:
-            mistakes.append(Mistake(str(path), member.line, "shared.member.address",
-                                    f"is not host:port: {member.address!r:.60}"))
+            mistakes.append(
+                Mistake(
+                    str(path),
+                    member.line,
+                    "shared.member.address",
+                    f"is not host:port: {member.address!r:.60}",
+                )
+            )
     tls, left = None, None
     if block.tls is not None:
         try:
@@ -110,9 +122,14 @@
             mistakes.append(Mistake(str(path), block.tls.line, "shared.tls", str(error)))
     if mistakes:
         raise BadSettings(sorted(mistakes, key=lambda m: m.line))
-    shape = Shape(block.groups, Timing(block.beat_ms * 1000, block.election_ms * 1000),
-                  Terms(block.lease_ms * 1000, block.drift, block.lease_ms * 250, block.lease_ms * 750))
-    return SharedSettings(block.me, path.parent / block.state, block.begins, addresses, shape, tls, left)
+    shape = Shape(
+        block.groups,
+        Timing(block.beat_ms * 1000, block.election_ms * 1000),
+        Terms(block.lease_ms * 1000, block.drift, block.lease_ms * 250, block.lease_ms * 750),
+    )
+    return SharedSettings(
+        block.me, path.parent / block.state, block.begins, addresses, shape, tls, left
+    )
 
 
 def _tls(folder: Path, block: TlsBlock) -> tuple[Tls, float]:
--- a/kelpcourse/shared/standalone.py
+++ b/kelpcourse/shared/standalone.py
@@ -34,10 +34,24 @@
         self._limits = limits
         self.loop, self.log = self._process.loop, self._process.log
         self._tls = settings.tls
-        place = Place(settings.me, settings.addresses[settings.me], settings.others, settings.state, settings.begins,
-                      self._current_tls)
-        self.member = FleetMember(self.loop, limits, self._process.counters, self.log, place, settings.shape, Thread(),
-                                  lambda _: None)
+        place = Place(
+            settings.me,
+            settings.addresses[settings.me],
+            settings.others,
+            settings.state,
+            settings.begins,
+            self._current_tls,
+        )
+        self.member = FleetMember(
+            self.loop,
+            limits,
+            self._process.counters,
+            self.log,
+            place,
+            settings.shape,
+            Thread(),
+            lambda _: None,
+        )
 
     def _current_tls(self) -> Tls | None:
         return self._tls
@@ -76,8 +90,12 @@
     def _carry_out(self, data: bytes) -> dict[str, object]:
         member = self.member
         known: dict[str, Callable[[str], str]] = {
-            "add": member.add, "remove": member.remove, "transfer": member.transfer, "drain": member.drain,
-            "undrain": lambda name: member.drain(name, False)}
+            "add": member.add,
+            "remove": member.remove,
+            "transfer": member.transfer,
+            "drain": member.drain,
+            "undrain": lambda name: member.drain(name, False),
+        }
         try:
             asked = orjson.loads(data)
             word, name = str(asked["command"]), str(asked["member"])
@@ -99,21 +117,29 @@
 
 def command(state: Path, word: str, member: str) -> dict[str, Any]:
     """Raises NoAnswer or OSError."""
-    told: dict[str, Any] = orjson.loads(ask(state, orjson.dumps({"command": word, "member": member})))
+    told: dict[str, Any] = orjson.loads(
+        ask(state, orjson.dumps({"command": word, "member": member}))
+    )
     return told
 
 
 def status_lines(told: dict[str, Any]) -> list[str]:
     if "role" not in told:
         return [f"{told['member']} has no part: {told['halted'] or 'starting'}"]
-    lines = [f"{told['member']} {told['role']} of term {told['term']}, leader {told['leader'] or 'unknown'},"
-             f" committed {told['committed']}"]
+    lines = [
+        f"{told['member']} {told['role']} of term {told['term']}, leader {told['leader'] or 'unknown'},"
+        f" committed {told['committed']}"
+    ]
     for member in told["voters"] + told["learners"]:
         lag = told["lags"].get(member)
-        lines.append(f"{'voter' if member in told['voters'] else 'learner':<8}{member}"
-                     + (f" lag {lag}" if lag is not None else ""))
+        lines.append(
+            f"{'voter' if member in told['voters'] else 'learner':<8}{member}"
+            + (f" lag {lag}" if lag is not None else "")
+        )
     for group in told["groups"]:
         left = f" lease left {group['left_ms']} ms" if group["left_ms"] is not None else ""
-        lines.append(f"group {group['group']:>4} epoch {group['epoch']:>4} {group['holder'] or '-'}{left}")
+        lines.append(
+            f"group {group['group']:>4} epoch {group['epoch']:>4} {group['holder'] or '-'}{left}"
+        )
     lines += [f"drained {member}" for member in told["drained"]]
     return lines + [f"withdrawn {host}" for host in told["withdrawn"]]
--- a/kelpcourse/shared/steering.py
+++ b/kelpcourse/shared/steering.py
@@ -70,8 +70,13 @@
         self._waiting = Signal()
         self._discovery = Discovery(parts, around.discovery, 0)
         self._calls = RelayCalls(parts, around.relay, self._outbox, self._waiting, self._target)
-        self._events = EventStreams(parts, around.relay, self._outbox, self._calls.reachable,
-                                f"/v3/kv/groups/{gained.group}/events")
+        self._events = EventStreams(
+            parts,
+            around.relay,
+            self._outbox,
+            self._calls.reachable,
+            f"/v3/kv/groups/{gained.group}/events",
+        )
         self._tasks: list[Task] = []
         self._withdrawn: dict[str, int] = dict(gained.first)  # and since when (Unix ms)
         # First what the holder before was about to do: hosts to be left, whatever tables proxies hold.
@@ -87,8 +92,12 @@
 
     def start(self) -> None:
         loop = self._around.loop
-        routines = [self._calls.run(), *(self._events.run(stream) for stream in self._events.streams()), self._steps(),
-                    self._clears()]
+        routines = [
+            self._calls.run(),
+            *(self._events.run(stream) for stream in self._events.streams()),
+            self._steps(),
+            self._clears(),
+        ]
         self._tasks = [loop.start(f"group {self.group}", routine) for routine in routines]
 
     def stop(self) -> None:
@@ -104,7 +113,9 @@
         while True:
             self._carry_out(self._facade.pick())
             due_us = self._facade.due_us()
-            yield Wait(min(due_us if due_us is not None else clock() + gather_us, clock() + gather_us))
+            yield Wait(
+                min(due_us if due_us is not None else clock() + gather_us, clock() + gather_us)
+            )
             self._facade.tick(clock())
 
     def _carry_out(self, work: Work) -> None:
--- a/kelpcourse/simhost/events.py
+++ b/kelpcourse/simhost/events.py
@@ -5,23 +5,45 @@
 from collections.abc import Callable
 
 from kelpcourse.interface import (
-    DemandReport, Event, Host, HostReport, HostState, ListKind, OrdersApplied, PeerMessage,
-    ProbeAnswered, ProbeStatus, ProxyJoined, ProxyLeft, Settings, SliceDemand, SliceLeased,
-    SliceLine, TimerFired,
+    DemandReport,
+    Event,
+    Host,
+    HostReport,
+    HostState,
+    ListKind,
+    OrdersApplied,
+    PeerMessage,
+    ProbeAnswered,
+    ProbeStatus,
+    ProxyJoined,
+    ProxyLeft,
+    Settings,
+    SliceDemand,
+    SliceLeased,
+    SliceLine,
+    TimerFired,
 )
 from kelpcourse.fields import Fields, WireError
 
 STATES = {
-    "SERVING": HostState.READY, "DRAINING": HostState.DRAINING, "DELETED": HostState.GONE,
+    "SERVING": HostState.READY,
+    "DRAINING": HostState.DRAINING,
+    "DELETED": HostState.GONE,
 }
 LIST_KINDS = {
-    "update": ListKind.CHANGES, "replace": ListKind.FULL, "restored": ListKind.RESTORED,
+    "update": ListKind.CHANGES,
+    "replace": ListKind.FULL,
+    "restored": ListKind.RESTORED,
     "unavailable": ListKind.UNAVAILABLE,
 }
 STATUSES = {
-    "Ok": ProbeStatus.OK, "Failed": ProbeStatus.ERROR, "QueueFull": ProbeStatus.FULL,
-    "TimedOut": ProbeStatus.TIMEOUT, "ConnectError": ProbeStatus.CONNECT_FAILED,
-    "ResetByPeer": ProbeStatus.RESET, "Canceled": ProbeStatus.CANCELLED,
+    "Ok": ProbeStatus.OK,
+    "Failed": ProbeStatus.ERROR,
+    "QueueFull": ProbeStatus.FULL,
+    "TimedOut": ProbeStatus.TIMEOUT,
+    "ConnectError": ProbeStatus.CONNECT_FAILED,
+    "ResetByPeer": ProbeStatus.RESET,
+    "Canceled": ProbeStatus.CANCELLED,
     "Ignored": ProbeStatus.MOOT,
 }
 
@@ -51,23 +73,41 @@
 
 
 def _report(f: Fields, _: Settings) -> Event:
-    return HostReport(f.count("host"), f.text("az"), f.count("number"), f.count("failed"),
-                      f.count("elapsed_us"), f.count("wait_time_us"), f.load("usage"))
+    return HostReport(
+        f.count("host"),
+        f.text("az"),
+        f.count("number"),
+        f.count("failed"),
+        f.count("elapsed_us"),
+        f.count("wait_time_us"),
+        f.load("usage"),
+    )
 
 
 def _traffic(f: Fields, settings: Settings) -> Event:
-    return DemandReport(f.count("client_lb"), _class_position(f, settings), f.count("number"),
-                        f.count("failed"), f.count("elapsed_us"))
+    return DemandReport(
+        f.count("client_lb"),
+        _class_position(f, settings),
+        f.count("number"),
+        f.count("failed"),
+        f.count("elapsed_us"),
+    )
 
 
 def _slice_load(f: Fields, settings: Settings) -> Event:
-    return SliceDemand(f.count("route_table"), _class_position(f, settings), f.count("number"),
-                       f.count("failed"), f.count("elapsed_us"))
+    return SliceDemand(
+        f.count("route_table"),
+        _class_position(f, settings),
+        f.count("number"),
+        f.count("failed"),
+        f.count("elapsed_us"),
+    )
 
 
 def _echo(f: Fields, _: Settings) -> Event:
-    return ProbeAnswered(f.count("host"), f.choice("state_code", STATUSES),
-                         f.count("wait_time_us"), f.load("usage"))
+    return ProbeAnswered(
+        f.count("host"), f.choice("state_code", STATUSES), f.count("wait_time_us"), f.load("usage")
+    )
 
 
 def _datagram(f: Fields, _: Settings) -> Event:
@@ -84,7 +124,8 @@
     "subscribed": _joined,
     "detached": lambda f, _: ProxyLeft(f.count("client_lb")),
     "acked": lambda f, _: OrdersApplied(
-        f.count("client_lb"), f.count("number"), f.count("wait_time_us")),
+        f.count("client_lb"), f.count("number"), f.count("wait_time_us")
+    ),
     "stats": _report,
     "traffic": _traffic,
     "slice_load": _slice_load,
--- a/kelpcourse/simhost/server.py
+++ b/kelpcourse/simhost/server.py
@@ -96,7 +96,8 @@
     def _open(self, fields: Fields) -> None:
         settings = read_settings(fields)
         self._instances[fields.count("director_id")] = Instance(
-            settings, fields.integer("nonce64"), self._make(settings))
+            settings, fields.integer("nonce64"), self._make(settings)
+        )
 
     def _instance(self, fields: Fields) -> Instance:
         number = fields.count("director_id")
--- a/kelpcourse/store/commit.py
+++ b/kelpcourse/store/commit.py
@@ -129,11 +129,15 @@
         elif outcome is Outcome.UNSURE:
             self._broken = True
         self._retry_us = now_us + self._limits.store_retry_us
-        return Settled(undone=self._drop_staged() if self._broken else [], compacted=outcome is Outcome.DONE)
+        return Settled(
+            undone=self._drop_staged() if self._broken else [], compacted=outcome is Outcome.DONE
+        )
 
     def _compaction_due(self, now_us: int) -> bool:
         if self._broken:
             return now_us >= self._retry_us
-        grown = self._journal_bytes > max(self._limits.store_journal_bytes,
-                                          self._limits.store_journal_factor * self._snapshot_bytes)
+        grown = self._journal_bytes > max(
+            self._limits.store_journal_bytes,
+            self._limits.store_journal_factor * self._snapshot_bytes,
+        )
         return grown and now_us >= self._retry_us
--- a/kelpcourse/store/frames.py
+++ b/kelpcourse/store/frames.py
@@ -67,7 +67,10 @@
     size = len(record.payload)
     if size > PAYLOAD_MOST:
         raise ValueError(f"a record of {size} bytes, {PAYLOAD_MOST} at most")
-    return FRAME.pack(MARKER, size, record.number, _sum(size, record.number, record.payload)) + record.payload
+    return (
+        FRAME.pack(MARKER, size, record.number, _sum(size, record.number, record.payload))
+        + record.payload
+    )
 
 
 def read(kind: Kind, data: bytes) -> Contents:
@@ -75,7 +78,7 @@
     if len(data) < HEADER_BYTES:
         raise Unusable("the header is cut")
     magic, generation, first = HEADER.unpack_from(data)
-    if HEADER_SUM.unpack_from(data, HEADER.size)[0] != zlib.crc32(data[:HEADER.size]):
+    if HEADER_SUM.unpack_from(data, HEADER.size)[0] != zlib.crc32(data[: HEADER.size]):
         raise Unusable("the header's checksum is wrong")
     if magic != kind.value:
         raise Unusable(f"not a {kind.name.lower()}")
@@ -98,7 +101,7 @@
     start = at + FRAME.size
     if marker != MARKER or size > PAYLOAD_MOST or start + size > len(data):
         return None
-    payload = data[start:start + size]
+    payload = data[start : start + size]
     return Record(number, payload) if _sum(size, number, payload) == checksum else None
 
 
--- a/kelpcourse/store/journal.py
+++ b/kelpcourse/store/journal.py
@@ -89,7 +89,9 @@
         try:
             self._folder.rename(f"{name}.tmp", name)
             self._folder.sync_names()
-        except OSError as error:  # it may stand after a crash: nothing may be added to the one before
+        except (
+            OSError
+        ) as error:  # it may stand after a crash: nothing may be added to the one before
             os.close(fd)
             self._generation = generation
             return Outcome.UNSURE, 0, f"a new generation: {error.strerror}"
--- a/kelpcourse/store/recovery.py
+++ b/kelpcourse/store/recovery.py
@@ -73,10 +73,14 @@
         break
     else:
         out.fresh = True
-        if files.snapshots or files.journals:  # a first generation that a crash cut short holds no change
+        if (
+            files.snapshots or files.journals
+        ):  # a first generation that a crash cut short holds no change
             out.generation = max(*files.snapshots, *files.journals, 0)
             lost = any(len(load(file_name(Kind.JOURNAL, g))) > 0 for g in files.journals)
-            out.remarks.append(Remark("state", "no snapshot can be used: nothing is restored", alarming=lost))
+            out.remarks.append(
+                Remark("state", "no snapshot can be used: nothing is restored", alarming=lost)
+            )
         return out
     _follow(files, load, out)
     return out
@@ -94,11 +98,18 @@
             data = load(name)
             data_size = len(data)
             return data
+
         contents = _try(Kind.JOURNAL, name, sized, out)
         if contents is None or contents.first > out.next_number:
             if contents is not None:
-                out.remarks.append(Remark(name, f"starts at {contents.first}, {out.next_number} was next",
-                                          data_size, alarming=True))
+                out.remarks.append(
+                    Remark(
+                        name,
+                        f"starts at {contents.first}, {out.next_number} was next",
+                        data_size,
+                        alarming=True,
+                    )
+                )
             out.fresh = True
             break
         out.records += [r for r in contents.records if r.number >= out.next_number]
@@ -108,8 +119,9 @@
         if contents.damage is not Damage.NONE:
             lost = data_size - contents.good_bytes
             inside = contents.damage is Damage.INSIDE
-            out.remarks.append(Remark(name, "damaged inside" if inside else "the last write is torn", lost,
-                                      inside))
+            out.remarks.append(
+                Remark(name, "damaged inside" if inside else "the last write is torn", lost, inside)
+            )
             out.cut_to = contents.good_bytes
             out.fresh = inside or at + 1 in files.journals
             break
@@ -120,7 +132,9 @@
     else:
         # A snapshot without its journal: the crash came between the two, and nothing was written since.
         out.fresh = out.fresh or out.generation not in files.journals
-    out.generation = max(out.generation, *files.snapshots, *files.journals) if out.fresh else out.generation
+    out.generation = (
+        max(out.generation, *files.snapshots, *files.journals) if out.fresh else out.generation
+    )
 
 
 def _try(kind: Kind, name: str, load: Callable[[str], bytes], out: Recovered) -> Contents | None:
--- a/kelpcourse/wire/buffers.py
+++ b/kelpcourse/wire/buffers.py
@@ -40,7 +40,7 @@
                 self._bytes = bytearray(self._least)
         elif self._end == len(self._bytes):
             self._make_room()
-        return memoryview(self._bytes)[self._end:]
+        return memoryview(self._bytes)[self._end :]
 
     def _make_room(self) -> None:
         held = self.held
@@ -50,14 +50,14 @@
                 raise TooLong
             size = min(max(size * 2, self._least), self._most)
         fresh = bytearray(size)  # slices may still point into the old one, so it is left as it is
-        fresh[:held] = memoryview(self._bytes)[self._start:self._end]
+        fresh[:held] = memoryview(self._bytes)[self._start : self._end]
         self._bytes = fresh
         self._searched -= self._start
         self._start, self._end = 0, held
 
     def rest(self) -> memoryview:
         """What is held of a line that is not whole yet."""
-        return memoryview(self._bytes)[self._start:self._end]
+        return memoryview(self._bytes)[self._start : self._end]
 
     def filled(self, count: int) -> None:
         self._end += count
@@ -79,7 +79,7 @@
             if self.held < 2 + size:
                 return
             start, self._start = self._start + 2, self._start + 2 + size
-            yield memoryview(self._bytes)[start:self._start]
+            yield memoryview(self._bytes)[start : self._start]
 
     def lines(self) -> Iterator[memoryview]:
         """The whole lines held, without their ends."""
--- a/kelpcourse/wire/discovery.py
+++ b/kelpcourse/wire/discovery.py
@@ -48,9 +48,16 @@
     up_since_ms = number(entry, "up_since_ms") if entry.get("up_since_ms") is not None else 0.0
     if up_since_ms >= TIME_MOST_MS:
         raise BadMessage(f"field 'up_since_ms' is no time: {up_since_ms}")
-    return Member(text(entry, "id"), address(text(entry, "host_port"), "host_port"), text(entry, "locality"),
-                  text(entry, "flavor"), whole(entry, "cell"), PHASES[phase], number(entry, "size"),
-                  up_since_ms)
+    return Member(
+        text(entry, "id"),
+        address(text(entry, "host_port"), "host_port"),
+        text(entry, "locality"),
+        text(entry, "flavor"),
+        whole(entry, "cell"),
+        PHASES[phase],
+        number(entry, "size"),
+        up_since_ms,
+    )
 
 
 class Watch:
@@ -58,7 +65,9 @@
 
     def __init__(self, address: Address) -> None:
         self.address = address
-        self.version = -1  # of what it told last: another watch or a fetch may have told more meanwhile
+        self.version = (
+            -1
+        )  # of what it told last: another watch or a fetch may have told more meanwhile
         self.task: Task | None = None
 
 
@@ -73,7 +82,9 @@
         self._version = version
         self._older = 0  # whole lists in a row that are older than that
         self._watch: Watch | None = None
-        self._former: Watch | None = None  # at the address before, until the watch has told anything
+        self._former: Watch | None = (
+            None  # at the address before, until the watch has told anything
+        )
 
     def watch(self, on: bool) -> None:
         """Starts the watch anew or ends it."""
@@ -200,7 +211,9 @@
     def _hear(self, watch: Watch, told: HostsList) -> None:
         """Changes come in order on each watch. What a fetch or the other watch has told already is passed over."""
         if told.version < watch.version and not told.whole:
-            raise BadMessage(f"changes of version {told.version} after {watch.version}")  # some are missing
+            raise BadMessage(
+                f"changes of version {told.version} after {watch.version}"
+            )  # some are missing
         first, watch.version = watch.version < 0, told.version
         if told.whole or first or told.version >= self._version:
             self._take(told)
@@ -217,5 +230,7 @@
                 raise BadMessage(f"a list of version {told.version} where {known} is known")
         self._version = told.version
         self._parts.counters.add("discovery_lists")
-        self._parts.log.event("list", version=told.version, whole=told.whole, hosts=len(told.members))
+        self._parts.log.event(
+            "list", version=told.version, whole=told.whole, hosts=len(told.members)
+        )
         self._parts.facade.report_list(told.members, told.version, told.whole)
--- a/kelpcourse/wire/fields.py
+++ b/kelpcourse/wire/fields.py
@@ -42,7 +42,12 @@
 
 def number(fields: Mapping[str, object], name: str) -> float:
     value = fields.get(name)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) or value < 0:
+    if (
+        isinstance(value, bool)
+        or not isinstance(value, int | float)
+        or not math.isfinite(value)
+        or value < 0
+    ):
         raise BadMessage(f"field '{name}' is not a number from 0 up: {value!r:.60}")
     return float(value)
 
--- a/kelpcourse/wire/listener.py
+++ b/kelpcourse/wire/listener.py
@@ -15,7 +15,16 @@
 from kelpcourse.wire.parts import Parts
 from kelpcourse.wire.stream import Address, Broken, Silent, Stream, family
 from kelpcourse.wire.text import (
-    PONG, REFUSED, Collector, Heard, Message, Ping, Unreadable, Usage, check_beginning, parse,
+    PONG,
+    REFUSED,
+    Collector,
+    Heard,
+    Message,
+    Ping,
+    Unreadable,
+    Usage,
+    check_beginning,
+    parse,
 )
 
 
@@ -102,7 +111,9 @@
             except ConnectionAbortedError:
                 continue  # it was reset before it was taken
             except OSError as error:  # as a rule: no descriptor is left
-                self._parts.log.event("descriptors_used_up", reason=str(error), connections=len(self._guests))
+                self._parts.log.event(
+                    "descriptors_used_up", reason=str(error), connections=len(self._guests)
+                )
                 self._make_way(sock)
                 return False
             self._welcome(Stream(connection))
@@ -127,7 +138,9 @@
 
     def _welcome(self, stream: Stream) -> None:
         limits = self._parts.limits
-        with contextlib.suppress(OSError):  # nothing but pongs is ever written: the system need not hold many
+        with contextlib.suppress(
+            OSError
+        ):  # nothing but pongs is ever written: the system need not hold many
             stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, limits.stranger_bytes)
         buffer = Buffer(limits.stranger_bytes, limits.stranger_bytes)
         guest = Guest(stream, buffer, self._parts.clock())
@@ -178,7 +191,9 @@
             return
         now_us = self._parts.clock()
         guest.half_us = (guest.half_us or now_us) if rest else None
-        if now_us > guest.until_us(self._parts.limits):  # bytes that keep coming hide the time limit
+        if now_us > guest.until_us(
+            self._parts.limits
+        ):  # bytes that keep coming hide the time limit
             raise Stranger("its time is over")
 
     def _turn_away(self, guest: Guest, error: Exception) -> None:
@@ -199,7 +214,10 @@
         buffer past what all may hold together is shed."""
         held = sum(other.buffer.size for other in self._guests)
         self._parts.counters.most("read_buffers_most", held)
-        return held > self._parts.limits.held_bytes and guest.buffer.size > self._parts.limits.read_bytes
+        return (
+            held > self._parts.limits.held_bytes
+            and guest.buffer.size > self._parts.limits.read_bytes
+        )
 
     def _end(self, guest: Guest) -> None:
         del self._guests[guest]
@@ -240,7 +258,9 @@
         match message:
             case Heard(zone, host, tries, failed, mean_ms, window_ms, load):
                 if zone != guest.zone:
-                    raise BadMessage(f"zone {zone!r:.60} through the collector of {guest.zone!r:.60}")
+                    raise BadMessage(
+                        f"zone {zone!r:.60} through the collector of {guest.zone!r:.60}"
+                    )
                 self._parts.counters.add("heard")
                 self._parts.facade.report_tries(host, zone, tries, failed, window_ms, mean_ms, load)
             case Usage(proxy, kind, arrived, unanswered, window_ms):
@@ -257,8 +277,8 @@
             sent = guest.stream.sock.send(PONG)
         except OSError:
             sent = 0
-        if sent < len(PONG):  # it does not read its answers; half a line must not be followed by another
+        if sent < len(
+            PONG
+        ):  # it does not read its answers; half a line must not be followed by another
             with contextlib.suppress(OSError):
                 guest.stream.sock.shutdown(socket.SHUT_RDWR)
-
-
--- a/kelpcourse/wire/loop.py
+++ b/kelpcourse/wire/loop.py
@@ -76,14 +76,18 @@
 
 
 class Loop:
-    def __init__(self, clock: Callable[[], int], on_defect: Callable[[str, Exception], None]) -> None:
+    def __init__(
+        self, clock: Callable[[], int], on_defect: Callable[[str, Exception], None]
+    ) -> None:
         self.clock = clock
         self._on_defect = on_defect
         self._poll = select.epoll()
         self._tasks: dict[Task, None] = {}
         self._by_fd: dict[int, Task] = {}
         self._signalled: dict[Task, None] = {}
-        self._times: list[tuple[int, int, int, Task]] = []  # due, order of entry, the task's wait, the task
+        self._times: list[
+            tuple[int, int, int, Task]
+        ] = []  # due, order of entry, the task's wait, the task
         self._entries = 0
         self._timed = 0  # tasks whose wait has a time limit
 
@@ -156,7 +160,9 @@
         except StopIteration:
             self._tasks.pop(task, None)
             return
-        except Exception as error:  # a defect in one routine ends that routine, loudly, not the director
+        except (
+            Exception
+        ) as error:  # a defect in one routine ends that routine, loudly, not the director
             self._tasks.pop(task, None)
             self._on_defect(task.name, error)
             return
@@ -187,7 +193,9 @@
         return True
 
     def _unregister(self, fd: int) -> None:
-        with contextlib.suppress(OSError, ValueError):  # closed while it was waited for: the system forgot it
+        with contextlib.suppress(
+            OSError, ValueError
+        ):  # closed while it was waited for: the system forgot it
             self._poll.unregister(fd)
 
     def _end(self, task: Task) -> None:
--- a/kelpcourse/wire/relay_calls.py
+++ b/kelpcourse/wire/relay_calls.py
@@ -11,7 +11,12 @@
 from kelpcourse.wire.loop import READ, Routine, Signal, Wait, Woken
 from kelpcourse.wire.parts import Backoff, Parts
 from kelpcourse.wire.relay_codec import (
-    ORDERS_PATH, InvalidCall, Throttled, call_body, encode_order, read_answer,
+    ORDERS_PATH,
+    InvalidCall,
+    Throttled,
+    call_body,
+    encode_order,
+    read_answer,
 )
 from kelpcourse.wire.stream import Act, Address, Broken
 
@@ -19,8 +24,14 @@
 class RelayCalls:
     """Carries the outbox to the relay, call by call."""
 
-    def __init__(self, parts: Parts, address: Address, outbox: Outbox, waiting: Signal,
-                 target: Callable[[], str | None] = lambda: ORDERS_PATH) -> None:
+    def __init__(
+        self,
+        parts: Parts,
+        address: Address,
+        outbox: Outbox,
+        waiting: Signal,
+        target: Callable[[], str | None] = lambda: ORDERS_PATH,
+    ) -> None:
         """`target`: where the next call goes, asked right before it; None: none may be made now."""
         self._parts = parts
         self._address = address
@@ -33,7 +44,9 @@
         self._invalid = 0  # answers in a row that took a call for none
         self._doubted: Order | None = None  # refused once, which a spoilt answer may have made up
         self._backoff = Backoff(parts.limits)
-        self.reachable = Signal()  # raised when the relay is known to answer: orders need not wait for the next retry
+        self.reachable = (
+            Signal()
+        )  # raised when the relay is known to answer: orders need not wait for the next retry
 
     def move(self, address: Address) -> None:
         """Calls go to another address from now on; the one under way is settled where it is."""
@@ -79,11 +92,15 @@
             self._parts.counters.add("relay_throttled")
             self._parts.log.event("relay_throttled", waiting=len(self._outbox))
             return self._parts.limits.throttled_us
-        except InvalidCall as error:  # said again and again it holds: all later orders must not wait for ever
+        except (
+            InvalidCall
+        ) as error:  # said again and again it holds: all later orders must not wait for ever
             self._invalid += 1
             given_up = self._invalid >= self._parts.limits.invalid_most
             self._parts.counters.add("relay_calls_invalid")
-            self._parts.log.event("call_invalid", reason=str(error), orders=self._sent, given_up=given_up)
+            self._parts.log.event(
+                "call_invalid", reason=str(error), orders=self._sent, given_up=given_up
+            )
             if given_up:
                 self._outbox.taken(self._sent)
                 self._invalid = 0
@@ -111,7 +128,9 @@
         self._parts.counters.add("relay_calls")
         self._parts.counters.add("relay_call_bytes", len(body.data))
         yield from client.request("POST", target, body.data)
-        self._sent = body.order_count  # a call that breaks before its last byte is never carried out
+        self._sent = (
+            body.order_count
+        )  # a call that breaks before its last byte is never carried out
         until_us = self._parts.clock() + self._parts.limits.answer_us
         yield from client.status(until_us)
         answer = yield from client.whole_body(until_us)
--- a/kelpcourse/wire/relay_codec.py
+++ b/kelpcourse/wire/relay_codec.py
@@ -58,7 +58,13 @@
         case Limit(None, classes, gate, again):
             return {"verb": "LIMIT", "cluster": "*", **_for(classes), "gate": gate, "again": again}
         case Limit(table, classes, gate, again):
-            return {"verb": "LIMIT", "cluster": table, **_for(classes), "gate": gate, "again": again}
+            return {
+                "verb": "LIMIT",
+                "cluster": table,
+                **_for(classes),
+                "gate": gate,
+                "again": again,
+            }
         case Mark(stamp, everyone):
             return {"verb": "SYNC", "stamp": stamp, "yes": int(everyone)}
 
@@ -108,7 +114,9 @@
     if not isinstance(body, dict):
         raise BadMessage("field 'object' is not an object")
     if kind == "joined":
-        return Joined(whole(body, "sidecar"), text(body, "az"), number(body, "share"), flag(body, "standing"))
+        return Joined(
+            whole(body, "sidecar"), text(body, "az"), number(body, "share"), flag(body, "standing")
+        )
     if kind == "left":
         return Left(whole(body, "sidecar"))
     if kind == "applied":
--- a/kelpcourse/wire/relay_events.py
+++ b/kelpcourse/wire/relay_events.py
@@ -20,8 +20,13 @@
     another goes on, so no proxy can leave and come back unseen."""
 
     def __init__(
-            self, parts: Parts, address: Address, outbox: Outbox, reachable: Signal,
-            target: str = EVENTS_PATH) -> None:
+        self,
+        parts: Parts,
+        address: Address,
+        outbox: Outbox,
+        reachable: Signal,
+        target: str = EVENTS_PATH,
+    ) -> None:
         """`reachable`: raised when a stream opens."""
         self._parts = parts
         self._address = address
@@ -51,8 +56,13 @@
             finally:
                 self._report(self._proxies.lost(stream))
             self._parts.counters.add("relay_news_lost")
-            self._parts.log.event("news_lost", stream=stream, reason=reason, steady=self._proxies.steady,
-                                  joined=len(self._proxies))
+            self._parts.log.event(
+                "news_lost",
+                stream=stream,
+                reason=reason,
+                steady=self._proxies.steady,
+                joined=len(self._proxies),
+            )
             yield Wait(self._parts.clock() + backoff.next_us())
 
     def _replaced(self, stream: int) -> bool:
--- a/kelpcourse/wire/storage.py
+++ b/kelpcourse/wire/storage.py
@@ -74,16 +74,26 @@
 class Writer(Generic[T]):
     """Makes changes durable and tells of each, by its ticket, once it is or can't be."""
 
-    def __init__(self, loop: Loop, limits: Limits, journal: Journal, found: Recovered, runner: Runner,
-                 snapshot: Callable[[], bytes], settled: Callable[[Settled[T]], None],
-                 failed: Callable[[str, bool], None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        limits: Limits,
+        journal: Journal,
+        found: Recovered,
+        runner: Runner,
+        snapshot: Callable[[], bytes],
+        settled: Callable[[Settled[T]], None],
+        failed: Callable[[str, bool], None],
+    ) -> None:
         self._loop = loop
         self._journal = journal
         self._runner = runner
         self._snapshot = snapshot
         self._settled = settled
         self._failed = failed
-        self._commit: Commit[T] = Commit(limits, found.next_number, found.journal_bytes, found.fresh)
+        self._commit: Commit[T] = Commit(
+            limits, found.next_number, found.journal_bytes, found.fresh
+        )
         self._more = Signal()
 
     @property
--- a/kelpcourse/wire/stream.py
+++ b/kelpcourse/wire/stream.py
@@ -50,7 +50,7 @@
         rest = memoryview(data)
         while rest:
             try:
-                rest = rest[self.sock.send(rest):]
+                rest = rest[self.sock.send(rest) :]
             except BlockingIOError:
                 woken = yield Wait(until_us, self.sock.fileno(), WRITE)
                 if woken is Woken.LATE:
--- a/kelpcourse/wire/text.py
+++ b/kelpcourse/wire/text.py
@@ -77,14 +77,16 @@
 def is_kind(word: str) -> bool:
     """Whether a message may begin so, known here or not."""
     letters = word.replace("_", "")
-    return len(word) <= KIND_LONGEST and letters.isascii() and letters.isalpha() and letters.islower()
+    return (
+        len(word) <= KIND_LONGEST and letters.isascii() and letters.isalpha() and letters.islower()
+    )
 
 
 def check_beginning(rest: memoryview) -> None:
     """What has come of a line so far. One that turned unreadable may never end, so it is not waited for."""
     if not rest:
         return
-    kind, space, _ = bytes(rest[:KIND_LONGEST + 1]).partition(b" ")
+    kind, space, _ = bytes(rest[: KIND_LONGEST + 1]).partition(b" ")
     word = kind if space else kind.rstrip(b"\r")
     if word and not is_kind(word.decode("latin-1")):
         raise Unreadable(f"no kind {word.decode('latin-1')!r:.60}")
@@ -96,14 +98,25 @@
 
 
 def _heard(words: dict[str, str]) -> Heard:
-    return Heard(_word(words, "az"), _word(words, "host"), _count(words, "n"), _count(words, "bad"),
-                 _number(words, "avg") if "avg" in words else None, _number(words, "window"),
-                 _load(words.get("report", "")))
+    return Heard(
+        _word(words, "az"),
+        _word(words, "host"),
+        _count(words, "n"),
+        _count(words, "bad"),
+        _number(words, "avg") if "avg" in words else None,
+        _number(words, "window"),
+        _load(words.get("report", "")),
+    )
 
 
 def _usage(words: dict[str, str]) -> Usage:
-    return Usage(_count(words, "sidecar"), _word(words, "kind"), _count(words, "n"), _count(words, "bad"),
-                 _number(words, "window"))
+    return Usage(
+        _count(words, "sidecar"),
+        _word(words, "kind"),
+        _count(words, "n"),
+        _count(words, "bad"),
+        _number(words, "window"),
+    )
 
 
 def _words(parts: list[str]) -> dict[str, str]:
--- a/kelpcourse/wire/tls.py
+++ b/kelpcourse/wire/tls.py
@@ -16,9 +16,16 @@
 class TlsStream(Stream):
     """As a Stream, once `handshake` is through."""
 
-    def __init__(self, stream: Stream, context: ssl.SSLContext, server: bool, name: str | None = None) -> None:
-        sock = context.wrap_socket(stream.sock, server_side=server, do_handshake_on_connect=False,
-                                   server_hostname=name, suppress_ragged_eofs=True)
+    def __init__(
+        self, stream: Stream, context: ssl.SSLContext, server: bool, name: str | None = None
+    ) -> None:
+        sock = context.wrap_socket(
+            stream.sock,
+            server_side=server,
+            do_handshake_on_connect=False,
+            server_hostname=name,
+            suppress_ragged_eofs=True,
+        )
         super().__init__(sock)
         self._tls = sock
 
@@ -27,7 +34,9 @@
 
     def recv_into(self, room: memoryview, until_us: int) -> Act[int]:
         """What is there, at least one byte; 0 is the end. Bytes that TLS holds already are not waited for."""
-        return (yield from self._until_done(partial(self._tls.recv_into, room), "reading", until_us))
+        return (
+            yield from self._until_done(partial(self._tls.recv_into, room), "reading", until_us)
+        )
 
     def send(self, data: bytes, until_us: int) -> Act[None]:
         rest = memoryview(data)
--- a/kelpcourse/zones/answer.py
+++ b/kelpcourse/zones/answer.py
@@ -88,4 +88,8 @@
 def fill(response: dns.message.Message, out: Answer) -> None:
     response.set_rcode(out.rcode)
     response.flags |= dns.flags.AA
-    response.answer, response.authority, response.additional = out.answer, out.authority, out.additional
+    response.answer, response.authority, response.additional = (
+        out.answer,
+        out.authority,
+        out.additional,
+    )
--- a/kelpcourse/zones/belief.py
+++ b/kelpcourse/zones/belief.py
@@ -26,8 +26,12 @@
         return self in (Verdict.BEHIND, Verdict.UNDEFINED, Verdict.DIFFERS)
 
 
-VERDICTS = {Order.SAME: Verdict.SAME, Order.AHEAD: Verdict.NEWER, Order.BEHIND: Verdict.BEHIND,
-            Order.UNDEFINED: Verdict.UNDEFINED}
+VERDICTS = {
+    Order.SAME: Verdict.SAME,
+    Order.AHEAD: Verdict.NEWER,
+    Order.BEHIND: Verdict.BEHIND,
+    Order.UNDEFINED: Verdict.UNDEFINED,
+}
 
 
 @dataclass(frozen=True)
@@ -100,4 +104,6 @@
         return [self._told(source, verdict, serial, False)]
 
     def _told(self, source: str, verdict: Verdict, serial: int, begins: bool) -> Contradiction:
-        return Contradiction(source, verdict, self.held.serial if self.held is not None else 0, serial, begins)
+        return Contradiction(
+            source, verdict, self.held.serial if self.held is not None else 0, serial, begins
+        )
--- a/kelpcourse/zones/content.py
+++ b/kelpcourse/zones/content.py
@@ -50,7 +50,9 @@
 
 
 def read_data(type_: int, data: bytes) -> dns.rdata.Rdata:
-    return dns.rdata.from_wire(dns.rdataclass.IN, dns.rdatatype.RdataType.make(type_), data, 0, len(data))
+    return dns.rdata.from_wire(
+        dns.rdataclass.IN, dns.rdatatype.RdataType.make(type_), data, 0, len(data)
+    )
 
 
 def data_of(rdata: dns.rdata.Rdata) -> bytes:
@@ -61,13 +63,13 @@
 
 def soa_of(data: bytes) -> Soa:
     at = len(data) - 20  # five figures end it, whatever the names before them are
-    figures = [int.from_bytes(data[at + k:at + k + 4], "big") for k in range(0, 20, 4)]
+    figures = [int.from_bytes(data[at + k : at + k + 4], "big") for k in range(0, 20, 4)]
     return Soa(*figures)
 
 
 def with_serial(data: bytes, serial: int) -> bytes:
     at = len(data) - 20
-    return data[:at] + serial.to_bytes(4, "big") + data[at + 4:]
+    return data[:at] + serial.to_bytes(4, "big") + data[at + 4 :]
 
 
 class Difference(msgspec.Struct, frozen=True, array_like=True):
@@ -95,7 +97,9 @@
     def __init__(self, origin: str) -> None:
         self.origin = origin
         self._owners: dict[str, dict[int, RecordSet]] = {}
-        self._inner: dict[str, int] = {}  # names without records that have names below them (RFC 4592): how many
+        self._inner: dict[
+            str, int
+        ] = {}  # names without records that have names below them (RFC 4592): how many
         self._count = 0
         self._soa: bytes | None = None  # asked for with every change
 
@@ -104,8 +108,10 @@
 
     def copy(self) -> Zone:
         other = Zone(self.origin)
-        other._owners = {owner: {t: RecordSet(s.ttl, dict(s.data)) for t, s in sets.items()}
-                         for owner, sets in self._owners.items()}
+        other._owners = {
+            owner: {t: RecordSet(s.ttl, dict(s.data)) for t, s in sets.items()}
+            for owner, sets in self._owners.items()
+        }
         other._inner, other._count, other._soa = dict(self._inner), self._count, self._soa
         return other
 
@@ -183,7 +189,7 @@
 
     def _count_inner(self, owner: str, by: int) -> None:
         while owner != self.origin and (dot := owner.find(".")) >= 0:
-            owner = owner[dot + 1:]
+            owner = owner[dot + 1 :]
             count = self._inner.get(owner, 0) + by
             if count:
                 self._inner[owner] = count
@@ -226,10 +232,14 @@
                 removed += [Record(owner, type_, was.ttl, data) for data in gone]
             if now is not None:
                 added += [Record(owner, type_, now.ttl, data) for data in come]
-    return Difference(old.serial if old.exists else None, new.serial, tuple(removed), tuple(added), at_ms)
+    return Difference(
+        old.serial if old.exists else None, new.serial, tuple(removed), tuple(added), at_ms
+    )
 
 
-def _between(was: RecordSet | None, now: RecordSet | None) -> tuple[Iterable[bytes], Iterable[bytes]]:
+def _between(
+    was: RecordSet | None, now: RecordSet | None
+) -> tuple[Iterable[bytes], Iterable[bytes]]:
     before = was.data if was is not None else {}
     after_ = now.data if now is not None else {}
     if was is not None and now is not None and was.ttl != now.ttl:
@@ -331,8 +341,13 @@
         if not self.soa_data:
             raise BadZone(f"{self.origin} has no SOA")
         before = self.zone.serial if self.zone.exists else None
-        return Difference(before, soa_of(self.soa_data).serial, tuple(self._removed()), tuple(self._added()),
-                          at_ms)
+        return Difference(
+            before,
+            soa_of(self.soa_data).serial,
+            tuple(self._removed()),
+            tuple(self._added()),
+            at_ms,
+        )
 
     def _new_ttl(self, owner: str, type_: int, change: _Change) -> bool:
         held = self.zone.get(owner, type_)
@@ -343,13 +358,19 @@
             held = self.zone.get(owner, type_)
             if held is None:
                 continue
-            gone: Iterable[bytes] = held.data if self._new_ttl(owner, type_, change) else change.removed
+            gone: Iterable[bytes] = (
+                held.data if self._new_ttl(owner, type_, change) else change.removed
+            )
             for data in gone:
                 yield Record(owner, type_, held.ttl, data)
 
     def _added(self) -> Iterator[Record]:
         for (owner, type_), change in self._changes.items():
             ttl = self.ttl(owner, type_)
-            come = self.data(owner, type_) if self._new_ttl(owner, type_, change) else iter(change.added)
+            come = (
+                self.data(owner, type_)
+                if self._new_ttl(owner, type_, change)
+                else iter(change.added)
+            )
             for data in come:
                 yield Record(owner, type_, ttl, data)
--- a/kelpcourse/zones/desk.py
+++ b/kelpcourse/zones/desk.py
@@ -42,9 +42,12 @@
 HEAD = 12  # bytes of a message's header
 QR = 0x80
 ERRORS: tuple[tuple[type[Exception], dns.rcode.Rcode], ...] = (
-    (dns.tsig.BadTime, dns.rcode.BADTIME), (dns.tsig.BadSignature, dns.rcode.BADSIG),
-    (dns.message.UnknownTSIGKey, dns.rcode.BADKEY), (dns.tsig.BadKey, dns.rcode.BADKEY),
-    (dns.tsig.BadAlgorithm, dns.rcode.BADKEY))
+    (dns.tsig.BadTime, dns.rcode.BADTIME),
+    (dns.tsig.BadSignature, dns.rcode.BADSIG),
+    (dns.message.UnknownTSIGKey, dns.rcode.BADKEY),
+    (dns.tsig.BadKey, dns.rcode.BADKEY),
+    (dns.tsig.BadAlgorithm, dns.rcode.BADKEY),
+)
 TSIG_ERRORS = tuple(kind for kind, _ in ERRORS)
 
 
@@ -59,7 +62,11 @@
     @property
     def key(self) -> str:
         """The name of the key that signed it; empty: none did."""
-        return canonical(self.message.keyname) if self.message.had_tsig and self.message.keyname else ""
+        return (
+            canonical(self.message.keyname)
+            if self.message.had_tsig and self.message.keyname
+            else ""
+        )
 
 
 @dataclass(frozen=True)
@@ -87,9 +94,16 @@
 
 
 class Desk:
-    def __init__(self, zones: Mapping[str, HeldZone], settings: Mapping[str, ZoneSettings],
-                 keys: Mapping[str, dns.tsig.Key], limits: Limits, counters: Counters, log: LogLike,
-                 backstage: Backstage) -> None:
+    def __init__(
+        self,
+        zones: Mapping[str, HeldZone],
+        settings: Mapping[str, ZoneSettings],
+        keys: Mapping[str, dns.tsig.Key],
+        limits: Limits,
+        counters: Counters,
+        log: LogLike,
+        backstage: Backstage,
+    ) -> None:
         self._zones = zones
         self._settings = settings
         self._ring = {key.name: key for key in keys.values()}
@@ -120,7 +134,9 @@
             return
         except (dns.exception.DNSException, ValueError, IndexError) as error:
             self._counters.add("dns_unreadable")
-            self._log.event("dns_unreadable", peer=shown(peer), reason=f"{type(error).__name__}: {error}")
+            self._log.event(
+                "dns_unreadable", peer=shown(peer), reason=f"{type(error).__name__}: {error}"
+            )
             reply([wire[:2] + bytes([QR | wire[2] & 0x79, dns.rcode.FORMERR]) + bytes(8)])
             return
         self._serve(Request(message, wire, peer, tcp, reply))
@@ -158,8 +174,15 @@
         assert query.keyname is not None
         asked: Any = query.tsig[0] if query.tsig is not None else None
         if code == dns.rcode.BADTIME:
-            response.use_tsig(self._ring, query.keyname, asked.fudge, None, code,
-                              round(time.time()).to_bytes(6, "big"), asked.algorithm)
+            response.use_tsig(
+                self._ring,
+                query.keyname,
+                asked.fudge,
+                None,
+                code,
+                round(time.time()).to_bytes(6, "big"),
+                asked.algorithm,
+            )
             response.request_mac = asked.mac
         else:
             bare = asked.replace(mac=b"", error=code, other=b"", original_id=query.id)
@@ -174,12 +197,16 @@
         zone = self._zone_of(owner)
         if zone is None or question.rdclass != dns.rdataclass.IN:
             self._say(request, dns.rcode.REFUSED)
-        elif not zone.zone.exists or zone.belief.expired:  # RFC 1034, 4.3.5: what has expired is not told
+        elif (
+            not zone.zone.exists or zone.belief.expired
+        ):  # RFC 1034, 4.3.5: what has expired is not told
             self._say(request, dns.rcode.SERVFAIL)
         elif type_ in (AXFR, IXFR):
             self._transfer(request, zone, owner)
         else:
-            response = dns.message.make_response(request.message, our_payload=self._limits.dns_udp_bytes)
+            response = dns.message.make_response(
+                request.message, our_payload=self._limits.dns_udp_bytes
+            )
             fill(response, look_up(zone.zone, owner, int(type_)))
             request.reply([self._wire(response, request)])
 
@@ -191,14 +218,18 @@
         if request.tcp:
             return response.to_wire(max_size=65_535, prefer_truncation=True)
         room = max(512, request.message.payload) if request.message.edns >= 0 else 512
-        wire = response.to_wire(max_size=min(room, self._limits.dns_udp_bytes), prefer_truncation=True)
+        wire = response.to_wire(
+            max_size=min(room, self._limits.dns_udp_bytes), prefer_truncation=True
+        )
         if wire[2] & 0x02:
             self._counters.add("dns_truncated")
         return wire
 
     def _say(self, request: Request, rcode: dns.rcode.Rcode) -> None:
         self._counters.add(f"dns_{dns.rcode.to_text(rcode).lower()}")
-        response = dns.message.make_response(request.message, our_payload=self._limits.dns_udp_bytes)
+        response = dns.message.make_response(
+            request.message, our_payload=self._limits.dns_udp_bytes
+        )
         response.set_rcode(rcode)
         request.reply([response.to_wire()])
 
@@ -209,13 +240,17 @@
         if owner != zone.origin:
             self._say(request, dns.rcode.NOTAUTH)
         elif not request.key or request.key not in self._settings[zone.origin].transfer_keys:
-            self._log.event("zone_transfer_refused", zone=zone.origin, peer=shown(request.peer), key=request.key)
+            self._log.event(
+                "zone_transfer_refused", zone=zone.origin, peer=shown(request.peer), key=request.key
+            )
             self._say(request, dns.rcode.REFUSED)
         elif not request.tcp and rdtype == AXFR:
             self._say(request, dns.rcode.FORMERR)  # RFC 5936, section 4.2
         elif not request.tcp:
             response = dns.message.make_response(request.message)
-            fill(response, look_up(zone.zone, zone.origin, SOA))  # the SOA alone: come over TCP (RFC 1995)
+            fill(
+                response, look_up(zone.zone, zone.origin, SOA)
+            )  # the SOA alone: come over TCP (RFC 1995)
             request.reply([self._wire(response, request)])
         elif self._transfers >= self._limits.zone_transfers:
             self._say(request, dns.rcode.REFUSED)
@@ -226,7 +261,9 @@
         """All records are taken hold of at once: the zone may change while a slow client reads."""
         records, steps = None, None
         if request.message.question[0].rdtype == IXFR:
-            known = [r for r in request.message.authority if r.rdtype == dns.rdatatype.SOA and len(r)]
+            known = [
+                r for r in request.message.authority if r.rdtype == dns.rdatatype.SOA and len(r)
+            ]
             serial = known[0][0].serial if known else None
             if serial == zone.zone.serial:
                 records = whole(zone.zone)[:1]
@@ -236,8 +273,14 @@
         if records is None:
             records = whole(zone.zone)
         self._counters.add(f"zone_{kind}_out")
-        self._log.event("zone_transfer_out", zone=zone.origin, kind=kind, serial=zone.zone.serial,
-                        records=len(records), peer=shown(request.peer))
+        self._log.event(
+            "zone_transfer_out",
+            zone=zone.origin,
+            kind=kind,
+            serial=zone.zone.serial,
+            records=len(records),
+            peer=shown(request.peer),
+        )
         return self._counted(messages(request.message, records))
 
     def _counted(self, wires: Iterator[bytes]) -> Iterator[bytes]:
@@ -257,7 +300,10 @@
             self._say(request, dns.rcode.NOTAUTH)
             return
         keys = {canonical(p.key.name) for p in settings.primaries if p.key is not None}
-        if request.peer[0] not in {p.address[0] for p in settings.primaries} and request.key not in keys:
+        if (
+            request.peer[0] not in {p.address[0] for p in settings.primaries}
+            and request.key not in keys
+        ):
             self._say(request, dns.rcode.REFUSED)
             return
         self._counters.add("zone_notified")
@@ -289,6 +335,7 @@
 
         def tell(rcode: dns.rcode.Rcode) -> None:
             self._say(request, rcode)
+
         if not self._repeats.meet(mac, self._backstage.clock(), tell):
             self._counters.add("zone_updates_repeated")
             return
@@ -304,6 +351,7 @@
 
         def done(rcode: dns.rcode.Rcode) -> None:
             self._repeats.answered(mac, rcode, backstage.clock())
+
         if not zone.head.exists:
             done(dns.rcode.SERVFAIL)
             return
@@ -312,8 +360,13 @@
             assert isinstance(request.message, dns.update.UpdateMessage)
             evaluate(request.message, draft)
         except Rejected as error:
-            self._log.event("zone_update_rejected", zone=zone.origin, key=grant.key, reason=str(error),
-                            rcode=dns.rcode.to_text(error.rcode))
+            self._log.event(
+                "zone_update_rejected",
+                zone=zone.origin,
+                key=grant.key,
+                reason=str(error),
+                rcode=dns.rcode.to_text(error.rcode),
+            )
             done(error.rcode)
             return
         if not draft.changed():  # all of it stands already (RFC 2136, section 3.4.2.7)
@@ -332,15 +385,22 @@
 
         def settle(durable: bool) -> None:
             done(dns.rcode.NOERROR if durable else dns.rcode.SERVFAIL)
+
         if not backstage.stage(Ticket(zone, difference, settle)):
             zone.undo(difference)
             self._log.event("zone_update_turned_away", zone=zone.origin, key=grant.key)
             done(dns.rcode.SERVFAIL)
 
-    def _refused(self, request: Request | None, origin: str, rcode: dns.rcode.Rcode, why: str,
-                 key: str = "") -> None:
+    def _refused(
+        self, request: Request | None, origin: str, rcode: dns.rcode.Rcode, why: str, key: str = ""
+    ) -> None:
         self._counters.add("zone_updates_refused")
-        self._log.event("zone_update_refused", zone=origin, reason=why, key=key or (request.key if request else ""))
+        self._log.event(
+            "zone_update_refused",
+            zone=origin,
+            reason=why,
+            key=key or (request.key if request else ""),
+        )
         if request is not None:
             self._say(request, rcode)
 
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -85,7 +85,9 @@
         finally:
             sock.close()
 
-    def _believed(self, wire: bytes, query: dns.message.Message, peer: Primary) -> dns.message.Message | None:
+    def _believed(
+        self, wire: bytes, query: dns.message.Message, peer: Primary
+    ) -> dns.message.Message | None:
         try:
             message = read_answer(wire, query, peer)
             return message if query.is_response(message) else None
@@ -93,12 +95,20 @@
             return None
 
 
-def read_answer(wire: bytes, query: dns.message.Message, peer: Primary, context: Any = None,
-                multi: bool = False) -> dns.message.Message:
+def read_answer(
+    wire: bytes, query: dns.message.Message, peer: Primary, context: Any = None, multi: bool = False
+) -> dns.message.Message:
     """An answer with its signature checked, if the question had one. Raises what dnspython does."""
     ring = {peer.key.name: peer.key} if peer.key is not None else None
-    message = dns.message.from_wire(wire, keyring=ring, request_mac=query.mac or b"", one_rr_per_rrset=True,
-                                    tsig_ctx=context, multi=multi, xfr=multi)
+    message = dns.message.from_wire(
+        wire,
+        keyring=ring,
+        request_mac=query.mac or b"",
+        one_rr_per_rrset=True,
+        tsig_ctx=context,
+        multi=multi,
+        xfr=multi,
+    )
     if peer.key is not None and not multi and not message.had_tsig:
         raise BadZone("an unsigned answer to a signed question")
     return message
@@ -152,7 +162,9 @@
         try:
             message = read_answer(wire, self._query, self._peer, self._context, multi)
         except TOLD as error:
-            raise BadZone(f"an answer that can't be used: {type(error).__name__}: {error}") from None
+            raise BadZone(
+                f"an answer that can't be used: {type(error).__name__}: {error}"
+            ) from None
         if message.id != self._query.id or not message.flags & dns.flags.QR:
             raise BadZone("an answer to another question")
         self._context = message.tsig_ctx
@@ -166,9 +178,16 @@
 class Follower:
     """Keeps one zone up with its primaries."""
 
-    def __init__(self, asker: Asker, held: HeldZone, primaries: tuple[Primary, ...], confirmed_us: int,
-                 adopt: Callable[[HeldZone, Difference, str], None], confirmed: Callable[[HeldZone], None],
-                 expired: Callable[[HeldZone], None]) -> None:
+    def __init__(
+        self,
+        asker: Asker,
+        held: HeldZone,
+        primaries: tuple[Primary, ...],
+        confirmed_us: int,
+        adopt: Callable[[HeldZone, Difference, str], None],
+        confirmed: Callable[[HeldZone], None],
+        expired: Callable[[HeldZone], None],
+    ) -> None:
         self._asker = asker
         self._held = held
         self._primaries = {str(p): p for p in primaries}
@@ -191,8 +210,12 @@
             name = self._refresh.begin(clock())
             if name is None:
                 ends = None if self._held.belief.expired else self._refresh.expires_us()
-                yield Wait(min(self._refresh.due_us(), ends if ends is not None else self._refresh.due_us()),
-                           signal=self._notified)
+                yield Wait(
+                    min(
+                        self._refresh.due_us(), ends if ends is not None else self._refresh.due_us()
+                    ),
+                    signal=self._notified,
+                )
                 self._notified.lower()
                 continue
             yield from self._round(self._primaries[name])
@@ -200,7 +223,9 @@
     def _check_expiry(self) -> None:
         if self._refresh.expired(self._asker.loop.clock()) and not self._held.belief.expired:
             self._held.belief.expire()
-            self._refresh.notified(self._asker.loop.clock())  # whatever its primaries have is news now
+            self._refresh.notified(
+                self._asker.loop.clock()
+            )  # whatever its primaries have is news now
             self._expired(self._held)
 
     def _round(self, peer: Primary) -> Act[None]:
@@ -210,7 +235,9 @@
         except (Broken, BadZone, dns.xfr.UseTCP) as error:
             self._asker.counters.add("zone_asks_failed")
             self._tell(self._held.belief.forget(str(peer)) if isinstance(error, Silent) else [])
-            log.event("zone_ask_failed", zone=self._held.origin, primary=str(peer), reason=str(error))
+            log.event(
+                "zone_ask_failed", zone=self._held.origin, primary=str(peer), reason=str(error)
+            )
             self._refresh.failed(clock())
             return
         if verdict.contradicts:
@@ -242,7 +269,9 @@
                 return (yield from self._transfer(peer, IXFR))
             except (Unfit, BadZone, Broken) as error:
                 self._asker.counters.add("zone_ixfr_failed")
-                self._asker.log.event("zone_ixfr_failed", zone=held.origin, primary=str(peer), reason=str(error))
+                self._asker.log.event(
+                    "zone_ixfr_failed", zone=held.origin, primary=str(peer), reason=str(error)
+                )
         return (yield from self._transfer(peer, AXFR))
 
     def _transfer(self, peer: Primary, rdtype: dns.rdatatype.RdataType) -> Act[Verdict]:
@@ -259,8 +288,11 @@
             while not whole:
                 wire, message = yield from session.next()
                 # The zone held is read meanwhile and not changed: this routine alone changes it.
-                whole = incoming.take(wire, message) if len(wire) <= limits.zone_inline_bytes else \
-                    (yield from in_thread(partial(incoming.take, wire, message)))
+                whole = (
+                    incoming.take(wire, message)
+                    if len(wire) <= limits.zone_inline_bytes
+                    else (yield from in_thread(partial(incoming.take, wire, message)))
+                )
                 if clock() > until_us:
                     raise Silent("the transfer took too long")
         finally:
@@ -291,9 +323,14 @@
     def _tell(self, contradictions: list[Contradiction]) -> None:
         for c in contradictions:
             self._asker.counters.add("zone_contradictions", int(c.begins))
-            self._asker.log.always("zone_contradicted" if c.begins else "zone_contradiction_over",
-                                   zone=self._held.origin, primary=c.source, verdict=c.verdict.value,
-                                   held=c.held, offered=c.offered)
+            self._asker.log.always(
+                "zone_contradicted" if c.begins else "zone_contradiction_over",
+                zone=self._held.origin,
+                primary=c.source,
+                verdict=c.verdict.value,
+                held=c.held,
+                offered=c.offered,
+            )
 
 
 class Notifier:
@@ -331,9 +368,13 @@
             if woken is Woken.SIGNALLED:
                 return
             wait_us *= 2
-        self._asker.log.event("zone_notify_failed", zone=self._held.origin, secondary=str(self._peer))
+        self._asker.log.event(
+            "zone_notify_failed", zone=self._held.origin, secondary=str(self._peer)
+        )
 
 
 def same(old: Zone, new: Zone) -> bool:
     """Whether two versions hold the same records, whatever their serials."""
-    return {r for r in old.records() if r.type != SOA} == {r for r in new.records() if r.type != SOA}
+    return {r for r in old.records() if r.type != SOA} == {
+        r for r in new.records() if r.type != SOA
+    }
