--- a/tests/test_shared_leases.py
+++ b/tests/test_shared_leases.py
@@ -25,6 +25,7 @@
 
 # Placement
 
+
 @pytest.mark.parametrize("members", [3, 5, 8])
 def test_groups_are_spread_within_the_bound_and_stay_where_they_are(members: int) -> None:
     names = [f"m{k}" for k in range(members)]
@@ -49,30 +50,47 @@
     assert shifted > moved(place(range(240), names), place(range(240), without))
 
 
-@given(st.integers(0, 40), st.lists(st.sampled_from("abcdef"), unique=True), st.dictionaries(
-    st.integers(0, 45), st.sampled_from("abcdefgh")))
+@given(
+    st.integers(0, 40),
+    st.lists(st.sampled_from("abcdef"), unique=True),
+    st.dictionaries(st.integers(0, 45), st.sampled_from("abcdefgh")),
+)
 @settings(deadline=None, derandomize=True)
-def test_every_group_has_a_member_that_is_there(groups: int, members: list[str], held: dict[int, str]) -> None:
+def test_every_group_has_a_member_that_is_there(
+    groups: int, members: list[str], held: dict[int, str]
+) -> None:
     placed = place(range(groups), members, held)
     assert set(placed) == (set(range(groups)) if members else set())
     assert set(placed.values()) <= set(members)
     loads = [list(placed.values()).count(m) for m in members]
-    assert all(least_of(groups, len(members)) <= load <= most_of(groups, len(members)) for load in loads)
+    assert all(
+        least_of(groups, len(members)) <= load <= most_of(groups, len(members)) for load in loads
+    )
 
 
 # Ledger
 
+
 def test_facts_that_do_not_fit_change_nothing() -> None:
     book = Ledger()
     assert book.take(facts.Began(2))
-    for fact, fits in ((facts.Granted(0, "a", 2), False), (facts.Granted(0, "a", 1), True),
-                       (facts.Granted(0, "b", 1), False), (facts.Granted(9, "b", 1), False),
-                       (facts.Carried(0, 1, (0.5,), 9.0), True), (facts.Granted(0, "b", 2), True),
-                       (facts.Carried(0, 1, (0.1,), 1.0), False), (facts.Released(0, 1), False),
-                       (facts.Released(0, 2), True), (facts.Released(0, 2), False),
-                       (facts.Drained("a", False), False), (facts.Drained("a", True), True),
-                       (facts.Drained("a", True), False), (facts.Drained("b", True), True),
-                       (facts.Drained("a", False), True)):
+    for fact, fits in (
+        (facts.Granted(0, "a", 2), False),
+        (facts.Granted(0, "a", 1), True),
+        (facts.Granted(0, "b", 1), False),
+        (facts.Granted(9, "b", 1), False),
+        (facts.Carried(0, 1, (0.5,), 9.0), True),
+        (facts.Granted(0, "b", 2), True),
+        (facts.Carried(0, 1, (0.1,), 1.0), False),
+        (facts.Released(0, 1), False),
+        (facts.Released(0, 2), True),
+        (facts.Released(0, 2), False),
+        (facts.Drained("a", False), False),
+        (facts.Drained("a", True), True),
+        (facts.Drained("a", True), False),
+        (facts.Drained("b", True), True),
+        (facts.Drained("a", False), True),
+    ):
         before = book.snapshot()
         assert book.take(facts.decode(facts.encode(fact))) is fits, fact
         assert (book.snapshot() == before) is not fits
@@ -106,6 +124,7 @@
 
 # Leases by hand
 
+
 def granted(holder: str = "a") -> Ledger:
     book = Ledger()
     book.take(facts.Began(1))
@@ -122,7 +141,9 @@
     assert one.ask(1001) is None
     assert one.renewed(Renewed(1000, {0: 1})) == [0]
     assert one.epoch(0, 1000 + TERMS.held_us - 1) == 1
-    assert one.epoch(0, 1000 + TERMS.held_us) is None  # also if nobody looked in between: it stood still
+    assert (
+        one.epoch(0, 1000 + TERMS.held_us) is None
+    )  # also if nobody looked in between: it stood still
     assert one.expired(1000 + TERMS.held_us) == [0]
     assert one.renewed(Renewed(500, {0: 2})) == []  # of an epoch that it does not know
 
@@ -146,7 +167,9 @@
     for now in range(1000 * MS, 2000 * MS, 10 * MS):
         keeper.asked("b", Ask(0, {}), now, 1 << 60)
         out += [(now, fact) for fact in keeper.step(now, ["b", "dead"])]
-    assert [fact for _, fact in out] == [facts.Granted(0, "b", 2)]  # once, while it is not committed
+    assert [fact for _, fact in out] == [
+        facts.Granted(0, "b", 2)
+    ]  # once, while it is not committed
     assert out[0][0] == 1000 * MS + TERMS.kept_us
     keeper.lost(out[0][1])
     assert keeper.step(2000 * MS, ["b", "dead"])  # and again once it is lost
@@ -180,11 +203,20 @@
 
 # Leases over agreement, in storms
 
+
 class Fleet(World):
     """Controllers, each on its own clock; what must hold is looked at on the world's."""
 
-    def __init__(self, seed: int, count: int = 3, holder: type[Holder] = Holder, keeper: type[Keeper] = Keeper,
-                 rates: tuple[float, ...] = (0.96, 1.0, 1.04), terms: Terms = TERMS, keep_entries: int = 4096) -> None:
+    def __init__(
+        self,
+        seed: int,
+        count: int = 3,
+        holder: type[Holder] = Holder,
+        keeper: type[Keeper] = Keeper,
+        rates: tuple[float, ...] = (0.96, 1.0, 1.04),
+        terms: Terms = TERMS,
+        keep_entries: int = 4096,
+    ) -> None:
         self.shape = Shape(GROUPS, TIMING, terms, keep_entries)
         self.make_holder, self.make_keeper = holder, keeper
         self.controllers: dict[Member, Controller] = {}
@@ -198,8 +230,15 @@
 
     def start(self, node: Node) -> None:
         stored = node.disk.stored
-        made = Controller(node.name, stored, self.shape, self.random.randrange(1 << 30), self.clock(node),
-                          make_holder=self.make_holder, make_keeper=self.make_keeper)
+        made = Controller(
+            node.name,
+            stored,
+            self.shape,
+            self.random.randrange(1 << 30),
+            self.clock(node),
+            make_holder=self.make_holder,
+            make_keeper=self.make_keeper,
+        )
         self.controllers[node.name] = made
         node.raft, node.applied = made.raft, [(stored.snapshot.index, b"")]
         made.on_applied = lambda entry, _: self._apply(node, entry)
@@ -318,8 +357,12 @@
             fleet.take(node)
             fleet.run(30 * MS)
         fleet.loss = 0.0
-        fleet.until(lambda fleet=fleet: all(  # type: ignore[misc]
-            len(c.ledger.withdrawn) == 12 for c in fleet.controllers.values()), 5000 * MS)
+        fleet.until(
+            lambda fleet=fleet: all(  # type: ignore[misc]
+                len(c.ledger.withdrawn) == 12 for c in fleet.controllers.values()
+            ),
+            5000 * MS,
+        )
         assert any(c.raft.log.snapshot.index for c in fleet.controllers.values())
 
 
@@ -337,7 +380,10 @@
         fleet.take(first)
 
         def empty(fleet: Fleet = fleet, drained: Node = drained) -> bool:
-            return fleet.handled == GROUPS and not fleet.controllers[drained.name].holder.holds(fleet.clock(drained))
+            return fleet.handled == GROUPS and not fleet.controllers[drained.name].holder.holds(
+                fleet.clock(drained)
+            )
+
         fleet.until(empty, 5000 * MS)
         fleet.crash(first)
         fleet.until(lambda fleet=fleet, first=first: fleet.leader not in (None, first))  # type: ignore[misc]
@@ -375,6 +421,7 @@
         out = taken(made)
         gained.extend(e for e in out.events if isinstance(e, Gained) and e.group == group)
         return out
+
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(Controller, "take", noted)
         fleet.until(lambda: gained)
@@ -383,6 +430,7 @@
 
 # Mutants of leases
 
+
 class CountsFromTheAnswer(Holder):
     def renewed(self, answer: Renewed) -> list[int]:
         return super().renewed(Renewed(answer.asked_us + 140 * MS, answer.holds))
@@ -445,12 +493,24 @@
     fleet.run(600 * MS)
 
 
-SCENES: list[Callable[[Fleet], None]] = [partial(storm_of, steps=40), leader_dies_with_a_holder_cut_off,
-                                         leader_wakes_with_asks_in_its_buffer]
-
-
-@pytest.mark.parametrize("mutant", [CountsFromTheAnswer, BelievesTheGrant, NeverLooksAtItsClock,
-                                    DoesNotWaitAsNewLeader, RenewsWithoutBeingSure, RenewsWhatItGivesAway])
+SCENES: list[Callable[[Fleet], None]] = [
+    partial(storm_of, steps=40),
+    leader_dies_with_a_holder_cut_off,
+    leader_wakes_with_asks_in_its_buffer,
+]
+
+
+@pytest.mark.parametrize(
+    "mutant",
+    [
+        CountsFromTheAnswer,
+        BelievesTheGrant,
+        NeverLooksAtItsClock,
+        DoesNotWaitAsNewLeader,
+        RenewsWithoutBeingSure,
+        RenewsWhatItGivesAway,
+    ],
+)
 def test_a_defence_of_leases_taken_out_is_found(mutant: type) -> None:
     for seed in range(150):
         made: dict[str, Any] = {"holder" if issubclass(mutant, Holder) else "keeper": mutant}
@@ -471,7 +531,9 @@
 def test_clocks_further_apart_than_the_drift_allowed_are_found() -> None:
     """The drift is an assumption, so breaking it must show: else the check could not fail by it."""
     for seed in range(80):
-        fleet = Fleet(seed, 3, rates=(0.6, 1.0, 1.5), terms=Terms(300 * MS, 0.0, 50 * MS, 200 * MS, 2))
+        fleet = Fleet(
+            seed, 3, rates=(0.6, 1.0, 1.5), terms=Terms(300 * MS, 0.0, 50 * MS, 200 * MS, 2)
+        )
         try:
             storm_of(fleet, 40)
         except Broken:
--- a/tests/test_shared_members.py
+++ b/tests/test_shared_members.py
@@ -29,7 +29,19 @@
 from kelpcourse.shared.ledger import Withdrew
 from kelpcourse.shared.member import FleetMember, Place
 from kelpcourse.shared.messages import (
-    Append, AppendReply, Config, ElectNow, Entry, Kind, Piece, PieceReply, Snapshot, Stored, Vote, VoteReply, Write,
+    Append,
+    AppendReply,
+    Config,
+    ElectNow,
+    Entry,
+    Kind,
+    Piece,
+    PieceReply,
+    Snapshot,
+    Stored,
+    Vote,
+    VoteReply,
+    Write,
 )
 from kelpcourse.shared.peers import Tls
 from kelpcourse.shared.raft import Refused, Timing
@@ -41,14 +53,23 @@
 MS = 1000
 CONFIG = Config(frozenset({"a", "b"}), frozenset({"c"}))
 BODIES = [
-    Vote(3, 4, 2, True, True), VoteReply(3, False, True), AppendReply(3, True, 5, 6, 7),
+    Vote(3, 4, 2, True, True),
+    VoteReply(3, False, True),
+    AppendReply(3, True, 5, 6, 7),
     Append(3, 4, 2, (Entry(5, 3, Kind.DATA, b"x"), Entry(6, 3, Kind.CONFIG, b"", CONFIG)), 4, -9),
-    Piece(3, 9, 2, CONFIG, 16, b"part", 99, 1), PieceReply(3, 9, 20, 1), ElectNow(3), Ask(5, {0: 1, 7: 3}),
-    Renewed(5, {}), Tell((b"a", b"")), Hello("a@1")]
+    Piece(3, 9, 2, CONFIG, 16, b"part", 99, 1),
+    PieceReply(3, 9, 20, 1),
+    ElectNow(3),
+    Ask(5, {0: 1, 7: 3}),
+    Renewed(5, {}),
+    Tell((b"a", b"")),
+    Hello("a@1"),
+]
 
 
 # Codec
 
+
 @pytest.mark.parametrize("body", BODIES)
 def test_each_message_is_the_same_behind_the_wire(body: PeerMessage | Hello) -> None:
     assert codec.decode(codec.encode("a@1", "b@2", body)) == Letter("a@1", "b@2", body)
@@ -58,7 +79,9 @@
     """Fields and bodies that are not known yet: here under numbers that this version does not use."""
     later = codec.encode("a", "b", ElectNow(3)) + b"\xa2\x06\x03new"
     assert codec.decode(later) == Letter("a", "b", ElectNow(3))
-    assert b"\xa2\x06\x03new" in Envelope.FromString(later).SerializeToString()  # kept, as it is not ours to drop
+    assert (
+        b"\xa2\x06\x03new" in Envelope.FromString(later).SerializeToString()
+    )  # kept, as it is not ours to drop
     other = Envelope(version=2, sender="a", to="b").SerializeToString() + b"\xfa\x07\x00"
     assert codec.decode(other) == Letter("a", "b", Unknown(2))
 
@@ -88,8 +111,13 @@
     for number, (back, count, compacts) in enumerate(steps, 1):
         last = stored.entries[-1].index if stored.entries else stored.snapshot.index
         cut = max(stored.snapshot.index + 1, last + 1 - back)
-        write = Write(number, number, "a", cut if cut <= last else None,
-                      tuple(Entry(cut + k, number, Kind.DATA, b"%d" % k) for k in range(count)))
+        write = Write(
+            number,
+            number,
+            "a",
+            cut if cut <= last else None,
+            tuple(Entry(cut + k, number, Kind.DATA, b"%d" % k) for k in range(count)),
+        )
         if compacts and stored.entries:
             at = stored.entries[0]
             write = Write(number, number, None, snapshot=Snapshot(at.index, at.term, CONFIG, b"s"))
@@ -105,7 +133,9 @@
     def __init__(self, folder: Path, count: int, tls: bool) -> None:
         self.folder = folder
         self.defects: list[Exception] = []
-        self.loop = Loop(lambda: time.monotonic_ns() // 1000, lambda _, error: self.defects.append(error))
+        self.loop = Loop(
+            lambda: time.monotonic_ns() // 1000, lambda _, error: self.defects.append(error)
+        )
         self.log = Records()
         self.names = [f"n{k}" for k in range(count)]
         self.addresses = {name: free_address(LISTEN_HOST) for name in self.names}
@@ -123,10 +153,18 @@
 
     def start(self, name: str, certificate: str = "") -> FleetMember:
         tls = self.contexts(certificate or name)
-        place = Place(name, self.addresses[name], {n: a for n, a in self.addresses.items() if n != name},
-                      self.folder / f"state-{name}", name == "n0", lambda: tls)
+        place = Place(
+            name,
+            self.addresses[name],
+            {n: a for n, a in self.addresses.items() if n != name},
+            self.folder / f"state-{name}",
+            name == "n0",
+            lambda: tls,
+        )
         shape = Shape(6, Timing(20 * MS, 150 * MS), Terms(400 * MS, 0.05, 60 * MS, 250 * MS, 4))
-        made = FleetMember(self.loop, Limits(), Counters(), self.log, place, shape, Thread(), lambda _: None)
+        made = FleetMember(
+            self.loop, Limits(), Counters(), self.log, place, shape, Thread(), lambda _: None
+        )
         self.tasks[name] = []
         made.start(lambda what, make: self.tasks[name].append(self.loop.start(what, make())))
         self.members[name] = made
@@ -162,7 +200,9 @@
             return False
 
     def held(self) -> dict[int, str]:
-        return {g: name for name, m in self.members.items() for g in range(6) if m.epoch(g) is not None}
+        return {
+            g: name for name, m in self.members.items() for g in range(6) if m.epoch(g) is not None
+        }
 
     def close(self) -> None:
         self.loop.close()
@@ -214,8 +254,13 @@
 def test_a_wrong_certificate_and_a_stranger_are_refused(rig: Rig) -> None:
     rig.start("n0")
     rig.start("n1", certificate="n2")
-    rig.until(lambda: any("with the certificate of" in str(line["reason"]) or "Hostname mismatch" in str(line["reason"])
-                          for line in [*rig.log.named("peer_line_ended"), *rig.log.named("peer_away")]))
+    rig.until(
+        lambda: any(
+            "with the certificate of" in str(line["reason"])
+            or "Hostname mismatch" in str(line["reason"])
+            for line in [*rig.log.named("peer_line_ended"), *rig.log.named("peer_away")]
+        )
+    )
     leader = rig.members["n0"]
     rig.until(lambda: leader.status().get("role") == "leader")
     with pytest.raises(Refused, match="has not said Hello"):
@@ -227,6 +272,7 @@
 
     def made(path: Path) -> Disk:
         return Disk(path, "n0", True, loop, Limits(), Thread(), lambda _: None, lambda _: None)
+
     rig = Rig(tmp_path, 1, False)
     first = rig.start("n0")
     rig.until(lambda: first.status().get("role") == "leader")
@@ -276,17 +322,30 @@
     path.write_text(good)
     done = CliRunner().invoke(cli, ["shared", "check", str(path)])
     assert (done.exit_code, done.stdout) == (0, "n1 of 2 controllers, 24 groups\n")
-    path.write_text(good.replace('me "n1"', 'me "n9"\n    lease-ms 100').replace('"127.0.0.1:7002"', '"nowhere"')
-                    .replace("n1.key", "n2.key").replace("state", "stat"))
+    path.write_text(
+        good.replace('me "n1"', 'me "n9"\n    lease-ms 100')
+        .replace('"127.0.0.1:7002"', '"nowhere"')
+        .replace("n1.key", "n2.key")
+        .replace("state", "stat")
+    )
     done = CliRunner().invoke(cli, ["shared", "check", str(path)])
     assert done.exit_code == 2
     assert [line.split("shared.kdl:")[1].split(": ")[:2] for line in done.stderr.splitlines()] == [
-        ["1", "shared.state"], ["4", "shared.stat"]]
-    path.write_text(good.replace('me "n1"', 'me "n9"\n    lease-ms 100').replace('"127.0.0.1:7002"', '"nowhere"')
-                    .replace("n1.key", "n2.key"))
+        ["1", "shared.state"],
+        ["4", "shared.stat"],
+    ]
+    path.write_text(
+        good.replace('me "n1"', 'me "n9"\n    lease-ms 100')
+        .replace('"127.0.0.1:7002"', '"nowhere"')
+        .replace("n1.key", "n2.key")
+    )
     done = CliRunner().invoke(cli, ["shared", "check", str(path)])
     assert [line.split("shared.kdl:")[1].split(": ")[:2] for line in done.stderr.splitlines()] == [
-        ["1", "shared.me"], ["1", "shared.lease-ms"], ["6", "shared.member.address"], ["7", "shared.tls"]]
+        ["1", "shared.me"],
+        ["1", "shared.lease-ms"],
+        ["6", "shared.member.address"],
+        ["7", "shared.tls"],
+    ]
 
 
 class Processes:
@@ -296,18 +355,29 @@
         self.folder = folder
         self.running: dict[str, subprocess.Popen[bytes]] = {}
         keys.make_authority(folder)
-        members = "".join(f'    member "n{k}" address="127.0.0.1:{free_address()[1]}"\n' for k in range(3))
+        members = "".join(
+            f'    member "n{k}" address="127.0.0.1:{free_address()[1]}"\n' for k in range(3)
+        )
         for k in range(3):
             keys.make_member(folder, f"n{k}")
             (folder / f"n{k}.kdl").write_text(
                 f'shared {{\n    me "n{k}"\n    state "state-n{k}"\n    groups 6\n    begins #{str(k == 0).lower()}\n'
-                f'    beat-ms 30\n    election-ms 200\n    lease-ms 500\n'
-                f'{members}    tls authority="ca.pem" certificate="n{k}.pem" key="n{k}.key"\n}}\n')
+                f"    beat-ms 30\n    election-ms 200\n    lease-ms 500\n"
+                f'{members}    tls authority="ca.pem" certificate="n{k}.pem" key="n{k}.key"\n}}\n'
+            )
 
     def start(self, name: str) -> None:
         self.running[name] = subprocess.Popen(
-            [sys.executable, "-m", "kelpcourse.cli", "shared", "run", str(self.folder / f"{name}.kdl")],
-            stdout=subprocess.DEVNULL)
+            [
+                sys.executable,
+                "-m",
+                "kelpcourse.cli",
+                "shared",
+                "run",
+                str(self.folder / f"{name}.kdl"),
+            ],
+            stdout=subprocess.DEVNULL,
+        )
 
     def say(self, name: str, word: str, *words: str) -> Result:
         return CliRunner().invoke(cli, ["shared", word, str(self.folder / f"{name}.kdl"), *words])
@@ -355,8 +425,12 @@
     processes.until(lambda: processes.status("n1").get("role") == "leader")
     processes.running.pop("n1").kill()
     processes.until(lambda: any(processes.status(n).get("role") == "leader" for n in ("n0", "n2")))
-    processes.until(lambda: processes.holders("n0") == {"n0"})  # whoever leads: the drain is in the log
-    processes.until(lambda: any(processes.say(n, "undrain", "n2").exit_code == 0 for n in ("n0", "n2")))
+    processes.until(
+        lambda: processes.holders("n0") == {"n0"}
+    )  # whoever leads: the drain is in the log
+    processes.until(
+        lambda: any(processes.say(n, "undrain", "n2").exit_code == 0 for n in ("n0", "n2"))
+    )
     processes.until(lambda: processes.holders("n0") == {"n0", "n2"})
     processes.start("n1")
     processes.until(lambda: processes.holders("n0") == {"n0", "n1", "n2"})
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -50,19 +50,53 @@
             self.start(name)
 
     def entry(self, host: str, phase: str = "ready") -> dict[str, object]:
-        return {"id": host, "host_port": shown(self.lab.hosts[host]), "locality": self.lab.rooms[host], "flavor": "m2",
-                "cell": 0, "phase": phase, "size": 1.0, "up_since_ms": 0}
+        return {
+            "id": host,
+            "host_port": shown(self.lab.hosts[host]),
+            "locality": self.lab.rooms[host],
+            "flavor": "m2",
+            "cell": 0,
+            "phase": phase,
+            "size": 1.0,
+            "up_since_ms": 0,
+        }
 
     def start(self, name: str) -> None:
-        place = Place(name, self.addresses[name], {n: a for n, a in self.addresses.items() if n != name},
-                      self.folder / name, name == "n0", lambda: None)
-        shape = Shape(GROUPS, Timing(20 * MS, 150 * MS), Terms(400 * MS, 0.05, 60 * MS, 250 * MS, 4))
+        place = Place(
+            name,
+            self.addresses[name],
+            {n: a for n, a in self.addresses.items() if n != name},
+            self.folder / name,
+            name == "n0",
+            lambda: None,
+        )
+        shape = Shape(
+            GROUPS, Timing(20 * MS, 150 * MS), Terms(400 * MS, 0.05, 60 * MS, 250 * MS, 4)
+        )
         steerings = self.steerings
-        member = FleetMember(self.lab.loop, Limits(), Counters(), self.log, place, shape, Thread(),
-                             lambda event: steerings[name].on_event(event) if name in steerings else None)
-        around = Around(self.lab.loop, Limits(), Counters(), self.log,
-                        read_settings(Fields.of_nested(settings(FORWARDERS))), self.lab.relay.address,
-                        self.lab.discovery.address, 7, lambda: time.time_ns() // 1_000_000, member.epoch, member.learn)
+        member = FleetMember(
+            self.lab.loop,
+            Limits(),
+            Counters(),
+            self.log,
+            place,
+            shape,
+            Thread(),
+            lambda event: steerings[name].on_event(event) if name in steerings else None,
+        )
+        around = Around(
+            self.lab.loop,
+            Limits(),
+            Counters(),
+            self.log,
+            read_settings(Fields.of_nested(settings(FORWARDERS))),
+            self.lab.relay.address,
+            self.lab.discovery.address,
+            7,
+            lambda: time.time_ns() // 1_000_000,
+            member.epoch,
+            member.learn,
+        )
         steerings[name] = Steering(around)
         self.tasks[name] = []
         member.start(lambda _, make: self.tasks[name].append(self.lab.loop.start(name, make())))
@@ -95,7 +129,10 @@
         return False
 
     def held(self) -> dict[str, list[int]]:
-        return {name: [g for g in range(GROUPS) if m.epoch(g) is not None] for name, m in self.members.items()}
+        return {
+            name: [g for g in range(GROUPS) if m.epoch(g) is not None]
+            for name, m in self.members.items()
+        }
 
     def steered(self) -> bool:
         return all(set(f.lines(READ)) == {"s-0", "s-1", "s-2", "s-3"} for f in self.lab.forwarders)
@@ -130,10 +167,15 @@
     fleet.kill(leader)
     fleet.lab.checker.stopped("s-1", now_us())
     fleet.until("every forwarder has left the host", lambda: fleet.left("s-1"))
-    fleet.until("the group has a holder", lambda: any(group in groups for groups in fleet.held().values()))
+    fleet.until(
+        "the group has a holder", lambda: any(group in groups for groups in fleet.held().values())
+    )
     fleet.until("its holder orders it", lambda: (group, epoch_before + 1) in fleet.lab.calls)
     highest: dict[int | None, int] = {}
-    for called, epoch in fleet.lab.calls:  # no forwarder ever acted on a lower epoch after a higher one
+    for (
+        called,
+        epoch,
+    ) in fleet.lab.calls:  # no forwarder ever acted on a lower epoch after a higher one
         assert epoch >= highest.get(called, 0)
         highest[called] = epoch
     assert fleet.lab.checker.breaks == []
@@ -158,6 +200,7 @@
         yield from client.request("POST", f"/v3/kv/groups/{group}/orders?epoch={epoch}", body)
         answers.append((yield from client.status(now_us() + 1_000 * MS)))
         client.close()
+
     fleet.lab.loop.start("a late holder", wake())
     fleet.until("it is answered", lambda: answers)
     assert answers == [409]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -12,7 +12,16 @@
 from kelpcourse.limits import Limits
 from kelpcourse.store.commit import Append, Commit, Compact, Outcome
 from kelpcourse.store.folder import Folder, InUse
-from kelpcourse.store.frames import HEADER_BYTES, Damage, Kind, Record, Unusable, frame, header, read
+from kelpcourse.store.frames import (
+    HEADER_BYTES,
+    Damage,
+    Kind,
+    Record,
+    Unusable,
+    frame,
+    header,
+    read,
+)
 from kelpcourse.store.journal import Journal
 from kelpcourse.store.recovery import file_name, from_bytes, obsolete, recover
 from kelpcourse.wire.storage import Done, Thread, Writer
@@ -33,10 +42,11 @@
 def test_each_cut_of_a_journal_leaves_every_record_before_it_and_no_part_of_another() -> None:
     for cut in range(HEADER_BYTES, len(JOURNAL)):
         found = from_bytes({**NAMES, "journal-000000000004": JOURNAL[:cut]})
-        assert found.records == RECORDS[:whole_before(cut)]
+        assert found.records == RECORDS[: whole_before(cut)]
         assert found.next_number == 11 + whole_before(cut)
-        assert [remark.lost_bytes for remark in found.remarks] == ([cut - ENDS[whole_before(cut)]]
-                                                                   if cut not in ENDS else [])
+        assert [remark.lost_bytes for remark in found.remarks] == (
+            [cut - ENDS[whole_before(cut)]] if cut not in ENDS else []
+        )
         assert not any(remark.alarming for remark in found.remarks)
 
 
@@ -46,7 +56,7 @@
             data = bytearray(JOURNAL)
             data[place] ^= 1 << bit
             contents = read(Kind.JOURNAL, bytes(data))
-            assert list(contents.records) == RECORDS[:whole_before(place)]
+            assert list(contents.records) == RECORDS[: whole_before(place)]
             assert contents.damage is not Damage.NONE
 
 
@@ -67,11 +77,15 @@
 
 
 def test_a_spoilt_snapshot_is_done_without_as_the_generation_before_is_kept() -> None:
-    newer = {"snapshot-000000000005": header(Kind.SNAPSHOT, 5, 14) + frame(Record(14, b"later")),
-             "journal-000000000005": header(Kind.JOURNAL, 5, 15) + frame(Record(15, b"last"))}
+    newer = {
+        "snapshot-000000000005": header(Kind.SNAPSHOT, 5, 14) + frame(Record(14, b"later")),
+        "journal-000000000005": header(Kind.JOURNAL, 5, 15) + frame(Record(15, b"last")),
+    }
     good = from_bytes({**NAMES, **newer})
     assert (good.snapshot, good.records, good.generation) == (b"later", [Record(15, b"last")], 5)
-    spoilt = from_bytes({**NAMES, **newer, "snapshot-000000000005": newer["snapshot-000000000005"][:-1]})
+    spoilt = from_bytes(
+        {**NAMES, **newer, "snapshot-000000000005": newer["snapshot-000000000005"][:-1]}
+    )
     assert spoilt.snapshot == b"state"
     assert spoilt.records == [*RECORDS, Record(15, b"last")]
     assert (spoilt.next_number, spoilt.generation, spoilt.fresh) == (16, 5, False)
@@ -98,7 +112,10 @@
     names = [file_name(kind, g) for kind in Kind for g in (2, 3, 4, 5)]
     names.remove("snapshot-000000000004")
     assert obsolete([*names, "snapshot-000000000006.tmp", "lock"], 5) == [
-        "snapshot-000000000006.tmp", "journal-000000000002", "snapshot-000000000002"]
+        "snapshot-000000000006.tmp",
+        "journal-000000000002",
+        "snapshot-000000000002",
+    ]
 
 
 # Commit
@@ -124,7 +141,12 @@
     commit.next_job(0)
     commit.stage(b"b", "B")
     settled = commit.settle(Outcome.NOT_WRITTEN, 0, 0)
-    assert (settled.durable, settled.undone, commit.broken, commit.waiting) == ([], ["A", "B"], False, 0)
+    assert (settled.durable, settled.undone, commit.broken, commit.waiting) == (
+        [],
+        ["A", "B"],
+        False,
+        0,
+    )
     commit.stage(b"c", "C")
     assert commit.next_job(0) == Append((Record(1, b"c"),))
 
@@ -176,6 +198,7 @@
 
 # On disk
 
+
 class BadDisk(Folder):
     """Fails where it is told to; `calls` counts what could fail."""
 
@@ -194,7 +217,7 @@
 
     def write(self, fd: int, data: bytes, at: int) -> None:
         if "write" in self.fails or self.calls + 1 == self.dies_at:
-            os.pwrite(fd, data[:len(data) // 2], at)  # a part of it is there
+            os.pwrite(fd, data[: len(data) // 2], at)  # a part of it is there
         self._at("write")
         super().write(fd, data, at)
 
@@ -217,7 +240,9 @@
     journal = Journal(BadDisk(path))
     found = journal.open()
     journal.close()
-    return ([found.snapshot] if found.snapshot else []) + [record.payload for record in found.records]
+    return ([found.snapshot] if found.snapshot else []) + [
+        record.payload for record in found.records
+    ]
 
 
 def begun(path: Path) -> tuple[BadDisk, Journal]:
@@ -232,7 +257,11 @@
     disk, journal = begun(tmp_path)
     journal.append([Record(1, b"a")])
     disk.fails = {"write": errno.ENOSPC}
-    assert journal.append([Record(2, b"l")]) == (Outcome.NOT_WRITTEN, 0, "writing: No space left on device")
+    assert journal.append([Record(2, b"l")]) == (
+        Outcome.NOT_WRITTEN,
+        0,
+        "writing: No space left on device",
+    )
     disk.fails = {"write": errno.ENOSPC, "cut": errno.EIO}
     assert journal.append([Record(2, b"lost")])[0] is Outcome.UNSURE
     disk.fails = {"sync": errno.EIO}
@@ -300,6 +329,7 @@
 
 # In the loop
 
+
 class ByHand:
     """A runner whose jobs run when the test says so."""
 
@@ -329,11 +359,21 @@
         os.close(self.fd)
 
 
-def test_changes_of_one_round_share_a_sync_and_none_is_told_before_it(bench: Bench, tmp_path: Path) -> None:
+def test_changes_of_one_round_share_a_sync_and_none_is_told_before_it(
+    bench: Bench, tmp_path: Path
+) -> None:
     journal, hand = Journal(Folder(tmp_path)), ByHand()
     told: list[str] = []
-    writer: Writer[str] = Writer(bench.loop, Limits(), journal, journal.open(), hand, lambda: b"s",
-                                 lambda settled: told.extend(settled.durable), lambda *_: None)
+    writer: Writer[str] = Writer(
+        bench.loop,
+        Limits(),
+        journal,
+        journal.open(),
+        hand,
+        lambda: b"s",
+        lambda settled: told.extend(settled.durable),
+        lambda *_: None,
+    )
     bench.loop.start("store", writer.run())
     assert not writer.stage(b"early", "early")  # no generation stands yet
     hand.go()
@@ -355,6 +395,7 @@
     def took() -> bool:
         done.extend(filter(None, [thread.take()]))
         return bool(done)
+
     bench.until(took, 1_000_000)
     thread.close()
     assert done[0] == (Outcome.UNSURE, 0, "ZeroDivisionError('integer division or modulo by zero')")
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -8,19 +8,36 @@
 import pytest
 
 from kelpcourse.decide import Director
-from kelpcourse.interface import Checkpoint, HostId, HostState, ProxyJoined, SetLine, Settings, Withdraw
+from kelpcourse.interface import (
+    Checkpoint,
+    HostId,
+    HostState,
+    ProxyJoined,
+    SetLine,
+    Settings,
+    Withdraw,
+)
 from tests.fleet import SECOND, SETTINGS, Day, LongTables, changes, full, host, only
 from tests.massworld import Broken, ModuleDay
 
 HOSTS = [host(1_000 + k, "east" if k % 2 else "west") for k in range(200)]
 ROLL = replace(  # a restart of directors beside a release: half of the proxies at one director, a channel of 1.8 s
-    SETTINGS, proxies=240, connections_least=392.0, channel_lines_per_s=3_200.0, channel_backlog=5_800.0,
-    drain_grace_us=3_900_000, transit_mean_us=226_000, transit_longest_us=565_000, messages_most=12,
-    bare_limit_us=8_600_000, cold_us=14 * SECOND)
+    SETTINGS,
+    proxies=240,
+    connections_least=392.0,
+    channel_lines_per_s=3_200.0,
+    channel_backlog=5_800.0,
+    drain_grace_us=3_900_000,
+    transit_mean_us=226_000,
+    transit_longest_us=565_000,
+    messages_most=12,
+    bare_limit_us=8_600_000,
+    cold_us=14 * SECOND,
+)
 
 
 def numbers(first: int, count: int) -> list[HostId]:
-    return [h.id for h in HOSTS[first:first + count]]
+    return [h.id for h in HOSTS[first : first + count]]
 
 
 def release(make: Callable[[Settings], Director]) -> ModuleDay:
@@ -31,7 +48,9 @@
     day.run(8)
     for version, first in enumerate((0, 40, 80), 2):
         day.step(changes(day.drain(numbers(first, 40), version), version))
-        day.step(changes([host(5_000 + first + k, "east", started=day.now) for k in range(40)], version))
+        day.step(
+            changes([host(5_000 + first + k, "east", started=day.now) for k in range(40)], version)
+        )
         day.join(range(30 + first // 2, 50 + first // 2), lambda _: numbers(0, 200), 1.0)
         day.run(1)
     day.run(8)
@@ -39,7 +58,9 @@
 
 
 @pytest.mark.parametrize("make", [Director, LongTables])
-def test_those_that_join_late_do_not_hold_up_the_next_withdrawal(make: Callable[[Settings], Director]) -> None:
+def test_those_that_join_late_do_not_hold_up_the_next_withdrawal(
+    make: Callable[[Settings], Director],
+) -> None:
     """Forty hosts had been withdrawn when a proxy joined. They were withdrawn anew with the next twenty, at the cost
     of a line at every proxy that still had theirs in its table, and ahead of them: 60 hosts found no room for 4.2 s."""
     assert not release(make).director.dropped
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -23,6 +23,7 @@
         frame.f_trace_opcodes = True
         count += event == "opcode"
         return trace
+
     before = sys.gettrace()
     sys.settrace(trace)
     try:
@@ -42,8 +43,12 @@
     """A report on every host and proxy, with orders due."""
     day = fleet_day(size)
     lines: list[Event] = [
-        *(HostReport(h.id, "east", 20, 0, SECOND, 1000 * (200 + h.id % 300), ()) for h in hosts(size)),
-        *(DemandReport(p, k, 10, 0, SECOND) for p in range(2 * size) for k in range(2))]
+        *(
+            HostReport(h.id, "east", 20, 0, SECOND, 1000 * (200 + h.id % 300), ())
+            for h in hosts(size)
+        ),
+        *(DemandReport(p, k, 10, 0, SECOND) for p in range(2 * size) for k in range(2)),
+    ]
     day.until(day.now + 2 * SECOND)
     return steps(lambda: day.send(*lines))
 
@@ -52,7 +57,7 @@
     """Nine tenths of the hosts replaced by cold ones in one list."""
     day = fleet_day(size)
     new = [host(9000 + k, started=day.now) for k in range(size * 9 // 10)]
-    gone = [replace(h, state=type(h.state).GONE) for h in hosts(size)[:size * 9 // 10]]
+    gone = [replace(h, state=type(h.state).GONE) for h in hosts(size)[: size * 9 // 10]]
     return steps(lambda: day.send(changes([*gone, *new])))
 
 
--- a/tests/test_zone_content.py
+++ b/tests/test_zone_content.py
@@ -25,9 +25,16 @@
 # Names
 
 
-@pytest.mark.parametrize(("name", "result"), [
-    ("s-1." + ORIGIN, "s-1"), (ORIGIN, "@"), ("a.b." + ORIGIN, "a.b"), ("s-1.elsewhere.", "s-1.elsewhere."),
-    ("a\\.games.example.org.", "a\\.games.example.org.")])
+@pytest.mark.parametrize(
+    ("name", "result"),
+    [
+        ("s-1." + ORIGIN, "s-1"),
+        (ORIGIN, "@"),
+        ("a.b." + ORIGIN, "a.b"),
+        ("s-1.elsewhere.", "s-1.elsewhere."),
+        ("a\\.games.example.org.", "a\\.games.example.org."),
+    ],
+)
 def test_names_beside_an_origin(name: str, result: str) -> None:
     assert relative(name, ORIGIN) == result
     assert is_under(name, ORIGIN) is (result == "@" or not result.endswith("."))
@@ -39,6 +46,7 @@
 
 # Meaning
 
+
 def meaning(*records: Record) -> Meaning:
     made = Meaning(ORIGIN, SERVICE)
     made.start(zone_of(ORIGIN, records))
@@ -46,9 +54,17 @@
 
 
 def test_a_host_as_its_records_tell() -> None:
-    made = meaning(*host("s-1", txt='"kind=m2" "cell=3" "phase=draining" "started=1767225600000"', weight=7))
+    made = meaning(
+        *host("s-1", txt='"kind=m2" "cell=3" "phase=draining" "started=1767225600000"', weight=7)
+    )
     (one,) = made.hosts.values()
-    assert (one.name, one.address, one.zone, one.kind, one.cell) == ("s-1", ("10.0.0.1", 5000), "room-a", "m2", 3)
+    assert (one.name, one.address, one.zone, one.kind, one.cell) == (
+        "s-1",
+        ("10.0.0.1", 5000),
+        "room-a",
+        "m2",
+        3,
+    )
     assert (one.phase, one.size, one.up_since_ms) == (Phase.DRAINING, 7.0, 1767225600000.0)
     assert made.problems() == []
 
@@ -62,20 +78,31 @@
     assert meaning(srv, rec("s-1", "AAAA", "::1")).hosts["s-1"].address == ("::1", 5000)
 
 
-@pytest.mark.parametrize(("record", "owner", "field"), [
-    (rec("s-1", "TXT", '"phase=drainin"'), "s-1", "phase"), (rec("s-1", "TXT", '"cell=-1"'), "s-1", "cell"),
-    (rec("s-1", "TXT", '"cell=1" "cell=2"'), "s-1", "cell"), (rec("s-1", "TXT", '"started=now"'), "s-1", "started"),
-    (rec("s-1", "TXT", '"kind="'), "s-1", "kind"), (rec("s-1", "TXT", '"started=99999999999999999999"'), "s-1",
-                                                     "started"),
-    (rec(f"{SERVICE}.room-b", "SRV", "0 1 5000 s-9." + ORIGIN), "s-9", "address"),
-    (rec(f"{SERVICE}.room-b", "SRV", "0 1 5000 s-1.elsewhere."), f"{SERVICE}.room-b", "target"),
-    (rec(f"{SERVICE}.room-b", "SRV", "0 1 5000 ."), f"{SERVICE}.room-b", "target"),
-    (rec(f"{SERVICE}.x.room-b", "SRV", "0 1 5000 s-1." + ORIGIN), f"{SERVICE}.x.room-b", "owner"),
-    (rec(f"{SERVICE}.room-b", "SRV", "0 1 0 s-2." + ORIGIN), f"{SERVICE}.room-b", "port"),
-    (rec(f"{SERVICE}.room-b", "SRV", "0 1 5000 s-1." + ORIGIN), f"{SERVICE}.room-b", "target"),
-    (rec("s-1", "A", "10.0.0.2"), "s-1", "address")])
-def test_a_record_that_can_not_be_used_is_named_and_its_neighbours_count(record: Record, owner: str,
-                                                                         field: str) -> None:
+@pytest.mark.parametrize(
+    ("record", "owner", "field"),
+    [
+        (rec("s-1", "TXT", '"phase=drainin"'), "s-1", "phase"),
+        (rec("s-1", "TXT", '"cell=-1"'), "s-1", "cell"),
+        (rec("s-1", "TXT", '"cell=1" "cell=2"'), "s-1", "cell"),
+        (rec("s-1", "TXT", '"started=now"'), "s-1", "started"),
+        (rec("s-1", "TXT", '"kind="'), "s-1", "kind"),
+        (rec("s-1", "TXT", '"started=99999999999999999999"'), "s-1", "started"),
+        (rec(f"{SERVICE}.room-b", "SRV", "0 1 5000 s-9." + ORIGIN), "s-9", "address"),
+        (rec(f"{SERVICE}.room-b", "SRV", "0 1 5000 s-1.elsewhere."), f"{SERVICE}.room-b", "target"),
+        (rec(f"{SERVICE}.room-b", "SRV", "0 1 5000 ."), f"{SERVICE}.room-b", "target"),
+        (
+            rec(f"{SERVICE}.x.room-b", "SRV", "0 1 5000 s-1." + ORIGIN),
+            f"{SERVICE}.x.room-b",
+            "owner",
+        ),
+        (rec(f"{SERVICE}.room-b", "SRV", "0 1 0 s-2." + ORIGIN), f"{SERVICE}.room-b", "port"),
+        (rec(f"{SERVICE}.room-b", "SRV", "0 1 5000 s-1." + ORIGIN), f"{SERVICE}.room-b", "target"),
+        (rec("s-1", "A", "10.0.0.2"), "s-1", "address"),
+    ],
+)
+def test_a_record_that_can_not_be_used_is_named_and_its_neighbours_count(
+    record: Record, owner: str, field: str
+) -> None:
     made = meaning(*host("s-1"), *host("s-3"), record)
     assert [(p.owner, p.field) for p in made.problems()] == [(f"{owner}.{ORIGIN}", field)]
     assert sorted(made.hosts) == ["s-1", "s-3"]
@@ -95,8 +122,11 @@
     start = zone(1, host("s-1"), host("s-2"))
     made = Meaning(ORIGIN, SERVICE)
     made.start(start)
-    draft = draft_of(start, [rec("s-1", "A", "10.9.9.9"), rec("s-1", "TXT", '"started=7"')],
-                     [rec("s-1", "A", "10.0.0.1")])
+    draft = draft_of(
+        start,
+        [rec("s-1", "A", "10.9.9.9"), rec("s-1", "TXT", '"started=7"')],
+        [rec("s-1", "A", "10.0.0.1")],
+    )
     step = draft.difference(0)
     start.apply(step)
     changes = made.take(step, start)
@@ -105,15 +135,28 @@
     assert (changes["s-1"].address[0], changes["s-1"].up_since_ms) == ("10.9.9.9", 7.0)
 
 
-pool = [*rooms(3), *host("s-0", "room-b", "127.0.0.99"), rec("s-1", "TXT", '"phase=draining"'),
-        rec("s-2", "AAAA", "::1"), rec(f"{SERVICE}.room-a", "SRV", "0 1 5000 s-1.elsewhere.")]
-moves = st.lists(st.lists(st.tuples(st.booleans(), st.sampled_from(pool)), min_size=1, max_size=5), max_size=12)
+pool = [
+    *rooms(3),
+    *host("s-0", "room-b", "127.0.0.99"),
+    rec("s-1", "TXT", '"phase=draining"'),
+    rec("s-2", "AAAA", "::1"),
+    rec(f"{SERVICE}.room-a", "SRV", "0 1 5000 s-1.elsewhere."),
+]
+moves = st.lists(
+    st.lists(st.tuples(st.booleans(), st.sampled_from(pool)), min_size=1, max_size=5), max_size=12
+)
 
 
-def play(steps: Sequence[Sequence[tuple[bool, Record]]]) -> tuple[Zone, set[Record], Meaning, History, list[Zone]]:
+def play(
+    steps: Sequence[Sequence[tuple[bool, Record]]],
+) -> tuple[Zone, set[Record], Meaning, History, list[Zone]]:
     """Steps on a zone by drafts, and beside it on a plain set of records."""
     one, plain = zone(1), set(zone(1).records())
-    known, history, versions = Meaning(ORIGIN, SERVICE), History(LIMITS.zone_history_records), [one.copy()]
+    known, history, versions = (
+        Meaning(ORIGIN, SERVICE),
+        History(LIMITS.zone_history_records),
+        [one.copy()],
+    )
     known.start(one)
     for step in steps:
         draft = Draft(one)
@@ -138,7 +181,9 @@
 
 @given(moves)
 @settings(max_examples=150, deadline=None, derandomize=True)
-def test_drafts_history_and_hosts_agree_with_plain_copies(steps: list[list[tuple[bool, Record]]]) -> None:
+def test_drafts_history_and_hosts_agree_with_plain_copies(
+    steps: list[list[tuple[bool, Record]]],
+) -> None:
     one, plain, known, history, versions = play(steps)
     assert set(one.records()) == plain
     assert len(one) == len(plain)
@@ -157,7 +202,9 @@
         assert back.after == after(one.serial)
         former = one.copy()
         former.apply(back)
-        assert {r for r in former.records() if r.type != 6} == {r for r in version.records() if r.type != 6}
+        assert {r for r in former.records() if r.type != 6} == {
+            r for r in version.records() if r.type != 6
+        }
 
 
 def test_a_difference_that_does_not_fit_changes_nothing() -> None:
@@ -214,7 +261,9 @@
     assert again.seen_ms == 9
     from_snapshot = Replay([], SERVICE, LIMITS)
     from_snapshot.run(snapshot([one], ()), [])
-    other = Replay([ORIGIN], SERVICE, LIMITS)  # the settings had left the zone out, and name it again
+    other = Replay(
+        [ORIGIN], SERVICE, LIMITS
+    )  # the settings had left the zone out, and name it again
     other.run(snapshot([], from_snapshot.others()), [])
     assert other.zones[ORIGIN].history.serials() == [1]
     assert sorted(other.zones[ORIGIN].zone.records()) == sorted(one.zone.records())
@@ -224,6 +273,7 @@
 
 # Updates (RFC 2136)
 
+
 def update(*prepare: tuple[str, ...]) -> dns.update.UpdateMessage:
     message = dns.update.UpdateMessage(ORIGIN)
     for call, *words in prepare:
@@ -242,13 +292,22 @@
     return {r for r in (*step.removed, *step.added) if r.type != 6}
 
 
-@pytest.mark.parametrize(("prepare", "rcode"), [
-    (("present", "nobody"), dns.rcode.NXDOMAIN), (("present", "s-0", "TXT"), None),
-    (("present", "s-0", "AAAA"), dns.rcode.NXRRSET), (("present", "s-0", "A", "127.0.0.10"), None),
-    (("present", "s-0", "A", "127.0.0.11"), dns.rcode.NXRRSET), (("absent", "s-0"), dns.rcode.YXDOMAIN),
-    (("absent", "nobody"), None), (("absent", "s-0", "A"), dns.rcode.YXRRSET), (("absent", "s-0", "MX"), None),
-    (("present", "elsewhere.org."), dns.rcode.NOTZONE), (("add", "x.elsewhere.org.", "60", "A", "10.0.0.1"),
-                                                         dns.rcode.NOTZONE)])
+@pytest.mark.parametrize(
+    ("prepare", "rcode"),
+    [
+        (("present", "nobody"), dns.rcode.NXDOMAIN),
+        (("present", "s-0", "TXT"), None),
+        (("present", "s-0", "AAAA"), dns.rcode.NXRRSET),
+        (("present", "s-0", "A", "127.0.0.10"), None),
+        (("present", "s-0", "A", "127.0.0.11"), dns.rcode.NXRRSET),
+        (("absent", "s-0"), dns.rcode.YXDOMAIN),
+        (("absent", "nobody"), None),
+        (("absent", "s-0", "A"), dns.rcode.YXRRSET),
+        (("absent", "s-0", "MX"), None),
+        (("present", "elsewhere.org."), dns.rcode.NOTZONE),
+        (("add", "x.elsewhere.org.", "60", "A", "10.0.0.1"), dns.rcode.NOTZONE),
+    ],
+)
 def test_prerequisites(prepare: tuple[str, ...], rcode: dns.rcode.Rcode | None) -> None:
     start = zone(1, rooms())
     draft = Draft(start)
@@ -278,21 +337,28 @@
     for told, result in ((9, 9), (6, 8), (7, 8)):
         draft = Draft(start)
         text = f"ns.{ORIGIN} staff.{ORIGIN} {told} 60 10 600 30"
-        evaluate(update(("add", "x", "60", "A", "10.0.0.1"), ("add", "@", "60", "SOA", text)), draft)
+        evaluate(
+            update(("add", "x", "60", "A", "10.0.0.1"), ("add", "@", "60", "SOA", text)), draft
+        )
         draft.advance()
         assert soa_of(draft.soa_data).serial == result
 
 
 # Answers
 
+
 def test_questions_are_answered_out_of_the_zone() -> None:
     start = zone(1, rooms(), [rec("alias", "CNAME", "s-0." + ORIGIN)])
     found = look_up(start, f"{SERVICE}.room-a.{ORIGIN}", SRV)
-    assert (len(found.answer[0]), sorted(str(r.name) for r in found.additional)) == (2, ["s-0." + ORIGIN,
-                                                                                       "s-2." + ORIGIN])
+    assert (len(found.answer[0]), sorted(str(r.name) for r in found.additional)) == (
+        2,
+        ["s-0." + ORIGIN, "s-2." + ORIGIN],
+    )
     assert look_up(start, "nobody." + ORIGIN, A).rcode == dns.rcode.NXDOMAIN
     none = look_up(start, "s-0." + ORIGIN, 15)
     assert (none.rcode, none.answer, none.authority[0].ttl) == (dns.rcode.NOERROR, [], 30)
-    assert look_up(start, f"_tcp.room-a.{ORIGIN}", A).rcode == dns.rcode.NOERROR  # names stand below it
+    assert (
+        look_up(start, f"_tcp.room-a.{ORIGIN}", A).rcode == dns.rcode.NOERROR
+    )  # names stand below it
     assert [int(r.rdtype) for r in look_up(start, "alias." + ORIGIN, A).answer] == [5, 1]
     assert len(look_up(start, "s-0." + ORIGIN, 255).answer) == 2
--- a/tests/test_zone_decisions.py
+++ b/tests/test_zone_decisions.py
@@ -24,6 +24,7 @@
 
 # Serials (RFC 1982)
 
+
 @given(serials, st.integers(1, HALF - 1))
 def test_a_serial_is_ahead_of_all_in_the_half_round_behind_it(serial: int, distance: int) -> None:
     assert order((serial + distance) % CIRCLE, serial) is Order.AHEAD
@@ -40,20 +41,31 @@
 
 # Belief
 
+
 def version(serial: int, soa: bytes = b"soa") -> Version:
     return Version(serial, soa)
 
 
-@pytest.mark.parametrize(("offered", "verdict"), [
-    (version(101), Verdict.NEWER), (version(100), Verdict.SAME), (version(99), Verdict.BEHIND),
-    (version(100 + HALF), Verdict.UNDEFINED), (version(101 + HALF), Verdict.BEHIND),
-    (version(99 + HALF), Verdict.NEWER), (version(100, b"other"), Verdict.DIFFERS)])
+@pytest.mark.parametrize(
+    ("offered", "verdict"),
+    [
+        (version(101), Verdict.NEWER),
+        (version(100), Verdict.SAME),
+        (version(99), Verdict.BEHIND),
+        (version(100 + HALF), Verdict.UNDEFINED),
+        (version(101 + HALF), Verdict.BEHIND),
+        (version(99 + HALF), Verdict.NEWER),
+        (version(100, b"other"), Verdict.DIFFERS),
+    ],
+)
 def test_which_version_is_believed(offered: Version, verdict: Verdict) -> None:
     assert judge(version(100), offered) is verdict
     assert judge(None, offered) is Verdict.NEWER
 
 
-def test_a_primary_restored_from_a_backup_is_told_once_and_believed_when_the_zone_has_expired() -> None:
+def test_a_primary_restored_from_a_backup_is_told_once_and_believed_when_the_zone_has_expired() -> (
+    None
+):
     belief = Belief(version(100))
     verdict, told = belief.offer("p", version(40))
     assert verdict is Verdict.BEHIND
@@ -152,9 +164,19 @@
 
 # Grants
 
-@pytest.mark.parametrize(("pattern", "owner", "result"), [
-    ("*.a.b.", "x.a.b.", True), ("*.a.b.", "y.x.a.b.", True), ("*.a.b.", "a.b.", False), ("a.b.", "a.b.", True),
-    ("a.b.", "x.a.b.", False), ("*.a.b.", "xa.b.", False), ("*.a.b.", "x\\.a.b.", False)])
+
+@pytest.mark.parametrize(
+    ("pattern", "owner", "result"),
+    [
+        ("*.a.b.", "x.a.b.", True),
+        ("*.a.b.", "y.x.a.b.", True),
+        ("*.a.b.", "a.b.", False),
+        ("a.b.", "a.b.", True),
+        ("a.b.", "x.a.b.", False),
+        ("*.a.b.", "xa.b.", False),
+        ("*.a.b.", "x\\.a.b.", False),
+    ],
+)
 def test_names_of_a_grant(pattern: str, owner: str, result: bool) -> None:
     assert matches(pattern, owner) is result
 
@@ -174,8 +196,10 @@
     """An update that takes away so many of four hosts, s-0 and s-2 of room-a first."""
     start = held(zone(1, rooms()))
     names = ["s-0", "s-2", "s-1", "s-3"][:taken]
-    draft = draft_of(start.head, remove=[r for r in rooms() if any(n in r.owner or n.encode() in r.data
-                                                                   for n in names)])
+    draft = draft_of(
+        start.head,
+        remove=[r for r in rooms() if any(n in r.owner or n.encode() in r.data for n in names)],
+    )
     return start.judge(draft.difference(0), Grant("k", most=most, within_us=within_us), classes, 0)
 
 
@@ -206,6 +230,7 @@
             losses.note({name: hosts[name]}, {name: to}, now_us)
             del hosts[name]
         return why
+
     assert [take(f"s-{k}", k) for k in range(3)] == ["", "", ""]
     assert "takes away 4 of 10" in take("s-3", 3)
     assert take("s-3", 60 * SECOND_US + 3) == ""  # what was lost before is no longer counted
@@ -233,14 +258,18 @@
 
 
 def test_classes_without_a_host_are_named() -> None:
-    classes = (HostClass("any", frozenset(), frozenset()), HostClass("submit", frozenset({"room-a"}), frozenset()),
-               HostClass("big", frozenset(), frozenset({"m8"})))
+    classes = (
+        HostClass("any", frozenset(), frozenset()),
+        HostClass("submit", frozenset({"room-a"}), frozenset()),
+        HostClass("big", frozenset(), frozenset({"m8"})),
+    )
     assert bare(classes, [member("s", "room-b")]) == ["submit", "big"]
     assert bare(classes, [member("s", phase=Phase.DRAINING)]) == ["any", "submit", "big"]
 
 
 # Union
 
+
 def union(*sources: str, grace_us: int = 2 * SECOND_US) -> Union:
     return Union(sources or ("z",), grace_us, 100)
 
@@ -265,7 +294,9 @@
     assert both.take("b", {"s": member("s", started=9.0)}, 0, 0)[0] == [member("s", started=9.0)]
     out, _ = both.take("b", {"s": member("s", phase=Phase.DRAINING)}, 0, 0)
     assert [m.phase for m in out] == [Phase.DRAINING]
-    assert both.take("a", {"s": None}, 0, 0)[0] != []  # it started long ago now, and drains as before
+    assert (
+        both.take("a", {"s": None}, 0, 0)[0] != []
+    )  # it started long ago now, and drains as before
     assert both.members["s"].phase is Phase.DRAINING
     assert [m.phase for m in both.take("b", {"s": None}, 0, 0)[0]] == [Phase.GONE]
 
@@ -293,8 +324,15 @@
 
 
 phases = st.sampled_from([Phase.READY, Phase.DRAINING])
-steps = st.lists(st.tuples(st.sampled_from("ab"), st.sampled_from("xyz"), st.none() | phases,
-                           st.integers(0, 3 * SECOND_US)), max_size=40)
+steps = st.lists(
+    st.tuples(
+        st.sampled_from("ab"),
+        st.sampled_from("xyz"),
+        st.none() | phases,
+        st.integers(0, 3 * SECOND_US),
+    ),
+    max_size=40,
+)
 
 
 @given(steps)
--- a/tests/test_zone_files.py
+++ b/tests/test_zone_files.py
@@ -11,11 +11,19 @@
 HEAD = "$TTL 60\n@ SOA ns staff 1 60 10 600 30\n@ NS ns\n"
 
 
-@pytest.mark.parametrize(("text", "line", "what"), [
-    ("s-1 A 10.0.0.x\n", 4, "malformed"), ("s-1 A 10.0.0.1\nx.com. A 1.2.3.4\n", 5, "x.com. is not in"),
-    ("s-1 FOO 10.0.0.1\n", 4, "FOO"), ('s-1 TXT "abc\n', 4, "newline"), ("s-1\n", 4, ""),
-    ("$INCLUDE /etc/passwd\n", 4, ""), ("s-1 A 10.0.0.1\n\n; note\ns-2 SRV 0 1 x y\n", 7, ""),
-    ("s-1 A 10.0.0.1 extra\ns-2 A 10.0.0.2\n", 4, "")])
+@pytest.mark.parametrize(
+    ("text", "line", "what"),
+    [
+        ("s-1 A 10.0.0.x\n", 4, "malformed"),
+        ("s-1 A 10.0.0.1\nx.com. A 1.2.3.4\n", 5, "x.com. is not in"),
+        ("s-1 FOO 10.0.0.1\n", 4, "FOO"),
+        ('s-1 TXT "abc\n', 4, "newline"),
+        ("s-1\n", 4, ""),
+        ("$INCLUDE /etc/passwd\n", 4, ""),
+        ("s-1 A 10.0.0.1\n\n; note\ns-2 SRV 0 1 x y\n", 7, ""),
+        ("s-1 A 10.0.0.1 extra\ns-2 A 10.0.0.2\n", 4, ""),
+    ],
+)
 def test_a_mistake_is_told_with_its_line(text: str, line: int, what: str) -> None:
     with pytest.raises(BadZone) as error:
         read_text(HEAD + text, ORIGIN, LIMITS, "games.zone")
@@ -23,16 +31,22 @@
     assert what in str(error.value)
 
 
-@pytest.mark.parametrize(("text", "what"), [
-    ("s-1 A 10.0.0.1\n", "has not exactly one SOA"),
-    (HEAD + "x CNAME s-1\nx A 10.0.0.1\n", "has a CNAME and other records: A")])
+@pytest.mark.parametrize(
+    ("text", "what"),
+    [
+        ("s-1 A 10.0.0.1\n", "has not exactly one SOA"),
+        (HEAD + "x CNAME s-1\nx A 10.0.0.1\n", "has a CNAME and other records: A"),
+    ],
+)
 def test_a_zone_that_can_not_be_served_is_refused(text: str, what: str) -> None:
     with pytest.raises(BadZone, match=what):
         read_text("$TTL 60\n" + text, ORIGIN, LIMITS)
 
 
 def test_a_zone_written_out_is_the_same_zone() -> None:
-    start = zone(7, rooms(), [rec("x", "TXT", '"a b" "c;d"'), rec("*", "MX", "5 mail.example.org.")])
+    start = zone(
+        7, rooms(), [rec("x", "TXT", '"a b" "c;d"'), rec("*", "MX", "5 mail.example.org.")]
+    )
     assert sorted(read_text(write_text(start), ORIGIN, LIMITS).records()) == sorted(start.records())
 
 
--- a/tests/test_zone_follower.py
+++ b/tests/test_zone_follower.py
@@ -33,7 +33,9 @@
 
 
 def following(world: World, serial: int = 100, expire: int = 600) -> tuple[ScriptedPrimary, Part]:
-    primary = ScriptedPrimary(world.loop, with_soa(zone(serial, rooms()), soa(serial, expire=expire)))
+    primary = ScriptedPrimary(
+        world.loop, with_soa(zone(serial, rooms()), soa(serial, expire=expire))
+    )
     part = world.secondary(primary.address)
     world.until(lambda: part.serial == serial)
     primary.asked.clear()
@@ -47,8 +49,12 @@
     world.pass_us(100 * MS)
 
 
-@pytest.mark.parametrize(("serial", "verdict"), [(99, "behind"), (100 + HALF, "undefined"), (101 + HALF, "behind")])
-def test_a_serial_that_goes_backwards_is_not_followed_and_told_once(world: World, serial: int, verdict: str) -> None:
+@pytest.mark.parametrize(
+    ("serial", "verdict"), [(99, "behind"), (100 + HALF, "undefined"), (101 + HALF, "behind")]
+)
+def test_a_serial_that_goes_backwards_is_not_followed_and_told_once(
+    world: World, serial: int, verdict: str
+) -> None:
     primary, part = following(world)
     primary.zone = zone(serial, host("s-9"))
     for _ in range(3):
@@ -118,7 +124,10 @@
     assert len(part.list) == 4  # silence takes nothing away
     answer = part.zones.union
     assert not answer.available
-    primary.silent, primary.zone = False, zone(7, rooms(), host("s-9"))  # and what it has then is believed
+    primary.silent, primary.zone = (
+        False,
+        zone(7, rooms(), host("s-9")),
+    )  # and what it has then is believed
     world.until(lambda: part.serial == 7)
     assert answer.available
     assert "s-9" in part.list
@@ -147,6 +156,7 @@
         wrongly.use_tsig(OTHER)
         wrongly.flags |= dns.flags.QR
         return [other_id.to_wire(), unsigned.to_wire(), wrongly.to_wire(), b"\xff" * 20]
+
     primary.before_udp = forge
     primary.zone = zone(101, rooms(), host("s-9"))
     ask_again(world, part, primary)
@@ -163,6 +173,7 @@
     def from_elsewhere(query: dns.message.Message) -> list[bytes]:
         heard.append(query.id)
         return []
+
     primary.before_udp = from_elsewhere
     world.until(lambda: part.serial == 100)
     assert heard
@@ -196,7 +207,11 @@
 def test_a_secondary_that_starts_again_holds_what_it_had_and_its_time_runs_on(world: World) -> None:
     primary = ScriptedPrimary(world.loop, zone(100, rooms()))
     part = world.secondary(primary.address, more='state "state"')
-    world.until(lambda: part.serial == 100 and part.zones._writer is not None and not part.zones._writer.broken)
+    world.until(
+        lambda: (
+            part.serial == 100 and part.zones._writer is not None and not part.zones._writer.broken
+        )
+    )
     primary.zone = zone(101, rooms(), host("s-9"))
     ask_again(world, part, primary)
     world.until(lambda: part.zones._writer is not None and not part.zones._writer.waiting)
@@ -214,12 +229,12 @@
     late = ScriptedPrimary(world.loop, zone(1, host("c-1", origin=other), origin=other))
     late.silent = True
     path = world.folder_of("two", None)
-    (path / "z.kdl").write_text(f'''zones {{
+    (path / "z.kdl").write_text(f"""zones {{
         service "_game._tcp"
         key "staff.games.example.org" secret-file="staff.key"
         zone "games.example.org" {{ primary "127.0.0.1:{there.address[1]}" key="staff.games.example.org"; }}
         zone "chess.example.org" {{ primary "127.0.0.1:{late.address[1]}" key="staff.games.example.org"; }}
-    }}''')
+    }}""")
     part = world.part(path)
     world.until(lambda: part.list)
     assert part.told == [({"s-0": "ready", "s-1": "ready"}, False)]
--- a/tests/test_zone_server.py
+++ b/tests/test_zone_server.py
@@ -25,7 +25,19 @@
 from kelpcourse.zones.grants import HostClass
 from kelpcourse.zones.service import Restored
 from tests.standins import Records
-from tests.zonerig import KEY, MS, OTHER, QUICK, SECOND, Client, Part, World, fds, host_added, update_of
+from tests.zonerig import (
+    KEY,
+    MS,
+    OTHER,
+    QUICK,
+    SECOND,
+    Client,
+    Part,
+    World,
+    fds,
+    host_added,
+    update_of,
+)
 from tests.zoning import LIMITS, ORIGIN, SERVICE, held, host, rec, rooms, zone
 import contextlib
 
@@ -40,8 +52,13 @@
     made.close()
 
 
-def started(world: World, *records: object, update: str = "", more: str = "",
-            classes: tuple[HostClass, ...] = ()) -> tuple[Part, Client]:
+def started(
+    world: World,
+    *records: object,
+    update: str = "",
+    more: str = "",
+    classes: tuple[HostClass, ...] = (),
+) -> tuple[Part, Client]:
     part = world.primary(zone(1, rooms()), update=update, more=more, classes=classes)
     world.until(lambda: part.zones._writer is not None and not part.zones._writer.broken)
     return part, Client(world, part)
@@ -53,6 +70,7 @@
 
 # Answers
 
+
 def test_questions_are_answered_over_udp_and_tcp(world: World) -> None:
     _part, client = started(world)
     for tcp in (False, True):
@@ -66,7 +84,9 @@
 
 
 def test_an_answer_that_does_not_fit_is_cut_and_whole_over_tcp(world: World) -> None:
-    many = [r for k in range(60) for r in host(f"host-with-a-long-name-{k}", address=f"127.0.1.{k}")]
+    many = [
+        r for k in range(60) for r in host(f"host-with-a-long-name-{k}", address=f"127.0.1.{k}")
+    ]
     part = world.primary(zone(1, many))
     client, owner = Client(world, part), f"{SERVICE}.room-a.{ORIGIN}"
     cut = client.query(owner, "SRV")
@@ -78,6 +98,7 @@
 
 # Updates
 
+
 def test_a_signed_update_is_durable_before_it_is_answered_and_announced(world: World) -> None:
     part, client = started(world)
     assert set(part.list) == {f"s-{k}" for k in range(4)}
@@ -90,7 +111,9 @@
     assert again.told[0][1]  # one whole list, at once
 
 
-def test_what_is_not_signed_or_not_allowed_changes_nothing(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_what_is_not_signed_or_not_allowed_changes_nothing(
+    world: World, monkeypatch: pytest.MonkeyPatch
+) -> None:
     part, client = started(world, update='{ names "*.room-a"; types "SRV"; }')
     add = host_added("s-9")
     assert client.update(*add, key=None) == REFUSED
@@ -98,7 +121,9 @@
     answer = dns.message.from_wire(client.hear(wrong), keyring=False)
     assert (answer.rcode(), answer.tsig_error) == (dns.rcode.NOTAUTH, dns.rcode.BADSIG)
     stranger = dns.tsig.Key(dns.name.from_text("nobody."), KEY.secret, KEY.algorithm)
-    answer = dns.message.from_wire(client.hear(client.send(update_of(*add, key=stranger).to_wire())), keyring=False)
+    answer = dns.message.from_wire(
+        client.hear(client.send(update_of(*add, key=stranger).to_wire())), keyring=False
+    )
     assert (answer.rcode(), answer.tsig_error) == (dns.rcode.NOTAUTH, dns.rcode.BADKEY)
     message = update_of(*add)
     with monkeypatch.context() as past:
@@ -107,8 +132,9 @@
     answer = dns.message.from_wire(client.hear(client.send(wire)), keyring=False)
     assert (answer.rcode(), answer.tsig_error) == (dns.rcode.NOTAUTH, dns.rcode.BADTIME)
     with pytest.raises(dns.tsig.PeerBadTime):  # told under the key, so that the client believes it
-        dns.message.from_wire(client.hear(client.send(wire)),
-                              keyring={KEY.name: KEY}, request_mac=message.mac or b"")
+        dns.message.from_wire(
+            client.hear(client.send(wire)), keyring={KEY.name: KEY}, request_mac=message.mac or b""
+        )
     assert client.update(*add) == REFUSED  # A and TXT at s-9 are beyond the grant
     assert client.update(add[0]) == NOERROR
     assert (set(part.list), part.serial) == ({f"s-{k}" for k in range(4)}, 2)
@@ -117,7 +143,10 @@
 def test_updates_are_all_or_nothing_and_their_prerequisites_hold(world: World) -> None:
     part, client = started(world)
     assert client.update(("present", "s-0", "AAAA"), *host_added("s-9")) == dns.rcode.NXRRSET
-    assert client.update(*host_added("s-9"), ("add", "x.elsewhere.org.", "60", "A", "10.0.0.1")) == dns.rcode.NOTZONE
+    assert (
+        client.update(*host_added("s-9"), ("add", "x.elsewhere.org.", "60", "A", "10.0.0.1"))
+        == dns.rcode.NOTZONE
+    )
     assert part.serial == 1
     assert client.update(("absent", "s-9"), *host_added("s-9"), tcp=True) == NOERROR
     assert client.update(("absent", "s-9"), *host_added("s-9"), tcp=True) == dns.rcode.YXDOMAIN
@@ -131,7 +160,9 @@
     message = update_of(("delete", "s-0"))
     wire = message.to_wire()
     sent = [client.send(wire), client.send(wire)]
-    assert [dns.message.from_wire(client.hear(s), keyring=False).rcode() for s in sent] == [NOERROR] * 2
+    assert [dns.message.from_wire(client.hear(s), keyring=False).rcode() for s in sent] == [
+        NOERROR
+    ] * 2
     assert client.update(("add", "s-0", "60", "A", "127.0.0.10")) == NOERROR
     late = client.send(wire)
     assert dns.message.from_wire(client.hear(late), keyring=False).rcode() == NOERROR
@@ -143,7 +174,9 @@
     part, client = started(world, update="most=0.5", classes=(SUBMIT,))
     assert client.update(*room_a_removed()) == REFUSED
     assert (len(part.list), part.serial) == (4, 1)
-    assert "takes away 2 of 2 ready hosts of class move-submit" in str(part.log.named("zone_update_refused")[0])
+    assert "takes away 2 of 2 ready hosts of class move-submit" in str(
+        part.log.named("zone_update_refused")[0]
+    )
     assert client.update(("delete", "s-0")) == NOERROR
     assert set(part.list) == {"s-1", "s-2", "s-3"}
 
@@ -155,21 +188,28 @@
     assert part.told[-1] == ({"s-0": "gone", "s-2": "gone"}, False)  # as one change
     assert part.log.named("zone_classes_bare")[-1]["classes"] == ["move-submit"]
     world.pass_us(3 * SECOND)  # longer than the grace
-    (part.path / "state" / "command-1.json").write_bytes(b'{"origin":"%s","serial":1}' % ORIGIN.encode())
+    (part.path / "state" / "command-1.json").write_bytes(
+        b'{"origin":"%s","serial":1}' % ORIGIN.encode()
+    )
     answer = part.path / "state" / "answer-1.json"
     world.until(answer.exists)
     assert msgspec.json.decode(answer.read_bytes(), type=Restored) == Restored(3, 4)
     assert set(part.list) == {f"s-{k}" for k in range(4)}
     assert part.serial == 3
-    assert part.members["s-0"].up_since_ms > 1e12  # it counts as started now: the rule on cold hosts covers it
+    assert (
+        part.members["s-0"].up_since_ms > 1e12
+    )  # it counts as started now: the rule on cold hosts covers it
     assert part.members["s-1"].up_since_ms == 0
     assert part.log.named("zone_classes_bare")[-1]["classes"] == []
 
 
 def test_a_restore_that_can_not_be_is_told(world: World) -> None:
     part, _ = started(world)
-    for number, body in ((1, b'{"origin":"%s","serial":77}' % ORIGIN.encode()), (2, b'{"origin":"x.","serial":1}'),
-                         (3, b"{")):
+    for number, body in (
+        (1, b'{"origin":"%s","serial":77}' % ORIGIN.encode()),
+        (2, b'{"origin":"x.","serial":1}'),
+        (3, b"{"),
+    ):
         (part.path / "state" / f"command-{number}.json").write_bytes(body)
         answer = part.path / "state" / f"answer-{number}.json"
         world.until(answer.exists)
@@ -179,13 +219,16 @@
 
 def test_fifty_updates_of_one_turn_share_syncs(world: World) -> None:
     part, client = started(world)
-    codes = client.all_of([update_of(*host_added(f"n-{k}", address=f"127.0.2.{k}")) for k in range(50)])
+    codes = client.all_of(
+        [update_of(*host_added(f"n-{k}", address=f"127.0.2.{k}")) for k in range(50)]
+    )
     assert codes == [NOERROR] * 50
     assert (len(part.list), part.serial) == (54, 51)
 
 
 # Crashes and bad disks
 
+
 def test_an_update_torn_at_any_byte_is_there_as_a_whole_or_not_at_all(world: World) -> None:
     part, client = started(world)
     for k in range(3):
@@ -207,7 +250,9 @@
         known = replay.zones[ORIGIN]
         serial = known.zone.serial if known.zone.exists else 0
         versions[len(found.records)] = serial
-        assert {f"n-{k}" for k in range(serial - 1)} == {h for h in known.meaning.hosts if h[0] == "n"}
+        assert {f"n-{k}" for k in range(serial - 1)} == {
+            h for h in known.meaning.hosts if h[0] == "n"
+        }
         assert replay.remarks == []
     assert len(records) == 4  # the file, and three updates
     assert versions == {count: count for count in range(5)}
@@ -228,7 +273,9 @@
             raise OSError(5, "Input/output error")
 
 
-def test_a_full_disk_turns_updates_away_and_serves_on(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_full_disk_turns_updates_away_and_serves_on(
+    world: World, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("kelpcourse.zones.service.Folder", Full)
     part, client = started(world)
     monkeypatch.setattr(Full, "full", True)
@@ -241,7 +288,9 @@
     assert part.serial == 2
 
 
-def test_a_failed_sync_takes_back_all_that_was_built_on_it(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_sync_takes_back_all_that_was_built_on_it(
+    world: World, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("kelpcourse.zones.service.Folder", Full)
     part, client = started(world)
     monkeypatch.setattr(Full, "deaf", True)
@@ -258,11 +307,16 @@
 
 # Files
 
-def test_a_file_that_changes_is_read_again_and_one_that_is_wrong_changes_nothing(world: World) -> None:
+
+def test_a_file_that_changes_is_read_again_and_one_that_is_wrong_changes_nothing(
+    world: World,
+) -> None:
     part, _client = started(world)
     path = part.path / "games.zone"
     good = path.read_text()
-    path.write_text(good.replace(" 1 60 10 600 30", " 2 60 10 600 30").replace("127.0.0.10", "127.0.0.99"))
+    path.write_text(
+        good.replace(" 1 60 10 600 30", " 2 60 10 600 30").replace("127.0.0.10", "127.0.0.99")
+    )
     world.until(lambda: part.serial == 2)
     assert part.members["s-0"].address[0] == "127.0.0.99"
     path.write_text("nonsense here\n")
@@ -270,7 +324,9 @@
     assert f"{path}:1:" in str(part.log.named("zone_file_bad")[0]["reason"])
     path.write_text(good.replace("127.0.0.10", "127.0.0.77"))  # its serial goes backwards
     world.until(lambda: len(part.log.named("zone_file_bad")) == 2)
-    assert "serial 1 is not believed beside 2: behind" in str(part.log.named("zone_file_bad")[1]["reason"])
+    assert "serial 1 is not believed beside 2: behind" in str(
+        part.log.named("zone_file_bad")[1]["reason"]
+    )
     assert (part.serial, len(part.list)) == (2, 4)
 
 
@@ -289,6 +345,7 @@
 
 # Transfers
 
+
 def test_a_secondary_follows_by_notify_and_differences(world: World) -> None:
     second = world.secondary(("127.0.0.1", 1))
     part, client = started(world, more=f'notify "127.0.0.1:{second.address[1]}"')
@@ -301,7 +358,9 @@
     world.until(lambda: follower.serial == 2)
     assert "s-9" in follower.list
     assert part.counters["zone_ixfr_out"] == 1
-    assert sorted(follower.zones.held[ORIGIN].zone.records()) == sorted(part.zones.held[ORIGIN].zone.records())
+    assert sorted(follower.zones.held[ORIGIN].zone.records()) == sorted(
+        part.zones.held[ORIGIN].zone.records()
+    )
 
 
 def test_notify_goes_out_until_it_is_heard(world: World) -> None:
@@ -315,6 +374,7 @@
         with contextlib.suppress(BlockingIOError):
             heard.append(sock.recvfrom(4096))
         return len(heard)
+
     world.until(lambda: told() >= 2)
     message = dns.message.from_wire(heard[-1][0])
     assert (message.opcode(), message.answer[0][0].serial) == (dns.opcode.NOTIFY, 1)
@@ -336,7 +396,11 @@
 
 
 def test_a_zone_of_many_messages_comes_through_whole(world: World) -> None:
-    many = [r for k in range(700) for r in host(f"h-{k}", address=f"127.{k % 200}.1.{k // 200}", txt='"kind=m2"')]
+    many = [
+        r
+        for k in range(700)
+        for r in host(f"h-{k}", address=f"127.{k % 200}.1.{k // 200}", txt='"kind=m2"')
+    ]
     part = world.primary(zone(1, many))
     second = world.secondary(part.address)
     world.until(lambda: second.serial == 1)
@@ -345,15 +409,29 @@
 
 # Floods
 
+
 def test_garbage_halves_and_loops_are_answered_or_dropped_and_nothing_is_kept(world: World) -> None:
     part, client = started(world)
     before = fds()
     loop = b"\x12\x34\0\0\0\x01\0\0\0\0\0\0\xc0\x0c\0\x01\0\x01"  # a name that points at itself
-    longest = b"\x12\x34\0\0\0\x01\0\0\0\0\0\0" + b"\x3f" + b"a" * 63 + b"\x3f" + b"b" * 63 + b"\x3f" + b"c" * 63 \
-        + b"\x3d" + b"d" * 61 + b"\0\0\x01\0\x01"
+    longest = (
+        b"\x12\x34\0\0\0\x01\0\0\0\0\0\0"
+        + b"\x3f"
+        + b"a" * 63
+        + b"\x3f"
+        + b"b" * 63
+        + b"\x3f"
+        + b"c" * 63
+        + b"\x3d"
+        + b"d" * 61
+        + b"\0\0\x01\0\x01"
+    )
     over = longest.replace(b"\x3d", b"\x3f" + b"e" * 63 + b"\x3d", 1)
     for wire, rcode in ((loop, dns.rcode.FORMERR), (over, dns.rcode.FORMERR), (longest, REFUSED)):
-        assert dns.message.from_wire(client.hear(client.send(wire)), continue_on_error=True).rcode() == rcode
+        assert (
+            dns.message.from_wire(client.hear(client.send(wire)), continue_on_error=True).rcode()
+            == rcode
+        )
     for wire in (b"", b"\0" * 11, b"\xff" * 300):  # too short, or an answer: nothing is said
         client.send(wire).close()
     halves = [client.send(b"\x00\x50abc", tcp=True) for _ in range(20)]
@@ -380,7 +458,9 @@
         sock.close()
 
 
-@pytest.mark.parametrize("drip", [b"\0", b"\1"])  # messages of no length, and a long one that never ends
+@pytest.mark.parametrize(
+    "drip", [b"\0", b"\1"]
+)  # messages of no length, and a long one that never ends
 def test_a_slow_drip_does_not_hold_a_place(world: World, drip: bytes) -> None:
     _part, client = started(world)
     sock = client.send(b"", tcp=True)
@@ -424,15 +504,34 @@
         pass
 
 
-VALID = [dns.message.make_query(ORIGIN, "SOA").to_wire(), update_of(*host_added("x"), key=None).to_wire(),
-         update_of(*host_added("x")).to_wire(), dns.message.make_query(ORIGIN, "IXFR", use_edns=0).to_wire()]
-
-
-@given(st.one_of(st.binary(max_size=200), st.builds(
-    lambda wire, at, junk: wire[:at % len(wire)] + junk + wire[(at + len(junk)) % len(wire):],
-    st.sampled_from(VALID), st.integers(0, 500), st.binary(min_size=1, max_size=8))), st.booleans())
-@settings(max_examples=1500, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow])
-def test_whatever_comes_in_the_desk_says_one_thing_at_most_and_changes_nothing(wire: bytes, tcp: bool) -> None:
+VALID = [
+    dns.message.make_query(ORIGIN, "SOA").to_wire(),
+    update_of(*host_added("x"), key=None).to_wire(),
+    update_of(*host_added("x")).to_wire(),
+    dns.message.make_query(ORIGIN, "IXFR", use_edns=0).to_wire(),
+]
+
+
+@given(
+    st.one_of(
+        st.binary(max_size=200),
+        st.builds(
+            lambda wire, at, junk: (
+                wire[: at % len(wire)] + junk + wire[(at + len(junk)) % len(wire) :]
+            ),
+            st.sampled_from(VALID),
+            st.integers(0, 500),
+            st.binary(min_size=1, max_size=8),
+        ),
+    ),
+    st.booleans(),
+)
+@settings(
+    max_examples=1500, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow]
+)
+def test_whatever_comes_in_the_desk_says_one_thing_at_most_and_changes_nothing(
+    wire: bytes, tcp: bool
+) -> None:
     start = held(zone(1, rooms()))
     said: list[bytes] = []
     desk = Desk({ORIGIN: start}, {}, {"k": OTHER}, LIMITS, Counters(), Records(), Nobody())
@@ -443,5 +542,9 @@
 
 
 def test_records_of_other_types_are_carried_along(world: World) -> None:
-    part = world.primary(zone(1, rooms(), [rec("x", "MX", "5 mail.example.org."), rec("x", "TYPE65400", "\\# 2 abcd")]))
+    part = world.primary(
+        zone(
+            1, rooms(), [rec("x", "MX", "5 mail.example.org."), rec("x", "TYPE65400", "\\# 2 abcd")]
+        )
+    )
     assert len(Client(world, part).query("x." + ORIGIN, "TYPE65400").answer) == 1
--- a/tests/zoneprimary.py
+++ b/tests/zoneprimary.py
@@ -25,10 +25,14 @@
         self.loop = loop
         self.zone = zone  # told of by its SOA
         self.sent: Zone | None = None  # transferred, if another one
-        self.ixfr: Callable[[int], Sequence[Record]] | None = None  # by the serial asked from; None: the zone
+        self.ixfr: Callable[[int], Sequence[Record]] | None = (
+            None  # by the serial asked from; None: the zone
+        )
         self.cut_after = 1 << 30  # messages of a transfer before the connection ends
         self.silent = False
-        self.before_udp: Callable[[dns.message.Message], list[bytes]] = lambda _: []  # forged by somebody else
+        self.before_udp: Callable[[dns.message.Message], list[bytes]] = (
+            lambda _: []
+        )  # forged by somebody else
         self.asked: list[str] = []
         self._ring = {KEY.name: KEY} if signed else None
         self._udp, self._tcp = pair(("127.0.0.1", 0), 16)
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -33,11 +33,22 @@
 MS = 1000
 SECOND = 1_000_000
 SECRET = base64.b64encode(bytes(range(32)))
-KEY = dns.tsig.Key(dns.name.from_text("staff." + ORIGIN), SECRET.decode(), dns.name.from_text("hmac-sha256"))
+KEY = dns.tsig.Key(
+    dns.name.from_text("staff." + ORIGIN), SECRET.decode(), dns.name.from_text("hmac-sha256")
+)
 OTHER = dns.tsig.Key(KEY.name, base64.b64encode(bytes(32)).decode(), KEY.algorithm)
-QUICK = replace(Limits(), zone_ask_us=50 * MS, zone_silence_us=50 * MS, zone_file_us=20 * MS, zone_command_us=5 * MS,
-                zone_notify_us=5 * MS, zone_notify_wait_us=20 * MS, store_retry_us=20 * MS, dns_idle_us=200 * MS,
-                dns_half_us=60 * MS)
+QUICK = replace(
+    Limits(),
+    zone_ask_us=50 * MS,
+    zone_silence_us=50 * MS,
+    zone_file_us=20 * MS,
+    zone_command_us=5 * MS,
+    zone_notify_us=5 * MS,
+    zone_notify_wait_us=20 * MS,
+    store_retry_us=20 * MS,
+    dns_idle_us=200 * MS,
+    dns_half_us=60 * MS,
+)
 PRIMARY = """zones {{
     listen "127.0.0.1:1"
     state "state"
@@ -79,12 +90,16 @@
             if what():
                 return
             self.turn()
-        raise AssertionError(f"did not come about; defects: {self.defects}; "
-                             f"logs: {[part.log.lines[-4:] for part in self.parts]}")
+        raise AssertionError(
+            f"did not come about; defects: {self.defects}; "
+            f"logs: {[part.log.lines[-4:] for part in self.parts]}"
+        )
 
     def turn(self) -> None:
         """Bytes on loopback are there as soon as they are sent, so nothing but threads is waited for."""
-        waits = any(part.waits for part in self.parts) or any(t.name == "work" for t in threading.enumerate())
+        waits = any(part.waits for part in self.parts) or any(
+            t.name == "work" for t in threading.enumerate()
+        )
         if not self.loop.turn(self.clock.now + MS * waits) and not waits:
             self.clock.now += MS
 
@@ -102,14 +117,27 @@
             (path / "games.zone").write_text(write_text(zone))
         return path
 
-    def primary(self, zone: Zone, name: str = "primary", update: str = "", more: str = "",
-                classes: tuple[HostClass, ...] = (), limits: Limits = QUICK) -> Part:
+    def primary(
+        self,
+        zone: Zone,
+        name: str = "primary",
+        update: str = "",
+        more: str = "",
+        classes: tuple[HostClass, ...] = (),
+        limits: Limits = QUICK,
+    ) -> Part:
         path = self.folder_of(name, zone)
         (path / "z.kdl").write_text(PRIMARY.format(update=update, more=more))
         return self.part(path, classes, limits)
 
-    def secondary(self, *primaries: Address, name: str = "secondary", key: bool = True, more: str = "",
-                  limits: Limits = QUICK) -> Part:
+    def secondary(
+        self,
+        *primaries: Address,
+        name: str = "secondary",
+        key: bool = True,
+        more: str = "",
+        limits: Limits = QUICK,
+    ) -> Part:
         path = self.folder_of(name, None)
         signed = ' key="staff.games.example.org"' if key else ""
         lines = "\n".join(f'primary "{shown(p)}"{signed}' for p in primaries)
@@ -130,7 +158,9 @@
 
 
 class Part:
-    def __init__(self, world: World, path: Path, classes: tuple[HostClass, ...], limits: Limits) -> None:
+    def __init__(
+        self, world: World, path: Path, classes: tuple[HostClass, ...], limits: Limits
+    ) -> None:
         self.world = world
         self.path = path
         self.log = Records()
@@ -210,6 +240,7 @@
             except BlockingIOError:
                 return False
             return not tcp or (len(data) > 1 and len(data) >= 2 + int.from_bytes(data[:2], "big"))
+
         self.world.until(whole)
         return bytes(data[2:] if tcp else data)
 
@@ -222,11 +253,17 @@
         ring = {KEY.name: KEY} if message.had_tsig else None
         return dns.message.from_wire(wire, keyring=ring, request_mac=message.mac or b"")
 
-    def query(self, owner: str, type_: str, tcp: bool = False, **options: Any) -> dns.message.Message:
+    def query(
+        self, owner: str, type_: str, tcp: bool = False, **options: Any
+    ) -> dns.message.Message:
         return self.ask(dns.message.make_query(owner, type_, **options), tcp)
 
-    def update(self, *prepare: tuple[str, ...], key: dns.tsig.Key | None = KEY, tcp: bool = False,
-               ) -> dns.rcode.Rcode:
+    def update(
+        self,
+        *prepare: tuple[str, ...],
+        key: dns.tsig.Key | None = KEY,
+        tcp: bool = False,
+    ) -> dns.rcode.Rcode:
         return self.ask(update_of(*prepare, key=key), tcp).rcode()
 
     def all_of(self, messages: Iterable[dns.message.Message]) -> list[dns.rcode.Rcode]:
@@ -235,12 +272,18 @@
         sent = [(message, self.send(message.to_wire())) for message in messages]
         for message, sock in sent:
             ring = {KEY.name: KEY}
-            out.append(dns.message.from_wire(self.hear(sock), keyring=ring, request_mac=message.mac or b"").rcode())
+            out.append(
+                dns.message.from_wire(
+                    self.hear(sock), keyring=ring, request_mac=message.mac or b""
+                ).rcode()
+            )
             sock.close()
         return out
 
 
-def update_of(*prepare: tuple[str, ...], key: dns.tsig.Key | None = KEY) -> dns.update.UpdateMessage:
+def update_of(
+    *prepare: tuple[str, ...], key: dns.tsig.Key | None = KEY
+) -> dns.update.UpdateMessage:
     message = dns.update.UpdateMessage(ORIGIN)
     if key is not None:
         message.use_tsig(key)
@@ -249,10 +292,14 @@
     return message
 
 
-def host_added(name: str, room: str = "room-a", address: str = "127.0.0.50",
-               txt: str = '"kind=m2"') -> tuple[tuple[str, ...], ...]:
-    return (("add", f"_game._tcp.{room}", "60", "SRV", f"0 1 5000 {name}.{ORIGIN}"),
-            ("add", name, "60", "A", address), ("add", name, "60", "TXT", txt))
+def host_added(
+    name: str, room: str = "room-a", address: str = "127.0.0.50", txt: str = '"kind=m2"'
+) -> tuple[tuple[str, ...], ...]:
+    return (
+        ("add", f"_game._tcp.{room}", "60", "SRV", f"0 1 5000 {name}.{ORIGIN}"),
+        ("add", name, "60", "A", address),
+        ("add", name, "60", "TXT", txt),
+    )
 
 
 def fds() -> int:
--- a/tests/zoning.py
+++ b/tests/zoning.py
@@ -21,18 +21,39 @@
 def rec(owner: str, type_: str, text: str, ttl: int = 60, origin: str = ORIGIN) -> Record:
     number = dns.rdatatype.from_text(type_)
     full = origin if owner == "@" else f"{owner}.{origin}"
-    return Record(full.lower(), int(number), ttl, data_of(dns.rdata.from_text(dns.rdataclass.IN, number, text)))
-
-
-def soa(serial: int, origin: str = ORIGIN, refresh: int = 60, retry: int = 10, expire: int = 600) -> Record:
-    return rec("@", "SOA", f"ns.{origin} staff.{origin} {serial} {refresh} {retry} {expire} 30", origin=origin)
-
-
-def host(name: str, room: str = "room-a", address: str = "10.0.0.1", port: int = 5000, txt: str = "",
-         weight: int = 1, origin: str = ORIGIN) -> list[Record]:
+    return Record(
+        full.lower(),
+        int(number),
+        ttl,
+        data_of(dns.rdata.from_text(dns.rdataclass.IN, number, text)),
+    )
+
+
+def soa(
+    serial: int, origin: str = ORIGIN, refresh: int = 60, retry: int = 10, expire: int = 600
+) -> Record:
+    return rec(
+        "@",
+        "SOA",
+        f"ns.{origin} staff.{origin} {serial} {refresh} {retry} {expire} 30",
+        origin=origin,
+    )
+
+
+def host(
+    name: str,
+    room: str = "room-a",
+    address: str = "10.0.0.1",
+    port: int = 5000,
+    txt: str = "",
+    weight: int = 1,
+    origin: str = ORIGIN,
+) -> list[Record]:
     """The records of one host."""
-    out = [rec(f"{SERVICE}.{room}", "SRV", f"0 {weight} {port} {name}.{origin}", origin=origin),
-           rec(name, "A", address, origin=origin)]
+    out = [
+        rec(f"{SERVICE}.{room}", "SRV", f"0 {weight} {port} {name}.{origin}", origin=origin),
+        rec(name, "A", address, origin=origin),
+    ]
     return [*out, rec(name, "TXT", txt, origin=origin)] if txt else out
 
 
@@ -43,8 +64,13 @@
 
 def rooms(count: int = 4) -> list[Record]:
     """Hosts s-0.. in room-a and room-b by turns."""
-    return [r for k in range(count)
-            for r in host(f"s-{k}", f"room-{'ab'[k % 2]}", f"127.0.0.{k + 10}", txt=f'"cell={k}" "kind=m2"')]
+    return [
+        r
+        for k in range(count)
+        for r in host(
+            f"s-{k}", f"room-{'ab'[k % 2]}", f"127.0.0.{k + 10}", txt=f'"cell={k}" "kind=m2"'
+        )
+    ]
 
 
 def held(start: Zone, limits: Limits = LIMITS) -> HeldZone:
@@ -63,6 +89,12 @@
     return draft
 
 
-def member(name: str, room: str = "room-a", phase: Phase = Phase.READY, started: float = 0.0,
-           address: str = "10.0.0.1", kind: str = "default") -> Member:
+def member(
+    name: str,
+    room: str = "room-a",
+    phase: Phase = Phase.READY,
+    started: float = 0.0,
+    address: str = "10.0.0.1",
+    kind: str = "default",
+) -> Member:
     return Member(name, (address, 5000), room, kind, 0, phase, 1.0, started)
