--- a/kelpcourse/memory/proxies.py
+++ b/kelpcourse/memory/proxies.py
@@ -1,4 +1,4 @@
-"""Joined proxies, as the relay's news tells of them over streams that all tell the same."""
+"""Joined proxies, merged from several event streams that all report the same sequence of events."""
 
 from __future__ import annotations
 
@@ -9,177 +9,211 @@
 
 @dataclass(frozen=True)
 class Joined:
+    """A proxy has joined, or was joined already when a stream's snapshot was taken."""
+
     proxy: int
     zone: str
-    share: float
-    standing: bool
+    request_rate: float  # requests per second that the proxy usually receives
+    has_no_table: bool  # it is bound to no table, so its first binding is yet to come
 
 
 @dataclass(frozen=True)
 class Left:
+    """A proxy has left, which ends its bindings."""
+
     proxy: int
 
 
 @dataclass(frozen=True)
 class Applied:
+    """A proxy has applied every order up to a checkpoint."""
+
     proxy: int
-    stamp: int
+    checkpoint_id: int
     lag_ms: float
 
 
-News = Joined | Left | Applied
-SIGNS = 2  # of life on a stream in step, until one that opened beside it is in step too
+ProxyEvent = Joined | Left | Applied
+HEARTBEATS_TO_SYNCHRONISE = 2  # on a synchronised stream, until one opened beside it is too
 
 
 @dataclass
-class Feed:
-    """A stream of news: a snapshot of who is joined, then what changes."""
+class StreamState:
+    """What one event stream has told: a snapshot of the joined proxies, then each change."""
 
     opened_us: int
-    settles_us: int  # when its snapshot counts as whole at the latest
-    ahead: deque[News]  # told by others in step and not yet by this one, or before its snapshot
-    early: deque[
-        News
-    ]  # while not in step: told by this one since its snapshot and not yet by one in step
-    view: dict[int, Joined] = field(default_factory=dict)
-    settled: bool = False
-    met: bool = (
-        False  # it has told what another told before, so nothing from before its snapshot is ahead
-    )
-    in_step: bool = False  # it has missed nothing that was reported
-    signs: int = 0
-
-
-class Proxies:
-    """Turns what the streams tell into one sequence of news, each told once. As long as one stream in step is
-    left, or the last of them told on past another's snapshot, nothing is missed. After a gap a proxy may have
-    left and come back unseen, which ends its bindings: so whoever stands in the next snapshot is told as
-    joined once more, but not as left: what waits for it in the channel may still reach it."""
-
-    def __init__(self, most_ahead: int, cover_us: int) -> None:
-        self._most_ahead = most_ahead
-        self._cover_us = cover_us
-        self._told_us = 0  # when a stream in step last told anything
+    snapshot_deadline_us: int  # the snapshot counts as complete from then on at the latest
+    ahead: deque[ProxyEvent]  # told by synchronised streams, not yet by this one or in its snapshot
+    buffered: deque[ProxyEvent]  # told since its snapshot, and by no synchronised stream yet
+    joined: dict[int, Joined] = field(default_factory=dict)
+    snapshot_complete: bool = False
+    overlaps: bool = False  # it repeated an event of another: nothing in `ahead` is of its snapshot
+    synchronised: bool = False  # it has missed nothing that was reported
+    heartbeats: int = 0  # counted on other streams, while this one is not synchronised
+
+
+class ProxyRegistry:
+    """Merges event streams into one sequence in which every event is reported once.
+
+    While one synchronised stream is left, or the last of them went on past the snapshot of another stream, no event is
+    missed. After a gap a proxy may have left and come back unseen, which ends its bindings: so each proxy in the next
+    snapshot is reported as joined once more, but not as left, as messages queued for it may still reach it.
+    """
+
+    def __init__(self, max_ahead: int, overlap_us: int) -> None:
+        """Starts without streams.
+
+        Args:
+            max_ahead: Events by which one stream may be ahead of another.
+            overlap_us: Time by which a stream must outlive another's snapshot to have told all before it.
+        """
+        self._max_ahead = max_ahead
+        self._overlap_us = overlap_us
+        self._last_told_us = 0  # by a synchronised stream
         self._joined: set[int] = set()
-        self._feeds: dict[int, Feed] = {}
+        self._streams: dict[int, StreamState] = {}
 
     def __len__(self) -> int:
+        """Joined proxies."""
         return len(self._joined)
 
-    def opened(self, stream: int, now_us: int, settles_us: int) -> None:
-        feed = Feed(
-            now_us, settles_us, deque(maxlen=self._most_ahead), deque(maxlen=self._most_ahead)
+    def stream_opened(self, stream_id: int, now_us: int, snapshot_deadline_us: int) -> None:
+        """Adds a stream, which is synchronised from the start if no other is."""
+        self._streams[stream_id] = StreamState(
+            opened_us=now_us,
+            snapshot_deadline_us=snapshot_deadline_us,
+            ahead=deque(maxlen=self._max_ahead),
+            buffered=deque(maxlen=self._max_ahead),
+            synchronised=not self.synchronised,
         )
-        feed.in_step = not self.steady
-        self._feeds[stream] = feed
 
     @property
-    def steady(self) -> bool:
-        """Whether a stream is in step."""
-        return any(feed.in_step for feed in self._feeds.values())
-
-    def in_step(self, streams: Iterable[int]) -> bool:
-        """Whether one of these streams could do without the others."""
-        return any(stream in self._feeds and self._feeds[stream].in_step for stream in streams)
-
-    def told(self, stream: int, news: News | None, now_us: int) -> list[News]:
-        """What is new by a line of a stream; None is a sign of life."""
-        feed, out = self._feeds[stream], list[News]()
-        if not feed.settled and (not isinstance(news, Joined) or now_us > feed.settles_us):
-            feed.settled = True
-            out += self._missing(feed) if feed.in_step else []
-        if feed.in_step:
-            self._told_us = now_us
-        if news is None:
-            return out + self._count_sign(feed)
-        _keep(feed.view, news)
-        if feed.in_step:
-            out += self._change(news) if self._is_new(feed, news) else []
-        elif feed.settled and not self._passed(feed, news):
-            feed.early.append(news)
-        return out
-
-    def lost(self, stream: int) -> list[News]:
-        """A stream has ended. If none in step is left, another goes on from where that one stopped, if that
-        told on past its snapshot; else its view is what stands after a gap."""
-        self._feeds.pop(stream, None)
-        if self.steady or not self._feeds:
-            return []
-        feed = min(self._feeds.values(), key=lambda f: f.opened_us)
-        covered = self._told_us - feed.opened_us >= self._cover_us
-        if not covered:
-            feed.early.clear()
-        out = self._promote(feed)
-        for news in feed.view.values():
-            if not covered or news.proxy not in self._joined:
-                out += self._change(news)
-        return out + (self._missing(feed) if feed.settled else [])
-
-    def _promote(self, feed: Feed) -> list[News]:
-        """From now on it is one of those that miss nothing: what it alone has told so far is news."""
-        if not feed.met:
-            feed.ahead.clear()
-        early, feed.early = feed.early, deque(maxlen=self._most_ahead)
-        feed.in_step = True
-        out = list[News]()
-        for news in early:
-            self._pass_on(feed, news)
-            out += self._change(news)
-        return out
-
-    def _is_new(self, feed: Feed, news: News) -> bool:
-        if self._passed(feed, news):
-            return False
-        self._pass_on(feed, news)
-        return True
+    def synchronised(self) -> bool:
+        """Whether any stream is synchronised."""
+        return any(stream.synchronised for stream in self._streams.values())
+
+    def any_synchronised(self, stream_ids: Iterable[int]) -> bool:
+        """Whether one of these streams could do without all others."""
+        return any(
+            stream_id in self._streams and self._streams[stream_id].synchronised
+            for stream_id in stream_ids
+        )
 
-    def _passed(self, feed: Feed, news: News) -> bool:
-        """Whether others have told this before; what they told before it stood in this stream's snapshot."""
-        if news not in feed.ahead:
+    def receive(self, stream_id: int, event: ProxyEvent | None, now_us: int) -> list[ProxyEvent]:
+        """Takes an event of a stream, or a heartbeat (None), and returns what is to be reported."""
+        stream = self._streams[stream_id]
+        reported: list[ProxyEvent] = []
+        past_snapshot = not isinstance(event, Joined) or now_us > stream.snapshot_deadline_us
+        if past_snapshot and not stream.snapshot_complete:
+            stream.snapshot_complete = True
+            if stream.synchronised:
+                reported += self._leave_missing(stream)
+        if stream.synchronised:
+            self._last_told_us = now_us
+        if event is None:
+            return reported + self._count_heartbeat(stream)
+        _update(stream.joined, event)
+        if stream.synchronised:
+            if not self._told_before(stream, event):
+                self._pass_on(stream, event)
+                reported += self._apply(event)
+        elif stream.snapshot_complete and not self._told_before(stream, event):
+            stream.buffered.append(event)
+        return reported
+
+    def stream_lost(self, stream_id: int) -> list[ProxyEvent]:
+        """Removes a stream that has ended and returns what is to be reported.
+
+        If no synchronised stream is left, the oldest of the others takes over: where the lost one stopped, if that one
+        went on past the other's snapshot, else with all that its snapshot holds.
+        """
+        self._streams.pop(stream_id, None)
+        if self.synchronised or not self._streams:
+            return []
+        successor = min(self._streams.values(), key=lambda stream: stream.opened_us)
+        without_gap = self._last_told_us - successor.opened_us >= self._overlap_us
+        if not without_gap:
+            successor.buffered.clear()
+        reported = self._synchronise(successor)
+        for event in successor.joined.values():
+            if not without_gap or event.proxy not in self._joined:
+                reported += self._apply(event)
+        if successor.snapshot_complete:
+            reported += self._leave_missing(successor)
+        return reported
+
+    def _synchronise(self, stream: StreamState) -> list[ProxyEvent]:
+        """Lets a stream count as one that misses nothing, and reports what it alone has told."""
+        if not stream.overlaps:
+            stream.ahead.clear()
+        buffered = stream.buffered
+        stream.buffered = deque(maxlen=self._max_ahead)
+        stream.synchronised = True
+        reported: list[ProxyEvent] = []
+        for event in buffered:
+            self._pass_on(stream, event)
+            reported += self._apply(event)
+        return reported
+
+    def _told_before(self, stream: StreamState, event: ProxyEvent) -> bool:
+        """Whether others have told this first; what they told before it was in this stream's snapshot."""
+        if event not in stream.ahead:
             return False
-        while feed.ahead.popleft() != news:
-            pass
-        feed.met = True
+        _drop_through(stream.ahead, event)
+        stream.overlaps = True
         return True
 
-    def _pass_on(self, feed: Feed, news: News) -> None:
-        for other in self._others(feed):
-            if news not in other.early:
-                other.ahead.append(news)
+    def _pass_on(self, stream: StreamState, event: ProxyEvent) -> None:
+        """Expects an event from all other streams, unless they have told it already."""
+        for other in self._others(stream):
+            if event in other.buffered:
+                _drop_through(other.buffered, event)
+            else:
+                other.ahead.append(event)
+
+    def _count_heartbeat(self, stream: StreamState) -> list[ProxyEvent]:
+        """Synchronises streams opened beside this one once it has told all from before their snapshot."""
+        reported: list[ProxyEvent] = []
+        if not stream.synchronised:
+            return reported
+        for other in self._others(stream):
+            if not other.snapshot_complete or other.synchronised:
                 continue
-            while other.early.popleft() != news:
-                pass
-
-    def _count_sign(self, feed: Feed) -> list[News]:
-        """One that opened beside a stream in step is in step itself once that has surely told all that came
-        before the snapshot: till then its end would leave a gap."""
-        out: list[News] = []
-        for other in self._others(feed) if feed.in_step else ():
-            if other.settled and not other.in_step:
-                other.signs += 1
-                out += self._promote(other) if other.signs >= SIGNS else []
-        return out
-
-    def _others(self, feed: Feed) -> Iterable[Feed]:
-        return [other for other in self._feeds.values() if other is not feed]
-
-    def _missing(self, feed: Feed) -> list[News]:
-        gone = sorted(self._joined - set(feed.view))
-        return [change for proxy in gone for change in self._change(Left(proxy))]
-
-    def _change(self, news: News) -> list[News]:
-        if isinstance(news, Applied):
-            return [news]
-        if isinstance(news, Left):
-            known = news.proxy in self._joined
-            self._joined.discard(news.proxy)
-            return [news] if known else []
-        self._joined.add(news.proxy)
-        return [news]
-
-
-def _keep(view: dict[int, Joined], news: News) -> None:
-    if isinstance(news, Joined):
-        view[news.proxy] = news
-    elif isinstance(news, Left):
-        view.pop(news.proxy, None)
+            other.heartbeats += 1
+            if other.heartbeats >= HEARTBEATS_TO_SYNCHRONISE:
+                reported += self._synchronise(other)
+        return reported
+
+    def _others(self, stream: StreamState) -> list[StreamState]:
+        return [other for other in self._streams.values() if other is not stream]
+
+    def _leave_missing(self, stream: StreamState) -> list[ProxyEvent]:
+        """Reports proxies that a complete snapshot does not hold as left."""
+        reported: list[ProxyEvent] = []
+        for proxy in sorted(self._joined - set(stream.joined)):
+            reported += self._apply(Left(proxy))
+        return reported
+
+    def _apply(self, event: ProxyEvent) -> list[ProxyEvent]:
+        """Updates the joined proxies; an unknown proxy that leaves is not reported."""
+        match event:
+            case Joined(proxy=proxy):
+                self._joined.add(proxy)
+            case Left(proxy=proxy):
+                if proxy not in self._joined:
+                    return []
+                self._joined.discard(proxy)
+        return [event]
+
+
+def _update(joined: dict[int, Joined], event: ProxyEvent) -> None:
+    if isinstance(event, Joined):
+        joined[event.proxy] = event
+    elif isinstance(event, Left):
+        joined.pop(event.proxy, None)
+
+
+def _drop_through(events: deque[ProxyEvent], last: ProxyEvent) -> None:
+    """Removes the oldest events up to and including one that is among them."""
+    while events.popleft() != last:
+        pass
--- a/kelpcourse/wire/relay_codec.py
+++ b/kelpcourse/wire/relay_codec.py
@@ -8,7 +8,7 @@
 import orjson
 
 from kelpcourse.memory.orders import EmptyTable, Limit, Mark, Order, SetShare, ShutOut, UseTable
-from kelpcourse.memory.proxies import Applied, Joined, Left, News
+from kelpcourse.memory.proxies import Applied, Joined, Left, ProxyEvent
 from kelpcourse.wire.fields import BadMessage, flag, json_object, number, text, whole
 
 ORDERS_PATH = "/v3/kv/orders"
@@ -105,7 +105,7 @@
     raise BadMessage(f"an answer without 'ok_count': {said:.100}")
 
 
-def read_event(line: memoryview) -> News | None:
+def read_event(line: memoryview) -> ProxyEvent | None:
     """What a line of the event stream tells; None: a heartbeat. Raises BadMessage."""
     fields = json_object(line)
     if not fields:
--- a/kelpcourse/wire/relay_events.py
+++ b/kelpcourse/wire/relay_events.py
@@ -6,7 +6,7 @@
 
 from kelpcourse.facade import Unknown
 from kelpcourse.memory.outbox import Outbox
-from kelpcourse.memory.proxies import Applied, Joined, Left, News, Proxies
+from kelpcourse.memory.proxies import Applied, Joined, Left, ProxyEvent, ProxyRegistry
 from kelpcourse.wire.fields import BadMessage, NotJson
 from kelpcourse.wire.http import dial
 from kelpcourse.wire.loop import Routine, Signal, Wait
@@ -33,7 +33,7 @@
         self._outbox = outbox
         self._reachable = reachable
         self._target = target
-        self._proxies = Proxies(parts.limits.news_ahead, parts.limits.news_cover_us)
+        self._proxies = ProxyRegistry(parts.limits.news_ahead, parts.limits.news_cover_us)
         self._first = 0  # stream at the address of now; those before it are on their way out
 
     def streams(self) -> range:
@@ -54,19 +54,19 @@
             except (Broken, NotJson) as error:
                 reason = str(error)
             finally:
-                self._report(self._proxies.lost(stream))
+                self._report(self._proxies.stream_lost(stream))
             self._parts.counters.add("relay_news_lost")
             self._parts.log.event(
                 "news_lost",
                 stream=stream,
                 reason=reason,
-                steady=self._proxies.steady,
+                steady=self._proxies.synchronised,
                 joined=len(self._proxies),
             )
             yield Wait(self._parts.clock() + backoff.next_us())
 
     def _replaced(self, stream: int) -> bool:
-        return stream < self._first and self._proxies.in_step(self.streams())
+        return stream < self._first and self._proxies.any_synchronised(self.streams())
 
     def _follow(self, stream: int, address: Address, backoff: Backoff) -> Act[None]:
         limits = self._parts.limits
@@ -77,7 +77,7 @@
             if status != 200:
                 raise Broken(f"answered {status}")
             now_us = self._parts.clock()
-            self._proxies.opened(stream, now_us, now_us + limits.news_settle_us)
+            self._proxies.stream_opened(stream, now_us, now_us + limits.news_settle_us)
             self._parts.counters.add("relay_news_streams")
             self._parts.log.event("news_open", stream=stream)
             self._reachable.raise_()
@@ -99,25 +99,25 @@
         if not line:
             return
         try:
-            self._report(self._proxies.told(stream, read_event(line), self._parts.clock()))
+            self._report(self._proxies.receive(stream, read_event(line), self._parts.clock()))
         except NotJson:
             raise  # what it should have told is lost: only a fresh snapshot mends that
         except BadMessage as error:
             self._parts.bad_message("relay", error)
 
-    def _report(self, changes: Iterable[News]) -> None:
+    def _report(self, changes: Iterable[ProxyEvent]) -> None:
         for event in changes:
             try:
                 self._report_one(event)
             except Unknown as error:
                 self._parts.bad_message("relay", error)
 
-    def _report_one(self, event: News) -> None:
+    def _report_one(self, event: ProxyEvent) -> None:
         facade, counters = self._parts.facade, self._parts.counters
         match event:
-            case Joined(proxy, zone, share, standing):
+            case Joined(proxy, zone, request_rate, has_no_table):
                 counters.add("relay_joined")
-                facade.report_joined(proxy, zone, share, standing)
+                facade.report_joined(proxy, zone, request_rate, has_no_table)
             case Left(proxy):
                 counters.add("relay_left")
                 self._outbox.forget_proxy(proxy)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -10,7 +10,7 @@
 from kelpcourse.memory.hosts import Member, Phase
 from kelpcourse.memory.orders import Order, SetShare, ShutOut
 from kelpcourse.memory.outbox import Outbox
-from kelpcourse.memory.proxies import Applied, Joined, Left, News, Proxies
+from kelpcourse.memory.proxies import Applied, Joined, Left, ProxyEvent, ProxyRegistry
 from kelpcourse.wire.buffers import Buffer
 from kelpcourse.wire.text import Heard, Usage, parse
 from tests.fleet import SECOND, SETTINGS
@@ -28,7 +28,7 @@
         settings = replace(SETTINGS, proxies=PROXIES)
         self.facade = Facade(settings, 7, QUICK)
         self.outbox = Outbox(QUICK.orders, QUICK.marks)
-        self.proxies = Proxies(QUICK.news_ahead, QUICK.news_cover_us)
+        self.proxies = ProxyRegistry(QUICK.news_ahead, QUICK.news_cover_us)
         self.buffer = Buffer(QUICK.read_bytes, QUICK.line_bytes)
         self.now = 50 * SECOND
         self.second = 0
@@ -37,7 +37,7 @@
         self.names = [f"h{k}" for k in range(HOSTS)]
         self.facade.report_known(self.members(), 1)
         self.facade.start(self.now)
-        self.proxies.opened(0, 0, 0)
+        self.proxies.stream_opened(0, 0, 0)
         for proxy in range(PROXIES):
             self.news(Joined(proxy, "east", 10.0, True))
 
@@ -47,8 +47,8 @@
             for k, name in enumerate(self.names)
         ]
 
-    def news(self, news: News) -> None:
-        for told in self.proxies.told(0, news, self.now):
+    def news(self, news: ProxyEvent) -> None:
+        for told in self.proxies.receive(0, news, self.now):
             match told:
                 case Joined(proxy, zone, share, standing):
                     self.facade.report_joined(proxy, zone, share, standing)
