--- a/kelpcourse/facade.py
+++ b/kelpcourse/facade.py
@@ -42,7 +42,7 @@
     WatchList,
     Withdraw,
 )
-from kelpcourse.memory.hosts import Hosts, Member, Phase
+from kelpcourse.memory.endpoints import EndpointRegistry, ListedEndpoint, Phase
 from kelpcourse.memory.orders import EmptyTable, Limit, Mark, Order, SetShare, ShutOut, UseTable
 from kelpcourse.limits import Limits
 
@@ -86,7 +86,7 @@
         self._settings = settings
         self._limits = limits
         self._module = make(settings)
-        self._hosts = Hosts(limits.names)
+        self._endpoints = EndpointRegistry(limits.names)
         self._events: list[Event] = [Started(seed)]
         self._gathered_us: int | None = None  # when what waits is to be stepped
         self._timers: list[tuple[int, int, str]] = []
@@ -102,11 +102,11 @@
 
     # Reports
 
-    def report_known(self, members: Sequence[Member], version: int) -> None:
+    def report_known(self, members: Sequence[ListedEndpoint], version: int) -> None:
         """The list as this director last had it, before its start."""
         self._take_list(ListKind.RESTORED, members, version)
 
-    def report_list(self, members: Sequence[Member], version: int, whole: bool) -> None:
+    def report_list(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
         self._take_list(ListKind.FULL if whole else ListKind.CHANGES, members, version)
 
     def report_list_lost(self) -> None:
@@ -244,18 +244,18 @@
 
     # From plain terms to the module's
 
-    def _take_list(self, kind: ListKind, members: Sequence[Member], version: int) -> None:
-        self._hosts.take(members, kind is not ListKind.CHANGES)
+    def _take_list(self, kind: ListKind, members: Sequence[ListedEndpoint], version: int) -> None:
+        self._endpoints.update(members, kind is not ListKind.CHANGES)
         hosts = tuple(self._listed(m) for m in members)
         self._events.append(HostList(kind, version, hosts))
 
-    def _listed(self, m: Member) -> Host:
+    def _listed(self, m: ListedEndpoint) -> Host:
         return Host(
             self._host(m.name), m.zone, m.kind, m.cell, m.size, STATES[m.phase], _us(m.up_since_ms)
         )
 
     def _host(self, name: str) -> int:
-        number = self._hosts.number(name)
+        number = self._endpoints.number_of(name)
         if number is None:
             raise Unknown(f"host {name!r:.60} was never listed")
         return number
@@ -311,8 +311,8 @@
         heapq.heappush(self._timers, (at_us, self._timer_number, name))
 
     def _probe(self, host: int) -> None:
-        name = self._hosts.name(host)
-        address = self._hosts.address(name) if name is not None else None
+        name = self._endpoints.name_of(host)
+        address = self._endpoints.address_of(name) if name is not None else None
         if name is None or address is None:
             self._work.undelivered += 1
         else:
@@ -328,10 +328,10 @@
     def _plain(self, action: Action) -> Order | None:
         match action:
             case SetLine(table, host, weight):
-                name = self._hosts.name(host)
+                name = self._endpoints.name_of(host)
                 return SetShare(table, name, _rounded(weight)) if name is not None else None
             case Withdraw(host, out):
-                name = self._hosts.name(host)
+                name = self._endpoints.name_of(host)
                 return ShutOut(name, out) if name is not None else None
             case ClearTable(table):
                 return EmptyTable(table)
--- a/kelpcourse/lab/story.py
+++ b/kelpcourse/lab/story.py
@@ -15,7 +15,7 @@
 from kelpcourse.lab.forwarder import shares
 from kelpcourse.lab.primary import ORIGIN, SERVICE, Primary, write_settings
 from kelpcourse.lab.world import Lab, free_address, now_us
-from kelpcourse.memory.hosts import Member, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint, Phase
 from kelpcourse.zones.service import Restored
 from kelpcourse.zones.settings import shown
 
@@ -69,7 +69,7 @@
         self.lab.on_order = self._ordered
         self.lab.on_log = self._logged
 
-    def _announced(self, members: Sequence[Member]) -> None:
+    def _announced(self, members: Sequence[ListedEndpoint]) -> None:
         now = now_us()
         for member in members:
             if member.phase is Phase.READY:
--- a/kelpcourse/shared/steering.py
+++ b/kelpcourse/shared/steering.py
@@ -15,7 +15,7 @@
 from kelpcourse.interface import Settings
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.memory.hosts import Member, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint, Phase
 from kelpcourse.memory.orders import ShutOut
 from kelpcourse.memory.outbox import Outbox
 from kelpcourse.shared.controller import Event, Gained, Lost
@@ -50,11 +50,11 @@
 class ToldHosts:
     """The facade's door for lists, which also tells the fleet of withdrawals."""
 
-    def __init__(self, facade: Facade, tell: Callable[[Sequence[Member]], None]) -> None:
+    def __init__(self, facade: Facade, tell: Callable[[Sequence[ListedEndpoint]], None]) -> None:
         self._report_list = facade.report_list
         self._tell = tell
 
-    def __call__(self, members: Sequence[Member], version: int, whole: bool) -> None:
+    def __call__(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
         self._tell(members)
         self._report_list(members, version, whole)
 
@@ -131,7 +131,7 @@
 
     # Withdrawals
 
-    def _withdrawals(self, members: Sequence[Member]) -> None:
+    def _withdrawals(self, members: Sequence[ListedEndpoint]) -> None:
         """Known to the fleet before any order on them goes out, so that a successor finishes what was begun."""
         for member in members:
             if member.phase is not Phase.READY and member.name not in self._withdrawn:
--- a/kelpcourse/wire/discovery.py
+++ b/kelpcourse/wire/discovery.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from kelpcourse.facade import Unknown
-from kelpcourse.memory.hosts import Member, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint, Phase
 from kelpcourse.wire.fields import BadMessage, address, flag, json_object, number, text, whole
 from kelpcourse.wire.http import HttpClient, dial
 from kelpcourse.wire.loop import Routine, Task, Wait
@@ -22,7 +22,7 @@
 class HostsList:
     version: int
     whole: bool
-    members: tuple[Member, ...]
+    members: tuple[ListedEndpoint, ...]
 
 
 def read_list(fields: Mapping[str, object], on_bad: Callable[[BadMessage], None]) -> HostsList:
@@ -39,7 +39,7 @@
     return HostsList(whole(fields, "revision"), flag(fields, "complete"), tuple(members))
 
 
-def _member(entry: object) -> Member:
+def _member(entry: object) -> ListedEndpoint:
     if not isinstance(entry, dict):
         raise BadMessage("an entry of 'members' is not an object")
     phase = text(entry, "phase")
@@ -48,7 +48,7 @@
     up_since_ms = number(entry, "up_since_ms") if entry.get("up_since_ms") is not None else 0.0
     if up_since_ms >= TIME_MOST_MS:
         raise BadMessage(f"field 'up_since_ms' is no time: {up_since_ms}")
-    return Member(
+    return ListedEndpoint(
         text(entry, "id"),
         address(text(entry, "host_port"), "host_port"),
         text(entry, "locality"),
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -13,7 +13,7 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.memory.hosts import Member
+from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.store.commit import Settled
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.journal import Journal
@@ -50,7 +50,7 @@
 class Sink(Protocol):
     """Who is steered by the list."""
 
-    def listed(self, members: Sequence[Member], version: int, whole: bool) -> None: ...
+    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None: ...
 
     def lost(self) -> None: ...
 
--- a/kelpcourse/zones/source.py
+++ b/kelpcourse/zones/source.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 
 from kelpcourse.interface import Settings
-from kelpcourse.memory.hosts import Member
+from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.wire.loop import Routine
 from kelpcourse.wire.parts import Parts
 from kelpcourse.wire.stream import Address
@@ -58,7 +58,7 @@
         else:
             self.lost()
 
-    def listed(self, members: Sequence[Member], version: int, whole: bool) -> None:
+    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
         self._parts.log.event("list", version=version, whole=whole, hosts=len(members))
         self._parts.facade.report_list(members, version, whole)
 
--- a/kelpcourse/zones/union.py
+++ b/kelpcourse/zones/union.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, replace
 
-from kelpcourse.memory.hosts import Member, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint, Phase
 
 
 @dataclass(frozen=True)
@@ -32,8 +32,8 @@
         self._sources = list(sources)
         self._grace_us = grace_us
         self._remember = remember
-        self._told: dict[str, dict[str, Member]] = {source: {} for source in sources}
-        self.members: dict[str, Member] = {}
+        self._told: dict[str, dict[str, ListedEndpoint]] = {source: {} for source in sources}
+        self.members: dict[str, ListedEndpoint] = {}
         self._gone_us: dict[str, int] = {}  # in the order they went
         self._returned_ms: dict[str, int] = {}
         self._conflicts: dict[str, tuple[str, ...]] = {}
@@ -65,8 +65,8 @@
         self._unavailable.add(source)
 
     def take(
-        self, source: str, changes: Mapping[str, Member | None], now_us: int, unix_ms: int
-    ) -> tuple[list[Member], list[Conflict]]:
+        self, source: str, changes: Mapping[str, ListedEndpoint | None], now_us: int, unix_ms: int
+    ) -> tuple[list[ListedEndpoint], list[Conflict]]:
         """What the list's readers are told, as one change: entries as they are now, or as gone."""
         told = self._told[source]
         for name, member in changes.items():
@@ -74,7 +74,7 @@
                 told.pop(name, None)
             else:
                 told[name] = member
-        out: list[Member] = []
+        out: list[ListedEndpoint] = []
         conflicts: list[Conflict] = []
         for name in changes:
             out += self._settle(name, now_us, unix_ms, conflicts)
@@ -83,7 +83,7 @@
 
     def _settle(
         self, name: str, now_us: int, unix_ms: int, conflicts: list[Conflict]
-    ) -> Iterable[Member]:
+    ) -> Iterable[ListedEndpoint]:
         views = [(source, told[name]) for source, told in self._told.items() if name in told]
         self._note_conflict(name, views, conflicts)
         was = self.members.get(name)
@@ -101,7 +101,7 @@
         self.members[name] = merged
         return (merged,)
 
-    def _merged(self, name: str, views: Sequence[Member]) -> Member:
+    def _merged(self, name: str, views: Sequence[ListedEndpoint]) -> ListedEndpoint:
         drains = any(view.phase is Phase.DRAINING for view in views)
         started = max(max(view.up_since_ms for view in views), self._returned_ms.get(name, 0))
         return replace(
@@ -121,7 +121,7 @@
             self._returned_ms[name] = unix_ms
 
     def _note_conflict(
-        self, name: str, views: Sequence[tuple[str, Member]], conflicts: list[Conflict]
+        self, name: str, views: Sequence[tuple[str, ListedEndpoint]], conflicts: list[Conflict]
     ) -> None:
         alike = {replace(member, phase=Phase.READY, up_since_ms=0.0) for _, member in views}
         sources = tuple(source for source, _ in views) if len(alike) > 1 else ()
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -11,7 +11,7 @@
 from kelpcourse.interface import Action, Checkpoint, Event, OrdersDoubted, RepeatOrders, Settings
 from kelpcourse.lab.http import Caller, StandIn
 from kelpcourse.memory.counters import Counters
-from kelpcourse.memory.hosts import Member, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint, Phase
 from kelpcourse.limits import Limits
 from kelpcourse.wire.loop import Loop
 from kelpcourse.wire.parts import Parts
@@ -125,8 +125,10 @@
             raise self.defects[0]
 
 
-def member(name: str, phase: Phase = Phase.READY, address: Address = ("127.0.0.1", 9)) -> Member:
-    return Member(name, address, "east", "std", 0, phase, 1.0, 0.0)
+def member(
+    name: str, phase: Phase = Phase.READY, address: Address = ("127.0.0.1", 9)
+) -> ListedEndpoint:
+    return ListedEndpoint(name, address, "east", "std", 0, phase, 1.0, 0.0)
 
 
 def entry(
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,7 +12,7 @@
 
 from kelpcourse.facade import Facade, Unknown
 from kelpcourse.fields import Fields
-from kelpcourse.memory.hosts import Phase
+from kelpcourse.memory.endpoints import Phase
 from kelpcourse.memory.orders import Mark, Order, ShutOut, UseTable
 from kelpcourse.memory.outbox import Outbox
 from kelpcourse.service.config import BadConfig, read_config
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -8,7 +8,7 @@
 import pytest
 
 from kelpcourse.interface import HostList, HostState, ListKind, ProbeHost, WatchList
-from kelpcourse.memory.hosts import Phase
+from kelpcourse.memory.endpoints import Phase
 from kelpcourse.wire.discovery import Discovery, read_list
 from kelpcourse.wire.fields import BadMessage
 from kelpcourse.wire.loop import Wait
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -9,7 +9,7 @@
 
 from kelpcourse import interface as api
 from kelpcourse.facade import Facade, Unknown
-from kelpcourse.memory.hosts import Hosts, Phase
+from kelpcourse.memory.endpoints import EndpointRegistry, Phase
 from kelpcourse.memory.orders import EmptyTable, Limit, Mark, SetShare, ShutOut, UseTable
 from tests.fleet import SECOND, SETTINGS
 from tests.standins import MS, QUICK, Script, member
@@ -197,32 +197,32 @@
 # Memory behind the door
 
 
-def test_hosts_keep_their_number_while_gone_and_are_forgotten_beyond_the_limit() -> None:
-    hosts = Hosts(3)
-    hosts.take([member("a"), member("b"), member("c")], True)
-    number = hosts.number("a")
-    hosts.take([member("a", Phase.GONE)], False)
-    assert hosts.address("a") is None
-    assert hosts.number("a") == number
-    hosts.take([member("a")], False)
-    assert hosts.number("a") == number
-    hosts.take([member("b", Phase.GONE)], False)
-    hosts.take([member("c", Phase.GONE), member("d")], False)
-    assert hosts.number("b") is None
-    assert len(hosts) == 3
+def test_endpoints_keep_their_number_while_gone_and_are_forgotten_beyond_the_limit() -> None:
+    endpoints = EndpointRegistry(3)
+    endpoints.update([member("a"), member("b"), member("c")], True)
+    number = endpoints.number_of("a")
+    endpoints.update([member("a", Phase.GONE)], False)
+    assert endpoints.address_of("a") is None
+    assert endpoints.number_of("a") == number
+    endpoints.update([member("a")], False)
+    assert endpoints.number_of("a") == number
+    endpoints.update([member("b", Phase.GONE)], False)
+    endpoints.update([member("c", Phase.GONE), member("d")], False)
+    assert endpoints.number_of("b") is None
+    assert len(endpoints) == 3
 
 
-def test_names_do_not_grow_with_hosts_that_come_and_go() -> None:
-    hosts = Hosts(50)
+def test_names_do_not_grow_with_endpoints_that_come_and_go() -> None:
+    endpoints = EndpointRegistry(50)
     for version in range(1000):
-        hosts.take([member(f"h{version}"), member(f"h{version - 20}", Phase.GONE)], False)
-    assert len(hosts) <= 50
-    assert hosts.number("h999") is not None
+        endpoints.update([member(f"h{version}"), member(f"h{version - 20}", Phase.GONE)], False)
+    assert len(endpoints) <= 50
+    assert endpoints.number_of("h999") is not None
 
 
-def test_a_whole_list_names_all_there_are() -> None:
-    hosts = Hosts(10)
-    hosts.take([member("a"), member("b")], True)
-    hosts.take([member("b")], True)
-    assert hosts.address("a") is None
-    assert hosts.address("b") is not None
+def test_a_full_list_names_all_there_are() -> None:
+    endpoints = EndpointRegistry(10)
+    endpoints.update([member("a"), member("b")], True)
+    endpoints.update([member("b")], True)
+    assert endpoints.address_of("a") is None
+    assert endpoints.address_of("b") is not None
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -7,7 +7,7 @@
 
 from kelpcourse.facade import Facade
 from kelpcourse.decide import FORGET_US
-from kelpcourse.memory.hosts import Member, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint, Phase
 from kelpcourse.memory.orders import Order, SetShare, ShutOut
 from kelpcourse.memory.outbox import Outbox
 from kelpcourse.memory.proxies import Applied, Joined, Left, ProxyEvent, ProxyRegistry
@@ -41,7 +41,7 @@
         for proxy in range(PROXIES):
             self.news(Joined(proxy, "east", 10.0, True))
 
-    def members(self) -> list[Member]:
+    def members(self) -> list[ListedEndpoint]:
         return [
             replace(member(name), zone="west" if k % 2 else "east")
             for k, name in enumerate(self.names)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -5,7 +5,7 @@
 import pytest
 
 from kelpcourse.limits import Limits
-from kelpcourse.memory.hosts import Hosts, Member, Phase
+from kelpcourse.memory.endpoints import EndpointRegistry, ListedEndpoint, Phase
 
 LISTS = (
     "names",
@@ -48,13 +48,13 @@
     assert Limits().within(65_536, 8_192).connections == 1_024
 
 
-def test_hosts_that_are_listed_are_remembered_whatever_the_limit() -> None:
-    hosts = Hosts(10)
-    hosts.take(
+def test_endpoints_that_are_listed_are_remembered_whatever_the_limit() -> None:
+    endpoints = EndpointRegistry(10)
+    endpoints.update(
         [
-            Member(f"h{k}", ("127.0.0.1", 1), "a", "m", 0, Phase.READY, 1.0, 0.0)
+            ListedEndpoint(f"h{k}", ("127.0.0.1", 1), "a", "m", 0, Phase.READY, 1.0, 0.0)
             for k in range(2_000)
         ],
         True,
     )
-    assert all(hosts.number(f"h{k}") is not None for k in range(2_000))
+    assert all(endpoints.number_of(f"h{k}") is not None for k in range(2_000))
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -15,7 +15,7 @@
 from kelpcourse.facade import Facade
 from kelpcourse.interface import Settings
 from kelpcourse.limits import Limits
-from kelpcourse.memory.hosts import Phase
+from kelpcourse.memory.endpoints import Phase
 from kelpcourse.memory.outbox import Outbox
 from kelpcourse.wire.loop import Signal
 from kelpcourse.wire.relay_calls import RelayCalls
--- a/tests/test_zone_content.py
+++ b/tests/test_zone_content.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kelpcourse.memory.hosts import Phase
+from kelpcourse.memory.endpoints import Phase
 from kelpcourse.zones.answer import look_up
 from kelpcourse.zones.book import Changed, Replay, decode, encode, snapshot
 from kelpcourse.zones.content import Draft, Record, Zone, between, soa_of, zone_of
--- a/tests/test_zone_decisions.py
+++ b/tests/test_zone_decisions.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kelpcourse.memory.hosts import Member, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint, Phase
 from kelpcourse.zones.belief import Belief, Verdict, Version, judge
 from kelpcourse.zones.content import Soa
 from kelpcourse.zones.errors import BadZone
@@ -224,7 +224,7 @@
     start = held(zone(1, rooms()))
     nothing = draft_of(start.head).difference(0)
 
-    def take(name: str, now_us: int, to: Member | None = None) -> str:
+    def take(name: str, now_us: int, to: ListedEndpoint | None = None) -> str:
         why = refusal(grant, nothing, hosts, {name: to}, losses, (), now_us)
         if not why:
             losses.note({name: hosts[name]}, {name: to}, now_us)
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -19,7 +19,7 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.memory.hosts import Member, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint, Phase
 from kelpcourse.wire.loop import Loop, Routine
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.content import Zone
@@ -167,7 +167,7 @@
         self.counters = Counters()
         self.list: dict[str, Phase] = {}
         self.told: list[tuple[dict[str, str], bool]] = []
-        self.members: dict[str, Member] = {}
+        self.members: dict[str, ListedEndpoint] = {}
         self.losses = 0
         self._tasks: list[Any] = []
         around = Around(world.loop, limits, self.counters, self.log, self._keep)
@@ -180,7 +180,7 @@
     def _keep(self, name: str, make: Callable[[], Routine]) -> None:
         self._tasks.append(self.world.loop.start(name, make()))
 
-    def listed(self, members: Sequence[Member], version: int, whole: bool) -> None:
+    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
         self.told.append(({m.name: m.phase.value for m in members}, whole))
         if whole:
             self.list.clear()
