--- a/kelpcourse/service/config.py
+++ b/kelpcourse/service/config.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from kelpcourse.fields import Fields, WireError
+from kelpcourse.fields import Fields, InputError
 from kelpcourse.interface import Settings
 from kelpcourse.settings import read_settings
 from kelpcourse.wire.discovery import HostsList, read_list
@@ -94,8 +94,8 @@
 
 def _settings(root: Mapping[str, object]) -> Settings:
     try:
-        settings = read_settings(Fields.of_nested(_object(root, "settings")))
-    except WireError as error:
+        settings = read_settings(Fields.from_nested(_object(root, "settings")))
+    except InputError as error:
         raise BadConfig(f"settings: {error}") from None
     _check_names(root["settings"])
     if settings.slices:
--- a/kelpcourse/settings.py
+++ b/kelpcourse/settings.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from kelpcourse.interface import Admission, Effect, RequestClass, Retry, Scope, Settings
-from kelpcourse.fields import Fields, WireError
+from kelpcourse.fields import Fields, InputError
 
 EFFECTS = {
     "read_like": Effect.SAFE,
@@ -25,7 +25,7 @@
 def _flags(fields: Fields, name: str, size: int) -> tuple[bool, ...]:
     words = fields.words(name) or ("false",) * size
     if len(words) != size or any(word not in ("true", "false", "1", "0") for word in words):
-        raise WireError(f"field 'family_info.{name}' is not one bool for each class")
+        raise InputError(f"field 'family_info.{name}' is not one bool for each class")
     return tuple(word in ("true", "1") for word in words)
 
 
@@ -61,7 +61,7 @@
 
 
 def read_settings(fields: Fields) -> Settings:
-    """Raises WireError for what can't be served, by the field's name."""
+    """Raises InputError for what can't be served, by the field's name."""
     settings = _read(fields)
     if not settings.slices:  # of a site with slices nothing is served here
         _check(settings)
@@ -71,23 +71,23 @@
 def _check(settings: Settings) -> None:
     for name, value in ABOVE_0.items():
         if not value(settings) > 0:
-            raise WireError(f"field '{name}' is not above 0")
+            raise InputError(f"field '{name}' is not above 0")
     for name, value in FROM_0.items():
         if value(settings) < 0:
-            raise WireError(f"field '{name}' is below 0")
+            raise InputError(f"field '{name}' is below 0")
     if settings.cold_from > 1:
-        raise WireError("field 'invariants.cold_from' is above 1")
+        raise InputError("field 'invariants.cold_from' is above 1")
     if settings.messages_most and not settings.messages_over_us:
-        raise WireError(
+        raise InputError(
             "field 'family_info.messages_over_us' is not above 0 beside 'family_info.messages_most'"
         )
     for at, cls in enumerate(settings.classes):
         if cls.aim_us == 0:
-            raise WireError(f"field 'lanes.{at}.aim_us' is not above 0")
+            raise InputError(f"field 'lanes.{at}.aim_us' is not above 0")
         if cls.worth < 0:
-            raise WireError(f"field 'lanes.{at}.worth' is below 0")
+            raise InputError(f"field 'lanes.{at}.worth' is below 0")
         if cls.name in [other.name for other in settings.classes[:at]]:
-            raise WireError(f"field 'lanes.{at}.name' stands twice: '{cls.name}'")
+            raise InputError(f"field 'lanes.{at}.name' stands twice: '{cls.name}'")
 
 
 def _read(fields: Fields) -> Settings:
--- a/kelpcourse/simhost/events.py
+++ b/kelpcourse/simhost/events.py
@@ -23,7 +23,7 @@
     SliceLine,
     TimerFired,
 )
-from kelpcourse.fields import Fields, WireError
+from kelpcourse.fields import Fields, InputError
 
 STATES = {
     "SERVING": HostState.READY,
@@ -65,7 +65,7 @@
     for position, cls in enumerate(settings.classes):
         if cls.name == name:
             return position
-    raise WireError(f"field 'cls' names no class: '{name}'")
+    raise InputError(f"field 'cls' names no class: '{name}'")
 
 
 def _joined(f: Fields, _: Settings) -> Event:
@@ -115,7 +115,7 @@
     try:
         data = b"" if payload == "-" else bytes.fromhex(payload)
     except ValueError:
-        raise WireError(f"field 'payload' is not hex: '{payload}'") from None
+        raise InputError(f"field 'payload' is not hex: '{payload}'") from None
     return PeerMessage(f.count("who"), data)
 
 
--- a/kelpcourse/simhost/server.py
+++ b/kelpcourse/simhost/server.py
@@ -11,7 +11,7 @@
 from kelpcourse.interface import Action, Event, Host, HostList, ListKind, Settings, Started
 from kelpcourse.simhost.actions import write_action, write_failure
 from kelpcourse.simhost.events import LIST_KINDS, READERS, read_host
-from kelpcourse.fields import Fields, WireError
+from kelpcourse.fields import Fields, InputError
 from kelpcourse.settings import read_settings
 
 
@@ -45,7 +45,7 @@
     def within_batch(self) -> str:
         line = self.next()
         if line is None:
-            raise WireError("input ends inside a batch")
+            raise InputError("input ends inside a batch")
         return line
 
 
@@ -60,7 +60,7 @@
         while (line := self.lines.next()) is not None:
             name, *parts = line.split(" ")
             if name != "mark":
-                raise WireError(f"'{name}' where a batch should begin")
+                raise InputError(f"'{name}' where a batch should begin")
             now_us = Fields.parse(parts).integer("t_us")
             self._read_batch()
             yield self._answer(now_us)
@@ -81,7 +81,7 @@
                 instance = self._instance(fields)
                 instance.events.append(READERS[name](fields, instance.settings))
             else:
-                raise WireError(f"unknown event '{name}'")
+                raise InputError(f"unknown event '{name}'")
 
     def _read_list(self, fields: Fields) -> None:
         number, size = fields.count("roster_id"), fields.count("members")
@@ -89,7 +89,7 @@
         for _ in range(size):
             name, *parts = self.lines.within_batch().split(" ")
             if name != "item":
-                raise WireError(f"'{name}' where an entry of a list should be")
+                raise InputError(f"'{name}' where an entry of a list should be")
             hosts.append(read_host(Fields.parse(parts)))
         self._lists[number] = tuple(hosts)
 
@@ -102,7 +102,7 @@
     def _instance(self, fields: Fields) -> Instance:
         number = fields.count("director_id")
         if number not in self._instances:
-            raise WireError(f"field 'director_id' names no running instance: '{number}'")
+            raise InputError(f"field 'director_id' names no running instance: '{number}'")
         return self._instances[number]
 
     def _members(self, fields: Fields) -> HostList:
@@ -111,7 +111,7 @@
             return HostList(kind, 0, ())
         number = fields.count("roster_id")
         if number not in self._lists:
-            raise WireError(f"field 'roster_id' names no list: '{number}'")
+            raise InputError(f"field 'roster_id' names no list: '{number}'")
         return HostList(kind, fields.integer("number"), self._lists[number])
 
     def _answer(self, now_us: int) -> str:
@@ -137,7 +137,7 @@
         for reply in adapter.replies():
             sys.stdout.write(reply)
             sys.stdout.flush()
-    except WireError as error:
+    except InputError as error:
         print(f"simhost: line {adapter.lines.number}: {error}", file=sys.stderr)
         return 2
     except UnicodeDecodeError as error:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -15,7 +15,7 @@
 from kelpcourse import interface as api
 from kelpcourse.decide import Director
 from kelpcourse.simhost.actions import write_action
-from kelpcourse.fields import WireError
+from kelpcourse.fields import InputError
 from kelpcourse.simhost.server import Adapter
 
 ROOT = Path(__file__).parent.parent
@@ -221,7 +221,7 @@
 def test_bad_input_names_line_and_field_and_ends_the_adapter(line: str, field: str) -> None:
     source = io.StringIO(batch(1, *START) + batch(2, line))
     adapter = Adapter(source, Recorder)
-    with pytest.raises(WireError, match=f"'{field}"):
+    with pytest.raises(InputError, match=f"'{field}"):
         list(adapter.replies())
     assert adapter.lines.number == len(START) + 2 + 2
 
@@ -240,7 +240,7 @@
 
 
 def test_input_that_ends_inside_a_batch_is_an_error() -> None:
-    with pytest.raises(WireError, match="inside a batch"):
+    with pytest.raises(InputError, match="inside a batch"):
         play("mark t_us=1\n")
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -108,7 +108,7 @@
 
 
 def test_nested_json_and_pairs_give_the_same_settings() -> None:
-    nested = read_settings(Fields.of_nested(SETTINGS))
+    nested = read_settings(Fields.from_nested(SETTINGS))
     assert nested == read_settings(Fields.parse(CONFIG.split(" ")))
 
 
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -89,7 +89,7 @@
             Limits(),
             Counters(),
             self.log,
-            read_settings(Fields.of_nested(settings(FORWARDERS))),
+            read_settings(Fields.from_nested(settings(FORWARDERS))),
             self.lab.relay.address,
             self.lab.discovery.address,
             7,
