--- a/kelpcourse/service/logs.py
+++ b/kelpcourse/service/logs.py
@@ -4,14 +4,25 @@
 
 import os
 from collections.abc import Callable
+from dataclasses import dataclass
 
 import orjson
 
-from kelpcourse.memory.counters import Counters
 from kelpcourse.limits import Limits
+from kelpcourse.memory.counters import Counters
+
+
+@dataclass
+class _Window:
+    """Lines of one event within a span of time."""
+
+    start_us: int
+    lines: int = 0
 
 
 class Log:
+    """Writes events without waiting: lines are lost rather than the process held up."""
+
     def __init__(
         self,
         clock: Callable[[], int],
@@ -20,49 +31,42 @@
         node: str = "",
         fd: int = 1,
     ) -> None:
+        """`node` is the name in each line, `fd` where lines are written."""
         self._clock = clock
         self._limits = limits
         self._counters = counters
         self._node = node
         self._fd = fd
-        self._spans: dict[str, tuple[int, int]] = {}  # by event: start of its span and lines in it
+        self._windows: dict[str, _Window] = {}  # by event
 
     def event(self, name: str, **fields: object) -> None:
-        """An event that may come often: beyond a burst its lines are counted and not written."""
-        now = self._clock()
-        start, lines = self._spans.get(name, (now, 0))
-        if now - start >= self._limits.log_span_us:
-            if lines > self._limits.log_burst:
-                self._write(now, name, {"suppressed": lines - self._limits.log_burst})
-            start, lines = now, 0
-        self._spans[name] = (start, lines + 1)
-        if lines < self._limits.log_burst:
-            self._write(now, name, fields)
+        """Writes an event that may come often: beyond a burst its lines are counted and not written."""
+        now_us = self._clock()
+        window = self._windows.setdefault(name, _Window(now_us))
+        if now_us - window.start_us >= self._limits.log_span_us:
+            if window.lines > self._limits.log_burst:
+                self._write(now_us, name, {"suppressed": window.lines - self._limits.log_burst})
+            window.start_us = now_us
+            window.lines = 0
+        window.lines += 1
+        if window.lines <= self._limits.log_burst:
+            self._write(now_us, name, fields)
         else:
             self._counters.add("log_lines_suppressed")
 
     def always(self, name: str, **fields: object) -> None:
-        """An event that comes seldom and is always written."""
+        """Writes an event that comes seldom, whatever came before."""
         self._write(self._clock(), name, fields)
 
-    def _write(self, now: int, name: str, fields: dict[str, object]) -> None:
-        line = _encode({"t": round(now / 1e6, 6), "event": name, "node": self._node, **fields})
+    def _write(self, now_us: int, name: str, fields: dict[str, object]) -> None:
+        head = {"t": round(now_us / 1e6, 6), "event": name, "node": self._node}
+        line = _encode({**head, **fields})
         if len(line) > self._limits.log_bytes:
-            line = _encode(
-                {
-                    "t": round(now / 1e6, 6),
-                    "event": name,
-                    "node": self._node,
-                    "cut": line[: self._limits.log_bytes // 4].decode("utf-8", "replace"),
-                }
-            )
+            cut = line[: self._limits.log_bytes // 4].decode("utf-8", "replace")
+            line = _encode({**head, "cut": cut})
         try:
             os.write(self._fd, line)
-        except (
-            BlockingIOError
-        ):  # whoever reads the log is behind: lines are lost rather than the director
-            self._counters.add("log_lines_lost")
-        except OSError:  # nobody reads the log any more
+        except OSError:  # the reader of the log is behind, or there is none any more
             self._counters.add("log_lines_lost")
 
 
--- a/kelpcourse/service/signals.py
+++ b/kelpcourse/service/signals.py
@@ -10,31 +10,39 @@
 from kelpcourse.wire.loop import READ, Routine, Wait
 
 CAUGHT = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
+READ_BYTES = 64  # one byte for each signal
 
 
 class Signals:
-    """Caught from the making of this on, before anything else of a start: one that comes while the configuration
-    is read is heard once the loop runs, and does not end the process."""
+    """Signals of the process, caught from the construction of this object on.
+
+    It is constructed before anything else at a start: a signal that comes while the configuration is read is delivered
+    once the loop runs, and does not end the process.
+    """
 
     def __init__(self) -> None:
-        self._ours, self._theirs = socket.socketpair()
-        self._ours.setblocking(False)
-        self._theirs.setblocking(False)
-        self._waiting: deque[int] = deque()
-        signal.set_wakeup_fd(self._theirs.fileno(), warn_on_full_buffer=False)
+        """Installs the handlers."""
+        self._read_end, self._write_end = socket.socketpair()
+        self._read_end.setblocking(False)
+        self._write_end.setblocking(False)
+        self._pending: deque[int] = deque()
+        signal.set_wakeup_fd(self._write_end.fileno(), warn_on_full_buffer=False)
         for number in CAUGHT:
             signal.signal(number, lambda *_: None)
 
     def read(self, on_signal: Callable[[int], None]) -> Routine:
-        """Hands them on in order when the loop is between two routines. If one ends it by a defect, those that came
-        with it wait for the next reader."""
+        """Delivers signals in order, while no other coroutine runs.
+
+        If `on_signal` raises, those that came with its signal are delivered by the next reader.
+        """
         while True:
-            while self._waiting:
-                on_signal(self._waiting.popleft())
-            yield Wait(fd=self._ours.fileno(), mask=READ)
-            self._waiting.extend(self._ours.recv(64))
+            while self._pending:
+                on_signal(self._pending.popleft())
+            yield Wait(fd=self._read_end.fileno(), mask=READ)
+            self._pending.extend(self._read_end.recv(READ_BYTES))
 
     def close(self) -> None:
+        """Stops delivery; the handlers stay, so that a late signal does not end the process."""
         signal.set_wakeup_fd(-1)
-        self._ours.close()
-        self._theirs.close()
+        self._read_end.close()
+        self._write_end.close()
