--- a/kelpcourse/facade.py
+++ b/kelpcourse/facade.py
@@ -54,7 +54,7 @@
 Load = Sequence[tuple[str, float]]
 
 
-class Unknown(ValueError):
+class InvalidReportError(ValueError):
     """What was reported names something that this director does not know, or a figure out of range."""
 
 
@@ -102,47 +102,47 @@
 
     # Reports
 
-    def report_known(self, members: Sequence[ListedEndpoint], version: int) -> None:
+    def report_cached_list(self, members: Sequence[ListedEndpoint], version: int) -> None:
         """The list as this director last had it, before its start."""
         self._take_list(ListKind.RESTORED, members, version)
 
     def report_list(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
         self._take_list(ListKind.FULL if whole else ListKind.CHANGES, members, version)
 
-    def report_list_lost(self) -> None:
+    def report_list_unavailable(self) -> None:
         """A watch or a call for the list failed."""
         self._events.append(HostList(ListKind.UNAVAILABLE, 0, ()))
 
-    def is_zone(self, zone: str) -> bool:
+    def has_zone(self, zone: str) -> bool:
         return zone in self._settings.zones
 
-    def report_joined(self, proxy: int, zone: str, share: float, standing: bool) -> None:
+    def report_proxy_joined(self, proxy: int, zone: str, share: float, standing: bool) -> None:
         self._events.append(
             ProxyJoined(self._proxy(proxy), self._zone(zone), _figure(share), standing)
         )
 
-    def report_left(self, proxy: int) -> None:
+    def report_proxy_left(self, proxy: int) -> None:
         self._events.append(ProxyLeft(self._proxy(proxy)))
 
-    def report_applied(self, proxy: int, stamp: int, lag_ms: float) -> None:
+    def report_acknowledged(self, proxy: int, stamp: int, lag_ms: float) -> None:
         if stamp not in self._stamps:
-            raise Unknown(f"mark {stamp} was never asked for")
+            raise InvalidReportError(f"mark {stamp} was never asked for")
         self._events.append(OrdersApplied(self._proxy(proxy), stamp, _us(lag_ms)))
 
-    def report_taken(self, stamp: int) -> None:
+    def report_accepted(self, stamp: int) -> None:
         """The relay took the call that ends in this mark."""
         self._events.append(OrdersTaken(stamp))
 
-    def report_doubted(self, stamps: tuple[int, ...]) -> None:
+    def report_outcome_unknown(self, stamps: tuple[int, ...]) -> None:
         """A call that broke may have been carried out, and its orders wait to go again."""
         self._may_repeat = False
         self._events.append(OrdersDoubted(stamps))
 
-    def may_repeat(self) -> bool:
+    def may_resend(self) -> bool:
         """Whether the module has let them go since."""
         return self._may_repeat
 
-    def report_tries(
+    def report_attempts(
         self,
         host: str,
         zone: str,
@@ -156,24 +156,24 @@
         span_us = self._span(window_ms)
         good = self._within(tries, span_us) - _count(failed)
         if good < 0:
-            raise Unknown(f"{failed} of {tries} tries failed")
+            raise InvalidReportError(f"{failed} of {tries} tries failed")
         if mean_ms is None and good:
-            raise Unknown(f"no mean time of {good} good answers")
+            raise InvalidReportError(f"no mean time of {good} good answers")
         mean_us = _us(mean_ms or 0.0)
         if mean_us > self._longest_us:
-            raise Unknown(f"mean time {mean_ms} is beyond every deadline")
+            raise InvalidReportError(f"mean time {mean_ms} is beyond every deadline")
         self._events.append(
             HostReport(
                 self._host(host), self._zone(zone), tries, failed, span_us, mean_us, _load(load)
             )
         )
 
-    def report_usage(
+    def report_demand(
         self, proxy: int, kind: str, arrived: int, unanswered: int, window_ms: float
     ) -> None:
         """The requests of a class that reached a proxy."""
         if kind not in self._classes:
-            raise Unknown(f"class {kind!r:.60} is not in the settings")
+            raise InvalidReportError(f"class {kind!r:.60} is not in the settings")
         span_us = self._span(window_ms)
         self._events.append(
             DemandReport(
@@ -192,7 +192,7 @@
 
     # Steps
 
-    def due_us(self) -> int | None:
+    def next_due_us(self) -> int | None:
         """When the next tick has something to do; None: nothing waits."""
         dues = [self._timers[0][0]] if self._timers else []
         if self._events:
@@ -257,29 +257,29 @@
     def _host(self, name: str) -> int:
         number = self._endpoints.number_of(name)
         if number is None:
-            raise Unknown(f"host {name!r:.60} was never listed")
+            raise InvalidReportError(f"host {name!r:.60} was never listed")
         return number
 
     def _proxy(self, proxy: int) -> int:
         if not 0 <= proxy < self._settings.proxies:
-            raise Unknown(f"proxy {proxy} is not below {self._settings.proxies}")
+            raise InvalidReportError(f"proxy {proxy} is not below {self._settings.proxies}")
         return proxy
 
     def _zone(self, zone: str) -> str:
         if zone not in self._settings.zones:
-            raise Unknown(f"zone {zone!r:.60} is not in the settings")
+            raise InvalidReportError(f"zone {zone!r:.60} is not in the settings")
         return zone
 
     def _span(self, window_ms: float) -> int:
         """One figure of a spoilt report could outweigh all others for as long as means remember it."""
         span_us = _us(window_ms)
         if not 0 < span_us <= self._limits.window_us:
-            raise Unknown(f"window {window_ms} is out of range")
+            raise InvalidReportError(f"window {window_ms} is out of range")
         return span_us
 
     def _within(self, count: int, span_us: int) -> int:
         if _count(count) > self._limits.tries_per_s * max(1.0, span_us / 1e6):
-            raise Unknown(f"{count} in {span_us / 1e6:.3f} s are out of range")
+            raise InvalidReportError(f"{count} in {span_us / 1e6:.3f} s are out of range")
         return count
 
     # From the module's terms to plain ones
@@ -361,23 +361,23 @@
 
 def _figure(value: float) -> float:
     if not math.isfinite(value) or value < 0:
-        raise Unknown(f"figure {value} is out of range")
+        raise InvalidReportError(f"figure {value} is out of range")
     return value
 
 
 def _count(value: int) -> int:
     if not 0 <= value < 1 << 53:
-        raise Unknown(f"count {value} is out of range")
+        raise InvalidReportError(f"count {value} is out of range")
     return value
 
 
 def _us(ms: float) -> int:
     if not math.isfinite(ms) or not 0 <= ms < 1e15:
-        raise Unknown(f"time {ms} is out of range")
+        raise InvalidReportError(f"time {ms} is out of range")
     return round(ms * 1000)
 
 
 def _load(load: Load) -> tuple[tuple[str, float], ...]:
     if any(not math.isfinite(value) for _, value in load):
-        raise Unknown("a load report is out of range")
+        raise InvalidReportError("a load report is out of range")
     return tuple(load)
--- a/kelpcourse/service/director.py
+++ b/kelpcourse/service/director.py
@@ -109,7 +109,7 @@
             hosts=len(self._config.known.members),
             proxies=self._config.settings.proxies,
         )
-        self._facade.report_known(self._config.known.members, self._config.known.version)
+        self._facade.report_cached_list(self._config.known.members, self._config.known.version)
         if self._source is not None:
             self._source.start()
         self._keep("signals", lambda: self._signals.read(self._on_signal))
@@ -118,7 +118,7 @@
         self._follow_events()
         self._keep("listener", Listener(self._parts, self._config.listen, self._sock).run)
         while not self._stop:
-            self._loop.turn(self._facade.due_us())
+            self._loop.turn(self._facade.next_due_us())
             self._step(self._facade.tick)
         if self._source is not None:
             self._source.close()
--- a/kelpcourse/shared/steering.py
+++ b/kelpcourse/shared/steering.py
@@ -112,7 +112,7 @@
         self._facade.start(clock())
         while True:
             self._carry_out(self._facade.pick())
-            due_us = self._facade.due_us()
+            due_us = self._facade.next_due_us()
             yield Wait(
                 min(due_us if due_us is not None else clock() + gather_us, clock() + gather_us)
             )
--- a/kelpcourse/wire/discovery.py
+++ b/kelpcourse/wire/discovery.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from kelpcourse.facade import Unknown
+from kelpcourse.facade import InvalidReportError
 from kelpcourse.memory.endpoints import ListedEndpoint, Phase
 from kelpcourse.wire.fields import BadMessage, address, flag, json_object, number, text, whole
 from kelpcourse.wire.http import HttpClient, dial
@@ -138,7 +138,7 @@
     def _until_lost(self, watch: Watch) -> Act[str]:
         try:
             yield from self._follow(watch)
-        except (Broken, BadMessage, Unknown) as error:
+        except (Broken, BadMessage, InvalidReportError) as error:
             return str(error)
         except Exception:  # the module must not wait for a watch that is no more
             self._watch = self._watch if self._watch is not watch else None
@@ -150,7 +150,7 @@
     def _run_fetch(self) -> Routine:
         try:
             yield from self._fetch_once()
-        except (Broken, BadMessage, Unknown) as error:
+        except (Broken, BadMessage, InvalidReportError) as error:
             self._lost("fetch", str(error))
         except Exception:
             self._lost("fetch", "a defect")
@@ -159,7 +159,7 @@
     def _lost(self, call: str, reason: str) -> None:
         self._parts.counters.add("discovery_lost")
         self._parts.log.event("list_unavailable", call=call, reason=reason, version=self._version)
-        self._parts.facade.report_list_lost()
+        self._parts.facade.report_list_unavailable()
 
     def _follow(self, watch: Watch) -> Act[None]:
         until_us = self._parts.clock() + self._parts.limits.list_us
--- a/kelpcourse/wire/listener.py
+++ b/kelpcourse/wire/listener.py
@@ -7,7 +7,7 @@
 import os
 import socket
 
-from kelpcourse.facade import Unknown
+from kelpcourse.facade import InvalidReportError
 from kelpcourse.limits import Limits
 from kelpcourse.wire.buffers import Buffer, TooLong
 from kelpcourse.wire.fields import BadMessage
@@ -235,7 +235,7 @@
             guest.heard_us = self._parts.clock()
         except Unreadable:
             raise
-        except (BadMessage, Unknown) as error:
+        except (BadMessage, InvalidReportError) as error:
             if not guest.zone:
                 raise Stranger(str(error)) from None
             self._parts.bad_message("guest", error)
@@ -245,7 +245,7 @@
             case Ping():
                 guest.asked = True
                 self._pong(guest)
-            case Collector(zone) if self._parts.facade.is_zone(zone):
+            case Collector(zone) if self._parts.facade.has_zone(zone):
                 guest.zone = zone
                 guest.buffer.widen(self._parts.limits.read_bytes, self._parts.limits.line_bytes)
                 self._parts.log.event("collector", zone=zone)
@@ -262,10 +262,12 @@
                         f"zone {zone!r:.60} through the collector of {guest.zone!r:.60}"
                     )
                 self._parts.counters.add("heard")
-                self._parts.facade.report_tries(host, zone, tries, failed, window_ms, mean_ms, load)
+                self._parts.facade.report_attempts(
+                    host, zone, tries, failed, window_ms, mean_ms, load
+                )
             case Usage(proxy, kind, arrived, unanswered, window_ms):
                 self._parts.counters.add("usage")
-                self._parts.facade.report_usage(proxy, kind, arrived, unanswered, window_ms)
+                self._parts.facade.report_demand(proxy, kind, arrived, unanswered, window_ms)
             case Collector(zone) if zone != guest.zone:
                 raise BadMessage(f"the collector of {guest.zone!r:.60} is not that of {zone!r:.60}")
             case Ping():
--- a/kelpcourse/wire/probes.py
+++ b/kelpcourse/wire/probes.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from kelpcourse.facade import Unknown
+from kelpcourse.facade import InvalidReportError
 from kelpcourse.wire.fields import BadMessage, json_object, number
 from kelpcourse.wire.http import dial
 from kelpcourse.wire.loop import Routine
@@ -90,5 +90,5 @@
         self._parts.counters.add(f"probes_{outcome}")
         try:
             self._parts.facade.report_probe(host, outcome, took_us, load)
-        except Unknown as error:
+        except InvalidReportError as error:
             self._parts.bad_message("probe", error)
--- a/kelpcourse/wire/relay_calls.py
+++ b/kelpcourse/wire/relay_calls.py
@@ -144,23 +144,23 @@
         proxy that answers its mark proves that, and else they wait until the module lets them go a second time."""
         stamps = self._outbox.doubted() if self._sent else ()
         while stamps and not self._outbox.proved:
-            self._parts.facade.report_doubted(stamps)
+            self._parts.facade.report_outcome_unknown(stamps)
             yield Wait(self._parts.clock() + self._backoff.next_us())
-            if self._parts.facade.may_repeat():
+            if self._parts.facade.may_resend():
                 break
         if self._outbox.proved:
             self._parts.counters.add("relay_calls_proved")
             self._parts.log.event("call_proved", orders=self._sent)
             self._outbox.taken(self._sent)
             for stamp in stamps:
-                self._parts.facade.report_taken(stamp)
+                self._parts.facade.report_accepted(stamp)
             return 0
         self._outbox.again()
         return 0 if stamps else self._backoff.next_us()
 
     def _settle(self, taken: int, sent: int) -> None:
         for stamp in self._outbox.taken(taken):
-            self._parts.facade.report_taken(stamp)
+            self._parts.facade.report_accepted(stamp)
         self._parts.counters.add("relay_orders_taken", taken)
         if taken == sent:
             return
--- a/kelpcourse/wire/relay_events.py
+++ b/kelpcourse/wire/relay_events.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from kelpcourse.facade import Unknown
+from kelpcourse.facade import InvalidReportError
 from kelpcourse.memory.outbox import Outbox
 from kelpcourse.memory.proxies import Applied, Joined, Left, ProxyEvent, ProxyRegistry
 from kelpcourse.wire.fields import BadMessage, NotJson
@@ -109,7 +109,7 @@
         for event in changes:
             try:
                 self._report_one(event)
-            except Unknown as error:
+            except InvalidReportError as error:
                 self._parts.bad_message("relay", error)
 
     def _report_one(self, event: ProxyEvent) -> None:
@@ -117,13 +117,13 @@
         match event:
             case Joined(proxy, zone, request_rate, has_no_table):
                 counters.add("relay_joined")
-                facade.report_joined(proxy, zone, request_rate, has_no_table)
+                facade.report_proxy_joined(proxy, zone, request_rate, has_no_table)
             case Left(proxy):
                 counters.add("relay_left")
                 self._outbox.forget_proxy(proxy)
-                facade.report_left(proxy)
+                facade.report_proxy_left(proxy)
             case Applied(proxy, stamp, lag_ms):
                 counters.add("relay_applied")
                 self._outbox.answered(stamp)
                 for answered in self._outbox.stamps(stamp):
-                    facade.report_applied(proxy, answered, lag_ms)
+                    facade.report_acknowledged(proxy, answered, lag_ms)
--- a/kelpcourse/zones/source.py
+++ b/kelpcourse/zones/source.py
@@ -70,4 +70,4 @@
             reason="no zone is there to be followed",
             version=self.zones.union.version,
         )
-        self._parts.facade.report_list_lost()
+        self._parts.facade.report_list_unavailable()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,7 +10,7 @@
 import orjson
 import pytest
 
-from kelpcourse.facade import Facade, Unknown
+from kelpcourse.facade import Facade, InvalidReportError
 from kelpcourse.fields import Fields
 from kelpcourse.memory.endpoints import Phase
 from kelpcourse.memory.orders import Mark, Order, ShutOut, UseTable
@@ -210,10 +210,10 @@
     config = read_config(environment(tmp_path, root))
     limits = Limits().within(config.sockets, config.memory_mb).serving(config.settings.proxies)
     facade, outbox = Facade(config.settings, 7, limits), Outbox(limits.orders, limits.marks)
-    facade.report_known(config.known.members, config.known.version)
+    facade.report_cached_list(config.known.members, config.known.version)
     facade.start(0)
     for proxy in range(5_000):
-        facade.report_joined(proxy, f"room-{'ab'[proxy % 2]}", 1.0, False)
+        facade.report_proxy_joined(proxy, f"room-{'ab'[proxy % 2]}", 1.0, False)
     given_up = bound = 0
     for at_s in range(3):
         facade.start(at_s * 1_000_000)
@@ -221,8 +221,8 @@
         given_up += outbox.add(orders)
         bound += sum(isinstance(order, UseTable) for order in orders)
     assert (given_up, bound > 0) == (0, True)
-    with pytest.raises(Unknown, match="proxy 5000 is not below 5000"):
-        facade.report_joined(5_000, "room-a", 1.0, False)
+    with pytest.raises(InvalidReportError, match="proxy 5000 is not below 5000"):
+        facade.report_proxy_joined(5_000, "room-a", 1.0, False)
 
 
 def test_files_that_can_not_be_read_are_told(tmp_path: Path) -> None:
@@ -312,16 +312,16 @@
     config = read_config(environment(tmp_path, root))
     limits = Limits().serving(config.settings.proxies, config.settings.report_period_us)
     facade, ordered = Facade(config.settings, 7, limits), list[Order]()
-    facade.report_known(config.known.members, config.known.version)
+    facade.report_cached_list(config.known.members, config.known.version)
     for proxy in range(config.settings.proxies):
-        facade.report_joined(proxy, zones[proxy % len(zones)], 5.0, proxy % 2 == 0)
+        facade.report_proxy_joined(proxy, zones[proxy % len(zones)], 5.0, proxy % 2 == 0)
     for second in range(50, 80):
         for host in config.known.members if second > 52 else ():
-            facade.report_tries(
+            facade.report_attempts(
                 host.name, host.zone, 40, 2 * (second % 3), 1000.0, 1.5 + second, ()
             )
         for cls in config.settings.classes:
-            facade.report_usage(0, cls.name, 50 * (second - 49), second % 5, 1000.0)
+            facade.report_demand(0, cls.name, 50 * (second - 49), second % 5, 1000.0)
         if second == 60:
             facade.report_list([replace(config.known.members[0], phase=Phase.DRAINING)], 42, False)
         facade.start(second * 1_000_000)
@@ -329,7 +329,7 @@
         ordered += orders
         for mark in [order.stamp for order in orders if isinstance(order, Mark)]:
             for proxy in range(config.settings.proxies):
-                facade.report_applied(proxy, mark, 1.0)
+                facade.report_acknowledged(proxy, mark, 1.0)
     assert {order.proxy for order in ordered if isinstance(order, UseTable)} == set(
         range(config.settings.proxies)
     )
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -234,7 +234,7 @@
     bench.until(lambda: lists(bench))
     host = lists(bench)[0].hosts[0].id
     bench.module.ready = [[ProbeHost(host), WatchList(False)]]
-    bench.facade.report_list_lost()
+    bench.facade.report_list_unavailable()
     bench.pass_us(5 * MS)
     work = bench.facade.pick()
     assert work.probes == [("a", ("127.0.0.2", 7))]
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -8,7 +8,7 @@
 import pytest
 
 from kelpcourse import interface as api
-from kelpcourse.facade import Facade, Unknown
+from kelpcourse.facade import Facade, InvalidReportError
 from kelpcourse.memory.endpoints import EndpointRegistry, Phase
 from kelpcourse.memory.orders import EmptyTable, Limit, Mark, SetShare, ShutOut, UseTable
 from tests.fleet import SECOND, SETTINGS
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         self.module = Script(SETTINGS)
         self.facade = Facade(SETTINGS, 7, QUICK, lambda _: self.module)
-        self.facade.report_known([member("h1"), member("h2", Phase.DRAINING)], 41)
+        self.facade.report_cached_list([member("h1"), member("h2", Phase.DRAINING)], 41)
         self.facade.start(1000)
 
 
@@ -40,15 +40,15 @@
     facade = door.facade
     door.module.ready.append([api.Checkpoint(905, False)])
     facade.start(2000)
-    facade.report_joined(1, "east", 21.5, True)
-    facade.report_tries("h1", "west", 10, 1, 1000.0, 41.7, [("inflight", 7.0)])
-    facade.report_usage(1, "write", 19, 2, 2000.0)
-    facade.report_applied(1, 905, 310.4)
-    facade.report_left(1)
+    facade.report_proxy_joined(1, "east", 21.5, True)
+    facade.report_attempts("h1", "west", 10, 1, 1000.0, 41.7, [("inflight", 7.0)])
+    facade.report_demand(1, "write", 19, 2, 2000.0)
+    facade.report_acknowledged(1, 905, 310.4)
+    facade.report_proxy_left(1)
     facade.report_probe("h1", "timeout", 400_000, ())
-    facade.report_list_lost()
+    facade.report_list_unavailable()
     assert not facade.tick(5000)
-    assert facade.due_us() == 5000 + QUICK.gather_us
+    assert facade.next_due_us() == 5000 + QUICK.gather_us
     assert facade.tick(5000 + QUICK.gather_us)
     assert door.module.steps[2] == [
         api.ProxyJoined(1, "east", 21.5, True),
@@ -63,7 +63,7 @@
 
 def test_nothing_heard_and_no_timer_due_is_no_step() -> None:
     door = Door()
-    assert door.facade.due_us() is None
+    assert door.facade.next_due_us() is None
     assert not door.facade.tick(10 * SECOND)
     assert len(door.module.steps) == 1
 
@@ -71,10 +71,10 @@
 def test_timers_fire_once_at_their_time_and_in_order() -> None:
     door = Door()
     door.module.ready = [[api.SetTimer("late", 9000), api.SetTimer("soon", 8000)]]
-    door.facade.report_left(0)
+    door.facade.report_proxy_left(0)
     door.facade.tick(2000)
     door.facade.tick(5000)
-    assert door.facade.due_us() == 8000
+    assert door.facade.next_due_us() == 8000
     assert not door.facade.tick(7999)
     door.facade.tick(8000)
     door.facade.tick(20_000)
@@ -99,7 +99,7 @@
             api.SetLine(0, 99, 1.0),
         ]
     ]
-    door.facade.report_left(0)
+    door.facade.report_proxy_left(0)
     door.facade.tick(2000)
     door.facade.tick(5000)
     work = door.facade.pick()
@@ -120,28 +120,28 @@
 @pytest.mark.parametrize(
     "report",
     [
-        lambda f: f.report_joined(4, "east", 1.0, True),
-        lambda f: f.report_joined(-1, "east", 1.0, True),
-        lambda f: f.report_joined(0, "north", 1.0, True),
-        lambda f: f.report_joined(0, "east", math.inf, True),
-        lambda f: f.report_left(4),
-        lambda f: f.report_applied(0, -1, 1.0),
-        lambda f: f.report_applied(0, 1, math.nan),
-        lambda f: f.report_tries("h9", "east", 1, 0, 1.0, 1.0, ()),
-        lambda f: f.report_tries("h1", "east", 1, 2, 1.0, 1.0, ()),
-        lambda f: f.report_tries("h1", "east", 1 << 60, 0, 1.0, 1.0, ()),
-        lambda f: f.report_tries("h1", "east", 1, 0, 1e30, 1.0, ()),
-        lambda f: f.report_tries("h1", "east", 1, 0, 1.0, -1.0, ()),
-        lambda f: f.report_tries("h1", "east", 1, 0, 1.0, 1.0, [("util", math.nan)]),
-        lambda f: f.report_usage(0, "sing", 1, 0, 1.0),
-        lambda f: f.report_usage(9, "read", 1, 0, 1.0),
+        lambda f: f.report_proxy_joined(4, "east", 1.0, True),
+        lambda f: f.report_proxy_joined(-1, "east", 1.0, True),
+        lambda f: f.report_proxy_joined(0, "north", 1.0, True),
+        lambda f: f.report_proxy_joined(0, "east", math.inf, True),
+        lambda f: f.report_proxy_left(4),
+        lambda f: f.report_acknowledged(0, -1, 1.0),
+        lambda f: f.report_acknowledged(0, 1, math.nan),
+        lambda f: f.report_attempts("h9", "east", 1, 0, 1.0, 1.0, ()),
+        lambda f: f.report_attempts("h1", "east", 1, 2, 1.0, 1.0, ()),
+        lambda f: f.report_attempts("h1", "east", 1 << 60, 0, 1.0, 1.0, ()),
+        lambda f: f.report_attempts("h1", "east", 1, 0, 1e30, 1.0, ()),
+        lambda f: f.report_attempts("h1", "east", 1, 0, 1.0, -1.0, ()),
+        lambda f: f.report_attempts("h1", "east", 1, 0, 1.0, 1.0, [("util", math.nan)]),
+        lambda f: f.report_demand(0, "sing", 1, 0, 1.0),
+        lambda f: f.report_demand(9, "read", 1, 0, 1.0),
     ],
 )
 def test_what_is_unknown_or_out_of_range_does_not_reach_the_module(
     report: Callable[[Facade], None],
 ) -> None:
     door = Door()
-    with pytest.raises(Unknown):
+    with pytest.raises(InvalidReportError):
         report(door.facade)
     assert not door.facade.tick(10 * SECOND)
 
@@ -149,7 +149,7 @@
 def test_a_failed_step_is_told_and_does_not_stop_the_module() -> None:
     door = Door()
     door.module.ready = [[api.SetTimer("tick", 9000)]]
-    door.facade.report_left(0)
+    door.facade.report_proxy_left(0)
     door.facade.tick(2000)
     door.facade.tick(5000)
     sound, failing = door.module.step, [True]
@@ -163,7 +163,7 @@
     with pytest.raises(ZeroDivisionError):
         door.facade.tick(9000)
     failing.append(False)
-    assert door.facade.due_us() == 9000 + QUICK.restart_us
+    assert door.facade.next_due_us() == 9000 + QUICK.restart_us
     assert door.facade.tick(9000 + QUICK.restart_us)
     assert door.module.steps[-1] == [api.TimerFired("tick")]
 
@@ -171,7 +171,7 @@
 def test_timers_are_bounded() -> None:
     door = Door()
     door.module.ready = [[api.SetTimer("t", 10**9 + k) for k in range(QUICK.timers + 5)]]
-    door.facade.report_left(0)
+    door.facade.report_proxy_left(0)
     door.facade.tick(2000)
     door.facade.tick(2000 + 10 * MS)
     assert door.facade.pick().undelivered == 5
@@ -188,7 +188,7 @@
 
     door.module.step = step  # type: ignore[method-assign, assignment]
     for now in (50_000, 60_000, 40_000, 80_000):
-        door.facade.report_left(0)
+        door.facade.report_proxy_left(0)
         door.facade.tick(now)
     assert times == sorted(times)
     assert len(times) > 1
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -35,7 +35,7 @@
         self.version = 1
         self.ordered: dict[tuple[object, ...], Order] = {}  # the end result at the relay
         self.names = [f"h{k}" for k in range(HOSTS)]
-        self.facade.report_known(self.members(), 1)
+        self.facade.report_cached_list(self.members(), 1)
         self.facade.start(self.now)
         self.proxies.stream_opened(0, 0, 0)
         for proxy in range(PROXIES):
@@ -51,13 +51,13 @@
         for told in self.proxies.receive(0, news, self.now):
             match told:
                 case Joined(proxy, zone, share, standing):
-                    self.facade.report_joined(proxy, zone, share, standing)
+                    self.facade.report_proxy_joined(proxy, zone, share, standing)
                 case Left(proxy):
                     self.outbox.forget_proxy(proxy)
-                    self.facade.report_left(proxy)
+                    self.facade.report_proxy_left(proxy)
                 case Applied(proxy, stamp, lag_ms):
                     for answered in self.outbox.stamps(stamp):
-                        self.facade.report_applied(proxy, answered, lag_ms)
+                        self.facade.report_acknowledged(proxy, answered, lag_ms)
 
     def lines(self) -> bytes:
         heard = (
@@ -101,9 +101,9 @@
     def take(self, line: memoryview) -> None:
         match parse(line):
             case Heard(zone, host, tries, failed, mean_ms, window_ms, load):
-                self.facade.report_tries(host, zone, tries, failed, window_ms, mean_ms, load)
+                self.facade.report_attempts(host, zone, tries, failed, window_ms, mean_ms, load)
             case Usage(proxy, kind, arrived, unanswered, window_ms):
-                self.facade.report_usage(proxy, kind, arrived, unanswered, window_ms)
+                self.facade.report_demand(proxy, kind, arrived, unanswered, window_ms)
 
     def spell(self, seconds: int) -> tuple[int, int]:
         """Serves so long; the interpreter's steps that it took and the objects that are kept after it."""
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -24,7 +24,7 @@
 
     def __init__(self, bench: Bench) -> None:
         self.bench = bench
-        bench.facade.report_known([member("h1")], 1)
+        bench.facade.report_cached_list([member("h1")], 1)
         probe = socket.create_server(("127.0.0.1", 0))
         self.address = probe.getsockname()
         probe.close()
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -145,7 +145,7 @@
         self.members = {
             n: replace(m, zone=ZONES[k % 8]) for k, (n, m) in enumerate(self.members.items())
         }
-        self.facade.report_known(list(self.members.values()), 1)
+        self.facade.report_cached_list(list(self.members.values()), 1)
         self.facade.start(self.bench.clock.now)
 
     def _serve(self, caller: Caller) -> Act[None]:
@@ -170,7 +170,7 @@
                 for proxy, stamp in self.world.advance(now):
                     self.outbox.answered(stamp)
                     for covered in self.outbox.stamps(stamp):
-                        self.facade.report_applied(proxy, covered, 1.0)
+                        self.facade.report_acknowledged(proxy, covered, 1.0)
                 self.world.check(now)
 
     def join(self, proxies: range, fresh: bool, a_ms: int) -> None:
@@ -179,7 +179,7 @@
         for at, proxy in enumerate(proxies):
             names = sorted(self.members) if not fresh else sorted(self.members)[:5]
             self.world.join(self.bench.clock.now, proxy, draw.sample(names, 5 if fresh else 28))
-            self.facade.report_joined(proxy, ZONES[proxy % 8], 2.0, fresh)
+            self.facade.report_proxy_joined(proxy, ZONES[proxy % 8], 2.0, fresh)
             if at % a_ms == 0:
                 self.run(1)
 
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -16,7 +16,7 @@
 @pytest.fixture
 def bench() -> Iterator[Bench]:
     made = Bench()
-    made.facade.report_known([member("h1")], 1)
+    made.facade.report_cached_list([member("h1")], 1)
     yield made
     made.close()
 
