--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -16,18 +16,18 @@
 from typing import Any
 
 from benchmarks.before import module_at
-from kelpcourse.decide import Director
-from kelpcourse.interface import (
-    Checkpoint,
+from kelpcourse.policy.actions import Checkpoint
+from kelpcourse.policy.controller import RoutingPolicy
+from kelpcourse.policy.events import (
     DemandReport,
+    Endpoint,
+    EndpointReport,
+    EndpointStatus,
     Event,
-    Host,
-    HostReport,
-    HostState,
-    OrdersApplied,
+    OrdersAcknowledged,
     ProxyJoined,
-    Settings,
 )
+from kelpcourse.policy.settings import Settings
 from tests.fleet import SECOND, SETTINGS, changes, full, host
 
 ONE_TABLE = "abbb568"  # the last version with one table of all hosts
@@ -40,17 +40,17 @@
     """A director with its fleet; what its steps took is summed up."""
 
     def __init__(self, make: Callable[[Settings], Any], proxies: int, hosts: int) -> None:
-        self.hosts: list[Host] = [host(1_000 + k, f"z{k % 8}") for k in range(hosts)]
+        self.hosts: list[Endpoint] = [host(1_000 + k, f"z{k % 8}") for k in range(hosts)]
         self.proxies = range(proxies)
         settings = replace(
             SETTINGS,
             zones=tuple(f"z{k}" for k in range(8)),
-            proxies=proxies,
-            connections_least=424.0,
-            channel_lines_per_s=3_400.0,
-            channel_backlog=37_700.0,
+            proxy_count=proxies,
+            min_endpoint_connections=424.0,
+            delivery_entries_per_s=3_400.0,
+            max_backlog_entries=37_700.0,
             drain_grace_us=13_700_000,
-            messages_most=12,
+            max_messages_per_proxy=12,
         )
         self.director, self.now, self.took_s = make(settings), 50 * SECOND, 0.0
         self.step(full(self.hosts))
@@ -60,7 +60,7 @@
         began = time.process_time()
         actions = self.director.step(self.now, events)
         self.took_s += time.process_time() - began
-        self.marks = [a.number for a in actions if isinstance(a, Checkpoint)]
+        self.marks = [a.checkpoint_id for a in actions if isinstance(a, Checkpoint)]
 
     def joined(self) -> Fleet:
         self.step(*(ProxyJoined(p, f"z{p % 8}", 2.0, True) for p in self.proxies))
@@ -69,7 +69,9 @@
     def second(self) -> None:
         """A hundred steps; whatever was ordered is answered in the next."""
         for _ in range(100):
-            self.step(*(OrdersApplied(p, n, 200_000) for n in self.marks for p in self.proxies))
+            self.step(
+                *(OrdersAcknowledged(p, n, 200_000) for n in self.marks for p in self.proxies)
+            )
 
 
 def a_mass_join(fleet: Fleet) -> None:
@@ -90,7 +92,7 @@
     fleet.joined().took_s = 0.0
     lines: Sequence[Event] = [
         *(
-            HostReport(h.id, h.zone, 20, 0, SECOND, 1000 * (200 + h.id % 300), ())
+            EndpointReport(h.id, h.zone, 20, 0, SECOND, 1000 * (200 + h.id % 300), ())
             for h in fleet.hosts
         ),
         *(DemandReport(p, k, 10, 0, SECOND) for p in fleet.proxies for k in range(2)),
@@ -103,7 +105,7 @@
     fleet.joined()
     fleet.second()
     fleet.took_s = 0.0
-    fleet.step(changes([replace(h, state=HostState.DRAINING) for h in fleet.hosts[::10]]))
+    fleet.step(changes([replace(h, status=EndpointStatus.DRAINING) for h in fleet.hosts[::10]]))
 
 
 def a_whole_list(fleet: Fleet) -> None:
@@ -136,7 +138,7 @@
     makers = [
         module_at(revision, "kelpcourse/decide.py").Director for revision in (ONE_TABLE, BEFORE)
     ]
-    makers.append(Director)
+    makers.append(RoutingPolicy)
     print(
         "| | proxies | hosts | one table, ms | before, ms | now, ms | one table over now | before over now |"
     )
--- a/kelpcourse/facade.py
+++ b/kelpcourse/facade.py
@@ -8,57 +8,55 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from kelpcourse.decide import Director
-from kelpcourse.interface import (
+from kelpcourse.limits import Limits
+from kelpcourse.memory import orders
+from kelpcourse.memory.endpoints import EndpointRegistry, ListedEndpoint
+from kelpcourse.memory.orders import Order
+from kelpcourse.policy.actions import (
     Action,
     BindProxy,
+    CheckHealth,
     Checkpoint,
     ClearTable,
+    FetchEndpoints,
+    LogMessage,
+    ResendOrders,
+    RestoreEndpoint,
+    SendToPeer,
+    SetAdmission,
+    SetTimer,
+    SetWeight,
+    WatchEndpoints,
+    WithdrawEndpoint,
+)
+from kelpcourse.policy.controller import RoutingPolicy
+from kelpcourse.policy.events import (
     DemandReport,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointReport,
     Event,
-    FetchList,
-    Host,
-    HostList,
-    HostReport,
-    HostState,
-    ListKind,
-    Log,
-    OrdersApplied,
-    OrdersDoubted,
-    OrdersTaken,
-    ProbeAnswered,
-    ProbeHost,
-    ProbeStatus,
+    HealthCheckCompleted,
+    HealthCheckStatus,
+    OrdersAccepted,
+    OrdersAcknowledged,
+    OrdersOutcomeUnknown,
     ProxyJoined,
     ProxyLeft,
-    RepeatOrders,
-    SetLevel,
-    SetLine,
-    SetTimer,
-    Settings,
     Started,
-    TellPeer,
     TimerFired,
-    WatchList,
-    Withdraw,
 )
-from kelpcourse.memory.hosts import Hosts, Member, Phase
-from kelpcourse.memory.orders import EmptyTable, Limit, Mark, Order, SetShare, ShutOut, UseTable
-from kelpcourse.limits import Limits
+from kelpcourse.policy.settings import Settings
 
-STATES = {
-    Phase.READY: HostState.READY,
-    Phase.DRAINING: HostState.DRAINING,
-    Phase.GONE: HostState.GONE,
-}
 Load = Sequence[tuple[str, float]]
 
 
-class Unknown(ValueError):
+class InvalidReportError(ValueError):
     """What was reported names something that this director does not know, or a figure out of range."""
 
 
-class Decider(Protocol):
+class Policy(Protocol):
     def step(self, now_us: int, events: Sequence[Event]) -> list[Action]: ...
 
 
@@ -81,12 +79,12 @@
         settings: Settings,
         seed: int,
         limits: Limits,
-        make: Callable[[Settings], Decider] = Director,
+        make: Callable[[Settings], Policy] = RoutingPolicy,
     ) -> None:
         self._settings = settings
         self._limits = limits
         self._module = make(settings)
-        self._hosts = Hosts(limits.names)
+        self._hosts = EndpointRegistry(limits.names)
         self._events: list[Event] = [Started(seed)]
         self._gathered_us: int | None = None  # when what waits is to be stepped
         self._timers: list[tuple[int, int, str]] = []
@@ -102,16 +100,18 @@
 
     # Reports
 
-    def report_known(self, members: Sequence[Member], version: int) -> None:
+    def report_known(self, members: Sequence[ListedEndpoint], version: int) -> None:
         """The list as this director last had it, before its start."""
-        self._take_list(ListKind.RESTORED, members, version)
+        self._take_list(EndpointListKind.RESTORED, members, version)
 
-    def report_list(self, members: Sequence[Member], version: int, whole: bool) -> None:
-        self._take_list(ListKind.FULL if whole else ListKind.CHANGES, members, version)
+    def report_list(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
+        self._take_list(
+            EndpointListKind.FULL if whole else EndpointListKind.CHANGES, members, version
+        )
 
     def report_list_lost(self) -> None:
         """A watch or a call for the list failed."""
-        self._events.append(HostList(ListKind.UNAVAILABLE, 0, ()))
+        self._events.append(EndpointList(EndpointListKind.UNAVAILABLE, 0, ()))
 
     def is_zone(self, zone: str) -> bool:
         return zone in self._settings.zones
@@ -126,17 +126,17 @@
 
     def report_applied(self, proxy: int, stamp: int, lag_ms: float) -> None:
         if stamp not in self._stamps:
-            raise Unknown(f"mark {stamp} was never asked for")
-        self._events.append(OrdersApplied(self._proxy(proxy), stamp, _us(lag_ms)))
+            raise InvalidReportError(f"mark {stamp} was never asked for")
+        self._events.append(OrdersAcknowledged(self._proxy(proxy), stamp, _us(lag_ms)))
 
     def report_taken(self, stamp: int) -> None:
         """The relay took the call that ends in this mark."""
-        self._events.append(OrdersTaken(stamp))
+        self._events.append(OrdersAccepted(stamp))
 
     def report_doubted(self, stamps: tuple[int, ...]) -> None:
         """A call that broke may have been carried out, and its orders wait to go again."""
         self._may_repeat = False
-        self._events.append(OrdersDoubted(stamps))
+        self._events.append(OrdersOutcomeUnknown(stamps))
 
     def may_repeat(self) -> bool:
         """Whether the module has let them go since."""
@@ -156,14 +156,14 @@
         span_us = self._span(window_ms)
         good = self._within(tries, span_us) - _count(failed)
         if good < 0:
-            raise Unknown(f"{failed} of {tries} tries failed")
+            raise InvalidReportError(f"{failed} of {tries} tries failed")
         if mean_ms is None and good:
-            raise Unknown(f"no mean time of {good} good answers")
+            raise InvalidReportError(f"no mean time of {good} good answers")
         mean_us = _us(mean_ms or 0.0)
         if mean_us > self._longest_us:
-            raise Unknown(f"mean time {mean_ms} is beyond every deadline")
+            raise InvalidReportError(f"mean time {mean_ms} is beyond every deadline")
         self._events.append(
-            HostReport(
+            EndpointReport(
                 self._host(host), self._zone(zone), tries, failed, span_us, mean_us, _load(load)
             )
         )
@@ -173,7 +173,7 @@
     ) -> None:
         """The requests of a class that reached a proxy."""
         if kind not in self._classes:
-            raise Unknown(f"class {kind!r:.60} is not in the settings")
+            raise InvalidReportError(f"class {kind!r:.60} is not in the settings")
         span_us = self._span(window_ms)
         self._events.append(
             DemandReport(
@@ -187,7 +187,7 @@
 
     def report_probe(self, host: str, outcome: str, took_us: int, load: Load) -> None:
         self._events.append(
-            ProbeAnswered(self._host(host), ProbeStatus(outcome), took_us, _load(load))
+            HealthCheckCompleted(self._host(host), HealthCheckStatus(outcome), took_us, _load(load))
         )
 
     # Steps
@@ -244,42 +244,44 @@
 
     # From plain terms to the module's
 
-    def _take_list(self, kind: ListKind, members: Sequence[Member], version: int) -> None:
-        self._hosts.take(members, kind is not ListKind.CHANGES)
+    def _take_list(
+        self, kind: EndpointListKind, members: Sequence[ListedEndpoint], version: int
+    ) -> None:
+        self._hosts.take(members, kind is not EndpointListKind.CHANGES)
         hosts = tuple(self._listed(m) for m in members)
-        self._events.append(HostList(kind, version, hosts))
+        self._events.append(EndpointList(kind, version, hosts))
 
-    def _listed(self, m: Member) -> Host:
-        return Host(
-            self._host(m.name), m.zone, m.kind, m.cell, m.size, STATES[m.phase], _us(m.up_since_ms)
+    def _listed(self, m: ListedEndpoint) -> Endpoint:
+        return Endpoint(
+            self._host(m.name), m.zone, m.kind, m.cell, m.weight, m.status, _us(m.started_ms)
         )
 
     def _host(self, name: str) -> int:
         number = self._hosts.number(name)
         if number is None:
-            raise Unknown(f"host {name!r:.60} was never listed")
+            raise InvalidReportError(f"host {name!r:.60} was never listed")
         return number
 
     def _proxy(self, proxy: int) -> int:
-        if not 0 <= proxy < self._settings.proxies:
-            raise Unknown(f"proxy {proxy} is not below {self._settings.proxies}")
+        if not 0 <= proxy < self._settings.proxy_count:
+            raise InvalidReportError(f"proxy {proxy} is not below {self._settings.proxy_count}")
         return proxy
 
     def _zone(self, zone: str) -> str:
         if zone not in self._settings.zones:
-            raise Unknown(f"zone {zone!r:.60} is not in the settings")
+            raise InvalidReportError(f"zone {zone!r:.60} is not in the settings")
         return zone
 
     def _span(self, window_ms: float) -> int:
         """One figure of a spoilt report could outweigh all others for as long as means remember it."""
         span_us = _us(window_ms)
         if not 0 < span_us <= self._limits.window_us:
-            raise Unknown(f"window {window_ms} is out of range")
+            raise InvalidReportError(f"window {window_ms} is out of range")
         return span_us
 
     def _within(self, count: int, span_us: int) -> int:
         if _count(count) > self._limits.tries_per_s * max(1.0, span_us / 1e6):
-            raise Unknown(f"{count} in {span_us / 1e6:.3f} s are out of range")
+            raise InvalidReportError(f"{count} in {span_us / 1e6:.3f} s are out of range")
         return count
 
     # From the module's terms to plain ones
@@ -288,17 +290,17 @@
         match action:
             case SetTimer(name, at_us):
                 self._set_timer(name, at_us)
-            case WatchList(on):
+            case WatchEndpoints(on):
                 self._work.watch = on
-            case FetchList():
+            case FetchEndpoints():
                 self._work.fetches += 1
-            case RepeatOrders():
+            case ResendOrders():
                 self._may_repeat = True
-            case ProbeHost(host):
+            case CheckHealth(host):
                 self._probe(host)
-            case Log(text):
+            case LogMessage(text):
                 self._work.notes.append(text)
-            case TellPeer():
+            case SendToPeer():
                 self._work.undelivered += 1  # no word for it on these sockets
             case _:
                 self._order(action)
@@ -327,21 +329,26 @@
 
     def _plain(self, action: Action) -> Order | None:
         match action:
-            case SetLine(table, host, weight):
+            case SetWeight(table, host, weight):
+                name = self._hosts.name(host)
+                return orders.SetWeight(table, name, _rounded(weight)) if name is not None else None
+            case WithdrawEndpoint(host):
                 name = self._hosts.name(host)
-                return SetShare(table, name, _rounded(weight)) if name is not None else None
-            case Withdraw(host, out):
+                return orders.WithdrawEndpoint(name) if name is not None else None
+            case RestoreEndpoint(host):
                 name = self._hosts.name(host)
-                return ShutOut(name, out) if name is not None else None
+                return orders.RestoreEndpoint(name) if name is not None else None
             case ClearTable(table):
-                return EmptyTable(table)
+                return orders.ClearTable(table)
             case BindProxy(proxy, table, classes):
-                return UseTable(proxy, table, self._names(classes))
-            case SetLevel(table, classes, level, retry):
-                return Limit(table, self._names(classes), _rounded(level), retry.value)
+                return orders.BindProxy(proxy, table, self._names(classes))
+            case SetAdmission(table, classes, level, retry):
+                return orders.SetAdmission(
+                    table, self._names(classes), _rounded(level), retry.value
+                )
             case Checkpoint(number, everyone):
                 self._remember(number)
-                return Mark(number, everyone)
+                return orders.Checkpoint(number, everyone)
         return None
 
     def _remember(self, stamp: int) -> None:
@@ -361,23 +368,23 @@
 
 def _figure(value: float) -> float:
     if not math.isfinite(value) or value < 0:
-        raise Unknown(f"figure {value} is out of range")
+        raise InvalidReportError(f"figure {value} is out of range")
     return value
 
 
 def _count(value: int) -> int:
     if not 0 <= value < 1 << 53:
-        raise Unknown(f"count {value} is out of range")
+        raise InvalidReportError(f"count {value} is out of range")
     return value
 
 
 def _us(ms: float) -> int:
     if not math.isfinite(ms) or not 0 <= ms < 1e15:
-        raise Unknown(f"time {ms} is out of range")
+        raise InvalidReportError(f"time {ms} is out of range")
     return round(ms * 1000)
 
 
 def _load(load: Load) -> tuple[tuple[str, float], ...]:
     if any(not math.isfinite(value) for _, value in load):
-        raise Unknown("a load report is out of range")
+        raise InvalidReportError("a load report is out of range")
     return tuple(load)
--- a/kelpcourse/lab/primary.py
+++ b/kelpcourse/lab/primary.py
@@ -17,7 +17,7 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.memory.hosts import Member
+from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.wire.loop import READ, Loop, Routine, Wait
 from kelpcourse.wire.stream import Act, Address
 from kelpcourse.zones.service import Around, Restore, Restored, Zones
@@ -95,7 +95,7 @@
         listen: Address,
         hosts: Sequence[tuple[str, str, Address]],
         notify: Address,
-        on_list: Callable[[Sequence[Member]], None],
+        on_list: Callable[[Sequence[ListedEndpoint]], None],
     ) -> None:
         self._loop = loop
         self._key = make_key(folder)
@@ -116,7 +116,7 @@
     def _keep(self, name: str, make: Callable[[], Routine]) -> None:
         self._loop.start(name, make())
 
-    def listed(self, members: Sequence[Member], version: int, whole: bool) -> None:
+    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
         self._on_list(members)
 
     def lost(self) -> None:
--- a/kelpcourse/lab/story.py
+++ b/kelpcourse/lab/story.py
@@ -15,7 +15,8 @@
 from kelpcourse.lab.forwarder import shares
 from kelpcourse.lab.primary import ORIGIN, SERVICE, Primary, write_settings
 from kelpcourse.lab.world import Lab, free_address, now_us
-from kelpcourse.memory.hosts import Member, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.service import Restored
 from kelpcourse.zones.settings import shown
 
@@ -69,10 +70,10 @@
         self.lab.on_order = self._ordered
         self.lab.on_log = self._logged
 
-    def _announced(self, members: Sequence[Member]) -> None:
+    def _announced(self, members: Sequence[ListedEndpoint]) -> None:
         now = now_us()
         for member in members:
-            if member.phase is Phase.READY:
+            if member.status is EndpointStatus.READY:
                 self.lab.checker.announced(member.name, now)
             else:
                 self.lab.checker.stopped(member.name, now)
--- a/kelpcourse/memory/hosts.py
+++ b/kelpcourse/memory/endpoints.py
@@ -1,33 +1,28 @@
-"""Hosts by name: the module's numbers for them and where they listen."""
+"""Endpoints by name: the number that the decisions know each by, and its address."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
-from enum import Enum
 
-
-class Phase(Enum):
-    READY = "ready"
-    DRAINING = "draining"
-    GONE = "gone"
+from kelpcourse.policy.events import EndpointStatus
 
 
 @dataclass(frozen=True)
-class Member:
-    """An entry of discovery's list."""
+class ListedEndpoint:
+    """An entry of discovery's endpoint list, by name."""
 
     name: str
     address: tuple[str, int]
     zone: str
     kind: str
     cell: int
-    phase: Phase
-    size: float
-    up_since_ms: float  # Unix time, 0: long ago
+    status: EndpointStatus
+    weight: float
+    started_ms: float  # Unix time, 0: long ago
 
 
-class Hosts:
+class EndpointRegistry:
     """Names once listed keep their number, up to a limit; those longest gone are forgotten first."""
 
     def __init__(self, most: int) -> None:
@@ -41,7 +36,7 @@
     def __len__(self) -> int:
         return len(self._numbers)
 
-    def take(self, members: Sequence[Member], whole: bool) -> None:
+    def take(self, members: Sequence[ListedEndpoint], whole: bool) -> None:
         if whole:
             named = {member.name for member in members}
             for name in [name for name in self._addresses if name not in named]:
@@ -51,7 +46,7 @@
                 self._numbers[member.name] = self._next
                 self._names[self._next] = member.name
                 self._next += 1
-            if member.phase is Phase.GONE:
+            if member.status is EndpointStatus.GONE:
                 self._leave(member.name)
             else:
                 self._addresses[member.name] = member.address
--- a/kelpcourse/memory/outbox.py
+++ b/kelpcourse/memory/order_queue.py
@@ -6,18 +6,18 @@
 from collections.abc import Sequence
 
 from kelpcourse.memory.orders import (
-    MARK,
-    EmptyTable,
-    Limit,
-    Mark,
+    CHECKPOINT_KEY,
+    BindProxy,
+    Checkpoint,
+    ClearTable,
     Order,
-    SetShare,
-    ShutOut,
-    UseTable,
+    SetAdmission,
+    SetWeight,
+    WithdrawEndpoint,
 )
 
 
-class Outbox:
+class OrderQueue:
     def __init__(self, most: int, marks: int) -> None:
         self._most = most
         self._marks = marks
@@ -54,15 +54,19 @@
         self._left.clear()
         orders = self._batches[0] if self._batches else []
         mark = orders[-1] if orders else None
-        if isinstance(mark, Mark) and mark.covers:
+        if isinstance(mark, Checkpoint) and mark.superseded:
             self._remember(mark)
-        self._telling = mark.stamp if isinstance(mark, Mark) and mark.stamp != self._spent else None
+        self._telling = (
+            mark.checkpoint_id
+            if isinstance(mark, Checkpoint) and mark.checkpoint_id != self._spent
+            else None
+        )
         self._proved = False
         return orders
 
-    def _remember(self, mark: Mark) -> None:
-        self._covered.pop(mark.stamp, None)
-        self._covered[mark.stamp] = mark.covers
+    def _remember(self, mark: Checkpoint) -> None:
+        self._covered.pop(mark.checkpoint_id, None)
+        self._covered[mark.checkpoint_id] = mark.superseded
         while len(self._covered) > self._marks:
             del self._covered[next(iter(self._covered))]
 
@@ -81,7 +85,7 @@
         if not self._batches[0]:
             self._batches.popleft()
         mark = done[-1] if done else None
-        return [*mark.covers[-1:], mark.stamp] if isinstance(mark, Mark) else []
+        return [*mark.superseded[-1:], mark.checkpoint_id] if isinstance(mark, Checkpoint) else []
 
     def answered(self, stamp: int) -> None:
         """A proxy has applied all up to a mark."""
@@ -95,14 +99,14 @@
     def doubted(self) -> tuple[int, ...]:
         """The stamps of the steps whose messages the call under way holds: it broke, carried out or not."""
         mark = self._batches[0][-1] if self._batches and self._batches[0] else None
-        return (*mark.covers, mark.stamp) if isinstance(mark, Mark) else ()
+        return (*mark.superseded, mark.checkpoint_id) if isinstance(mark, Checkpoint) else ()
 
     def again(self) -> None:
         """The orders of the call under way go again, before or with later ones."""
         self._calling = False
         if self._batches:  # a later binding is of one that came back, and stands
             first = self._batches.popleft()
-            kept = [o for o in first if not (isinstance(o, UseTable) and o.proxy in self._left)]
+            kept = [o for o in first if not (isinstance(o, BindProxy) and o.proxy in self._left)]
             self._batches.extendleft([kept] if kept else [])
         self._left.clear()
         if len(self._batches) > 1:
@@ -111,8 +115,8 @@
 
     def _spend(self) -> None:
         mark = self._batches[0][-1] if self._batches[0] else None
-        if isinstance(mark, Mark):
-            self._spent = mark.stamp
+        if isinstance(mark, Checkpoint):
+            self._spent = mark.checkpoint_id
 
     def first(self) -> Order:
         return self._batches[0][0]
@@ -129,7 +133,7 @@
         if self._calling:
             self._left.add(proxy)
         for batch in list(self._batches)[first:]:
-            batch[:] = [o for o in batch if not (isinstance(o, UseTable) and o.proxy == proxy)]
+            batch[:] = [o for o in batch if not (isinstance(o, BindProxy) and o.proxy == proxy)]
         kept = [batch for k, batch in enumerate(self._batches) if batch or k < first]
         self._batches = deque(kept)
 
@@ -142,10 +146,10 @@
         for batch in self._batches:
             for order in batch:
                 fold(merged, order, self._marks)
-        out = {order.host for order in merged.values() if isinstance(order, ShutOut) and order.out}
+        out = {order.endpoint for order in merged.values() if isinstance(order, WithdrawEndpoint)}
         urgent = [order for order in merged.values() if withdraws(order, out)]
         rest = [order for order in merged.values() if not withdraws(order, out)]
-        urgent += [merged[MARK]] if urgent and MARK in merged else []
+        urgent += [merged[CHECKPOINT_KEY]] if urgent and CHECKPOINT_KEY in merged else []
         self._batches = deque(
             batch for batch in (*first, urgent, rest if rest != urgent[-1:] else []) if batch
         )
@@ -169,36 +173,38 @@
     """Whether it shuts one of these hosts out or takes its line. The lines go first, as ordered: a proxy that
     holds the host no more is not written to for it."""
     return shuts_out(order) or (
-        isinstance(order, SetShare) and order.share == 0 and order.host in out
+        isinstance(order, SetWeight) and order.weight == 0 and order.endpoint in out
     )
 
 
 def shuts_out(order: Order) -> bool:
-    return isinstance(order, ShutOut) and order.out
+    return isinstance(order, WithdrawEndpoint)
 
 
 def fold(merged: dict[tuple[object, ...], Order], order: Order, marks: int) -> None:
     """Adds an order behind others: what it overrides is taken out, what it does not keeps its place. A mark
     stays last, as it answers for all that its call carries, and also for up to so many marks before it."""
-    if isinstance(order, EmptyTable):
+    if isinstance(order, ClearTable):
         for key in [
             k
             for k, o in merged.items()
-            if isinstance(o, SetShare | Limit) and o.table == order.table
+            if isinstance(o, SetWeight | SetAdmission) and o.table == order.table
         ]:
             del merged[key]
-    mark = merged.pop(MARK, None)
-    if isinstance(order, Mark):
-        merged[MARK] = later_mark(mark, order, marks) if isinstance(mark, Mark) else order
+    mark = merged.pop(CHECKPOINT_KEY, None)
+    if isinstance(order, Checkpoint):
+        merged[CHECKPOINT_KEY] = (
+            later_mark(mark, order, marks) if isinstance(mark, Checkpoint) else order
+        )
         return
     merged.pop(order.key, None)
     merged[order.key] = order
     if mark is not None:
-        merged[MARK] = mark
+        merged[CHECKPOINT_KEY] = mark
 
 
-def later_mark(earlier: Mark, later: Mark, most: int) -> Mark:
-    if earlier.stamp == later.stamp:  # of hosts that were to go ahead
+def later_mark(earlier: Checkpoint, later: Checkpoint, most: int) -> Checkpoint:
+    if earlier.checkpoint_id == later.checkpoint_id:  # of hosts that were to go ahead
         return later
-    covers = (*earlier.covers, earlier.stamp, *later.covers)
-    return Mark(later.stamp, earlier.everyone or later.everyone, covers[-most:])
+    covers = (*earlier.superseded, earlier.checkpoint_id, *later.superseded)
+    return Checkpoint(later.checkpoint_id, earlier.all_proxies or later.all_proxies, covers[-most:])
--- a/kelpcourse/memory/orders.py
+++ b/kelpcourse/memory/orders.py
@@ -1,75 +1,116 @@
-"""Orders in plain terms. Each states an end result, and its key says which earlier ones it replaces."""
+"""Orders to the relay, by endpoint name.
+
+Each order states an end result; its key tells which earlier orders it supersedes.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+OrderKey = tuple[object, ...]
 
-MARK = ("mark",)  # a call has one
+CHECKPOINT_KEY: OrderKey = ("checkpoint",)  # a call has one checkpoint
 
 
 @dataclass(frozen=True)
-class SetShare:
+class SetWeight:
+    """Sets the weight of an endpoint in a table; 0 removes the entry."""
+
     table: int
-    host: str
-    share: float
+    endpoint: str
+    weight: float
 
     @property
-    def key(self) -> tuple[object, ...]:
-        return ("share", self.table, self.host)
+    def key(self) -> OrderKey:
+        """Orders with this key are superseded."""
+        return ("weight", self.table, self.endpoint)
 
 
 @dataclass(frozen=True)
-class EmptyTable:
+class ClearTable:
+    """Removes every entry and admission limit of a table."""
+
     table: int
 
     @property
-    def key(self) -> tuple[object, ...]:
-        return ("empty", self.table)
+    def key(self) -> OrderKey:
+        """Orders with this key are superseded."""
+        return ("clear", self.table)
 
 
 @dataclass(frozen=True)
-class UseTable:
+class BindProxy:
+    """Makes a proxy use a table for some classes."""
+
     proxy: int
     table: int
     classes: tuple[str, ...]  # empty: all
 
     @property
-    def key(self) -> tuple[object, ...]:
-        return ("use", self.proxy, self.classes)
+    def key(self) -> OrderKey:
+        """Orders with this key are superseded."""
+        return ("bind", self.proxy, self.classes)
 
 
 @dataclass(frozen=True)
-class ShutOut:
-    host: str
-    out: bool
+class WithdrawEndpoint:
+    """Stops all proxies from sending to an endpoint."""
+
+    endpoint: str
 
     @property
-    def key(self) -> tuple[object, ...]:
-        return ("out", self.host)
+    def key(self) -> OrderKey:
+        """Orders with this key are superseded, also by `RestoreEndpoint`."""
+        return ("withdrawn", self.endpoint)
 
 
 @dataclass(frozen=True)
-class Limit:
-    table: int | None  # None: all
-    classes: tuple[str, ...]  # empty: all
-    gate: float
-    again: int
+class RestoreEndpoint:
+    """Lets proxies send to a withdrawn endpoint again."""
+
+    endpoint: str
 
     @property
-    def key(self) -> tuple[object, ...]:
-        return ("limit", self.table, self.classes)
+    def key(self) -> OrderKey:
+        """Orders with this key are superseded, also by `WithdrawEndpoint`."""
+        return ("withdrawn", self.endpoint)
 
 
 @dataclass(frozen=True)
-class Mark:
-    stamp: int
-    everyone: bool
-    covers: tuple[int, ...] = ()  # stamps of earlier marks that this one went out in place of
+class SetAdmission:
+    """How much of some classes the proxies of a table admit, and when they retry."""
+
+    table: int | None  # None: all
+    classes: tuple[str, ...]  # empty: all
+    limit: float  # a ratio or requests per second, as the settings tell
+    retry_policy: int  # the value of a `RetryPolicy`
 
     @property
-    def key(self) -> tuple[object, ...]:
-        return MARK
+    def key(self) -> OrderKey:
+        """Orders with this key are superseded."""
+        return ("admission", self.table, self.classes)
 
 
-Order = SetShare | EmptyTable | UseTable | ShutOut | Limit | Mark
+@dataclass(frozen=True)
+class Checkpoint:
+    """Ends the orders of a call; proxies acknowledge it by its number."""
+
+    checkpoint_id: int
+    all_proxies: bool
+    superseded: tuple[int, ...] = ()  # numbers of earlier checkpoints that this one stands for
+
+    @property
+    def key(self) -> OrderKey:
+        """Orders with this key are superseded."""
+        return CHECKPOINT_KEY
+
+
+Order = (
+    SetWeight
+    | ClearTable
+    | BindProxy
+    | WithdrawEndpoint
+    | RestoreEndpoint
+    | SetAdmission
+    | Checkpoint
+)
--- a/kelpcourse/decide.py
+++ b/kelpcourse/policy/controller.py
@@ -7,38 +7,43 @@
 from collections.abc import Sequence
 from itertools import product
 
-from kelpcourse.channel import Channel
-from kelpcourse.interface import (
+from kelpcourse.policy.actions import (
     Action,
-    Admission,
     BindProxy,
     Checkpoint,
+    LogMessage,
+    ResendOrders,
+    RestoreEndpoint,
+    SetAdmission,
+    SetTimer,
+    SetWeight,
+    WatchEndpoints,
+    WithdrawEndpoint,
+)
+from kelpcourse.policy.delivery import Channel
+from kelpcourse.policy.events import (
     DemandReport,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointReport,
+    EndpointStatus,
     Event,
-    Host,
-    HostId,
-    HostList,
-    HostReport,
-    Log,
-    HostState,
-    ListKind,
-    OrdersApplied,
-    OrdersDoubted,
-    OrdersTaken,
-    ProxyId,
+    OrdersAccepted,
+    OrdersAcknowledged,
+    OrdersOutcomeUnknown,
     ProxyJoined,
     ProxyLeft,
-    Retry,
-    RepeatOrders,
-    SetLevel,
-    SetLine,
-    SetTimer,
-    Settings,
     Started,
-    TableId,
     TimerFired,
-    WatchList,
-    Withdraw,
+)
+from kelpcourse.policy.settings import (
+    AdmissionMode,
+    EndpointId,
+    ProxyId,
+    RetryPolicy,
+    Settings,
+    TableId,
 )
 
 TICK_US, PACE_US = (
@@ -143,7 +148,7 @@
 
 
 class Server:
-    def __init__(self, host: Host, now_us: int) -> None:
+    def __init__(self, host: Endpoint, now_us: int) -> None:
         self.host, self.speed, self.health = host, 1.0, 1.0
         self.unreached, self.cut_us, self.eased_us = (
             False,
@@ -154,18 +159,18 @@
         self.heard_us = self.lines = 0  # when a report last told of tries there; reports heard
         self.load: dict[str, float] = {}
 
-    def take(self, now_us: int, report: HostReport) -> None:
+    def take(self, now_us: int, report: EndpointReport) -> None:
         kept = FADE ** min(
-            1.0, (now_us - self.heard_us) / max(1, report.span_us)
+            1.0, (now_us - self.heard_us) / max(1, report.window_us)
         )  # they come by turns
-        good = report.tries - report.failed
+        good = report.attempts - report.failed
         self.tries, self.failed = (
-            self.tries * kept + report.tries,
+            self.tries * kept + report.attempts,
             self.failed * kept + report.failed,
         )
         self.good, self.time_us = (
             self.good * kept + good,
-            self.time_us * kept + good * report.good_time_us,
+            self.time_us * kept + good * report.mean_success_us,
         )
         self.heard_us, self.lines = now_us, self.lines + 1
         self.load.update(report.load)
@@ -201,26 +206,29 @@
     return lower
 
 
-class Director:
+class RoutingPolicy:
     def __init__(self, settings: Settings) -> None:
         self.s, self.now, self.out = settings, 0, list[Action]()
-        self.servers, self.proxies = dict[HostId, Server](), dict[ProxyId, int]()  # held till
-        rate, grace_us = settings.channel_lines_per_s / 1e6, settings.drain_grace_us
-        longest_us = int(settings.channel_backlog / rate) + settings.transit_longest_us
+        self.servers, self.proxies = dict[EndpointId, Server](), dict[ProxyId, int]()  # held till
+        rate, grace_us = settings.delivery_entries_per_s / 1e6, settings.drain_grace_us
+        longest_us = int(settings.max_backlog_entries / rate) + settings.max_transit_us
         self.channel = Channel(
             longest_us,
             rate,
-            settings.messages_most,
-            settings.messages_over_us,
-            settings.transit_longest_us,
+            settings.max_messages_per_proxy,
+            settings.message_window_us,
+            settings.max_transit_us,
         )
         bind = max(BIND_LEAST_US, min(BIND_GRACE * grace_us, grace_us - longest_us))
         self.spans = {QUEUE_ORDINARY: rate * PACE_US, QUEUE_BIND: rate * bind}
         self.bind_lines = (
-            BIND_ALL * rate * grace_us / settings.proxies - settings.message_head
+            BIND_ALL * rate * grace_us / settings.proxy_count - settings.message_overhead_entries
         )  # for all
         self._lay_out(0)
-        self.out_hosts, self.dropped = dict[HostId, int](), dict[HostId, int]()  # withdrawn; to be
+        self.out_hosts, self.dropped = (
+            dict[EndpointId, int](),
+            dict[EndpointId, int](),
+        )  # withdrawn; to be
         self.doubtful = set[ProxyId]()  # of the loose: holders still, unless they left unseen
         self.loose = dict[
             ProxyId, int
@@ -232,7 +240,9 @@
             [1.0] * len(settings.classes),
             0.0,
         )  # V: best good rate heard lately
-        self.heard: dict[HostId, list[float]] = {}  # good answers and their time since last judged
+        self.heard: dict[
+            EndpointId, list[float]
+        ] = {}  # good answers and their time since last judged
         self.demand, self.arrived = (
             [0.0] * len(settings.classes) for _ in range(2)
         )  # arrived: since then
@@ -244,13 +254,15 @@
         ) = 0
         self.ask_wait_us, self.distinct = ASK_FIRST_US, 1.0  # part drawn for
         self.shedding = self.watching = self.urgent = False  # urgent until the next orders are out
-        self.adopting, self.joins = True, deque[int](maxlen=max(2, settings.proxies // MASS))
+        self.adopting, self.joins = True, deque[int](maxlen=max(2, settings.proxy_count // MASS))
 
     def _lay_out(self, hosts: int) -> None:
         """Sizes tables: all hosts, or a part where connections, or lines in a drain's grace, are short."""
-        settings, proxies = self.s, self.s.proxies
+        settings, proxies = self.s, self.s.proxy_count
         least = (
-            settings.connections_least if 0 < settings.connections_least < proxies else float("inf")
+            settings.min_endpoint_connections
+            if 0 < settings.min_endpoint_connections < proxies
+            else float("inf")
         )
         self.part = min(
             1.0, TABLE_PART * least / proxies, max(TABLE_LEAST, self.bind_lines) / max(1, hosts)
@@ -262,11 +274,16 @@
             z: [dict[TableId, list[int]]() for _ in range(self.groups)] for z in settings.zones
         }
         for zone, (i, cls) in product(settings.zones, enumerate(settings.classes)):
-            key = (cls.only_zones, cls.only_kinds, zone * cls.zone_bound, zone * (self.part < 1))
+            key = (
+                cls.allowed_zones,
+                cls.allowed_kinds,
+                zone * cls.same_zone_only,
+                zone * (self.part < 1),
+            )
             new = [len(self.keys) * self.groups + group for group in range(self.groups)]
             for group, table in enumerate(self.keys.setdefault(key, new)):
                 self.tables[zone][group].setdefault(table, []).append(i)
-        self.lines: dict[TableId, dict[HostId, float]] = {
+        self.lines: dict[TableId, dict[EndpointId, float]] = {
             t: {} for ts in self.keys.values() for t in ts
         }
         self.holders: dict[TableId, dict[ProxyId, int]] = {table: {} for table in self.lines}
@@ -277,9 +294,9 @@
             self._take(event)
         if self.heard and now_us - self.judged_us >= min(TICK_US, self.s.report_period_us) // 2:
             self._judge()
-        if self.s.must_ask and not self.watching and now_us >= self.ask_due_us:
+        if self.s.discovery_is_polled and not self.watching and now_us >= self.ask_due_us:
             self.watching = True  # an UNAVAILABLE answer takes it back
-            self.out.append(WatchList(True))
+            self.out.append(WatchEndpoints(True))
         self._publish()
         return self.out
 
@@ -287,7 +304,7 @@
         match event:
             case Started() | TimerFired():
                 self.out.append(SetTimer("tick", self.now + TICK_US))
-            case HostList():
+            case EndpointList():
                 self._take_list(event)
             case ProxyJoined(proxy, zone, rate, fresh):
                 self.joins.append(self.now)
@@ -306,13 +323,13 @@
                 self.backlog *= 1 - 1 / len(self.proxies)
                 self._let_go(proxy)
                 self.channel.left(proxy)
-            case OrdersApplied(proxy, number, _):
+            case OrdersAcknowledged(proxy, number, _):
                 self.channel.applied(proxy, number, self.now)
-            case OrdersTaken(number):
+            case OrdersAccepted(number):
                 self.channel.taken(number, self.now)
-            case OrdersDoubted(numbers):
+            case OrdersOutcomeUnknown(numbers):
                 self.channel.doubted = numbers
-            case HostReport():
+            case EndpointReport():
                 self._take_report(event)
             case DemandReport(_, cls, arrived, unanswered, _):
                 self.arrived[cls] += arrived
@@ -326,34 +343,34 @@
         for known in (self.proxies, self.loose, *self.holders.values()):
             known.pop(number, None)
 
-    def _take_list(self, event: HostList) -> None:
-        if event.kind is ListKind.UNAVAILABLE:
+    def _take_list(self, event: EndpointList) -> None:
+        if event.kind is EndpointListKind.UNAVAILABLE:
             self.watching = False
             self.ask_due_us = self.now + int(
-                self.ask_wait_us * (1 + self.s.director * GOLDEN % 1)
+                self.ask_wait_us * (1 + self.s.controller_index * GOLDEN % 1)
             )  # no herd
             self.ask_wait_us = min(
-                self.ask_wait_us * 2, max(ASK_FIRST_US, self.s.ask_within_us // 4)
+                self.ask_wait_us * 2, max(ASK_FIRST_US, self.s.discovery_poll_deadline_us // 4)
             )
             return
         self.ask_wait_us = ASK_FIRST_US
-        if event.kind is not ListKind.CHANGES and not any(
+        if event.kind is not EndpointListKind.CHANGES and not any(
             (*self.lines.values(), *self.holders.values())
         ):
-            self._lay_out(len(event.hosts))  # rule 1: proxies bound to a table stay with it
-        if event.kind is not ListKind.CHANGES:
-            for gone in sorted(self.servers.keys() - {host.id for host in event.hosts}):
+            self._lay_out(len(event.endpoints))  # rule 1: proxies bound to a table stay with it
+        if event.kind is not EndpointListKind.CHANGES:
+            for gone in sorted(self.servers.keys() - {host.id for host in event.endpoints}):
                 self._drop(gone)
-        for host in event.hosts:
+        for host in event.endpoints:
             self._take_host(host)
         listed = [v.host.weight for v in self.servers.values() if v.host.weight > 0]
         self.average_weight = sum(listed) / len(listed) if listed else 1.0
         self._follow_fleet()
         self._solve()
 
-    def _take_host(self, host: Host) -> None:
+    def _take_host(self, host: Endpoint) -> None:
         known = self.servers.get(host.id)
-        if host.state is not HostState.READY:
+        if host.status is not EndpointStatus.READY:
             self._drop(host.id)
         elif known is None or known.host.started_us != host.started_us:
             self.servers[host.id] = Server(host, self.now)
@@ -364,20 +381,20 @@
         else:
             known.host = host
 
-    def _drop(self, host: HostId) -> None:
+    def _drop(self, host: EndpointId) -> None:
         self.servers.pop(host, None)
         self.dropped |= (
             {host: self.dropped.get(host, self.now)} if host not in self.out_hosts else {}
         )
         self.adopting = False  # rule 3: tables of before may hold it unshut
 
-    def _take_report(self, event: HostReport) -> None:
-        good = event.tries - event.failed
-        self.spans_us.append(event.span_us)
-        cell = self.heard.setdefault(event.host, [0.0, 0.0])
-        cell[:] = cell[0] + good, cell[1] + good * event.good_time_us
-        if event.host in self.servers:
-            self.servers[event.host].take(self.now, event)
+    def _take_report(self, event: EndpointReport) -> None:
+        good = event.attempts - event.failed
+        self.spans_us.append(event.window_us)
+        cell = self.heard.setdefault(event.endpoint, [0.0, 0.0])
+        cell[:] = cell[0] + good, cell[1] + good * event.mean_success_us
+        if event.endpoint in self.servers:
+            self.servers[event.endpoint].take(self.now, event)
 
     def _judge(self) -> None:
         """Rates are all counts told in a time over what a line covers: on large fleets they come by turns."""
@@ -393,7 +410,7 @@
             n + (new * self.distinct / span - n) * gain
             for n, new in zip(self.demand, self.arrived, strict=True)
         ]
-        self.lag_us = self.s.transit_mean_us + REPORT_LATE_US + self.cover_us // 2
+        self.lag_us = self.s.mean_transit_us + REPORT_LATE_US + self.cover_us // 2
         self.mean_us = sum(cell[1] for cell in self.heard.values()) / good if good > 0 else 0.0
         self._count_let_in(good + self.unanswered, span)
         failures = self._judge_hosts()
@@ -446,7 +463,7 @@
         sound = [v for v in self.servers.values() if v.health >= 1]
         return sum(v.failed for v in sound) / max(1.0, sum(v.tries for v in sound))
 
-    def _cut_path(self) -> set[HostId]:
+    def _cut_path(self) -> set[EndpointId]:
         """Many hosts that answer nothing while the rest does lie behind a cut path: no measure for others."""
         mute = [
             v
@@ -503,7 +520,9 @@
             server.speed = min(SPEED_RANGE[1], max(SPEED_RANGE[0], server.speed / scale))
 
     def _mean_aim(self) -> float:
-        total = sum(n * c.aim_us for n, c in zip(self.demand, self.s.classes, strict=True))
+        total = sum(
+            n * c.latency_objective_us for n, c in zip(self.demand, self.s.classes, strict=True)
+        )
         return total / sum(self.demand) if total > 0 else float("inf")
 
     def _let_in(self, requests: Numbers, when: int) -> float:
@@ -541,11 +560,11 @@
         if settled and (failing or expected > NEAR_AIM * aim):
             if not self.shedding:
                 why = f"overload: failed {failures:.2f}, expected {expected / 1e6:.2f} s, V {self.volume:.0f}"
-                self.out.append(Log(why))
+                self.out.append(LogMessage(why))
             self.shedding = True
         elif self.shedding and not busy and sum(self.demand) <= self.volume:
             self.shedding = False
-            self.out.append(Log(f"overload over, V {self.volume:.0f}/s"))
+            self.out.append(LogMessage(f"overload over, V {self.volume:.0f}/s"))
         self._solve()
 
     def _able(self, server: Server) -> float:
@@ -568,16 +587,16 @@
         able = {v.host.id: self._able(v) for v in self.servers.values()}
         total, bounds = sum(able.values()), []
         for cls in self.s.classes:
-            hosts = self._open((cls.only_zones, cls.only_kinds, "", ""))
+            hosts = self._open((cls.allowed_zones, cls.allowed_kinds, "", ""))
             cold = total > 0 and self.volume > 0 and any(self._warmth(v) < 1 for v in hosts)
             part = sum(able[v.host.id] for v in hosts) / total if cold else 1.0
             bounds.append(COLD_MOST * self.volume * part if cold else float("inf"))
         return bounds
 
     def _solve(self) -> None:
-        if self.s.admission is Admission.NONE:
+        if self.s.admission_mode is AdmissionMode.NONE:
             return
-        bounds, worth = self._cold_bounds(), [c.worth for c in self.s.classes]
+        bounds, worth = self._cold_bounds(), [c.priority_weight for c in self.s.classes]
         if self.shedding:
             steps, lag_us, served = (
                 8,
@@ -617,14 +636,15 @@
     def _warmth(self, server: Server) -> float:
         """Least share of its capacity that a host started lately can have by now."""
         age = self.now - server.host.started_us
-        cold = server.host.started_us > 0 and age < self.s.cold_us > 0
+        cold = server.host.started_us > 0 and age < self.s.warm_up_us > 0
         return (
-            self.s.cold_from + (1 - self.s.cold_from) * max(0, age) / self.s.cold_us
+            self.s.warm_up_min_capacity
+            + (1 - self.s.warm_up_min_capacity) * max(0, age) / self.s.warm_up_us
             if cold
             else 1.0
         )
 
-    def _weights(self, key: Key) -> dict[HostId, float]:
+    def _weights(self, key: Key) -> dict[EndpointId, float]:
         servers = self._open(key)
         base = {v.host.id: self._nominal(v) for v in servers}
         weights = {v.host.id: base[v.host.id] * v.health for v in servers}
@@ -642,13 +662,13 @@
             h: max(w * pull.get(self.servers[h].host.zone, 1.0), 0.001) for h, w in weights.items()
         }
 
-    def _split(self, key: Key) -> list[dict[HostId, float]]:
+    def _split(self, key: Key) -> list[dict[EndpointId, float]]:
         """Each group's table: all, or a run of each zone's ring, fitted to keep every host's total."""
         weights = self._weights(key)
         if self.groups == 1:
             return [weights]
         size, total = max(TABLE_LEAST, self.part * len(weights)), sum(weights.values())
-        runs: list[list[HostId]] = [[] for _ in range(self.groups)]
+        runs: list[list[EndpointId]] = [[] for _ in range(self.groups)]
         for zone in sorted({self.servers[h].host.zone for h in weights}):
             ring = sorted((h * GOLDEN % 1, h) for h in weights if self.servers[h].host.zone == zone)
             count = min(len(ring), round(size * sum(weights[h] for _, h in ring) / total))
@@ -668,19 +688,21 @@
                 fit[h] = min(FIT[1], max(FIT[0], fit[h] * odds))
         return [{h: weights[h] * fit[h] for h in run} for run in runs]
 
-    def _beside(self, weights: dict[HostId, float]) -> dict[HostId, float]:
+    def _beside(self, weights: dict[EndpointId, float]) -> dict[EndpointId, float]:
         """The shared table leaves out what classes with tables of their own bring to some of its hosts."""
         admitted = [n * lv for n, lv in zip(self.demand, self.levels, strict=True)]
         whole, left = sum(weights.values()) / max(1e-9, sum(admitted)), dict(weights)
         for cls, x in zip(self.s.classes, admitted, strict=True):
-            if cls.only_zones or cls.only_kinds:
-                hosts = [v.host.id for v in self._open((cls.only_zones, cls.only_kinds, "", ""))]
+            if cls.allowed_zones or cls.allowed_kinds:
+                hosts = [
+                    v.host.id for v in self._open((cls.allowed_zones, cls.allowed_kinds, "", ""))
+                ]
                 own = sum(weights[h] for h in hosts)
                 for h in hosts:
                     left[h] -= x * whole * weights[h] / own
         return {h: max(w, LEFT_LEAST * weights[h]) for h, w in left.items()}
 
-    def _pull(self, home: str, weights: dict[HostId, float]) -> dict[str, float]:
+    def _pull(self, home: str, weights: dict[EndpointId, float]) -> dict[str, float]:
         """Where connections are short proxies prefer their zone's hosts, and no host's total changes."""
         come = max(1e-9, sum(rate for _, rate in self.seen.values()))
         comes = {z: sum(self.come[z]) / come for z in self.s.zones}
@@ -699,11 +721,15 @@
 
     def _room(self, part: float) -> float:
         """Rule 5: lines that may still be ordered. Withdrawals (rule 3) and later solutions wait behind."""
-        return min(part * self.s.channel_backlog, self.spans.get(part, float("inf"))) - self.queued
+        return (
+            min(part * self.s.max_backlog_entries, self.spans.get(part, float("inf"))) - self.queued
+        )
 
     def _need(self, table: TableId) -> float:
         """Lines that one more of a table costs: one at each proxy holding it, with a step's first a head."""
-        return len(self.holders[table]) * (1 + (self.s.message_head + 1) * (table not in self.cost))
+        return len(self.holders[table]) * (
+            1 + (self.s.message_overhead_entries + 1) * (table not in self.cost)
+        )
 
     def _charge(self, table: TableId, action: Action | None = None) -> None:
         self.out += [action] if action else []
@@ -711,12 +737,12 @@
         self.cost[table] += 1
 
     def _publish(self) -> None:
-        if self.s.slices or not self.channel.few(1.0, self.now):
+        if self.s.slice_count or not self.channel.few(1.0, self.now):
             return
         if self.channel.doubted:  # rule 5: what comes behind a call that broke waits for it
-            if not self.channel.again(self.now, QUEUE_MOST * self.s.channel_backlog):
+            if not self.channel.again(self.now, QUEUE_MOST * self.s.max_backlog_entries):
                 return
-            self.out.append(RepeatOrders())
+            self.out.append(ResendOrders())
         self.queued = self.channel.waiting(self.now)
         self.cost, self.loose_hosts = Counter[TableId](), 0  # withdrawn or back
         late = self._tell_late()
@@ -766,7 +792,11 @@
         gone = [h for h in self.out_hosts if h not in self.servers] if self.loose else []
         since = min((self.out_hosts[h] for h in gone), default=self.now)
         late = {number: at for number, at in self.loose.items() if at > since}
-        size = sum(map(len, self.lines.values())) / len(self.lines) + self.s.message_head + 1
+        size = (
+            sum(map(len, self.lines.values())) / len(self.lines)
+            + self.s.message_overhead_entries
+            + 1
+        )
         if len(late) * size <= self._loose_lines(len(gone)):
             return late
         if self.dropped or self.now - min(late.values()) >= BIND_GRACE * self.s.drain_grace_us:
@@ -775,33 +805,36 @@
             }  # behind those nobody knows
         return {}
 
-    def _withdrawal(self, hosts: Sequence[HostId]) -> float:
+    def _withdrawal(self, hosts: Sequence[EndpointId]) -> float:
         held = Counter(
             table for host in hosts for table, lines in self.lines.items() if host in lines
         )
-        bound = sum(len(self.holders[t]) * (n + self.s.message_head + 1) for t, n in held.items())
+        bound = sum(
+            len(self.holders[t]) * (n + self.s.message_overhead_entries + 1)
+            for t, n in held.items()
+        )
         return bound + self._loose_lines(len(hosts))
 
     def _loose_lines(self, hosts: int) -> float:
         """What so many hosts cost proxies not bound yet, of which it is not known which hold them."""
         others, reached = len(self.loose) - len(self.doubtful), 1 - (1 - self.loosely) ** hosts
-        return others * (self.loosely * hosts + (self.s.message_head + 1) * reached)
+        return others * (self.loosely * hosts + (self.s.message_overhead_entries + 1) * reached)
 
-    def _order_host(self, host: HostId, out: bool) -> None:
+    def _order_host(self, host: EndpointId, out: bool) -> None:
         """Its lines go with a host withdrawn: that costs bound proxies no more, later tellings nothing."""
         held = [table for table, lines in self.lines.items() if host in lines]
         taken = out and len(self.out) + len(held) < ORDERS_MOST
         for table in held:
-            self._charge(table, SetLine(table, host, 0.0) if taken else None)
+            self._charge(table, SetWeight(table, host, 0.0) if taken else None)
             if taken:
                 del self.lines[table][host]
-        self.out.append(Withdraw(host, out))
+        self.out.append(WithdrawEndpoint(host) if out else RestoreEndpoint(host))
         self.queued += self._loose_lines(self.loose_hosts + 1) - self._loose_lines(self.loose_hosts)
         self.loose_hosts += 1
 
     def _send_lines(self) -> bool:
         """A cold host's fall (rule 4) in all room left, new hosts, then the most for what messages cost."""
-        changes: list[tuple[int, float, float, HostId, TableId, float]] = []
+        changes: list[tuple[int, float, float, EndpointId, TableId, float]] = []
         self.come = defaultdict[str, list[float]](
             lambda: [1e-9] * self.groups
         )  # to each zone's groups
@@ -812,7 +845,7 @@
             self.come[zone][self.group(number)] += rate
         for key, tables in self.keys.items():
             for table, wanted in zip(tables, self._split(key), strict=True):
-                held, found = self.lines[table], list[tuple[int, float, HostId, float]]()
+                held, found = self.lines[table], list[tuple[int, float, EndpointId, float]]()
                 for host in held | wanted:
                     old, weight = held.get(host, 0.0), wanted.get(host, 0.0)
                     if abs(weight - old) > LINE_STEP * old:
@@ -820,12 +853,12 @@
                         size = abs(weight - old) if weight or host in self.servers else 0.0
                         found.append((2 if falls else int(not old), size, host, weight))
                 worth = sum(size for _, size, _, _ in found) / (
-                    len(found) + self.s.message_head + 1
+                    len(found) + self.s.message_overhead_entries + 1
                 )
                 changes += [
                     (-first, -worth, -size, host, table, w) for first, size, host, w in found
                 ]
-        waiting = dict[HostId, int]()
+        waiting = dict[EndpointId, int]()
         part = 0.0 if self.out_hosts and self.loose else QUEUE_ORDINARY  # bindings go first
         for first, _, _, host, table, weight in sorted(changes):
             room = (
@@ -838,7 +871,7 @@
                 continue
             self.lines[table].pop(host, None)
             self.lines[table] |= {host: weight} if weight > 0 else {}
-            self._charge(table, SetLine(table, host, weight))
+            self._charge(table, SetWeight(table, host, weight))
         back = [
             h for h in self.out_hosts if h in self.servers and h not in waiting
         ]  # no old weights
@@ -860,7 +893,7 @@
         for i, level in enumerate(self.levels):
             rate = level * self.demand[i] / max(1, len(self.proxies)) if level < 1 else RATE_ALL
             quota = (
-                rate if self.s.admission is Admission.RATE else level
+                rate if self.s.admission_mode is AdmissionMode.RATE else level
             )  # as this site's proxies read it
             for table in {
                 t for groups in self.tables.values() for at in groups for t in at if i in at[t]
@@ -869,7 +902,9 @@
                 changed = abs(sent - level) >= LEVEL_STEP or (level >= 1 > sent)
                 if changed and self._room(QUEUE_MOST) >= self._need(table):
                     self.levels_sent[table, i] = level
-                    self._charge(table, SetLevel(table, (i,), quota, Retry.PROVEN_UNRUN))  # rule 2
+                    self._charge(
+                        table, SetAdmission(table, (i,), quota, RetryPolicy.IF_NOT_EXECUTED)
+                    )  # rule 2
 
     def _bind_joined(self, lines: Counter[ProxyId], late: dict[ProxyId, int]) -> None:
         """Proxies that join are bound as the channel has room, unless a table of before serves them still."""
@@ -886,7 +921,7 @@
                 for t, cls in mine.items()
                 if self.lines[t] and (again or number not in self.holders[t])
             }
-            size = sum(new.values()) + self.s.message_head + 1
+            size = sum(new.values()) + self.s.message_overhead_entries + 1
             up = number in late and not self.loose_hosts and not self._mass()
             if (
                 new
@@ -908,7 +943,9 @@
     def _checkpoint(self, lines: Counter[ProxyId]) -> None:
         self.number = (self.number + 1) % 65536
         self.out.append(Checkpoint(self.number, False))
-        cost = {number: count + self.s.message_head + 1 for number, count in lines.items()}
+        cost = {
+            number: count + self.s.message_overhead_entries + 1 for number, count in lines.items()
+        }
         self.channel.sent(
             self.number, self.now, cost, self._loose_lines(self.loose_hosts), self.loose
         )
--- a/kelpcourse/channel.py
+++ b/kelpcourse/policy/delivery.py
@@ -6,7 +6,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from kelpcourse.interface import ProxyId
+from kelpcourse.policy.settings import ProxyId
 
 
 class Step:
--- a/kelpcourse/service/config.py
+++ b/kelpcourse/service/config.py
@@ -9,7 +9,7 @@
 import orjson
 
 from kelpcourse.fields import Fields, WireError
-from kelpcourse.interface import Settings
+from kelpcourse.policy.settings import Settings
 from kelpcourse.settings import read_settings
 from kelpcourse.wire.discovery import HostsList, read_list
 from kelpcourse.wire.fields import BadMessage, address
@@ -98,7 +98,7 @@
     except WireError as error:
         raise BadConfig(f"settings: {error}") from None
     _check_names(root["settings"])
-    if settings.slices:
+    if settings.slice_count:
         raise BadConfig("settings: field 'family_info.partitions_n': slices are not served here")
     return settings
 
--- a/kelpcourse/service/director.py
+++ b/kelpcourse/service/director.py
@@ -15,9 +15,10 @@
 from typing import Protocol
 
 from kelpcourse.facade import Facade, Work
-from kelpcourse.interface import Settings
+from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.memory.outbox import Outbox
+from kelpcourse.memory.order_queue import OrderQueue
+from kelpcourse.policy.settings import Settings
 from kelpcourse.service.clock import Clock
 from kelpcourse.service.config import (
     MOVES,
@@ -28,17 +29,16 @@
     read_config,
     reread_config,
 )
-from kelpcourse.limits import Limits
 from kelpcourse.service.logs import Log
 from kelpcourse.service.process import kept
 from kelpcourse.service.signals import Signals
 from kelpcourse.wire.discovery import Discovery
 from kelpcourse.wire.listener import Listener, listen
 from kelpcourse.wire.loop import Loop, Routine, Signal, Task, Wait
-from kelpcourse.wire.parts import Parts
 from kelpcourse.wire.probes import Probes
 from kelpcourse.wire.relay_calls import RelayCalls
 from kelpcourse.wire.relay_events import EventStreams
+from kelpcourse.wire.runtime import Runtime
 from kelpcourse.wire.stream import Address
 
 BAD_CONFIG = 2
@@ -61,7 +61,7 @@
     def move(self, address: Address) -> None: ...
 
 
-MakeSource = Callable[[Parts, Settings, Keep], Source]
+MakeSource = Callable[[Runtime, Settings, Keep], Source]
 
 
 class Service:
@@ -84,9 +84,9 @@
         self._log = Log(clock, limits, self._counters, config.name)
         self._loop = Loop(clock, self._defect)
         self._facade = Facade(config.settings, config.seed, limits)
-        self._parts = Parts(self._facade, limits, self._counters, self._log, self._loop)
+        self._parts = Runtime(self._facade, limits, self._counters, self._log, self._loop)
         self._config = config
-        self._outbox = Outbox(limits.orders, limits.marks)
+        self._outbox = OrderQueue(limits.orders, limits.marks)
         self._waiting = Signal()
         self._source = (
             make_source(self._parts, config.settings, self._keep)
@@ -107,7 +107,7 @@
             "start",
             pid=os.getpid(),
             hosts=len(self._config.known.members),
-            proxies=self._config.settings.proxies,
+            proxies=self._config.settings.proxy_count,
         )
         self._facade.report_known(self._config.known.members, self._config.known.version)
         if self._source is not None:
@@ -232,7 +232,7 @@
     os.set_blocking(sys.stdout.fileno(), False)
     granted = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     limits = Limits().within(min(config.sockets, granted), config.memory_mb)
-    limits = limits.serving(config.settings.proxies, config.settings.report_period_us)
+    limits = limits.serving(config.settings.proxy_count, config.settings.report_period_us)
     return Service(config, limits, environment, signals, sock, make_source).run()
 
 
--- a/kelpcourse/service/logs.py
+++ b/kelpcourse/service/logs.py
@@ -7,8 +7,8 @@
 
 import orjson
 
-from kelpcourse.memory.counters import Counters
 from kelpcourse.limits import Limits
+from kelpcourse.memory.counters import Counters
 
 
 class Log:
--- a/kelpcourse/settings.py
+++ b/kelpcourse/settings.py
@@ -4,17 +4,32 @@
 
 from collections.abc import Callable
 
-from kelpcourse.interface import Admission, Effect, RequestClass, Retry, Scope, Settings
 from kelpcourse.fields import Fields, WireError
+from kelpcourse.policy.settings import (
+    AdmissionMode,
+    DeduplicationScope,
+    Idempotency,
+    RequestClass,
+    RetryPolicy,
+    Settings,
+)
 
 EFFECTS = {
-    "read_like": Effect.SAFE,
-    "idempotency_key": Effect.KEYED,
-    "non_idempotent": Effect.UNSAFE,
+    "read_like": Idempotency.IDEMPOTENT,
+    "idempotency_key": Idempotency.WITH_KEY,
+    "non_idempotent": Idempotency.NOT_IDEMPOTENT,
 }
-SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
-ADMISSIONS = {"fraction": Admission.SHARE, "per_second": Admission.RATE, "off": Admission.NONE}
-RETRIES = {str(way.value): way for way in Retry}
+SCOPES = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+}
+ADMISSIONS = {
+    "fraction": AdmissionMode.RATIO,
+    "per_second": AdmissionMode.RATE,
+    "off": AdmissionMode.NONE,
+}
+RETRIES = {str(way.value): way for way in RetryPolicy}
 
 
 def _flag(fields: Fields, name: str) -> bool:
@@ -32,38 +47,40 @@
 def _request_class(fields: Fields, bound: bool, writes: bool) -> RequestClass:
     return RequestClass(
         name=fields.text("name"),
-        aim_us=fields.count("aim_us"),
+        latency_objective_us=fields.count("aim_us"),
         deadline_us=fields.count("hard_limit_us"),
-        worth=fields.number("worth"),
-        effect=fields.choice("effect", EFFECTS),
-        repeat_scope=fields.choice("group", SCOPES) if fields.has("group") else Scope.CELL,
-        repeat_window_us=fields.count("window_us") if fields.has("window_us") else 0,
-        only_zones=frozenset(fields.words("only_zones")),
-        only_kinds=frozenset(fields.words("only_kinds")),
-        zone_bound=bound,
-        writes=writes,
+        priority_weight=fields.number("worth"),
+        idempotency=fields.choice("effect", EFFECTS),
+        deduplication_scope=fields.choice("group", SCOPES)
+        if fields.has("group")
+        else DeduplicationScope.CELL,
+        deduplication_window_us=fields.count("window_us") if fields.has("window_us") else 0,
+        allowed_zones=frozenset(fields.words("only_zones")),
+        allowed_kinds=frozenset(fields.words("only_kinds")),
+        same_zone_only=bound,
+        is_write=writes,
     )
 
 
 Figure = Callable[[Settings], float]
 ABOVE_0: dict[str, Figure] = {  # without these nothing could ever be ordered
-    "family_info.proxy_count": lambda s: s.proxies,
-    "family_info.egress_per_s": lambda s: s.channel_lines_per_s,
-    "family_info.pending_max": lambda s: s.channel_backlog,
+    "family_info.proxy_count": lambda s: s.proxy_count,
+    "family_info.egress_per_s": lambda s: s.delivery_entries_per_s,
+    "family_info.pending_max": lambda s: s.max_backlog_entries,
     "zones": lambda s: len(s.zones),
     "lanes.count": lambda s: len(s.classes),
 }
 FROM_0: dict[str, Figure] = {
-    "family_info.head": lambda s: s.message_head,
-    "family_info.conns_least": lambda s: s.connections_least,
-    "invariants.cold_from": lambda s: s.cold_from,
+    "family_info.head": lambda s: s.message_overhead_entries,
+    "family_info.conns_least": lambda s: s.min_endpoint_connections,
+    "invariants.warm_up_min_capacity": lambda s: s.warm_up_min_capacity,
 }
 
 
 def read_settings(fields: Fields) -> Settings:
     """Raises WireError for what can't be served, by the field's name."""
     settings = _read(fields)
-    if not settings.slices:  # of a site with slices nothing is served here
+    if not settings.slice_count:  # of a site with slices nothing is served here
         _check(settings)
     return settings
 
@@ -75,16 +92,16 @@
     for name, value in FROM_0.items():
         if value(settings) < 0:
             raise WireError(f"field '{name}' is below 0")
-    if settings.cold_from > 1:
+    if settings.warm_up_min_capacity > 1:
         raise WireError("field 'invariants.cold_from' is above 1")
-    if settings.messages_most and not settings.messages_over_us:
+    if settings.max_messages_per_proxy and not settings.message_window_us:
         raise WireError(
             "field 'family_info.messages_over_us' is not above 0 beside 'family_info.messages_most'"
         )
     for at, cls in enumerate(settings.classes):
-        if cls.aim_us == 0:
+        if cls.latency_objective_us == 0:
             raise WireError(f"field 'lanes.{at}.aim_us' is not above 0")
-        if cls.worth < 0:
+        if cls.priority_weight < 0:
             raise WireError(f"field 'lanes.{at}.worth' is below 0")
         if cls.name in [other.name for other in settings.classes[:at]]:
             raise WireError(f"field 'lanes.{at}.name' stands twice: '{cls.name}'")
@@ -101,40 +118,42 @@
     must_ask = fields.text("discovery") == "on_request"
     how = fields.text("stats.how")
     return Settings(
-        director=fields.count("me"),
-        directors=fields.count("siblings"),
+        controller_index=fields.count("me"),
+        controller_count=fields.count("siblings"),
         zone=fields.text("az"),
         zones=fields.words("zones"),
         classes=tuple(
             _request_class(fields.under(f"lanes.{k}"), bound[k], writes[k]) for k in range(size)
         ),
-        must_ask=must_ask,
-        ask_within_us=rules.count("ask_within_us") if rules.has("ask_within_us") else 0,
-        load_inline=how == "inline",
-        load_on_probe=how in ("inline", "on_probe"),
-        load_names=stats.words("names"),
-        probing=_flag(bounds, "probing"),
-        peers=_flag(bounds, "peers"),
-        admission=family.choice("admission", ADMISSIONS),
-        usual_retry=family.choice("usual_how", RETRIES),
-        slices=family.count("partitions_n"),
-        single_owner=_flag(family, "one_owner"),
-        proxies=family.count("proxy_count"),
+        discovery_is_polled=must_ask,
+        discovery_poll_deadline_us=rules.count("ask_within_us")
+        if rules.has("ask_within_us")
+        else 0,
+        load_reports_inline=how == "inline",
+        load_reports_on_health_check=how in ("inline", "on_probe"),
+        load_report_names=stats.words("names"),
+        health_checks_allowed=_flag(bounds, "probing"),
+        peer_messages_allowed=_flag(bounds, "peers"),
+        admission_mode=family.choice("admission", ADMISSIONS),
+        default_retry_policy=family.choice("usual_how", RETRIES),
+        slice_count=family.count("partitions_n"),
+        has_single_owner=_flag(family, "one_owner"),
+        proxy_count=family.count("proxy_count"),
         report_period_us=family.count("period_us"),
-        channel_lines_per_s=family.number("egress_per_s"),
-        channel_backlog=family.number("pending_max"),
-        message_head=family.number("head"),
-        connections_least=family.number("conns_least") if family.has("conns_least") else 0.0,
-        messages_most=family.count("messages_most"),
-        messages_over_us=family.count("messages_over_us") if family.has("messages_over_us") else 0,
-        transit_mean_us=family.count("propagation_us"),
-        transit_longest_us=family.count("transit_max_us"),
-        full_may_have_run=_flag(rules, "full_may_have_run"),
+        delivery_entries_per_s=family.number("egress_per_s"),
+        max_backlog_entries=family.number("pending_max"),
+        message_overhead_entries=family.number("head"),
+        min_endpoint_connections=family.number("conns_least") if family.has("conns_least") else 0.0,
+        max_messages_per_proxy=family.count("messages_most"),
+        message_window_us=family.count("messages_over_us") if family.has("messages_over_us") else 0,
+        mean_transit_us=family.count("propagation_us"),
+        max_transit_us=family.count("transit_max_us"),
+        queue_full_may_have_executed=_flag(rules, "full_may_have_run"),
         only_draining_binds=_flag(rules, "soft_removal"),
-        bare_limit_us=family.count("blackhole_us"),
+        max_unserved_us=family.count("blackhole_us"),
         drain_grace_us=rules.count("stop_sending_within_us"),
-        cold_from=rules.number("cold_from"),
-        cold_us=rules.count("cold_us"),
-        fall_multiple=rules.number("overload_factor"),
-        fall_us=rules.count("fall_us"),
+        warm_up_min_capacity=rules.number("cold_from"),
+        warm_up_us=rules.count("cold_us"),
+        overload_factor=rules.number("overload_factor"),
+        overload_tolerance_us=rules.count("fall_us"),
     )
--- a/kelpcourse/shared/member.py
+++ b/kelpcourse/shared/member.py
@@ -16,7 +16,7 @@
 from kelpcourse.shared.peers import Peers, Tls, name_of
 from kelpcourse.shared.raft import Refused, Role
 from kelpcourse.wire.loop import Loop, Routine, Signal, Wait
-from kelpcourse.wire.parts import LogLike
+from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.storage import Runner
 from kelpcourse.wire.stream import Address
 
@@ -41,7 +41,7 @@
         loop: Loop,
         limits: Limits,
         counters: Counters,
-        log: LogLike,
+        log: EventLog,
         place: Place,
         shape: Shape,
         runner: Runner,
--- a/kelpcourse/shared/peers.py
+++ b/kelpcourse/shared/peers.py
@@ -17,7 +17,7 @@
 from kelpcourse.shared.controller import PeerMessage
 from kelpcourse.wire.listener import listen
 from kelpcourse.wire.loop import READ, Loop, Routine, Signal, Task, Wait, Woken
-from kelpcourse.wire.parts import Backoff, LogLike
+from kelpcourse.wire.runtime import Backoff, EventLog
 from kelpcourse.wire.stream import Act, Address, Broken, Silent, Stream, connect
 from kelpcourse.wire.tls import TlsStream
 
@@ -52,7 +52,7 @@
         loop: Loop,
         limits: Limits,
         counters: Counters,
-        log: LogLike,
+        log: EventLog,
         me: str,
         address: Address,
         others: Mapping[str, Address],
--- a/kelpcourse/shared/steering.py
+++ b/kelpcourse/shared/steering.py
@@ -12,19 +12,20 @@
 from functools import partial
 
 from kelpcourse.facade import Facade, Work
-from kelpcourse.interface import Settings
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.memory.hosts import Member, Phase
-from kelpcourse.memory.orders import ShutOut
-from kelpcourse.memory.outbox import Outbox
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.memory.order_queue import OrderQueue
+from kelpcourse.memory.orders import WithdrawEndpoint
+from kelpcourse.policy.events import EndpointStatus
+from kelpcourse.policy.settings import Settings
 from kelpcourse.shared.controller import Event, Gained, Lost
 from kelpcourse.shared.ledger import Cleared, Fact, Withdrew
 from kelpcourse.wire.discovery import Discovery
 from kelpcourse.wire.loop import Loop, Routine, Signal, Task, Wait
-from kelpcourse.wire.parts import LogLike, Parts
 from kelpcourse.wire.relay_calls import RelayCalls
 from kelpcourse.wire.relay_events import EventStreams
+from kelpcourse.wire.runtime import EventLog, Runtime
 from kelpcourse.wire.stream import Address
 
 CLEAR_US = 30_000_000  # after which proxies that were told have left a host (architecture.md, what is forgotten)
@@ -37,7 +38,7 @@
     loop: Loop
     limits: Limits
     counters: Counters
-    log: LogLike
+    log: EventLog
     settings: Settings
     relay: Address
     discovery: Address
@@ -50,11 +51,11 @@
 class ToldHosts:
     """The facade's door for lists, which also tells the fleet of withdrawals."""
 
-    def __init__(self, facade: Facade, tell: Callable[[Sequence[Member]], None]) -> None:
+    def __init__(self, facade: Facade, tell: Callable[[Sequence[ListedEndpoint]], None]) -> None:
         self._report_list = facade.report_list
         self._tell = tell
 
-    def __call__(self, members: Sequence[Member], version: int, whole: bool) -> None:
+    def __call__(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
         self._tell(members)
         self._report_list(members, version, whole)
 
@@ -65,8 +66,8 @@
         self._around = around
         self._facade = Facade(around.settings, around.seed + gained.epoch, around.limits)
         self._facade.report_list = ToldHosts(self._facade, self._withdrawals)  # type: ignore[method-assign]
-        parts = Parts(self._facade, around.limits, around.counters, around.log, around.loop)
-        self._outbox = Outbox(around.limits.orders, around.limits.marks)
+        parts = Runtime(self._facade, around.limits, around.counters, around.log, around.loop)
+        self._outbox = OrderQueue(around.limits.orders, around.limits.marks)
         self._waiting = Signal()
         self._discovery = Discovery(parts, around.discovery, 0)
         self._calls = RelayCalls(parts, around.relay, self._outbox, self._waiting, self._target)
@@ -80,7 +81,7 @@
         self._tasks: list[Task] = []
         self._withdrawn: dict[str, int] = dict(gained.first)  # and since when (Unix ms)
         # First what the holder before was about to do: hosts to be left, whatever tables proxies hold.
-        self._outbox.add([ShutOut(host, True) for host in gained.first])
+        self._outbox.add([WithdrawEndpoint(host) for host in gained.first])
 
     @property
     def facade(self) -> Facade:
@@ -131,13 +132,13 @@
 
     # Withdrawals
 
-    def _withdrawals(self, members: Sequence[Member]) -> None:
+    def _withdrawals(self, members: Sequence[ListedEndpoint]) -> None:
         """Known to the fleet before any order on them goes out, so that a successor finishes what was begun."""
         for member in members:
-            if member.phase is not Phase.READY and member.name not in self._withdrawn:
+            if member.status is not EndpointStatus.READY and member.name not in self._withdrawn:
                 self._withdrawn[member.name] = self._around.unix_ms()
                 self._around.learn(Withdrew(member.name, self._withdrawn[member.name]))
-            elif member.phase is Phase.READY and member.name in self._withdrawn:
+            elif member.status is EndpointStatus.READY and member.name in self._withdrawn:
                 self._clear(member.name)
 
     def _clear(self, host: str) -> None:
--- a/kelpcourse/simhost/actions.py
+++ b/kelpcourse/simhost/actions.py
@@ -2,72 +2,98 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
-
-from kelpcourse.interface import (
+from kelpcourse.policy.actions import (
     Action,
     BindProxy,
+    CheckHealth,
     Checkpoint,
     ClearTable,
-    FetchList,
-    Log,
-    ProbeHost,
-    SetLevel,
-    SetLine,
+    FetchEndpoints,
+    LogMessage,
+    RestoreEndpoint,
+    SendToPeer,
+    SetAdmission,
     SetTimer,
-    TellPeer,
-    WatchList,
-    Withdraw,
+    SetWeight,
+    WatchEndpoints,
+    WithdrawEndpoint,
 )
 
 EVERY_TABLE = 65535
 
 
+class UnsupportedActionError(ValueError):
+    """The simulator's wire has no line for an action."""
+
+    def __init__(self, action: Action) -> None:
+        super().__init__(f"the simulator's wire has no line for {type(action).__name__}")
+        self.action = action
+
+
 def one_line(text: str) -> str:
     """Text that fits a line: breaks and control characters become spaces."""
     return "".join(ch if ch.isprintable() else " " for ch in text) or "-"
 
 
-def _mask(classes: tuple[int, ...]) -> int:
+def _class_mask(classes: tuple[int, ...]) -> int:
     return sum(1 << position for position in classes)
 
 
-def _level(a: SetLevel) -> str:
-    table = EVERY_TABLE if a.table is None else a.table
-    return (
-        f"throttle {{}} classes={_mask(a.classes)} on_failure={a.retry.value}"
-        f" quota={a.level:.6g} route_table={table}"
-    )
-
-
-def _tell(a: TellPeer) -> str:
-    peer = "all" if a.peer is None else str(a.peer)
-    return f"notify {{}} addressee={peer} payload={a.payload.hex() or '-'}"
-
-
-WRITERS: dict[type, Callable[[Any], str]] = {
-    SetTimer: lambda a: f"notify_me {{}} name={a.name} instant_us={a.at_us}",
-    SetLine: lambda a: f"upsert {{}} route_table={a.table} host={a.host} heft={a.weight:.6g}",
-    ClearTable: lambda a: f"empty {{}} route_table={a.table}",
-    BindProxy: lambda a: (
-        f"point {{}} client_lb={a.proxy} route_table={a.table} classes={_mask(a.classes)}"
-    ),
-    SetLevel: _level,
-    Withdraw: lambda a: f"bench {{}} set={int(a.out)} host={a.host}",
-    Checkpoint: lambda a: f"checkpoint {{}} number={a.number} set={int(a.everyone)}",
-    WatchList: lambda a: f"listen {{}} set={int(a.on)}",
-    FetchList: lambda a: "reload {}",
-    ProbeHost: lambda a: f"ask_load {{}} host={a.host}",
-    TellPeer: _tell,
-}
+def _order(action: Action) -> tuple[str, str]:
+    """The verb of an order and its fields."""
+    match action:
+        case SetWeight(table, endpoint, weight):
+            return "upsert", f"route_table={table} host={endpoint} heft={weight:.6g}"
+        case ClearTable(table):
+            return "empty", f"route_table={table}"
+        case BindProxy(proxy, table, classes):
+            return "point", f"client_lb={proxy} route_table={table} classes={_class_mask(classes)}"
+        case SetAdmission(table, classes, limit, retry_policy):
+            number = EVERY_TABLE if table is None else table
+            return (
+                "throttle",
+                f"classes={_class_mask(classes)} on_failure={retry_policy.value}"
+                f" quota={limit:.6g} route_table={number}",
+            )
+        case WithdrawEndpoint(endpoint):
+            return "bench", f"set=1 host={endpoint}"
+        case RestoreEndpoint(endpoint):
+            return "bench", f"set=0 host={endpoint}"
+        case Checkpoint(checkpoint_id, all_proxies):
+            return "checkpoint", f"number={checkpoint_id} set={int(all_proxies)}"
+        case _:
+            raise UnsupportedActionError(action)
+
+
+def _verb_and_fields(action: Action) -> tuple[str, str]:
+    """The verb of an action and its fields."""
+    match action:
+        case SetTimer(name, due_us):
+            return "notify_me", f"name={name} instant_us={due_us}"
+        case WatchEndpoints(enabled):
+            return "listen", f"set={int(enabled)}"
+        case FetchEndpoints():
+            return "reload", ""
+        case CheckHealth(endpoint):
+            return "ask_load", f"host={endpoint}"
+        case SendToPeer(peer, payload):
+            addressee = "all" if peer is None else str(peer)
+            return "notify", f"addressee={addressee} payload={payload.hex() or '-'}"
+        case LogMessage(text):
+            return "emit", f"words={one_line(text)}"
+        case _:
+            return _order(action)
 
 
 def write_action(instance: int, action: Action) -> str:
-    where = f"director_id={instance}"
-    if isinstance(action, Log):
-        return f"emit {where} words={one_line(action.text)}"
-    return WRITERS[type(action)](action).format(where)
+    """The reply line of an action.
+
+    Raises:
+        UnsupportedActionError: the simulator's wire has no line for it.
+    """
+    verb, fields = _verb_and_fields(action)
+    head = f"{verb} director_id={instance}"
+    return f"{head} {fields}" if fields else head
 
 
 def write_failure(instance: int, text: str) -> str:
--- a/kelpcourse/simhost/events.py
+++ b/kelpcourse/simhost/events.py
@@ -4,58 +4,58 @@
 
 from collections.abc import Callable
 
-from kelpcourse.interface import (
+from kelpcourse.fields import Fields, WireError
+from kelpcourse.policy.events import (
     DemandReport,
+    Endpoint,
+    EndpointListKind,
+    EndpointReport,
+    EndpointStatus,
     Event,
-    Host,
-    HostReport,
-    HostState,
-    ListKind,
-    OrdersApplied,
+    HealthCheckCompleted,
+    HealthCheckStatus,
+    OrdersAcknowledged,
     PeerMessage,
-    ProbeAnswered,
-    ProbeStatus,
     ProxyJoined,
     ProxyLeft,
-    Settings,
     SliceDemand,
     SliceLeased,
-    SliceLine,
+    SliceWeight,
     TimerFired,
 )
-from kelpcourse.fields import Fields, WireError
+from kelpcourse.policy.settings import Settings
 
 STATES = {
-    "SERVING": HostState.READY,
-    "DRAINING": HostState.DRAINING,
-    "DELETED": HostState.GONE,
+    "SERVING": EndpointStatus.READY,
+    "DRAINING": EndpointStatus.DRAINING,
+    "DELETED": EndpointStatus.GONE,
 }
 LIST_KINDS = {
-    "update": ListKind.CHANGES,
-    "replace": ListKind.FULL,
-    "restored": ListKind.RESTORED,
-    "unavailable": ListKind.UNAVAILABLE,
+    "update": EndpointListKind.CHANGES,
+    "replace": EndpointListKind.FULL,
+    "restored": EndpointListKind.RESTORED,
+    "unavailable": EndpointListKind.UNAVAILABLE,
 }
 STATUSES = {
-    "Ok": ProbeStatus.OK,
-    "Failed": ProbeStatus.ERROR,
-    "QueueFull": ProbeStatus.FULL,
-    "TimedOut": ProbeStatus.TIMEOUT,
-    "ConnectError": ProbeStatus.CONNECT_FAILED,
-    "ResetByPeer": ProbeStatus.RESET,
-    "Canceled": ProbeStatus.CANCELLED,
-    "Ignored": ProbeStatus.MOOT,
+    "Ok": HealthCheckStatus.OK,
+    "Failed": HealthCheckStatus.ERROR,
+    "QueueFull": HealthCheckStatus.FULL,
+    "TimedOut": HealthCheckStatus.TIMEOUT,
+    "ConnectError": HealthCheckStatus.CONNECT_FAILED,
+    "ResetByPeer": HealthCheckStatus.RESET,
+    "Canceled": HealthCheckStatus.CANCELLED,
+    "Ignored": HealthCheckStatus.UNNECESSARY,
 }
 
 
-def read_host(fields: Fields) -> Host:
-    return Host(
+def read_host(fields: Fields) -> Endpoint:
+    return Endpoint(
         id=fields.count("host"),
         zone=fields.text("az"),
         kind=fields.text("sku"),
         cell=fields.integer("unit_group"),
         weight=fields.number("heft"),
-        state=fields.choice("mode", STATES),
+        status=fields.choice("mode", STATES),
         started_us=fields.integer("started_at_us") if fields.has("started_at_us") else 0,
     )
 
@@ -73,7 +73,7 @@
 
 
 def _report(f: Fields, _: Settings) -> Event:
-    return HostReport(
+    return EndpointReport(
         f.count("host"),
         f.text("az"),
         f.count("number"),
@@ -105,7 +105,7 @@
 
 
 def _echo(f: Fields, _: Settings) -> Event:
-    return ProbeAnswered(
+    return HealthCheckCompleted(
         f.count("host"), f.choice("state_code", STATUSES), f.count("wait_time_us"), f.load("usage")
     )
 
@@ -123,7 +123,7 @@
     "timeout_fired": lambda f, _: TimerFired(f.text("name")),
     "subscribed": _joined,
     "detached": lambda f, _: ProxyLeft(f.count("client_lb")),
-    "acked": lambda f, _: OrdersApplied(
+    "acked": lambda f, _: OrdersAcknowledged(
         f.count("client_lb"), f.count("number"), f.count("wait_time_us")
     ),
     "stats": _report,
@@ -132,5 +132,5 @@
     "echo": _echo,
     "datagram": _datagram,
     "leased": lambda f, _: SliceLeased(f.count("route_table"), f.boolean("set")),
-    "in_store": lambda f, _: SliceLine(f.count("route_table"), f.count("host"), f.number("heft")),
+    "in_store": lambda f, _: SliceWeight(f.count("route_table"), f.count("host"), f.number("heft")),
 }
--- a/kelpcourse/simhost/server.py
+++ b/kelpcourse/simhost/server.py
@@ -7,12 +7,14 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import Protocol, TextIO
 
-from kelpcourse.decide import Director
-from kelpcourse.interface import Action, Event, Host, HostList, ListKind, Settings, Started
-from kelpcourse.simhost.actions import write_action, write_failure
-from kelpcourse.simhost.events import LIST_KINDS, READERS, read_host
 from kelpcourse.fields import Fields, WireError
+from kelpcourse.policy.actions import Action
+from kelpcourse.policy.controller import RoutingPolicy
+from kelpcourse.policy.events import Endpoint, EndpointList, EndpointListKind, Event, Started
+from kelpcourse.policy.settings import Settings
 from kelpcourse.settings import read_settings
+from kelpcourse.simhost.actions import write_action, write_failure
+from kelpcourse.simhost.events import LIST_KINDS, READERS, read_host
 
 
 class Decider(Protocol):
@@ -54,7 +56,7 @@
         self.lines = Lines(source)
         self._make = make
         self._instances: dict[int, Instance] = {}
-        self._lists: dict[int, tuple[Host, ...]] = {}
+        self._lists: dict[int, tuple[Endpoint, ...]] = {}
 
     def replies(self) -> Iterator[str]:
         while (line := self.lines.next()) is not None:
@@ -105,14 +107,14 @@
             raise WireError(f"field 'director_id' names no running instance: '{number}'")
         return self._instances[number]
 
-    def _members(self, fields: Fields) -> HostList:
+    def _members(self, fields: Fields) -> EndpointList:
         kind = fields.choice("scope", LIST_KINDS)
-        if kind is ListKind.UNAVAILABLE:
-            return HostList(kind, 0, ())
+        if kind is EndpointListKind.UNAVAILABLE:
+            return EndpointList(kind, 0, ())
         number = fields.count("roster_id")
         if number not in self._lists:
             raise WireError(f"field 'roster_id' names no list: '{number}'")
-        return HostList(kind, fields.integer("number"), self._lists[number])
+        return EndpointList(kind, fields.integer("number"), self._lists[number])
 
     def _answer(self, now_us: int) -> str:
         out = []
@@ -132,7 +134,7 @@
 
 
 def main() -> int:
-    adapter = Adapter(sys.stdin, Director)
+    adapter = Adapter(sys.stdin, RoutingPolicy)
     try:
         for reply in adapter.replies():
             sys.stdout.write(reply)
--- a/kelpcourse/wire/discovery.py
+++ b/kelpcourse/wire/discovery.py
@@ -5,24 +5,29 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from kelpcourse.facade import Unknown
-from kelpcourse.memory.hosts import Member, Phase
+from kelpcourse.facade import InvalidReportError
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.wire.fields import BadMessage, address, flag, json_object, number, text, whole
 from kelpcourse.wire.http import HttpClient, dial
 from kelpcourse.wire.loop import Routine, Task, Wait
-from kelpcourse.wire.parts import Backoff, Parts
+from kelpcourse.wire.runtime import Backoff, Runtime
 from kelpcourse.wire.stream import Act, Address, Broken
 
 HOSTS = "/discovery/hosts"
 TIME_MOST_MS = 1e15  # that the module's clock holds
-PHASES = {"ready": Phase.READY, "draining": Phase.DRAINING, "gone": Phase.GONE}
+PHASES = {
+    "ready": EndpointStatus.READY,
+    "draining": EndpointStatus.DRAINING,
+    "gone": EndpointStatus.GONE,
+}
 
 
 @dataclass(frozen=True)
 class HostsList:
     version: int
     whole: bool
-    members: tuple[Member, ...]
+    members: tuple[ListedEndpoint, ...]
 
 
 def read_list(fields: Mapping[str, object], on_bad: Callable[[BadMessage], None]) -> HostsList:
@@ -39,7 +44,7 @@
     return HostsList(whole(fields, "revision"), flag(fields, "complete"), tuple(members))
 
 
-def _member(entry: object) -> Member:
+def _member(entry: object) -> ListedEndpoint:
     if not isinstance(entry, dict):
         raise BadMessage("an entry of 'members' is not an object")
     phase = text(entry, "phase")
@@ -48,7 +53,7 @@
     up_since_ms = number(entry, "up_since_ms") if entry.get("up_since_ms") is not None else 0.0
     if up_since_ms >= TIME_MOST_MS:
         raise BadMessage(f"field 'up_since_ms' is no time: {up_since_ms}")
-    return Member(
+    return ListedEndpoint(
         text(entry, "id"),
         address(text(entry, "host_port"), "host_port"),
         text(entry, "locality"),
@@ -74,7 +79,7 @@
 class Discovery:
     """Makes the calls that the module asks for; each is answered to it exactly once."""
 
-    def __init__(self, parts: Parts, address: Address, version: int, spread: float = 0.0) -> None:
+    def __init__(self, parts: Runtime, address: Address, version: int, spread: float = 0.0) -> None:
         """`spread`: see Backoff; a new configuration moves the watches of all directors to one address at once."""
         self._parts = parts
         self._spread = spread
@@ -138,7 +143,7 @@
     def _until_lost(self, watch: Watch) -> Act[str]:
         try:
             yield from self._follow(watch)
-        except (Broken, BadMessage, Unknown) as error:
+        except (Broken, BadMessage, InvalidReportError) as error:
             return str(error)
         except Exception:  # the module must not wait for a watch that is no more
             self._watch = self._watch if self._watch is not watch else None
@@ -150,7 +155,7 @@
     def _run_fetch(self) -> Routine:
         try:
             yield from self._fetch_once()
-        except (Broken, BadMessage, Unknown) as error:
+        except (Broken, BadMessage, InvalidReportError) as error:
             self._lost("fetch", str(error))
         except Exception:
             self._lost("fetch", "a defect")
--- a/kelpcourse/wire/listener.py
+++ b/kelpcourse/wire/listener.py
@@ -7,12 +7,12 @@
 import os
 import socket
 
-from kelpcourse.facade import Unknown
+from kelpcourse.facade import InvalidReportError
 from kelpcourse.limits import Limits
 from kelpcourse.wire.buffers import Buffer, TooLong
 from kelpcourse.wire.fields import BadMessage
 from kelpcourse.wire.loop import READ, Routine, Task, Wait
-from kelpcourse.wire.parts import Parts
+from kelpcourse.wire.runtime import Runtime
 from kelpcourse.wire.stream import Address, Broken, Silent, Stream, family
 from kelpcourse.wire.text import (
     PONG,
@@ -70,7 +70,7 @@
 
 
 class Listener:
-    def __init__(self, parts: Parts, address: Address, sock: socket.socket | None = None) -> None:
+    def __init__(self, parts: Runtime, address: Address, sock: socket.socket | None = None) -> None:
         """`sock`: listens there already."""
         self._sock = sock
         self._parts = parts
@@ -235,7 +235,7 @@
             guest.heard_us = self._parts.clock()
         except Unreadable:
             raise
-        except (BadMessage, Unknown) as error:
+        except (BadMessage, InvalidReportError) as error:
             if not guest.zone:
                 raise Stranger(str(error)) from None
             self._parts.bad_message("guest", error)
--- a/kelpcourse/wire/probes.py
+++ b/kelpcourse/wire/probes.py
@@ -4,11 +4,11 @@
 
 from collections import deque
 
-from kelpcourse.facade import Unknown
+from kelpcourse.facade import InvalidReportError
 from kelpcourse.wire.fields import BadMessage, json_object, number
 from kelpcourse.wire.http import dial
 from kelpcourse.wire.loop import Routine
-from kelpcourse.wire.parts import Parts
+from kelpcourse.wire.runtime import Runtime
 from kelpcourse.wire.stream import Act, Address, Broken, Refused, Silent
 
 LOAD = "/metrics/load"
@@ -31,7 +31,7 @@
 
 
 class Probes:
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: Runtime) -> None:
         self._parts = parts
         self._running = 0
         self._waiting: deque[tuple[str, Address]] = deque()
@@ -90,5 +90,5 @@
         self._parts.counters.add(f"probes_{outcome}")
         try:
             self._parts.facade.report_probe(host, outcome, took_us, load)
-        except Unknown as error:
+        except InvalidReportError as error:
             self._parts.bad_message("probe", error)
--- a/kelpcourse/wire/relay_calls.py
+++ b/kelpcourse/wire/relay_calls.py
@@ -4,12 +4,11 @@
 
 from collections.abc import Callable
 
+from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.orders import Order
-from kelpcourse.memory.outbox import Outbox
 from kelpcourse.wire.fields import BadMessage
 from kelpcourse.wire.http import HttpClient, dial
 from kelpcourse.wire.loop import READ, Routine, Signal, Wait, Woken
-from kelpcourse.wire.parts import Backoff, Parts
 from kelpcourse.wire.relay_codec import (
     ORDERS_PATH,
     InvalidCall,
@@ -18,6 +17,7 @@
     encode_order,
     read_answer,
 )
+from kelpcourse.wire.runtime import Backoff, Runtime
 from kelpcourse.wire.stream import Act, Address, Broken
 
 
@@ -26,9 +26,9 @@
 
     def __init__(
         self,
-        parts: Parts,
+        parts: Runtime,
         address: Address,
-        outbox: Outbox,
+        outbox: OrderQueue,
         waiting: Signal,
         target: Callable[[], str | None] = lambda: ORDERS_PATH,
     ) -> None:
--- a/kelpcourse/wire/relay_codec.py
+++ b/kelpcourse/wire/relay_codec.py
@@ -7,7 +7,16 @@
 
 import orjson
 
-from kelpcourse.memory.orders import EmptyTable, Limit, Mark, Order, SetShare, ShutOut, UseTable
+from kelpcourse.memory.orders import (
+    BindProxy,
+    Checkpoint,
+    ClearTable,
+    Order,
+    RestoreEndpoint,
+    SetAdmission,
+    SetWeight,
+    WithdrawEndpoint,
+)
 from kelpcourse.memory.proxies import Applied, Joined, Left, News
 from kelpcourse.wire.fields import BadMessage, flag, json_object, number, text, whole
 
@@ -47,17 +56,19 @@
 
 def _fields(order: Order) -> dict[str, object]:
     match order:
-        case SetShare(table, host, share):
+        case SetWeight(table, host, share):
             return {"verb": "SET", "cluster": table, "host": host, "share": share}
-        case EmptyTable(table):
+        case ClearTable(table):
             return {"verb": "DEL", "cluster": table}
-        case UseTable(proxy, table, classes):
+        case BindProxy(proxy, table, classes):
             return {"verb": "USE", "sidecar": proxy, "cluster": table, **_for(classes)}
-        case ShutOut(host, out):
-            return {"verb": "OUT" if out else "IN", "host": host}
-        case Limit(None, classes, gate, again):
+        case WithdrawEndpoint(host):
+            return {"verb": "OUT", "host": host}
+        case RestoreEndpoint(host):
+            return {"verb": "IN", "host": host}
+        case SetAdmission(None, classes, gate, again):
             return {"verb": "LIMIT", "cluster": "*", **_for(classes), "gate": gate, "again": again}
-        case Limit(table, classes, gate, again):
+        case SetAdmission(table, classes, gate, again):
             return {
                 "verb": "LIMIT",
                 "cluster": table,
@@ -65,7 +76,7 @@
                 "gate": gate,
                 "again": again,
             }
-        case Mark(stamp, everyone):
+        case Checkpoint(stamp, everyone):
             return {"verb": "SYNC", "stamp": stamp, "yes": int(everyone)}
 
 
@@ -77,7 +88,7 @@
     """As many orders as one call holds, one at least. A part of a batch ends in the batch's mark as well: each part
     is a message that proxies have to acknowledge."""
     encoded = [encode_order(order) for order in orders]
-    mark = encoded[-1] if isinstance(orders[-1], Mark) else b""
+    mark = encoded[-1] if isinstance(orders[-1], Checkpoint) else b""
     size, count = ENVELOPE_BYTES, 0
     for item in encoded:
         if size + len(item) + 1 + len(mark) + 1 > byte_limit and count:
--- a/kelpcourse/wire/relay_events.py
+++ b/kelpcourse/wire/relay_events.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Iterable
 
-from kelpcourse.facade import Unknown
-from kelpcourse.memory.outbox import Outbox
+from kelpcourse.facade import InvalidReportError
+from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.proxies import Applied, Joined, Left, News, Proxies
 from kelpcourse.wire.fields import BadMessage, NotJson
 from kelpcourse.wire.http import dial
 from kelpcourse.wire.loop import Routine, Signal, Wait
-from kelpcourse.wire.parts import Backoff, Parts
 from kelpcourse.wire.relay_codec import EVENTS_PATH, read_event
+from kelpcourse.wire.runtime import Backoff, Runtime
 from kelpcourse.wire.stream import Act, Address, Broken
 
 
@@ -21,9 +21,9 @@
 
     def __init__(
         self,
-        parts: Parts,
+        parts: Runtime,
         address: Address,
-        outbox: Outbox,
+        outbox: OrderQueue,
         reachable: Signal,
         target: str = EVENTS_PATH,
     ) -> None:
@@ -109,7 +109,7 @@
         for event in changes:
             try:
                 self._report_one(event)
-            except Unknown as error:
+            except InvalidReportError as error:
                 self._parts.bad_message("relay", error)
 
     def _report_one(self, event: News) -> None:
--- a/kelpcourse/wire/parts.py
+++ b/kelpcourse/wire/runtime.py
@@ -7,23 +7,23 @@
 from typing import Protocol
 
 from kelpcourse.facade import Facade
-from kelpcourse.memory.counters import Counters
 from kelpcourse.limits import Limits
+from kelpcourse.memory.counters import Counters
 from kelpcourse.wire.loop import Loop
 
 
-class LogLike(Protocol):
+class EventLog(Protocol):
     def event(self, name: str, **fields: object) -> None: ...
 
     def always(self, name: str, **fields: object) -> None: ...
 
 
 @dataclass(frozen=True)
-class Parts:
+class Runtime:
     facade: Facade
     limits: Limits
     counters: Counters
-    log: LogLike
+    log: EventLog
     loop: Loop
 
     @property
--- a/kelpcourse/zones/desk.py
+++ b/kelpcourse/zones/desk.py
@@ -25,7 +25,7 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.wire.parts import LogLike
+from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.answer import fill, look_up
 from kelpcourse.zones.content import SOA, Difference, data_of, soa_of
@@ -101,7 +101,7 @@
         keys: Mapping[str, dns.tsig.Key],
         limits: Limits,
         counters: Counters,
-        log: LogLike,
+        log: EventLog,
         backstage: Backstage,
     ) -> None:
         self._zones = zones
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -20,7 +20,7 @@
 from kelpcourse.memory.counters import Counters
 from kelpcourse.wire.buffers import Buffer, TooLong
 from kelpcourse.wire.loop import READ, Loop, Routine, Signal, Wait, Woken
-from kelpcourse.wire.parts import LogLike
+from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.stream import Act, Broken, Silent, connect, family
 from kelpcourse.wire.worker import in_thread
 from kelpcourse.zones.answer import rrset_of
@@ -42,7 +42,7 @@
 class Asker:
     """Questions to other servers."""
 
-    def __init__(self, loop: Loop, limits: Limits, counters: Counters, log: LogLike) -> None:
+    def __init__(self, loop: Loop, limits: Limits, counters: Counters, log: EventLog) -> None:
         self.loop = loop
         self.limits = limits
         self.counters = counters
--- a/kelpcourse/zones/grants.py
+++ b/kelpcourse/zones/grants.py
@@ -12,7 +12,8 @@
 
 import dns.rdatatype
 
-from kelpcourse.memory.hosts import Member, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.content import SOA, Difference, type_name
 from kelpcourse.zones.errors import BadZone
 from kelpcourse.zones.names import is_under, labels, read_name
@@ -26,7 +27,7 @@
     zones: frozenset[str]  # empty: all
     kinds: frozenset[str]
 
-    def takes(self, member: Member) -> bool:
+    def takes(self, member: ListedEndpoint) -> bool:
         return (not self.zones or member.zone in self.zones) and (
             not self.kinds or member.kind in self.kinds
         )
@@ -86,11 +87,14 @@
     def __init__(self, remember_us: int) -> None:
         self._remember_us = remember_us
         self._lost: dict[
-            str, tuple[int, Member]
+            str, tuple[int, ListedEndpoint]
         ] = {}  # when, and as what, a host stopped being ready
 
     def note(
-        self, before: Mapping[str, Member | None], changes: Mapping[str, Member | None], now_us: int
+        self,
+        before: Mapping[str, ListedEndpoint | None],
+        changes: Mapping[str, ListedEndpoint | None],
+        now_us: int,
     ) -> None:
         """Hosts have changed so, from what they were before."""
         for name, member in changes.items():
@@ -105,19 +109,19 @@
                 break
             del self._lost[name]
 
-    def since(self, then_us: int) -> dict[str, Member]:
+    def since(self, then_us: int) -> dict[str, ListedEndpoint]:
         return {name: member for name, (when, member) in self._lost.items() if when >= then_us}
 
 
-def is_ready(member: Member | None) -> bool:
-    return member is not None and member.phase is Phase.READY
+def is_ready(member: ListedEndpoint | None) -> bool:
+    return member is not None and member.status is EndpointStatus.READY
 
 
 def refusal(
     grant: Grant,
     difference: Difference,
-    hosts: Mapping[str, Member],
-    changes: Mapping[str, Member | None],
+    hosts: Mapping[str, ListedEndpoint],
+    changes: Mapping[str, ListedEndpoint | None],
     losses: Losses,
     classes: Sequence[HostClass],
     now_us: int,
@@ -151,7 +155,7 @@
     return ""
 
 
-def bare(classes: Sequence[HostClass], hosts: Iterable[Member]) -> list[str]:
+def bare(classes: Sequence[HostClass], hosts: Iterable[ListedEndpoint]) -> list[str]:
     """Classes that no ready host is left for."""
     left = [member for member in hosts if is_ready(member)]
     return [cls.name for cls in classes if not any(cls.takes(member) for member in left)]
--- a/kelpcourse/zones/held.py
+++ b/kelpcourse/zones/held.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from kelpcourse.limits import Limits
-from kelpcourse.memory.hosts import Member
+from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.zones.belief import Belief, Version
 from kelpcourse.zones.content import Difference, Draft, Zone, between
 from kelpcourse.zones.errors import BadZone
@@ -15,7 +15,7 @@
 from kelpcourse.zones.history import History
 from kelpcourse.zones.meaning import Meaning
 
-Changes = dict[str, Member | None]
+Changes = dict[str, ListedEndpoint | None]
 
 
 class HeldZone:
--- a/kelpcourse/zones/meaning.py
+++ b/kelpcourse/zones/meaning.py
@@ -19,7 +19,8 @@
 import dns.name
 import dns.rdatatype
 
-from kelpcourse.memory.hosts import Member, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.content import Difference, Record, Zone
 from kelpcourse.zones.errors import BadZone
 from kelpcourse.zones.names import canonical, is_under, labels, read_name, relative
@@ -29,7 +30,7 @@
 AAAA = int(dns.rdatatype.AAAA)
 TXT = int(dns.rdatatype.TXT)
 SRV_HEAD = struct.Struct(">HHH")
-PHASES = {"ready": Phase.READY, "draining": Phase.DRAINING}
+PHASES = {"ready": EndpointStatus.READY, "draining": EndpointStatus.DRAINING}
 KIND_UNTOLD = "default"
 COUNT_MOST = 1 << 53
 PLAIN = frozenset(b"abcdefghijklmnopqrstuvwxyz0123456789-_.")
@@ -66,30 +67,30 @@
         self._service = labels(read_name(service, "service"))
         self._places: dict[str, set[Place]] = {}  # by target
         self._loose: dict[str, set[Problem]] = {}  # SRV owners with records that name no host
-        self.hosts: dict[str, Member] = {}
-        self.before: dict[str, Member | None] = {}  # what the hosts of the last change were
+        self.hosts: dict[str, ListedEndpoint] = {}
+        self.before: dict[str, ListedEndpoint | None] = {}  # what the hosts of the last change were
         self._problems: dict[str, tuple[Problem, ...]] = {}  # by target
 
     def problems(self) -> list[Problem]:
         found = [p for told in self._problems.values() for p in told]
         return sorted([*found, *(p for told in self._loose.values() for p in told)])
 
-    def start(self, zone: Zone) -> dict[str, Member | None]:
+    def start(self, zone: Zone) -> dict[str, ListedEndpoint | None]:
         return self._take((), zone.records(), zone)
 
-    def take(self, difference: Difference, zone: Zone) -> dict[str, Member | None]:
+    def take(self, difference: Difference, zone: Zone) -> dict[str, ListedEndpoint | None]:
         """What changes for hosts, by id; None: gone. `zone` is the version after the difference."""
         return self._take(difference.removed, difference.added, zone)
 
     def _take(
         self, removed: Iterable[Record], added: Iterable[Record], zone: Zone
-    ) -> dict[str, Member | None]:
+    ) -> dict[str, ListedEndpoint | None]:
         touched: dict[str, None] = {}
         for record in removed:
             self._touch(record, touched, False)
         for record in added:
             self._touch(record, touched, True)
-        out: dict[str, Member | None] = {}
+        out: dict[str, ListedEndpoint | None] = {}
         self.before = {}
         for target in touched:
             self._weigh(target, zone, out)
@@ -135,7 +136,7 @@
             raise BadZone(f"target {target} is not below {self.origin}")
         return target, Place(priority, room[0], port, weight, record.owner)
 
-    def _weigh(self, target: str, zone: Zone, out: dict[str, Member | None]) -> None:
+    def _weigh(self, target: str, zone: Zone, out: dict[str, ListedEndpoint | None]) -> None:
         """What stands of one target now."""
         name = relative(target, self.origin)
         problems: list[Problem] = []
@@ -152,7 +153,9 @@
         else:
             self.hosts[name] = member
 
-    def _member(self, name: str, target: str, zone: Zone, problems: list[Problem]) -> Member | None:
+    def _member(
+        self, name: str, target: str, zone: Zone, problems: list[Problem]
+    ) -> ListedEndpoint | None:
         places = sorted(self._places.get(target, ()))
         if not places:  # announced by nobody: an address alone is no host
             return None
@@ -176,7 +179,7 @@
             )
             return None
         words = self._words(target, zone, problems)
-        return Member(
+        return ListedEndpoint(
             name,
             (address, place.port),
             place.room,
@@ -217,7 +220,7 @@
 
     kind: str = KIND_UNTOLD
     cell: int = 0
-    phase: Phase = Phase.READY
+    phase: EndpointStatus = EndpointStatus.READY
     started_ms: int = 0  # Unix time; 0: long ago
 
 
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -10,7 +10,7 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.memory.hosts import Member
+from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.service.clock import Clock
 from kelpcourse.service.process import kept
 from kelpcourse.store.folder import Folder, InUse
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Checked:
-    hosts: list[Member]
+    hosts: list[ListedEndpoint]
     problems: list[str]
 
 
@@ -60,7 +60,7 @@
     return replay
 
 
-def hosts_of(zones: Iterable[HeldZone]) -> list[Member]:
+def hosts_of(zones: Iterable[HeldZone]) -> list[ListedEndpoint]:
     """The list as the decision module would be told it."""
     known = list(zones)
     union = Union([zone.origin for zone in known], 0, 1 << 20)
@@ -69,17 +69,17 @@
     return sorted(union.members.values(), key=lambda m: m.name)
 
 
-def entry(member: Member) -> dict[str, object]:
+def entry(member: ListedEndpoint) -> dict[str, object]:
     """As discovery has it."""
-    since = int(member.up_since_ms) if member.up_since_ms.is_integer() else member.up_since_ms
+    since = int(member.started_ms) if member.started_ms.is_integer() else member.started_ms
     return {
         "id": member.name,
         "host_port": shown(member.address),
         "locality": member.zone,
         "flavor": member.kind,
         "cell": member.cell,
-        "phase": member.phase.value,
-        "size": member.size,
+        "phase": member.status.value,
+        "size": member.weight,
         "up_since_ms": since,
     }
 
@@ -110,7 +110,7 @@
 
     always = event
 
-    def listed(self, members: Sequence[Member], version: int, whole: bool) -> None:
+    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
         pass
 
     def lost(self) -> None:
--- a/kelpcourse/zones/server.py
+++ b/kelpcourse/zones/server.py
@@ -7,14 +7,14 @@
 from collections import deque
 from collections.abc import Iterable, Iterator
 
+from kelpcourse.limits import Limits
+from kelpcourse.memory.counters import Counters
 from kelpcourse.wire.buffers import Buffer, TooLong
 from kelpcourse.wire.listener import listen
 from kelpcourse.wire.loop import READ, Loop, Routine, Signal, Task, Wait, Woken
+from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.stream import Act, Address, Broken, Stream, family
 from kelpcourse.zones.desk import HEAD, Desk
-from kelpcourse.limits import Limits
-from kelpcourse.memory.counters import Counters
-from kelpcourse.wire.parts import LogLike
 
 MESSAGE = 2 + 65_535  # with its length, over TCP
 READ_LEAST = 512
@@ -76,7 +76,7 @@
         loop: Loop,
         limits: Limits,
         counters: Counters,
-        log: LogLike,
+        log: EventLog,
         desk: Desk,
         sockets: tuple[socket.socket, socket.socket],
     ) -> None:
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -13,14 +13,14 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.memory.hosts import Member
+from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.store.commit import Settled
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.journal import Journal
 from kelpcourse.store.spool import commands, write_whole
-from kelpcourse.wire.storage import Thread, Writer
 from kelpcourse.wire.loop import Loop, Routine, Signal, Wait
-from kelpcourse.wire.parts import LogLike
+from kelpcourse.wire.runtime import EventLog
+from kelpcourse.wire.storage import Thread, Writer
 from kelpcourse.wire.stream import Act
 from kelpcourse.wire.worker import in_thread
 from kelpcourse.zones.belief import Verdict, Version
@@ -50,7 +50,7 @@
 class Sink(Protocol):
     """Who is steered by the list."""
 
-    def listed(self, members: Sequence[Member], version: int, whole: bool) -> None: ...
+    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None: ...
 
     def lost(self) -> None: ...
 
@@ -62,7 +62,7 @@
     loop: Loop
     limits: Limits
     counters: Counters
-    log: LogLike
+    log: EventLog
     keep: Callable[[str, Callable[[], Routine]], None]  # runs a routine that may not end
 
 
--- a/kelpcourse/zones/source.py
+++ b/kelpcourse/zones/source.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable, Sequence
 
-from kelpcourse.interface import Settings
-from kelpcourse.memory.hosts import Member
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.settings import Settings
 from kelpcourse.wire.loop import Routine
-from kelpcourse.wire.parts import Parts
+from kelpcourse.wire.runtime import Runtime
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.grants import HostClass
 from kelpcourse.zones.service import Around, Zones
@@ -20,14 +20,14 @@
 
     def __init__(
         self,
-        parts: Parts,
+        parts: Runtime,
         settings: Settings,
         zones: ZonesSettings,
         keep: Callable[[str, Callable[[], Routine]], None],
     ) -> None:
         self._parts = parts
         classes = tuple(
-            HostClass(cls.name, cls.only_zones, cls.only_kinds) for cls in settings.classes
+            HostClass(cls.name, cls.allowed_zones, cls.allowed_kinds) for cls in settings.classes
         )
         around = Around(parts.loop, parts.limits, parts.counters, parts.log, keep)
         self.zones = Zones(zones, around, self, classes, settings.drain_grace_us)
@@ -58,7 +58,7 @@
         else:
             self.lost()
 
-    def listed(self, members: Sequence[Member], version: int, whole: bool) -> None:
+    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
         self._parts.log.event("list", version=version, whole=whole, hosts=len(members))
         self._parts.facade.report_list(members, version, whole)
 
--- a/kelpcourse/zones/standalone.py
+++ b/kelpcourse/zones/standalone.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 
 from kelpcourse.limits import Limits
-from kelpcourse.memory.hosts import Member
+from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.service.process import Process
 from kelpcourse.zones.service import Around, Zones
 from kelpcourse.zones.settings import ZonesSettings
@@ -20,7 +20,7 @@
         around = Around(self.loop, limits, self._process.counters, self.log, self._process.keep)
         self.zones = Zones(settings, around, self)
 
-    def listed(self, members: Sequence[Member], version: int, whole: bool) -> None:
+    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
         self.log.event("list", version=version, whole=whole, hosts=len(members))
 
     def lost(self) -> None:
--- a/kelpcourse/zones/union.py
+++ b/kelpcourse/zones/union.py
@@ -11,7 +11,8 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, replace
 
-from kelpcourse.memory.hosts import Member, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.events import EndpointStatus
 
 
 @dataclass(frozen=True)
@@ -32,8 +33,8 @@
         self._sources = list(sources)
         self._grace_us = grace_us
         self._remember = remember
-        self._told: dict[str, dict[str, Member]] = {source: {} for source in sources}
-        self.members: dict[str, Member] = {}
+        self._told: dict[str, dict[str, ListedEndpoint]] = {source: {} for source in sources}
+        self.members: dict[str, ListedEndpoint] = {}
         self._gone_us: dict[str, int] = {}  # in the order they went
         self._returned_ms: dict[str, int] = {}
         self._conflicts: dict[str, tuple[str, ...]] = {}
@@ -65,8 +66,8 @@
         self._unavailable.add(source)
 
     def take(
-        self, source: str, changes: Mapping[str, Member | None], now_us: int, unix_ms: int
-    ) -> tuple[list[Member], list[Conflict]]:
+        self, source: str, changes: Mapping[str, ListedEndpoint | None], now_us: int, unix_ms: int
+    ) -> tuple[list[ListedEndpoint], list[Conflict]]:
         """What the list's readers are told, as one change: entries as they are now, or as gone."""
         told = self._told[source]
         for name, member in changes.items():
@@ -74,7 +75,7 @@
                 told.pop(name, None)
             else:
                 told[name] = member
-        out: list[Member] = []
+        out: list[ListedEndpoint] = []
         conflicts: list[Conflict] = []
         for name in changes:
             out += self._settle(name, now_us, unix_ms, conflicts)
@@ -83,7 +84,7 @@
 
     def _settle(
         self, name: str, now_us: int, unix_ms: int, conflicts: list[Conflict]
-    ) -> Iterable[Member]:
+    ) -> Iterable[ListedEndpoint]:
         views = [(source, told[name]) for source, told in self._told.items() if name in told]
         self._note_conflict(name, views, conflicts)
         was = self.members.get(name)
@@ -92,7 +93,7 @@
                 return ()
             del self.members[name]
             self._went(name, now_us)
-            return (replace(was, phase=Phase.GONE),)
+            return (replace(was, status=EndpointStatus.GONE),)
         if was is None:
             self._came(name, now_us, unix_ms)
         merged = self._merged(name, [member for _, member in views])
@@ -101,11 +102,13 @@
         self.members[name] = merged
         return (merged,)
 
-    def _merged(self, name: str, views: Sequence[Member]) -> Member:
-        drains = any(view.phase is Phase.DRAINING for view in views)
-        started = max(max(view.up_since_ms for view in views), self._returned_ms.get(name, 0))
+    def _merged(self, name: str, views: Sequence[ListedEndpoint]) -> ListedEndpoint:
+        drains = any(view.status is EndpointStatus.DRAINING for view in views)
+        started = max(max(view.started_ms for view in views), self._returned_ms.get(name, 0))
         return replace(
-            views[0], phase=Phase.DRAINING if drains else Phase.READY, up_since_ms=started
+            views[0],
+            status=EndpointStatus.DRAINING if drains else EndpointStatus.READY,
+            started_ms=started,
         )
 
     def _went(self, name: str, now_us: int) -> None:
@@ -121,9 +124,11 @@
             self._returned_ms[name] = unix_ms
 
     def _note_conflict(
-        self, name: str, views: Sequence[tuple[str, Member]], conflicts: list[Conflict]
+        self, name: str, views: Sequence[tuple[str, ListedEndpoint]], conflicts: list[Conflict]
     ) -> None:
-        alike = {replace(member, phase=Phase.READY, up_since_ms=0.0) for _, member in views}
+        alike = {
+            replace(member, status=EndpointStatus.READY, started_ms=0.0) for _, member in views
+        }
         sources = tuple(source for source, _ in views) if len(alike) > 1 else ()
         if sources == self._conflicts.get(name, ()):
             return
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -6,115 +6,128 @@
 from dataclasses import replace
 from typing import Any, TypeVar
 
-from kelpcourse.decide import Director
-from kelpcourse.interface import (
+from kelpcourse.policy.actions import (
     Action,
-    Admission,
+    RestoreEndpoint,
+    SetAdmission,
+    SetTimer,
+    SetWeight,
+    WithdrawEndpoint,
+)
+from kelpcourse.policy.controller import RoutingPolicy
+from kelpcourse.policy.events import (
     DemandReport,
-    Effect,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointReport,
+    EndpointStatus,
     Event,
-    Host,
-    HostList,
-    HostReport,
-    HostState,
-    ListKind,
-    OrdersApplied,
+    OrdersAcknowledged,
     ProxyJoined,
-    RequestClass,
-    Retry,
-    Scope,
-    SetLevel,
-    SetLine,
-    SetTimer,
-    Settings,
     Started,
     TimerFired,
 )
+from kelpcourse.policy.settings import (
+    AdmissionMode,
+    DeduplicationScope,
+    Idempotency,
+    RequestClass,
+    RetryPolicy,
+    Settings,
+)
 
 SECOND = 1_000_000
 A = TypeVar("A")
 
 READ = RequestClass(
     name="read",
-    aim_us=1_000_000,
+    latency_objective_us=1_000_000,
     deadline_us=3_000_000,
-    worth=1.0,
-    effect=Effect.SAFE,
-    repeat_scope=Scope.ALL,
-    repeat_window_us=0,
-    only_zones=frozenset(),
-    only_kinds=frozenset(),
-    zone_bound=False,
-    writes=False,
+    priority_weight=1.0,
+    idempotency=Idempotency.IDEMPOTENT,
+    deduplication_scope=DeduplicationScope.ALL,
+    deduplication_window_us=0,
+    allowed_zones=frozenset(),
+    allowed_kinds=frozenset(),
+    same_zone_only=False,
+    is_write=False,
+)
+WRITE = replace(
+    READ, name="write", priority_weight=4.0, idempotency=Idempotency.NOT_IDEMPOTENT, is_write=True
 )
-WRITE = replace(READ, name="write", worth=4.0, effect=Effect.UNSAFE, writes=True)
 
 SETTINGS = Settings(
-    director=0,
-    directors=1,
+    controller_index=0,
+    controller_count=1,
     zone="east",
     zones=("east", "west"),
     classes=(READ, WRITE),
-    must_ask=False,
-    ask_within_us=0,
-    load_inline=False,
-    load_on_probe=False,
-    load_names=(),
-    probing=False,
-    peers=False,
-    admission=Admission.SHARE,
-    usual_retry=Retry.PROVEN_UNRUN,
-    slices=0,
-    single_owner=False,
-    proxies=4,
+    discovery_is_polled=False,
+    discovery_poll_deadline_us=0,
+    load_reports_inline=False,
+    load_reports_on_health_check=False,
+    load_report_names=(),
+    health_checks_allowed=False,
+    peer_messages_allowed=False,
+    admission_mode=AdmissionMode.RATIO,
+    default_retry_policy=RetryPolicy.IF_NOT_EXECUTED,
+    slice_count=0,
+    has_single_owner=False,
+    proxy_count=4,
     report_period_us=SECOND,
-    channel_lines_per_s=3000.0,
-    channel_backlog=3000.0,
-    message_head=6.0,
-    connections_least=500.0,
-    messages_most=0,
-    messages_over_us=10 * SECOND,
-    transit_mean_us=200_000,
-    transit_longest_us=600_000,
-    full_may_have_run=True,
+    delivery_entries_per_s=3000.0,
+    max_backlog_entries=3000.0,
+    message_overhead_entries=6.0,
+    min_endpoint_connections=500.0,
+    max_messages_per_proxy=0,
+    message_window_us=10 * SECOND,
+    mean_transit_us=200_000,
+    max_transit_us=600_000,
+    queue_full_may_have_executed=True,
     only_draining_binds=False,
-    bare_limit_us=5 * SECOND,
+    max_unserved_us=5 * SECOND,
     drain_grace_us=2 * SECOND,
-    cold_from=0.2,
-    cold_us=12 * SECOND,
-    fall_multiple=3.0,
-    fall_us=2 * SECOND,
+    warm_up_min_capacity=0.2,
+    warm_up_us=12 * SECOND,
+    overload_factor=3.0,
+    overload_tolerance_us=2 * SECOND,
 )
 
 
 def host(
     number: int,
     zone: str = "east",
-    state: HostState = HostState.READY,
+    state: EndpointStatus = EndpointStatus.READY,
     started: int = 0,
     kind: str = "std",
     weight: float = 1.0,
-) -> Host:
-    return Host(number, zone, kind, 0, weight, state, started)
+) -> Endpoint:
+    return Endpoint(number, zone, kind, 0, weight, state, started)
 
 
-def hosts(count: int, first: int = 100) -> list[Host]:
+def hosts(count: int, first: int = 100) -> list[Endpoint]:
     return [host(first + k, "east" if k % 2 == 0 else "west") for k in range(count)]
 
 
-def full(listed: Iterable[Host], version: int = 1) -> HostList:
-    return HostList(ListKind.FULL, version, tuple(listed))
+def full(listed: Iterable[Endpoint], version: int = 1) -> EndpointList:
+    return EndpointList(EndpointListKind.FULL, version, tuple(listed))
 
 
-def changes(listed: Iterable[Host], version: int = 2) -> HostList:
-    return HostList(ListKind.CHANGES, version, tuple(listed))
+def changes(listed: Iterable[Endpoint], version: int = 2) -> EndpointList:
+    return EndpointList(EndpointListKind.CHANGES, version, tuple(listed))
 
 
 def only(actions: Iterable[Action], kind: type[A]) -> list[A]:
     return [action for action in actions if isinstance(action, kind)]
 
 
-class LongTables(Director):
+def endpoint_orders(actions: Iterable[Action]) -> list[WithdrawEndpoint | RestoreEndpoint]:
+    """The orders that withdraw and restore endpoints."""
+    return [a for a in actions if isinstance(a, WithdrawEndpoint | RestoreEndpoint)]
+
+
+class LongTables(RoutingPolicy):
     """Tables as long as connections allow: bindings take most of a grace, so that every defence is needed."""
 
     def _lay_out(self, hosts: int) -> None:
@@ -128,11 +141,11 @@
     def __init__(
         self,
         settings: Settings = SETTINGS,
-        listed: Sequence[Host] = (),
+        listed: Sequence[Endpoint] = (),
         start: int = 50 * SECOND,
         proxies: int = 4,
         answers: bool = True,
-        make: Callable[[Settings], Director] = Director,
+        make: Callable[[Settings], RoutingPolicy] = RoutingPolicy,
     ) -> None:
         self.settings = settings
         self.director = make(settings)
@@ -144,7 +157,7 @@
         self.levels: dict[int, float] = dict.fromkeys(range(len(settings.classes)), 1.0)
         self.log: list[tuple[int, Action]] = []
         self.late: list[Event] = []
-        self.send(Started(7), HostList(ListKind.RESTORED, 1, tuple(listed)))
+        self.send(Started(7), EndpointList(EndpointListKind.RESTORED, 1, tuple(listed)))
         self.send(
             *(
                 ProxyJoined(p, settings.zones[p % len(settings.zones)], 10.0, True)
@@ -162,24 +175,24 @@
     def _apply(self, action: Any) -> None:
         if isinstance(action, SetTimer):
             self.timers.append(action)
-        elif isinstance(action, SetLine):
+        elif isinstance(action, SetWeight):
             table = self.tables.setdefault(action.table, {})
-            table.pop(action.host, None)
+            table.pop(action.endpoint, None)
             if action.weight > 0:
-                table[action.host] = action.weight
-        elif isinstance(action, SetLevel):
+                table[action.endpoint] = action.weight
+        elif isinstance(action, SetAdmission):
             for position in action.classes:
-                self.levels[position] = action.level
+                self.levels[position] = action.limit
         elif type(action).__name__ == "Checkpoint" and self.answers:
-            self.late += [OrdersApplied(p, action.number, 200_000) for p in self.joined]
+            self.late += [OrdersAcknowledged(p, action.checkpoint_id, 200_000) for p in self.joined]
 
     def until(self, when: int) -> list[Action]:
         """Lets the clock run to `when`, firing timers and acknowledging orders on the way."""
         out: list[Action] = []
-        while self.timers and min(t.at_us for t in self.timers) <= when:
-            timer = min(self.timers, key=lambda t: t.at_us)
+        while self.timers and min(t.due_us for t in self.timers) <= when:
+            timer = min(self.timers, key=lambda t: t.due_us)
             self.timers.remove(timer)
-            self.now = max(self.now, timer.at_us)
+            self.now = max(self.now, timer.due_us)
             late, self.late = self.late, []
             out += self.send(*late, TimerFired(timer.name))
         self.now = max(self.now, when)
@@ -187,7 +200,7 @@
 
     def second(
         self,
-        listed: Iterable[Host],
+        listed: Iterable[Endpoint],
         time_us: int = 200_000,
         failed: dict[int, float] | None = None,
         times: dict[int, int] | None = None,
@@ -204,7 +217,7 @@
             lost = round(tries * share)
             mean = (times or {}).get(h.id, time_us) if lost < tries else 0
             report = (load or {}).get(h.id, ())
-            events.append(HostReport(h.id, "east", tries, lost, SECOND, mean, report))
+            events.append(EndpointReport(h.id, "east", tries, lost, SECOND, mean, report))
         for proxy in self.joined:
             events += [
                 DemandReport(proxy, k, n, unanswered * (not k), SECOND)
--- a/tests/massworld.py
+++ b/tests/massworld.py
@@ -12,19 +12,17 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from kelpcourse.interface import (
+from kelpcourse.policy.actions import (
     Action,
     BindProxy,
     Checkpoint,
-    HostState,
-    OrdersApplied,
-    ProxyJoined,
-    ProxyLeft,
-    SetLevel,
-    SetLine,
-    Settings,
-    Withdraw,
+    RestoreEndpoint,
+    SetAdmission,
+    SetWeight,
+    WithdrawEndpoint,
 )
+from kelpcourse.policy.events import EndpointStatus, OrdersAcknowledged, ProxyJoined, ProxyLeft
+from kelpcourse.policy.settings import Settings
 from tests.fleet import SECOND, host
 
 SLACK_US = 300_000  # of time limits on sockets, by the protocol
@@ -134,9 +132,9 @@
                 case "SYNC", _:
                     to(list(given), order)
         for proxy, words in given.items():
-            cost = lines[proxy] + self.settings.message_head
+            cost = lines[proxy] + self.settings.message_overhead_entries
             self.ends_us = max(now_us, self.ends_us) + int(
-                cost * SECOND / self.settings.channel_lines_per_s
+                cost * SECOND / self.settings.delivery_entries_per_s
             )
             self.channel.append(Message(self.ends_us, proxy, cost, words))
             self._write(now_us, self.forwarders[proxy], proxy)
@@ -147,9 +145,9 @@
         return at in forwarder.standing
 
     def _write(self, now_us: int, forwarder: Forwarder, proxy: int) -> None:
-        times, most = forwarder.written_us, self.settings.messages_most
+        times, most = forwarder.written_us, self.settings.max_messages_per_proxy
         times.append(now_us)
-        while times[0] <= now_us - self.settings.messages_over_us:
+        while times[0] <= now_us - self.settings.message_window_us:
             times.popleft()
         if 0 < most < len(times):
             raise Broken(f"{len(times)} messages to proxy {proxy}")
@@ -158,7 +156,7 @@
         """Proxies and the stamps that they answer by now; raises Broken."""
         while self.channel and self.channel[0].ends_us <= now_us:
             message = self.channel.popleft()
-            self.under_way.append((message.ends_us + self.settings.transit_mean_us, message))
+            self.under_way.append((message.ends_us + self.settings.mean_transit_us, message))
         answers = []
         while self.under_way and self.under_way[0][0] <= now_us:
             message = self.under_way.popleft()[1]
@@ -185,8 +183,10 @@
     def check(self, now_us: int) -> None:
         waits = sum(message.lines for message in self.channel)
         self.most = max(self.most, waits)
-        if waits > self.settings.channel_backlog:
-            raise Broken(f"{waits:.0f} lines wait where {self.settings.channel_backlog:.0f} may")
+        if waits > self.settings.max_backlog_entries:
+            raise Broken(
+                f"{waits:.0f} lines wait where {self.settings.max_backlog_entries:.0f} may"
+            )
         grace_us = self.settings.drain_grace_us + SLACK_US
         late = {at: us for at, us in self.told_us.items() if us + grace_us < now_us}
         for proxy, f in self.forwarders.items() if late else ():
@@ -213,7 +213,7 @@
     def step(self, *events: Any) -> None:
         self.now += SECOND // 100
         answers = [
-            OrdersApplied(p, stamp, 1)
+            OrdersAcknowledged(p, stamp, 1)
             for p, stamp in self.world.advance(self.now)
             if p in self.world.forwarders
         ]
@@ -245,20 +245,22 @@
         self.step(*(ProxyLeft(p) for p in gone))
 
     def drain(self, numbers: Iterable[int], version: int) -> list[Any]:
-        listed = [host(n, self.hosts[n].zone, HostState.DRAINING) for n in numbers]
+        listed = [host(n, self.hosts[n].zone, EndpointStatus.DRAINING) for n in numbers]
         self.world.withdraw(self.now, [h.id for h in listed])
         return listed
 
 
 def words(action: Action) -> list[Order]:
     match action:
-        case SetLine(table, at, weight):
+        case SetWeight(table, at, weight):
             return [("SET", table, at, weight)]
         case BindProxy(proxy, table, _):
             return [("USE", proxy, table)]
-        case Withdraw(at, out):
-            return [("OUT", at, out)]
-        case SetLevel(table, _, _, _):
+        case WithdrawEndpoint(at):
+            return [("OUT", at, True)]
+        case RestoreEndpoint(at):
+            return [("OUT", at, False)]
+        case SetAdmission(table, _, _, _):
             return [("LIMIT", table)]
         case Checkpoint(number, _):
             return [("SYNC", number)]
--- a/tests/relays.py
+++ b/tests/relays.py
@@ -4,19 +4,19 @@
 
 import orjson
 
-from kelpcourse.memory.orders import Mark, Order, SetShare, UseTable
-from kelpcourse.memory.outbox import Outbox
+from kelpcourse.memory.order_queue import OrderQueue
+from kelpcourse.memory.orders import BindProxy, Checkpoint, Order, SetWeight
 from kelpcourse.wire.loop import Wait
 from kelpcourse.wire.stream import Act
 from tests.standins import MS, QUICK, Bench, Caller, StandIn
 
-SET = SetShare(0, "h1", 1.5)
-USE = UseTable(3, 0, ("read",))
-MARK = Mark(5, False)
+SET = SetWeight(0, "h1", 1.5)
+USE = BindProxy(3, 0, ("read",))
+MARK = Checkpoint(5, False)
 
 
-def outbox_of(*orders: Order) -> Outbox:
-    outbox = Outbox(QUICK.orders, QUICK.marks)
+def outbox_of(*orders: Order) -> OrderQueue:
+    outbox = OrderQueue(QUICK.orders, QUICK.marks)
     outbox.add(orders)
     return outbox
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -8,13 +8,15 @@
 import orjson
 
 from kelpcourse.facade import Facade
-from kelpcourse.interface import Action, Checkpoint, Event, OrdersDoubted, RepeatOrders, Settings
 from kelpcourse.lab.http import Caller, StandIn
-from kelpcourse.memory.counters import Counters
-from kelpcourse.memory.hosts import Member, Phase
 from kelpcourse.limits import Limits
+from kelpcourse.memory.counters import Counters
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.actions import Action, Checkpoint, ResendOrders
+from kelpcourse.policy.events import EndpointStatus, Event, OrdersOutcomeUnknown
+from kelpcourse.policy.settings import Settings
 from kelpcourse.wire.loop import Loop
-from kelpcourse.wire.parts import Parts
+from kelpcourse.wire.runtime import Runtime
 from kelpcourse.wire.stream import Address
 from tests.fleet import SETTINGS
 
@@ -74,7 +76,9 @@
 
     def step(self, _now_us: int, events: Iterable[Event]) -> list[Action]:
         self.steps.append(list(events))
-        doubted = [RepeatOrders() for event in self.steps[-1] if isinstance(event, OrdersDoubted)]
+        doubted = [
+            ResendOrders() for event in self.steps[-1] if isinstance(event, OrdersOutcomeUnknown)
+        ]
         return [*(self.ready.pop(0) if self.ready else []), *(doubted if self.repeats else [])]
 
     @property
@@ -93,7 +97,7 @@
         self.module = Script(settings)
         self.facade = Facade(settings, 7, limits, lambda _: self.module)
         self.counters = Counters()
-        self.parts = Parts(self.facade, limits, self.counters, self.log, self.loop)
+        self.parts = Runtime(self.facade, limits, self.counters, self.log, self.loop)
 
     def until(self, what: Callable[[], object], most: int = 4000) -> None:
         for _ in range(most):
@@ -125,8 +129,10 @@
             raise self.defects[0]
 
 
-def member(name: str, phase: Phase = Phase.READY, address: Address = ("127.0.0.1", 9)) -> Member:
-    return Member(name, address, "east", "std", 0, phase, 1.0, 0.0)
+def member(
+    name: str, phase: EndpointStatus = EndpointStatus.READY, address: Address = ("127.0.0.1", 9)
+) -> ListedEndpoint:
+    return ListedEndpoint(name, address, "east", "std", 0, phase, 1.0, 0.0)
 
 
 def entry(
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -12,10 +12,45 @@
 
 import pytest
 
-from kelpcourse import interface as api
-from kelpcourse.decide import Director
-from kelpcourse.simhost.actions import write_action
 from kelpcourse.fields import WireError
+from kelpcourse.policy.actions import (
+    Action,
+    BindProxy,
+    CheckHealth,
+    Checkpoint,
+    ClearTable,
+    FetchEndpoints,
+    LogMessage,
+    SendToPeer,
+    SetAdmission,
+    SetTimer,
+    SetWeight,
+    WatchEndpoints,
+    WithdrawEndpoint,
+)
+from kelpcourse.policy.controller import RoutingPolicy
+from kelpcourse.policy.events import (
+    DemandReport,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointReport,
+    EndpointStatus,
+    Event,
+    HealthCheckCompleted,
+    HealthCheckStatus,
+    OrdersAcknowledged,
+    PeerMessage,
+    ProxyJoined,
+    ProxyLeft,
+    SliceDemand,
+    SliceLeased,
+    SliceWeight,
+    Started,
+    TimerFired,
+)
+from kelpcourse.policy.settings import AdmissionMode, Idempotency, RetryPolicy, Settings
+from kelpcourse.simhost.actions import write_action
 from kelpcourse.simhost.server import Adapter
 
 ROOT = Path(__file__).parent.parent
@@ -53,18 +88,18 @@
 class Recorder:
     """Stands in for the module: keeps what it was told, answers as it is asked to."""
 
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.seen: list[tuple[int, list[api.Event]]] = []
+        self.seen: list[tuple[int, list[Event]]] = []
         made.append(self)
 
-    def step(self, now_us: int, events: Sequence[api.Event]) -> list[api.Action]:
+    def step(self, now_us: int, events: Sequence[Event]) -> list[Action]:
         self.seen.append((now_us, list(events)))
         return list(answers)
 
 
 made: list[Recorder] = []
-answers: list[api.Action] = []
+answers: list[Action] = []
 
 
 def play(*batches: str) -> list[str]:
@@ -72,7 +107,7 @@
     return list(Adapter(io.StringIO("".join(batches)), Recorder).replies())
 
 
-def events_of(*lines: str) -> list[api.Event]:
+def events_of(*lines: str) -> list[Event]:
     play(batch(1, *START), batch(2, *lines))
     return made[0].seen[1][1]
 
@@ -81,112 +116,114 @@
     play(batch(8412250, *START))
     settings = made[0].settings
     assert settings.zones == ("room-a", "room-b")
-    assert settings.must_ask
-    assert settings.ask_within_us == 10_000_000
-    assert settings.messages_most == 12
-    assert settings.load_on_probe
-    assert not settings.load_inline
+    assert settings.discovery_is_polled
+    assert settings.discovery_poll_deadline_us == 10_000_000
+    assert settings.max_messages_per_proxy == 12
+    assert settings.load_reports_on_health_check
+    assert not settings.load_reports_inline
     assert [c.name for c in settings.classes] == ["board-read", "move-submit"]
-    assert settings.classes[1].only_zones == frozenset({"room-a"})
-    assert settings.classes[1].effect is api.Effect.UNSAFE
-    assert settings.classes[1].writes
-    assert settings.admission is api.Admission.SHARE
+    assert settings.classes[1].allowed_zones == frozenset({"room-a"})
+    assert settings.classes[1].idempotency is Idempotency.NOT_IDEMPOTENT
+    assert settings.classes[1].is_write
+    assert settings.admission_mode is AdmissionMode.RATIO
     assert made[0].seen[0][0] == 8412250
 
 
 def test_start_and_list_reach_the_module_in_order() -> None:
     play(batch(1, *START))
     started, listed = made[0].seen[0][1]
-    assert started == api.Started(1167071214265485)
-    assert isinstance(listed, api.HostList)
-    assert listed.kind is api.ListKind.RESTORED
-    assert listed.hosts[0] == api.Host(51530247, "room-a", "large", 0, 1.0, api.HostState.READY, 0)
-    assert listed.hosts[1].started_us == 6100000
+    assert started == Started(1167071214265485)
+    assert isinstance(listed, EndpointList)
+    assert listed.kind is EndpointListKind.RESTORED
+    assert listed.endpoints[0] == Endpoint(
+        51530247, "room-a", "large", 0, 1.0, EndpointStatus.READY, 0
+    )
+    assert listed.endpoints[1].started_us == 6100000
 
 
 @pytest.mark.parametrize(
     ("line", "event"),
     [
-        ("timeout_fired director_id=3 name=sweep", api.TimerFired("sweep")),
+        ("timeout_fired director_id=3 name=sweep", TimerFired("sweep")),
         (
             "subscribed director_id=3 client_lb=41 az=room-a heft=6.5 set=1",
-            api.ProxyJoined(41, "room-a", 6.5, True),
+            ProxyJoined(41, "room-a", 6.5, True),
         ),
-        ("detached director_id=3 client_lb=41", api.ProxyLeft(41)),
+        ("detached director_id=3 client_lb=41", ProxyLeft(41)),
         (
             "acked director_id=3 client_lb=41 number=7 wait_time_us=300",
-            api.OrdersApplied(41, 7, 300),
+            OrdersAcknowledged(41, 7, 300),
         ),
         (
             "stats director_id=3 az=room-a number=14 failed=1 elapsed_us=1000000 wait_time_us=48250"
             " host=51530247 usage=inflight:7,util:0.5",
-            api.HostReport(
+            EndpointReport(
                 51530247, "room-a", 14, 1, 1_000_000, 48250, (("inflight", 7.0), ("util", 0.5))
             ),
         ),
         (
             "stats director_id=3 az=room-a number=0 failed=0 elapsed_us=1 wait_time_us=0 host=1",
-            api.HostReport(1, "room-a", 0, 0, 1, 0, ()),
+            EndpointReport(1, "room-a", 0, 0, 1, 0, ()),
         ),
         (
             "traffic director_id=3 failed=2 cls=move-submit client_lb=41 elapsed_us=2000000 number=9",
-            api.DemandReport(41, 1, 9, 2, 2_000_000),
+            DemandReport(41, 1, 9, 2, 2_000_000),
         ),
         (
             "slice_load director_id=3 cls=board-read route_table=5 failed=0 elapsed_us=9 number=4",
-            api.SliceDemand(5, 0, 4, 0, 9),
+            SliceDemand(5, 0, 4, 0, 9),
         ),
         (
             "echo director_id=3 wait_time_us=9 state_code=QueueFull host=51530247",
-            api.ProbeAnswered(51530247, api.ProbeStatus.FULL, 9, ()),
+            HealthCheckCompleted(51530247, HealthCheckStatus.FULL, 9, ()),
         ),
-        ("datagram director_id=3 who=2 payload=68692037", api.PeerMessage(2, b"hi 7")),
-        ("datagram director_id=3 who=2 payload=-", api.PeerMessage(2, b"")),
-        ("leased director_id=3 route_table=5 set=1", api.SliceLeased(5, True)),
+        ("datagram director_id=3 who=2 payload=68692037", PeerMessage(2, b"hi 7")),
+        ("datagram director_id=3 who=2 payload=-", PeerMessage(2, b"")),
+        ("leased director_id=3 route_table=5 set=1", SliceLeased(5, True)),
         (
             "in_store director_id=3 route_table=5 host=51530247 heft=0.5",
-            api.SliceLine(5, 51530247, 0.5),
+            SliceWeight(5, 51530247, 0.5),
         ),
         (
             "members director_id=3 scope=unavailable number=0 roster_id=0",
-            api.HostList(api.ListKind.UNAVAILABLE, 0, ()),
+            EndpointList(EndpointListKind.UNAVAILABLE, 0, ()),
         ),
     ],
 )
-def test_every_event_is_translated(line: str, event: api.Event) -> None:
+def test_every_event_is_translated(line: str, event: Event) -> None:
     assert events_of(line) == [event]
 
 
 @pytest.mark.parametrize(
     ("action", "line"),
     [
-        (api.SetTimer("tick", 99), "notify_me director_id=3 name=tick instant_us=99"),
-        (api.SetLine(117, 5, 0.75), "upsert director_id=3 route_table=117 host=5 heft=0.75"),
-        (api.SetLine(117, 5, 0.0), "upsert director_id=3 route_table=117 host=5 heft=0"),
-        (api.ClearTable(2), "empty director_id=3 route_table=2"),
+        (SetTimer("tick", 99), "notify_me director_id=3 name=tick instant_us=99"),
+        (SetWeight(117, 5, 0.75), "upsert director_id=3 route_table=117 host=5 heft=0.75"),
+        (SetWeight(117, 5, 0.0), "upsert director_id=3 route_table=117 host=5 heft=0"),
+        (ClearTable(2), "empty director_id=3 route_table=2"),
         (
-            api.BindProxy(41, 117, (0, 2)),
+            BindProxy(41, 117, (0, 2)),
             "point director_id=3 client_lb=41 route_table=117 classes=5",
         ),
         (
-            api.SetLevel(117, (1,), 0.75, api.Retry.PROVEN_UNRUN),
+            SetAdmission(117, (1,), 0.75, RetryPolicy.IF_NOT_EXECUTED),
             "throttle director_id=3 classes=2 on_failure=1 quota=0.75 route_table=117",
         ),
         (
-            api.SetLevel(None, (), 1.0, api.Retry.NEVER),
+            SetAdmission(None, (), 1.0, RetryPolicy.NEVER),
             "throttle director_id=3 classes=0 on_failure=0 quota=1 route_table=65535",
         ),
-        (api.Withdraw(5, True), "bench director_id=3 set=1 host=5"),
-        (api.Checkpoint(8, False), "checkpoint director_id=3 number=8 set=0"),
-        (api.WatchList(True), "listen director_id=3 set=1"),
-        (api.FetchList(), "reload director_id=3"),
-        (api.ProbeHost(5), "ask_load director_id=3 host=5"),
-        (api.TellPeer(None, b"hi 7"), "notify director_id=3 addressee=all payload=68692037"),
-        (api.TellPeer(2, b""), "notify director_id=3 addressee=2 payload=-"),
-        (api.Log("two\nlines {x}"), "emit director_id=3 words=two lines {x}"),
+        (WithdrawEndpoint(5), "bench director_id=3 set=1 host=5"),
+        (Checkpoint(8, False), "checkpoint director_id=3 number=8 set=0"),
+        (WatchEndpoints(True), "listen director_id=3 set=1"),
+        (FetchEndpoints(), "reload director_id=3"),
+        (CheckHealth(5), "ask_load director_id=3 host=5"),
+        (SendToPeer(None, b"hi 7"), "notify director_id=3 addressee=all payload=68692037"),
+        (SendToPeer(2, b""), "notify director_id=3 addressee=2 payload=-"),
+        (LogMessage("two\nlines {x}"), "emit director_id=3 words=two lines {x}"),
     ],
 )
-def test_every_action_is_translated(action: api.Action, line: str) -> None:
+def test_every_action_is_translated(action: Action, line: str) -> None:
     assert write_action(3, action) == line
 
 
@@ -258,7 +295,7 @@
     play(batch(1, *START), batch(2, old, "crash_now director_id=3", *START))
     assert len(made) == 2
     assert len(made[0].seen) == 1
-    assert isinstance(made[1].seen[0][1][0], api.Started)
+    assert isinstance(made[1].seen[0][1][0], Started)
     assert len(made[1].seen[0][1]) == 2
 
 
@@ -269,12 +306,12 @@
         "sheet roster_id=0 members=0",
         "members director_id=3 scope=replace number=43 roster_id=0",
     )
-    assert [len(e.hosts) for e in seen if isinstance(e, api.HostList)] == [2, 0]
+    assert [len(e.endpoints) for e in seen if isinstance(e, EndpointList)] == [2, 0]
 
 
 def test_an_exception_in_the_module_becomes_bail_out(capsys: pytest.CaptureFixture[str]) -> None:
     class Broken:
-        def step(self, now_us: int, events: Sequence[api.Event]) -> list[api.Action]:
+        def step(self, now_us: int, events: Sequence[Event]) -> list[Action]:
             raise KeyError("no such thing")
 
     reply = list(Adapter(io.StringIO(batch(1, *START)), lambda _: Broken()).replies())
@@ -354,7 +391,7 @@
 
 
 def test_the_module_is_what_the_adapter_hosts() -> None:
-    replies = list(Adapter(io.StringIO(day_lines((3,))), Director).replies())
+    replies = list(Adapter(io.StringIO(day_lines((3,))), RoutingPolicy).replies())
     text = "".join(replies)
     for word in ("point", "upsert", "throttle", "bench", "checkpoint", "listen", "notify_me"):
         assert f"{word} director_id=3" in text
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -4,19 +4,22 @@
 
 from dataclasses import replace
 
-from kelpcourse.channel import Channel
-from kelpcourse.interface import (
+from kelpcourse.policy.actions import (
     BindProxy,
     Checkpoint,
-    HostState,
-    OrdersApplied,
-    OrdersDoubted,
+    ResendOrders,
+    RestoreEndpoint,
+    WithdrawEndpoint,
+)
+from kelpcourse.policy.delivery import Channel
+from kelpcourse.policy.events import (
+    EndpointStatus,
+    OrdersAcknowledged,
+    OrdersOutcomeUnknown,
     ProxyJoined,
     ProxyLeft,
-    RepeatOrders,
-    Withdraw,
 )
-from tests.fleet import SECOND, SETTINGS, Day, changes, host, hosts, only
+from tests.fleet import SECOND, SETTINGS, Day, changes, endpoint_orders, host, hosts, only
 
 LONGEST, PACE = 10 * SECOND, 100 / SECOND
 
@@ -184,37 +187,45 @@
 
 
 def test_nothing_is_ordered_behind_a_call_in_doubt_that_must_not_go_again() -> None:
-    settings = replace(SETTINGS, proxies=70, channel_backlog=4000.0, channel_lines_per_s=2000.0)
+    settings = replace(
+        SETTINGS, proxy_count=70, max_backlog_entries=4000.0, delivery_entries_per_s=2000.0
+    )
     day = Day(settings=settings, listed=hosts(40), proxies=70, answers=False)
-    number = max(a.number for _, a in day.log if isinstance(a, Checkpoint))
-    assert only(day.send(OrdersDoubted((number,))), RepeatOrders) == []
-    assert not only(day.send(changes([host(100, state=HostState.GONE)])), Withdraw)
+    number = max(a.checkpoint_id for _, a in day.log if isinstance(a, Checkpoint))
+    assert only(day.send(OrdersOutcomeUnknown((number,))), ResendOrders) == []
+    assert not endpoint_orders(day.send(changes([host(100, state=EndpointStatus.GONE)])))
     bound = [a.proxy for _, a in day.log if isinstance(a, BindProxy)]
-    out = day.send(*(OrdersApplied(p, number, 1) for p in bound))
-    assert len(only(out, RepeatOrders)) == 1
+    out = day.send(*(OrdersAcknowledged(p, number, 1) for p in bound))
+    assert len(only(out, ResendOrders)) == 1
     assert day.director.channel.waiting(day.now) <= 4000
 
 
 def test_bindings_leave_room_for_hosts_to_be_withdrawn() -> None:
     """On a fleet day bindings took each place that came free in a full channel, and hosts announced as leaving
     waited 17 s for theirs."""
-    settings = replace(SETTINGS, proxies=70, channel_backlog=4000.0, channel_lines_per_s=2000.0)
+    settings = replace(
+        SETTINGS, proxy_count=70, max_backlog_entries=4000.0, delivery_entries_per_s=2000.0
+    )
     day = Day(settings=settings, listed=hosts(80), proxies=70, answers=False)
-    gone = [host(h.id, h.zone, HostState.GONE) for h in hosts(80)[:30]]
+    gone = [host(h.id, h.zone, EndpointStatus.GONE) for h in hosts(80)[:30]]
     day.send(changes(gone))
     for k in range(20):
-        number = max(a.number for _, a in day.log if isinstance(a, Checkpoint))
+        number = max(a.checkpoint_id for _, a in day.log if isinstance(a, Checkpoint))
         before = sorted({b.proxy for _, b in day.log if isinstance(b, BindProxy)})
         out = day.until(day.now + SECOND // 2)
-        out += day.send(*(OrdersApplied(p, number, 300_000) for p in before[4 * k : 4 * k + 4]))
-        if sum(isinstance(a, Withdraw) for _, a in day.log) < 30:
+        out += day.send(
+            *(OrdersAcknowledged(p, number, 300_000) for p in before[4 * k : 4 * k + 4])
+        )
+        if sum(isinstance(a, WithdrawEndpoint | RestoreEndpoint) for _, a in day.log) < 30:
             assert not only(out, BindProxy)
-    assert sum(isinstance(a, Withdraw) for _, a in day.log) == 30
+    assert sum(isinstance(a, WithdrawEndpoint | RestoreEndpoint) for _, a in day.log) == 30
 
 
 def test_streams_that_break_and_come_back_are_bound_within_the_channel() -> None:
     """Counted apart: a message waits until all that were ordered before it are answered or their stream broke."""
-    settings = replace(SETTINGS, proxies=70, channel_backlog=4000.0, channel_lines_per_s=2000.0)
+    settings = replace(
+        SETTINGS, proxy_count=70, max_backlog_entries=4000.0, delivery_entries_per_s=2000.0
+    )
     day = Day(settings=settings, listed=hosts(80), proxies=70, answers=False)
     queue: list[tuple[int, int, int]] = []  # proxy, checkpoint, lines; oldest first
     seen = 0
@@ -226,7 +237,7 @@
             if isinstance(action, BindProxy):
                 step.append(action.proxy)
             elif isinstance(action, Checkpoint):
-                queue.extend((p, action.number, 80 + 1 + 2 + 7) for p in step)
+                queue.extend((p, action.checkpoint_id, 80 + 1 + 2 + 7) for p in step)
                 step = []
         seen = len(day.log)
         return sum(lines for _, _, lines in queue)
@@ -250,7 +261,7 @@
         if last is None:
             break
         answered.add(last[:2])
-        day.send(OrdersApplied(last[0], last[1], 300_000))
+        day.send(OrdersAcknowledged(last[0], last[1], 300_000))
         assert take() <= 4000
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,13 +10,13 @@
 import orjson
 import pytest
 
-from kelpcourse.facade import Facade, Unknown
+from kelpcourse.facade import Facade, InvalidReportError
 from kelpcourse.fields import Fields
-from kelpcourse.memory.hosts import Phase
-from kelpcourse.memory.orders import Mark, Order, ShutOut, UseTable
-from kelpcourse.memory.outbox import Outbox
-from kelpcourse.service.config import BadConfig, read_config
 from kelpcourse.limits import Limits
+from kelpcourse.memory.order_queue import OrderQueue
+from kelpcourse.memory.orders import BindProxy, Checkpoint, Order, WithdrawEndpoint
+from kelpcourse.policy.events import EndpointStatus
+from kelpcourse.service.config import BadConfig, read_config
 from kelpcourse.settings import read_settings
 from tests.standins import entry
 from tests.test_adapter import CONFIG
@@ -121,7 +121,7 @@
     )
     assert config.seed == 0x8C1F30D27A5BE964
     assert config.known.version == 41
-    assert config.known.members[0].up_since_ms == 1500.0
+    assert config.known.members[0].started_ms == 1500.0
     assert (config.sockets, config.memory_mb) == (4096, 2048)
 
 
@@ -208,8 +208,8 @@
         "pending_max": 90_000.0,
     }
     config = read_config(environment(tmp_path, root))
-    limits = Limits().within(config.sockets, config.memory_mb).serving(config.settings.proxies)
-    facade, outbox = Facade(config.settings, 7, limits), Outbox(limits.orders, limits.marks)
+    limits = Limits().within(config.sockets, config.memory_mb).serving(config.settings.proxy_count)
+    facade, outbox = Facade(config.settings, 7, limits), OrderQueue(limits.orders, limits.marks)
     facade.report_known(config.known.members, config.known.version)
     facade.start(0)
     for proxy in range(5_000):
@@ -219,9 +219,9 @@
         facade.start(at_s * 1_000_000)
         orders = facade.pick().orders
         given_up += outbox.add(orders)
-        bound += sum(isinstance(order, UseTable) for order in orders)
+        bound += sum(isinstance(order, BindProxy) for order in orders)
     assert (given_up, bound > 0) == (0, True)
-    with pytest.raises(Unknown, match="proxy 5000 is not below 5000"):
+    with pytest.raises(InvalidReportError, match="proxy 5000 is not below 5000"):
         facade.report_joined(5_000, "room-a", 1.0, False)
 
 
@@ -310,10 +310,10 @@
     ]
     root["known"]["members"] = listed
     config = read_config(environment(tmp_path, root))
-    limits = Limits().serving(config.settings.proxies, config.settings.report_period_us)
+    limits = Limits().serving(config.settings.proxy_count, config.settings.report_period_us)
     facade, ordered = Facade(config.settings, 7, limits), list[Order]()
     facade.report_known(config.known.members, config.known.version)
-    for proxy in range(config.settings.proxies):
+    for proxy in range(config.settings.proxy_count):
         facade.report_joined(proxy, zones[proxy % len(zones)], 5.0, proxy % 2 == 0)
     for second in range(50, 80):
         for host in config.known.members if second > 52 else ():
@@ -323,14 +323,16 @@
         for cls in config.settings.classes:
             facade.report_usage(0, cls.name, 50 * (second - 49), second % 5, 1000.0)
         if second == 60:
-            facade.report_list([replace(config.known.members[0], phase=Phase.DRAINING)], 42, False)
+            facade.report_list(
+                [replace(config.known.members[0], status=EndpointStatus.DRAINING)], 42, False
+            )
         facade.start(second * 1_000_000)
         orders = facade.pick().orders
         ordered += orders
-        for mark in [order.stamp for order in orders if isinstance(order, Mark)]:
-            for proxy in range(config.settings.proxies):
+        for mark in [order.checkpoint_id for order in orders if isinstance(order, Checkpoint)]:
+            for proxy in range(config.settings.proxy_count):
                 facade.report_applied(proxy, mark, 1.0)
-    assert {order.proxy for order in ordered if isinstance(order, UseTable)} == set(
-        range(config.settings.proxies)
+    assert {order.proxy for order in ordered if isinstance(order, BindProxy)} == set(
+        range(config.settings.proxy_count)
     )
-    assert ShutOut("s-0", True) in ordered
+    assert WithdrawEndpoint("s-0") in ordered
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -8,23 +8,20 @@
 
 import pytest
 
-from kelpcourse.interface import (
+from kelpcourse.policy.actions import (
     BindProxy,
     Checkpoint,
-    Host,
-    HostState,
-    ProxyJoined,
-    ProxyLeft,
-    SetLine,
-    Withdraw,
+    SetWeight,
+    WithdrawEndpoint,
 )
+from kelpcourse.policy.events import Endpoint, EndpointStatus, ProxyJoined, ProxyLeft
 from tests.fleet import SECOND, SETTINGS, Day, changes, full, host
 
 CROWDED = replace(
     SETTINGS,
-    proxies=120,
-    connections_least=100.0,
-    channel_backlog=50_000.0,
+    proxy_count=120,
+    min_endpoint_connections=100.0,
+    max_backlog_entries=50_000.0,
     drain_grace_us=3 * SECOND,
 )
 FLEET = [
@@ -32,7 +29,9 @@
 ]  # 6 in the east, 14 in the west
 
 
-def joined(east: int, west: int, settings: object = CROWDED, listed: Sequence[Host] = FLEET) -> Day:
+def joined(
+    east: int, west: int, settings: object = CROWDED, listed: Sequence[Endpoint] = FLEET
+) -> Day:
     assert isinstance(settings, type(SETTINGS))
     day = Day(settings=settings, listed=listed, proxies=0)
     day.joined = list(range(east + west))
@@ -86,7 +85,7 @@
 def test_no_host_is_held_by_more_proxies_than_it_accepts_connections(east: int, west: int) -> None:
     """With tables of all hosts, 1,600 proxies brought 1,600 connections to hosts that accept 357."""
     large = [host(100 + k, "east" if k % 2 else "west") for k in range(80)]
-    brought = held(joined(east, west, replace(CROWDED, connections_least=60.0), large))
+    brought = held(joined(east, west, replace(CROWDED, min_endpoint_connections=60.0), large))
     assert min(brought.values()) > 0
     assert max(brought.values()) <= 60
 
@@ -102,7 +101,7 @@
 def test_a_host_that_goes_is_replaced_in_the_tables_that_held_it_and_no_others() -> None:
     day = joined(60, 60)
     before = {table: dict(lines) for table, lines in day.tables.items()}
-    day.send(changes([host(103, "east", HostState.GONE)]))
+    day.send(changes([host(103, "east", EndpointStatus.GONE)]))
     day.until(day.now + 10 * SECOND)
     assert all(103 not in lines for lines in day.tables.values())
     for table, lines in day.tables.items():
@@ -123,13 +122,13 @@
             holders[table] += 1
     held = {table for table, at in day.tables.items() if 103 in at}
     lines = dict.fromkeys(day.tables, 0)
-    out = day.send(changes([host(103, "east", HostState.GONE)]))
-    assert Withdraw(103, True) in out
+    out = day.send(changes([host(103, "east", EndpointStatus.GONE)]))
+    assert WithdrawEndpoint(103) in out
     for action in out:
-        if isinstance(action, SetLine):
+        if isinstance(action, SetWeight):
             lines[action.table] += 1
-            held -= {action.table} if action.host == 103 else set()
-        elif action == Withdraw(103, True):
+            held -= {action.table} if action.endpoint == 103 else set()
+        elif action == WithdrawEndpoint(103):
             lines.update((table, lines[table] + 1) for table in held)
     cost = sum(holders[table] * (count + 7) for table, count in lines.items() if count)
     assert 0 < cost < 120 * 8
@@ -138,7 +137,7 @@
 
 @pytest.mark.parametrize("least", [0.0, 120.0, 500.0])
 def test_one_table_serves_all_where_connections_fit_or_are_not_told(least: float) -> None:
-    day = joined(60, 60, replace(CROWDED, connections_least=least))
+    day = joined(60, 60, replace(CROWDED, min_endpoint_connections=least))
     assert list(day.tables) == [0]
 
 
@@ -158,7 +157,12 @@
     day = joined(
         60,
         60,
-        replace(CROWDED, connections_least=60.0, channel_lines_per_s=1e6, channel_backlog=1e6),
+        replace(
+            CROWDED,
+            min_endpoint_connections=60.0,
+            delivery_entries_per_s=1e6,
+            max_backlog_entries=1e6,
+        ),
         large,
     )
     assert sum(map(len, day.tables.values())) > 1_000
@@ -167,7 +171,7 @@
     day.until(day.now + 10 * SECOND)
     calls, lines = list[int](), 0
     for _, action in day.log[before:]:
-        lines += isinstance(action, SetLine)
+        lines += isinstance(action, SetWeight)
         if isinstance(action, Checkpoint):
             calls, lines = [*calls, lines], 0
     assert sum(calls) > 1_000
@@ -176,9 +180,9 @@
 
 def test_a_class_whose_zone_is_lost_does_not_stop_the_others() -> None:
     """With tables of a part of the hosts a class left without any divided by nothing, and no step went through."""
-    bound = replace(SETTINGS.classes[1], only_zones=frozenset({"west"}))
+    bound = replace(SETTINGS.classes[1], allowed_zones=frozenset({"west"}))
     day = joined(60, 60, replace(CROWDED, classes=(SETTINGS.classes[0], bound)))
-    day.send(changes([host(h.id, h.zone, HostState.GONE) for h in FLEET if h.zone == "west"]))
+    day.send(changes([host(h.id, h.zone, EndpointStatus.GONE) for h in FLEET if h.zone == "west"]))
     day.until(day.now + 5 * SECOND)
     assert any(
         day.tables[t].keys() == {h.id for h in FLEET if h.zone == "east"} for t in day.tables
@@ -214,7 +218,9 @@
 def test_tables_are_as_long_as_a_drains_grace_lets_all_proxies_be_bound_to() -> None:
     """A director that all proxies come to has to bind them within a grace: with 200 hosts in each table, 240 proxies
     took 16 s where 4 s are granted."""
-    short = replace(SETTINGS, proxies=240, connections_least=500.0, drain_grace_us=4 * SECOND)
+    short = replace(
+        SETTINGS, proxy_count=240, min_endpoint_connections=500.0, drain_grace_us=4 * SECOND
+    )
     whole = [host(100 + k, "east" if k % 2 else "west") for k in range(200)]
     day = joined(40, 40, short, whole)
     sizes = [len(lines) for lines in day.tables.values()]
@@ -233,7 +239,7 @@
 
 def test_a_zones_proxies_are_spread_over_all_groups_however_they_are_numbered() -> None:
     """With every second proxy in a zone, half of its groups had none, and their hosts were left out."""
-    day = joined(0, 0, replace(CROWDED, connections_least=80.0))
+    day = joined(0, 0, replace(CROWDED, min_endpoint_connections=80.0))
     assert day.director.groups % 2 == 0
     groups = {
         zone: Counter(day.director.group(p) for p in range(zone, 120, 2)) for zone in range(2)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -5,34 +5,31 @@
 from dataclasses import replace
 from itertools import pairwise
 
-from kelpcourse.decide import Director
-from kelpcourse.interface import (
+from kelpcourse.policy.actions import (
     BindProxy,
-    HostList,
-    ListKind,
-    ProxyJoined,
     SetTimer,
-    Started,
-    WatchList,
-    Withdraw,
+    WatchEndpoints,
+    WithdrawEndpoint,
 )
-from tests.fleet import SECOND, SETTINGS, Day, full, hosts, only
+from kelpcourse.policy.controller import RoutingPolicy
+from kelpcourse.policy.events import EndpointList, EndpointListKind, ProxyJoined, Started
+from tests.fleet import SECOND, SETTINGS, Day, endpoint_orders, full, hosts, only
 
-ASK = replace(SETTINGS, must_ask=True, ask_within_us=8 * SECOND)
-FAILED = HostList(ListKind.UNAVAILABLE, 0, ())
+ASK = replace(SETTINGS, discovery_is_polled=True, discovery_poll_deadline_us=8 * SECOND)
+FAILED = EndpointList(EndpointListKind.UNAVAILABLE, 0, ())
 
 
 def test_a_pushed_list_is_never_asked_for() -> None:
     day = Day(listed=hosts(4))
     day.until(day.now + 30 * SECOND)
-    assert [a for _, a in day.log if isinstance(a, WatchList)] == []
+    assert [a for _, a in day.log if isinstance(a, WatchEndpoints)] == []
 
 
 def test_a_list_on_request_is_watched_from_the_start_and_once() -> None:
     day = Day(ASK, listed=hosts(4))
     day.send(full(hosts(4)))
     day.until(day.now + 30 * SECOND)
-    assert [a for _, a in day.log if isinstance(a, WatchList)] == [WatchList(True)]
+    assert [a for _, a in day.log if isinstance(a, WatchEndpoints)] == [WatchEndpoints(True)]
 
 
 def test_a_failed_call_is_repeated_with_backoff_within_what_is_allowed() -> None:
@@ -40,23 +37,23 @@
     asked = [day.now]
     for _ in range(6):
         day.send(FAILED)
-        while not any(isinstance(a, WatchList) and t > asked[-1] for t, a in day.log):
+        while not any(isinstance(a, WatchEndpoints) and t > asked[-1] for t, a in day.log):
             day.until(day.now + SECOND)
-            assert day.now - asked[-1] < ASK.ask_within_us
+            assert day.now - asked[-1] < ASK.discovery_poll_deadline_us
         asked.append(day.now)
     gaps = [b - a for a, b in pairwise(asked)]
     assert gaps[0] <= SECOND
     assert gaps[-1] >= gaps[0]
-    assert max(gaps) <= ASK.ask_within_us // 2
+    assert max(gaps) <= ASK.discovery_poll_deadline_us // 2
 
 
 def asks_again_after(director: int) -> int:
     """Of a director that is stepped each 10 ms, as reports come."""
-    day = Day(replace(ASK, director=director, directors=230), listed=hosts(4))
+    day = Day(replace(ASK, controller_index=director, controller_count=230), listed=hosts(4))
     day.send(FAILED)
     for k in range(300):
         day.now += SECOND // 100
-        if only(day.send(), WatchList):
+        if only(day.send(), WatchEndpoints):
             return k
     raise AssertionError("it never asked")
 
@@ -74,18 +71,20 @@
     day.until(day.now + 10 * SECOND)
     day.send(FAILED)
     day.until(day.now + 2 * SECOND)
-    assert len([a for _, a in day.log if isinstance(a, WatchList)]) == 2
+    assert len([a for _, a in day.log if isinstance(a, WatchEndpoints)]) == 2
 
 
 def test_after_a_crash_the_stale_list_serves_until_the_fresh_one_corrects_it() -> None:
-    director = Director(ASK)
+    director = RoutingPolicy(ASK)
     now = 90 * SECOND
-    first = director.step(now, [Started(3), HostList(ListKind.RESTORED, 4, tuple(hosts(5)))])
-    assert only(first, WatchList) == [WatchList(True)]
+    first = director.step(
+        now, [Started(3), EndpointList(EndpointListKind.RESTORED, 4, tuple(hosts(5)))]
+    )
+    assert only(first, WatchEndpoints) == [WatchEndpoints(True)]
     joined = director.step(now + SECOND, [ProxyJoined(0, "east", 10.0, False)])
     assert only(joined, BindProxy) != []
     fresh = director.step(now + 2 * SECOND, [full(hosts(4), 9)])
-    assert only(fresh, Withdraw) == [Withdraw(104, True)]
+    assert endpoint_orders(fresh) == [WithdrawEndpoint(104)]
 
 
 def test_what_is_out_is_restated_to_a_proxy_that_joins_later_by_its_binding() -> None:
@@ -99,5 +98,5 @@
     day = Day(listed=hosts(2))
     for _ in range(5):
         day.until(day.now + SECOND)
-        assert any(t.at_us > day.now - SECOND for t in day.timers)
+        assert any(t.due_us > day.now - SECOND for t in day.timers)
     assert all(isinstance(t, SetTimer) for t in day.timers)
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from kelpcourse.interface import HostList, HostState, ListKind, ProbeHost, WatchList
-from kelpcourse.memory.hosts import Phase
+from kelpcourse.policy.actions import CheckHealth, WatchEndpoints
+from kelpcourse.policy.events import EndpointList, EndpointListKind, EndpointStatus
 from kelpcourse.wire.discovery import Discovery, read_list
 from kelpcourse.wire.fields import BadMessage
 from kelpcourse.wire.loop import Wait
-from kelpcourse.wire.parts import Backoff
+from kelpcourse.wire.runtime import Backoff
 from kelpcourse.wire.stream import Act
 from tests.standins import MS, QUICK, Bench, Caller, StandIn, entry, listed
 
@@ -70,8 +70,8 @@
     yield from caller.line(b'{"revision":4')
 
 
-def lists(bench: Bench) -> list[HostList]:
-    return [event for event in bench.module.events if isinstance(event, HostList)]
+def lists(bench: Bench) -> list[EndpointList]:
+    return [event for event in bench.module.events if isinstance(event, EndpointList)]
 
 
 def start(bench: Bench, service: Service, version: int = 41) -> Discovery:
@@ -92,17 +92,17 @@
     bench.until(lambda: len(lists(bench)) == 2)
     first, second = lists(bench)
     assert service.targets == ["/discovery/hosts?stream=1&index=41"]
-    assert (first.kind, first.version) == (ListKind.CHANGES, 43)
-    assert [h.state for h in first.hosts] == [HostState.READY, HostState.DRAINING]
-    assert [h.state for h in second.hosts] == [HostState.GONE]
-    assert second.hosts[0].id == first.hosts[0].id
+    assert (first.kind, first.version) == (EndpointListKind.CHANGES, 43)
+    assert [h.status for h in first.endpoints] == [EndpointStatus.READY, EndpointStatus.DRAINING]
+    assert [h.status for h in second.endpoints] == [EndpointStatus.GONE]
+    assert second.endpoints[0].id == first.endpoints[0].id
 
 
 def test_a_whole_list_may_answer_a_watch(bench: Bench) -> None:
     service = Service(bench, stream(bench, listed(90, entry("a"))))
     start(bench, service).watch(True)
     bench.until(lambda: lists(bench))
-    assert lists(bench)[0].kind is ListKind.FULL
+    assert lists(bench)[0].kind is EndpointListKind.FULL
 
 
 def test_a_fetch_brings_the_whole_list(bench: Bench) -> None:
@@ -110,7 +110,7 @@
     start(bench, service).fetch()
     bench.until(lambda: lists(bench))
     assert service.targets == ["/discovery/hosts"]
-    assert (lists(bench)[0].kind, lists(bench)[0].version) == (ListKind.FULL, 50)
+    assert (lists(bench)[0].kind, lists(bench)[0].version) == (EndpointListKind.FULL, 50)
 
 
 @pytest.mark.parametrize("trouble", [refuse, reset, silent, broken_line])
@@ -124,7 +124,7 @@
     discovery.fetch()
     bench.until(lambda: len(lists(bench)) == 2)
     bench.pass_us(3 * QUICK.list_us)
-    assert [event.kind for event in lists(bench)] == [ListKind.UNAVAILABLE] * 2
+    assert [event.kind for event in lists(bench)] == [EndpointListKind.UNAVAILABLE] * 2
     assert len(bench.log.named("list_unavailable")) == 2
 
 
@@ -133,18 +133,18 @@
     service.stand_in.close()
     start(bench, service).watch(True)
     bench.until(lambda: lists(bench))
-    assert lists(bench)[0].kind is ListKind.UNAVAILABLE
+    assert lists(bench)[0].kind is EndpointListKind.UNAVAILABLE
 
 
 def test_empty_lines_keep_a_watch_and_silence_ends_it(bench: Bench) -> None:
     quiet = Service(bench, stream(bench, listed(42, whole=False), then_silent=False))
     start(bench, quiet).watch(True)
     bench.pass_us(5 * QUICK.watch_silence_us)
-    assert [event.kind for event in lists(bench)] == [ListKind.CHANGES]
+    assert [event.kind for event in lists(bench)] == [EndpointListKind.CHANGES]
     dead = Service(bench, stream(bench, listed(42, whole=False)))
     start(bench, dead).watch(True)
     bench.until(lambda: len(lists(bench)) == 3)
-    assert lists(bench)[-1].kind is ListKind.UNAVAILABLE
+    assert lists(bench)[-1].kind is EndpointListKind.UNAVAILABLE
 
 
 def test_empty_lines_are_no_answer_to_a_watch(bench: Bench) -> None:
@@ -157,7 +157,7 @@
     service = Service(bench, only_alive)
     start(bench, service).watch(True)
     bench.until(lambda: lists(bench))
-    assert lists(bench)[0].kind is ListKind.UNAVAILABLE
+    assert lists(bench)[0].kind is EndpointListKind.UNAVAILABLE
 
 
 def test_a_new_watch_goes_on_from_the_version_last_told(bench: Bench) -> None:
@@ -174,7 +174,7 @@
     assert service.targets[1].endswith("index=43")
     bench.pass_us(10 * MS)
     assert (
-        lists(bench)[1].kind is ListKind.CHANGES
+        lists(bench)[1].kind is EndpointListKind.CHANGES
     )  # the watch that was ended is not reported as lost
 
 
@@ -183,7 +183,7 @@
     service = Service(bench, stream(bench, listed(40, entry("a"), whole=False)))
     start(bench, service, 41).watch(True)
     bench.until(lambda: lists(bench))
-    assert lists(bench)[0].kind is ListKind.UNAVAILABLE
+    assert lists(bench)[0].kind is EndpointListKind.UNAVAILABLE
 
 
 def test_entries_are_read_and_checked() -> None:
@@ -191,8 +191,8 @@
     told = read_list(
         {"revision": 1, "complete": True, "members": [entry("a", since=1500.5)]}, bad.append
     )
-    assert told.members[0].phase is Phase.READY
-    assert told.members[0].up_since_ms == 1500.5
+    assert told.members[0].status is EndpointStatus.READY
+    assert told.members[0].started_ms == 1500.5
     assert bad == []
     for name, value in [
         ("id", ""),
@@ -222,7 +222,10 @@
     service = Service(bench, stream(bench, told))
     start(bench, service).watch(True)
     bench.until(lambda: lists(bench))
-    assert [host.state for host in lists(bench)[0].hosts] == [HostState.READY, HostState.DRAINING]
+    assert [host.status for host in lists(bench)[0].endpoints] == [
+        EndpointStatus.READY,
+        EndpointStatus.DRAINING,
+    ]
     assert bench.counters["discovery_bad_messages"] == 1
 
 
@@ -232,8 +235,8 @@
     )
     start(bench, service).watch(True)
     bench.until(lambda: lists(bench))
-    host = lists(bench)[0].hosts[0].id
-    bench.module.ready = [[ProbeHost(host), WatchList(False)]]
+    host = lists(bench)[0].endpoints[0].id
+    bench.module.ready = [[CheckHealth(host), WatchEndpoints(False)]]
     bench.facade.report_list_lost()
     bench.pass_us(5 * MS)
     work = bench.facade.pick()
@@ -259,7 +262,7 @@
     )
     bench.until(lambda: len(lists(bench)) == 2)
     bench.pass_us(2 * QUICK.watch_silence_us)
-    assert [told.kind for told in lists(bench)] == [ListKind.FULL, ListKind.CHANGES]
+    assert [told.kind for told in lists(bench)] == [EndpointListKind.FULL, EndpointListKind.CHANGES]
     assert new.targets == ["/discovery/hosts?stream=1&index=42"]
     assert bench.counters["discovery_lost"] == 0
 
@@ -283,7 +286,7 @@
     old = Service(bench, stream(bench, listed(42, entry("h1"))))
     discovery, _ = moved(bench, old, *[refuse] * 50)
     bench.until(lambda: len(lists(bench)) == 2)
-    assert lists(bench)[1].kind is ListKind.UNAVAILABLE
+    assert lists(bench)[1].kind is EndpointListKind.UNAVAILABLE
     back = Service(bench, stream(bench, listed(44, entry("h1"))))
     discovery.move(back.stand_in.address)
     discovery.watch(True)
@@ -332,9 +335,9 @@
     bench.until(lambda: lists(bench))
     discovery.fetch()
     bench.until(lambda: len(lists(bench)) == 2)
-    assert [(told.kind, [h.state for h in told.hosts]) for told in lists(bench)] == [
-        (ListKind.CHANGES, [HostState.DRAINING]),
-        (ListKind.UNAVAILABLE, []),
+    assert [(told.kind, [h.status for h in told.endpoints]) for told in lists(bench)] == [
+        (EndpointListKind.CHANGES, [EndpointStatus.DRAINING]),
+        (EndpointListKind.UNAVAILABLE, []),
     ]
 
 
@@ -350,8 +353,8 @@
     for count in range(times):
         discovery.fetch()
         bench.until(lambda count=count: len(lists(bench)) == count + 1)  # type: ignore[misc]
-    assert [told.kind for told in lists(bench)] == [ListKind.UNAVAILABLE] * (times - 1) + [
-        ListKind.FULL
+    assert [told.kind for told in lists(bench)] == [EndpointListKind.UNAVAILABLE] * (times - 1) + [
+        EndpointListKind.FULL
     ]
     discovery.watch(True)
     bench.until(lambda: len(lists(bench)) == times + 1)
@@ -372,7 +375,7 @@
     discovery.watch(True)
     bench.until(lambda: len(lists(bench)) == times + 1)
     assert [target.split("=")[-1] for target in service.targets] == ["41"] * times + ["0"]
-    assert lists(bench)[-1].kind is ListKind.FULL
+    assert lists(bench)[-1].kind is EndpointListKind.FULL
 
 
 def test_an_older_list_between_newer_ones_starts_no_count(bench: Bench) -> None:
@@ -382,8 +385,8 @@
     for count in range(6):
         discovery.fetch()
         bench.until(lambda count=count: len(lists(bench)) == count + 1)  # type: ignore[misc]
-    lost = ListKind.UNAVAILABLE
-    assert [told.kind for told in lists(bench)] == [lost, lost, ListKind.FULL] * 2
+    lost = EndpointListKind.UNAVAILABLE
+    assert [told.kind for told in lists(bench)] == [lost, lost, EndpointListKind.FULL] * 2
 
 
 def test_a_list_fetched_meanwhile_does_not_end_the_watch(bench: Bench) -> None:
@@ -406,10 +409,10 @@
     bench.until(lambda: len(lists(bench)) == 2)
     go_on += [listed(44, entry("a"), whole=False), listed(46, entry("b"), whole=False)]
     bench.until(lambda: len(lists(bench)) == 3)
-    assert [(told.version, [h.state for h in told.hosts]) for told in lists(bench)] == [
-        (42, [HostState.READY]),
-        (45, [HostState.DRAINING]),
-        (46, [HostState.READY]),
+    assert [(told.version, [h.status for h in told.endpoints]) for told in lists(bench)] == [
+        (42, [EndpointStatus.READY]),
+        (45, [EndpointStatus.DRAINING]),
+        (46, [EndpointStatus.READY]),
     ]
     assert len(service.targets) == 2
 
@@ -441,7 +444,7 @@
     bench.until(lambda: len(lists(bench)) == 1)
     discovery.move(new.stand_in.address)
     bench.until(lambda: any(told.version == 44 for told in lists(bench)))
-    assert ListKind.UNAVAILABLE not in {told.kind for told in lists(bench)}
+    assert EndpointListKind.UNAVAILABLE not in {told.kind for told in lists(bench)}
     assert len(new.targets) == 1
 
 
@@ -462,7 +465,7 @@
     discovery.move(first.stand_in.address)
     bench.until(lambda: any(told.version == 43 for told in lists(bench)))
     bench.pass_us(3 * QUICK.list_us)
-    assert ListKind.UNAVAILABLE not in {told.kind for told in lists(bench)}
+    assert EndpointListKind.UNAVAILABLE not in {told.kind for told in lists(bench)}
     assert (len(first.targets), len(other.targets)) == (2, 1)
 
 
@@ -472,7 +475,7 @@
     service = Service(bench, stream(bench, spoilt, listed(43, entry("c"), whole=False)))
     start(bench, service).watch(True)
     bench.until(lambda: len(lists(bench)) == 2)
-    assert [len(told.hosts) for told in lists(bench)] == [1, 1]
+    assert [len(told.endpoints) for told in lists(bench)] == [1, 1]
     assert bench.counters["discovery_bad_messages"] == 1
 
 
@@ -482,7 +485,7 @@
     discovery = Discovery(bench.parts, ("127.0.0.1", 99_999), 41)
     discovery.watch(True) if call == "watch" else discovery.fetch()
     bench.until(lambda: lists(bench))
-    assert [told.kind for told in lists(bench)] == [ListKind.UNAVAILABLE]
+    assert [told.kind for told in lists(bench)] == [EndpointListKind.UNAVAILABLE]
     assert [type(error) for error in bench.defects] == [OverflowError]
     bench.defects.clear()
     discovery.move(service.stand_in.address)
@@ -498,7 +501,7 @@
     began_us = bench.clock()
     start(bench, service).watch(True)
     bench.until(lambda: lists(bench))
-    assert [told.kind for told in lists(bench)] == [ListKind.UNAVAILABLE]
+    assert [told.kind for told in lists(bench)] == [EndpointListKind.UNAVAILABLE]
     assert (
         bench.clock() - began_us <= QUICK.list_us + 20 * MS
     )  # the bench's clock, not the machine's
--- a/tests/test_end_result.py
+++ b/tests/test_end_result.py
@@ -8,8 +8,17 @@
 import orjson
 import pytest
 
-from kelpcourse.memory.orders import EmptyTable, Limit, Mark, Order, SetShare, ShutOut, UseTable
-from kelpcourse.memory.outbox import Outbox
+from kelpcourse.memory.order_queue import OrderQueue
+from kelpcourse.memory.orders import (
+    BindProxy,
+    Checkpoint,
+    ClearTable,
+    Order,
+    RestoreEndpoint,
+    SetAdmission,
+    SetWeight,
+    WithdrawEndpoint,
+)
 from kelpcourse.wire.loop import Signal
 from kelpcourse.wire.relay_calls import RelayCalls
 from kelpcourse.wire.relay_codec import encode_order
@@ -58,16 +67,16 @@
     """A step's orders: some of each kind, so that later ones override earlier ones in many ways."""
     host, table = HOSTS[number * 3 % 5], number % 2
     orders: list[Order] = [
-        SetShare(table, host, float(number)),
-        ShutOut(HOSTS[number % 5], number % 3 == 0),
+        SetWeight(table, host, float(number)),
+        (RestoreEndpoint if number % 3 else WithdrawEndpoint)(HOSTS[number % 5]),
     ]
     if number % 4 == 0:
-        orders.append(Limit(table, ("read",) if number % 8 else ("write",), number / 100, 1))
+        orders.append(SetAdmission(table, ("read",) if number % 8 else ("write",), number / 100, 1))
     if number % 5 == 1:
-        orders.insert(0, EmptyTable(1 - table))
+        orders.insert(0, ClearTable(1 - table))
     if number % 3 == 2:
-        orders.append(UseTable(number % 7, table, ("read",)))
-    return [*orders, Mark(number, number % 2 == 0)]
+        orders.append(BindProxy(number % 7, table, ("read",)))
+    return [*orders, Checkpoint(number, number % 2 == 0)]
 
 
 def wanted() -> Standing:
@@ -148,7 +157,7 @@
 def test_the_end_result_is_what_the_steps_ordered(
     bench: Bench, troubles: list[Trouble], pace_ms: int
 ) -> None:
-    relay, outbox, waiting = Relay(bench, troubles), Outbox(QUICK.orders, QUICK.marks), Signal()
+    relay, outbox, waiting = Relay(bench, troubles), OrderQueue(QUICK.orders, QUICK.marks), Signal()
     bench.loop.start(
         "calls", RelayCalls(bench.parts, relay.stand_in.address, outbox, waiting).run()
     )
--- a/tests/test_fill.py
+++ b/tests/test_fill.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from kelpcourse.decide import fill, worth_bounds
+from kelpcourse.policy.controller import fill, worth_bounds
 
 CASES = [
     (demand, volume, lower, upper)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -6,11 +6,12 @@
 from dataclasses import replace
 
 from kelpcourse.facade import Facade
-from kelpcourse.decide import FORGET_US
-from kelpcourse.memory.hosts import Member, Phase
-from kelpcourse.memory.orders import Order, SetShare, ShutOut
-from kelpcourse.memory.outbox import Outbox
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.memory.order_queue import OrderQueue
+from kelpcourse.memory.orders import Checkpoint, Order, RestoreEndpoint, SetWeight, WithdrawEndpoint
 from kelpcourse.memory.proxies import Applied, Joined, Left, News, Proxies
+from kelpcourse.policy.controller import FORGET_US
+from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.wire.buffers import Buffer
 from kelpcourse.wire.text import Heard, Usage, parse
 from tests.fleet import SECOND, SETTINGS
@@ -25,9 +26,9 @@
     """A director without sockets: lines come in by its buffer, orders are taken every third second."""
 
     def __init__(self) -> None:
-        settings = replace(SETTINGS, proxies=PROXIES)
+        settings = replace(SETTINGS, proxy_count=PROXIES)
         self.facade = Facade(settings, 7, QUICK)
-        self.outbox = Outbox(QUICK.orders, QUICK.marks)
+        self.outbox = OrderQueue(QUICK.orders, QUICK.marks)
         self.proxies = Proxies(QUICK.news_ahead, QUICK.news_cover_us)
         self.buffer = Buffer(QUICK.read_bytes, QUICK.line_bytes)
         self.now = 50 * SECOND
@@ -41,7 +42,7 @@
         for proxy in range(PROXIES):
             self.news(Joined(proxy, "east", 10.0, True))
 
-    def members(self) -> list[Member]:
+    def members(self) -> list[ListedEndpoint]:
         return [
             replace(member(name), zone="west" if k % 2 else "east")
             for k, name in enumerate(self.names)
@@ -86,13 +87,13 @@
         orders = self.facade.pick().orders
         for order in orders:
             match order:
-                case SetShare(_, _, 0.0) | ShutOut(_, False):
+                case SetWeight(_, _, 0.0) | RestoreEndpoint(_):
                     self.ordered.pop(order.key, None)
-                case SetShare() | ShutOut():
+                case SetWeight() | WithdrawEndpoint() | RestoreEndpoint():
                     self.ordered[order.key] = order
         self.outbox.add(orders)
         while self.second % 3 == 0 and (orders := self.outbox.begin()):
-            stamps = [order.stamp for order in orders if hasattr(order, "stamp")]
+            stamps = [order.checkpoint_id for order in orders if isinstance(order, Checkpoint)]
             self.outbox.taken(len(orders))
             for stamp in stamps:
                 for proxy in range(PROXIES):
@@ -117,7 +118,9 @@
         """A host drains and goes, and another under a new name takes its place."""
         self.version += 1
         old = self.names.pop(0)
-        gone = replace(member(old, Phase.GONE), zone="east" if int(old[1:]) % 2 == 0 else "west")
+        gone = replace(
+            member(old, EndpointStatus.GONE), zone="east" if int(old[1:]) % 2 == 0 else "west"
+        )
         self.names.append(f"h{HOSTS + self.version}")
         self.facade.report_list([gone, *self.members()[-1:]], self.version, False)
 
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -4,7 +4,8 @@
 
 from dataclasses import replace
 
-from kelpcourse.interface import HostReport, ProxyLeft, SetLine
+from kelpcourse.policy.actions import SetWeight
+from kelpcourse.policy.events import EndpointReport, ProxyLeft
 from tests.fleet import SECOND, SETTINGS, Day, changes, host, hosts, only
 
 
@@ -114,7 +115,10 @@
 
 
 def test_shares_follow_served_rate_over_busy_share_where_reported() -> None:
-    day = Day(replace(SETTINGS, load_inline=True, load_names=("util", "qps")), listed=hosts(10))
+    day = Day(
+        replace(SETTINGS, load_reports_inline=True, load_report_names=("util", "qps")),
+        listed=hosts(10),
+    )
     load = {h.id: (("util", 0.8 if h.id < 105 else 0.4), ("qps", 20.0)) for h in hosts(10)}
     for _ in range(40):
         day.second(hosts(10), load=load, demand=(40, 10))
@@ -131,18 +135,19 @@
 def test_small_changes_of_a_weight_are_not_sent() -> None:
     day = Day(listed=hosts(10))
     run(day, 4)
-    before = len([a for _, a in day.log if isinstance(a, SetLine)])
+    before = len([a for _, a in day.log if isinstance(a, SetWeight)])
     run(day, 20)
-    assert len([a for _, a in day.log if isinstance(a, SetLine)]) == before
+    assert len([a for _, a in day.log if isinstance(a, SetWeight)]) == before
 
 
 def test_reports_about_hosts_that_are_gone_are_served() -> None:
     day = Day(listed=hosts(3))
     actions = day.send(
-        HostReport(999, "east", 5, 5, SECOND, 0, ()), HostReport(100, "east", 0, 0, 0, 0, ())
+        EndpointReport(999, "east", 5, 5, SECOND, 0, ()),
+        EndpointReport(100, "east", 0, 0, 0, 0, ()),
     )
     actions += day.until(day.now + 3 * SECOND)
-    assert 999 not in {a.host for a in only(actions, SetLine)}
+    assert 999 not in {a.endpoint for a in only(actions, SetWeight)}
 
 
 def test_a_host_that_falls_sick_is_cut_ahead_of_the_pace() -> None:
@@ -159,7 +164,9 @@
 def test_any_set_of_load_values_is_served() -> None:
     """A site may report the busy share without the served rate, or neither, or either for some hosts only."""
     for names in (("util",), ("qps",), ("inflight", "queue"), ()):
-        day = Day(replace(SETTINGS, load_inline=True, load_names=names), listed=hosts(10))
+        day = Day(
+            replace(SETTINGS, load_reports_inline=True, load_report_names=names), listed=hosts(10)
+        )
         load = {h.id: tuple((name, 0.5) for name in names) for h in hosts(10) if h.id != 104}
         times = {h.id: 400_000 if h.id < 105 else 200_000 for h in hosts(10)}
         for _ in range(12):
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -11,11 +11,11 @@
 PACKAGE = Path(__file__).parent.parent / "kelpcourse"
 
 # Decisions: pure functions of settings and events, without input or output.
-POLICY = {"kelpcourse.decide", "kelpcourse.channel", "kelpcourse.interface"}
+POLICY = {"kelpcourse.policy"}
 
 # Of the service that `python -m kelpcourse` runs, from the lowest layer to the highest.
 LAYERS = (
-    ("kelpcourse.decide", "kelpcourse.channel", "kelpcourse.interface"),
+    ("kelpcourse.policy",),
     ("kelpcourse.limits", "kelpcourse.fields", "kelpcourse.memory", "kelpcourse.store"),
     ("kelpcourse.facade", "kelpcourse.settings"),
     ("kelpcourse.wire",),
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -5,7 +5,8 @@
 import pytest
 
 from kelpcourse.limits import Limits
-from kelpcourse.memory.hosts import Hosts, Member, Phase
+from kelpcourse.memory.endpoints import EndpointRegistry, ListedEndpoint
+from kelpcourse.policy.events import EndpointStatus
 
 LISTS = (
     "names",
@@ -49,10 +50,10 @@
 
 
 def test_hosts_that_are_listed_are_remembered_whatever_the_limit() -> None:
-    hosts = Hosts(10)
+    hosts = EndpointRegistry(10)
     hosts.take(
         [
-            Member(f"h{k}", ("127.0.0.1", 1), "a", "m", 0, Phase.READY, 1.0, 0.0)
+            ListedEndpoint(f"h{k}", ("127.0.0.1", 1), "a", "m", 0, EndpointStatus.READY, 1.0, 0.0)
             for k in range(2_000)
         ],
         True,
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from kelpcourse.interface import DemandReport, HostReport
+from kelpcourse.policy.events import DemandReport, EndpointReport
 from kelpcourse.service.director import bound
 from kelpcourse.wire.listener import Listener
 from tests.standins import HASTY, MS, QUICK, Bench, member
@@ -47,7 +47,7 @@
         return peer
 
     def reports(self) -> list[object]:
-        return [e for e in self.bench.module.events if isinstance(e, HostReport | DemandReport)]
+        return [e for e in self.bench.module.events if isinstance(e, EndpointReport | DemandReport)]
 
     def close(self) -> None:
         for peer in self.peers:
@@ -103,7 +103,7 @@
     peer.sendall(b"collector az=east\r\n" + HEARD + USAGE)
     front.bench.until(lambda: len(front.reports()) == 2)
     assert front.reports() == [
-        HostReport(1, "east", 212, 3, 1_000_000, 41_700, (("inflight", 7.0), ("util", 0.61))),
+        EndpointReport(1, "east", 212, 3, 1_000_000, 41_700, (("inflight", 7.0), ("util", 0.61))),
         DemandReport(2, 0, 19, 0, 1_000_000),
     ]
     assert heard_back(peer) is None
@@ -181,7 +181,7 @@
 def test_a_report_of_failures_alone_has_no_mean_time(front: Front) -> None:
     front.collector().sendall(b"heard az=east host=h1 n=3 bad=3 window=1000\r\n")
     front.bench.until(front.reports)
-    assert front.reports() == [HostReport(1, "east", 3, 3, 1_000_000, 0, ())]
+    assert front.reports() == [EndpointReport(1, "east", 3, 3, 1_000_000, 0, ())]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -6,7 +6,9 @@
 
 import pytest
 
-from kelpcourse.interface import Admission, DemandReport, HostReport, Log, ProxyJoined, SetLevel
+from kelpcourse.policy.actions import LogMessage, SetAdmission
+from kelpcourse.policy.events import DemandReport, EndpointReport, ProxyJoined
+from kelpcourse.policy.settings import AdmissionMode
 from tests.fleet import READ, SECOND, SETTINGS, WRITE, Day, changes, hosts, only
 
 
@@ -46,7 +48,10 @@
 
 
 def test_classes_of_equal_worth_get_the_same_fraction() -> None:
-    day = Day(replace(SETTINGS, classes=(READ, replace(WRITE, worth=READ.worth))), listed=hosts(10))
+    day = Day(
+        replace(SETTINGS, classes=(READ, replace(WRITE, priority_weight=READ.priority_weight))),
+        listed=hosts(10),
+    )
     steady(day)
     for _ in range(2):
         day.second(hosts(10), time_us=400_000, demand=(80, 20))
@@ -111,9 +116,9 @@
     for k in range(3):
         day.send(changes([replace(hosts(10)[k], started_us=day.now)]))
         actions = day.second(hosts(10), time_us=600_000, demand=(80, 20))
-        if any("overload" in log.text for log in only(actions, Log)):
+        if any("overload" in log.text for log in only(actions, LogMessage)):
             break
-    assert min(a.level for a in only(actions, SetLevel)) < 0.8
+    assert min(a.limit for a in only(actions, SetAdmission)) < 0.8
 
 
 def test_volume_follows_a_fleet_that_grows() -> None:
@@ -130,11 +135,11 @@
 
 
 def test_no_levels_where_proxies_disregard_them() -> None:
-    day = Day(replace(SETTINGS, admission=Admission.NONE), listed=hosts(10))
+    day = Day(replace(SETTINGS, admission_mode=AdmissionMode.NONE), listed=hosts(10))
     steady(day)
     for _ in range(5):
         day.second(hosts(10), time_us=900_000, demand=(80, 20))
-    assert {a.level for _, a in day.log if isinstance(a, SetLevel)} <= {1.0}
+    assert {a.limit for _, a in day.log if isinstance(a, SetAdmission)} <= {1.0}
 
 
 def test_zero_demand_and_empty_reports_are_served() -> None:
@@ -153,7 +158,7 @@
         day.send(ProxyJoined(proxy, "east", 10.0, False))
         day.until(day.now + SECOND)
         day.send(
-            *(HostReport(h.id, "east", 20, 0, SECOND, 200_000, ()) for h in hosts(10)),
+            *(EndpointReport(h.id, "east", 20, 0, SECOND, 200_000, ()) for h in hosts(10)),
             *(DemandReport(p, k, n, 0, SECOND) for p in day.joined for k, n in enumerate((40, 10))),
             DemandReport(proxy, 0, 8, 0, SECOND // 10),
         )
@@ -206,7 +211,7 @@
 
 def test_hosts_busy_with_a_class_of_their_own_do_not_shed_the_rest() -> None:
     """A zone short of hosts was full of its own class, and reads for the idle zone were refused."""
-    bound = replace(WRITE, only_zones=frozenset({"east"}))
+    bound = replace(WRITE, allowed_zones=frozenset({"east"}))
     day = Day(replace(SETTINGS, classes=(READ, bound)), listed=hosts(10))
     slow = {h.id: 1_600_000 if h.zone == "east" else 120_000 for h in hosts(10)}
     low = 1.0
@@ -219,7 +224,7 @@
 
 
 def test_levels_are_rates_at_each_proxy_where_the_site_reads_them_so() -> None:
-    day = Day(replace(SETTINGS, admission=Admission.RATE), listed=hosts(10))
+    day = Day(replace(SETTINGS, admission_mode=AdmissionMode.RATE), listed=hosts(10))
     steady(day)
     assert min(day.levels.values()) >= 1000  # no limit
     for _ in range(3):
@@ -239,7 +244,7 @@
 
 def test_the_shared_table_leaves_out_what_a_class_of_its_own_brings() -> None:
     """A fifth of the requests may only go to half of the hosts: in all, every host gets the same."""
-    bound = replace(WRITE, only_zones=frozenset({"east"}))
+    bound = replace(WRITE, allowed_zones=frozenset({"east"}))
     day = Day(replace(SETTINGS, classes=(READ, bound)), listed=hosts(10))
     for _ in range(6):
         day.second(hosts(10), demand=(40, 10))
@@ -254,7 +259,7 @@
 
 
 def test_a_class_that_fills_its_hosts_leaves_them_a_part_of_the_shared_table() -> None:
-    bound = replace(WRITE, only_zones=frozenset({"east"}))
+    bound = replace(WRITE, allowed_zones=frozenset({"east"}))
     day = Day(replace(SETTINGS, classes=(READ, bound)), listed=hosts(10))
     for _ in range(6):
         day.second(hosts(10), demand=(5, 45))
