--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -10,13 +10,13 @@
 import orjson
 import pytest
 
-from kelpcourse.channel import Channel
-from kelpcourse.decide import Director
 from kelpcourse.facade import Facade
-from kelpcourse.interface import Settings
 from kelpcourse.limits import Limits
-from kelpcourse.memory.hosts import Phase
-from kelpcourse.memory.outbox import Outbox
+from kelpcourse.memory.order_queue import OrderQueue
+from kelpcourse.policy.controller import RoutingPolicy
+from kelpcourse.policy.delivery import Channel
+from kelpcourse.policy.events import EndpointStatus
+from kelpcourse.policy.settings import Settings
 from kelpcourse.wire.loop import Signal
 from kelpcourse.wire.relay_calls import RelayCalls
 from kelpcourse.wire.stream import Act
@@ -29,15 +29,15 @@
 MASS = replace(
     SETTINGS,
     zones=ZONES,
-    proxies=1_600,
-    connections_least=424.0,
-    channel_lines_per_s=3_400.0,
-    channel_backlog=37_700.0,
+    proxy_count=1_600,
+    min_endpoint_connections=424.0,
+    delivery_entries_per_s=3_400.0,
+    max_backlog_entries=37_700.0,
     drain_grace_us=13_700_000,
-    transit_mean_us=453_000,
-    transit_longest_us=1_132_500,
-    messages_most=12,
-    bare_limit_us=23 * SECOND,
+    mean_transit_us=453_000,
+    max_transit_us=1_132_500,
+    max_messages_per_proxy=12,
+    max_unserved_us=23 * SECOND,
 )
 
 
@@ -47,7 +47,7 @@
     return lambda _: [h.id for h in draw.sample(HOSTS, 28)]
 
 
-def takeover(seed: int, make: Callable[[Settings], Director] = Director) -> ModuleDay:
+def takeover(seed: int, make: Callable[[Settings], RoutingPolicy] = RoutingPolicy) -> ModuleDay:
     """Four in five directors die right after hosts were announced as leaving; a second and a third announcement follow
     while their proxies come, and streams break and return. Raises Broken."""
     day = ModuleDay(make, MASS, HOSTS)
@@ -70,13 +70,13 @@
     return day
 
 
-@pytest.mark.parametrize("make", [Director, LongTables])
+@pytest.mark.parametrize("make", [RoutingPolicy, LongTables])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_director_that_takes_over_the_fleet_keeps_queue_and_drains(
-    seed: int, make: Callable[[Settings], Director]
+    seed: int, make: Callable[[Settings], RoutingPolicy]
 ) -> None:
     day = takeover(seed, make)
-    assert MASS.channel_backlog * 0.5 < day.world.most <= MASS.channel_backlog
+    assert MASS.max_backlog_entries * 0.5 < day.world.most <= MASS.max_backlog_entries
     assert len(day.director.proxies) == 1_600
 
 
@@ -102,20 +102,22 @@
         return super().waiting(now_us) - sum(step.others for step in self._steps)
 
 
-def careless(settings: Settings) -> Director:
+def careless(settings: Settings) -> RoutingPolicy:
     made = LongTables(settings)
     made.channel = ForgetsTheUnanswered(
-        int(settings.channel_backlog / settings.channel_lines_per_s * 1e6)
-        + settings.transit_longest_us,
-        settings.channel_lines_per_s / 1e6,
-        settings.messages_most,
-        settings.messages_over_us,
+        int(settings.max_backlog_entries / settings.delivery_entries_per_s * 1e6)
+        + settings.max_transit_us,
+        settings.delivery_entries_per_s / 1e6,
+        settings.max_messages_per_proxy,
+        settings.message_window_us,
     )
     return made
 
 
 @pytest.mark.parametrize("mutant", [TellsNobodyLate, TellsBindingsFirst, careless])
-def test_a_defence_taken_out_is_found_by_the_count(mutant: Callable[[Settings], Director]) -> None:
+def test_a_defence_taken_out_is_found_by_the_count(
+    mutant: Callable[[Settings], RoutingPolicy],
+) -> None:
     with pytest.raises(Broken):
         takeover(1, mutant)
 
@@ -125,14 +127,14 @@
 
 class RealDay:
     def __init__(
-        self, lost: float, make: Callable[[Settings], Director] = Director, seed: int = 1
+        self, lost: float, make: Callable[[Settings], RoutingPolicy] = RoutingPolicy, seed: int = 1
     ) -> None:
-        limits = Limits().serving(MASS.proxies)
+        limits = Limits().serving(MASS.proxy_count)
         self.world = MassWorld(MASS)
         self.bench = Bench(limits, MASS)
         self.facade = self.bench.facade = Facade(MASS, 7, limits, make)
         parts = replace(self.bench.parts, facade=self.facade)
-        self.outbox, self.waiting = Outbox(limits.orders, limits.marks), Signal()
+        self.outbox, self.waiting = OrderQueue(limits.orders, limits.marks), Signal()
         self.lost, self.draw = (
             lost,
             random.Random(seed),
@@ -186,7 +188,9 @@
     def drain(self, names: list[str], version: int) -> None:
         self.world.withdraw(self.bench.clock.now, names)
         self.facade.report_list(
-            [replace(self.members[n], phase=Phase.DRAINING) for n in names], version, False
+            [replace(self.members[n], status=EndpointStatus.DRAINING) for n in names],
+            version,
+            False,
         )
 
 
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -8,51 +8,53 @@
 
 import pytest
 
-from kelpcourse.decide import Director
-from kelpcourse.interface import (
-    Admission,
+from kelpcourse.policy.actions import SetAdmission, SetWeight
+from kelpcourse.policy.controller import RoutingPolicy
+from kelpcourse.policy.events import (
     DemandReport,
+    EndpointList,
+    EndpointListKind,
+    EndpointReport,
+    EndpointStatus,
     Event,
-    HostList,
-    HostReport,
-    HostState,
-    ListKind,
-    OrdersApplied,
+    HealthCheckCompleted,
+    HealthCheckStatus,
+    OrdersAcknowledged,
     PeerMessage,
-    ProbeAnswered,
-    ProbeStatus,
     ProxyJoined,
     ProxyLeft,
-    SetLevel,
-    SetLine,
     SliceDemand,
     SliceLeased,
-    SliceLine,
+    SliceWeight,
     Started,
     TimerFired,
 )
+from kelpcourse.policy.settings import AdmissionMode
 from tests.fleet import READ, SETTINGS, WRITE, host, only
 
 CLASSES = {
     "plain": (READ, WRITE),
-    "bound": (replace(READ, zone_bound=True), replace(WRITE, only_zones=frozenset({"west"}))),
+    "bound": (
+        replace(READ, same_zone_only=True),
+        replace(WRITE, allowed_zones=frozenset({"west"})),
+    ),
     "closed": (
-        replace(READ, only_kinds=frozenset({"none"})),
-        replace(WRITE, only_kinds=frozenset({"std"})),
+        replace(READ, allowed_kinds=frozenset({"none"})),
+        replace(WRITE, allowed_kinds=frozenset({"std"})),
     ),
 }
 SITES = [
     replace(
         SETTINGS,
         classes=CLASSES[kind],
-        admission=admission,
-        must_ask=ask,
-        messages_most=most,
-        slices=slices,
-        load_inline=True,
+        admission_mode=admission,
+        discovery_is_polled=ask,
+        max_messages_per_proxy=most,
+        slice_count=slices,
+        load_reports_inline=True,
     )
     for kind, admission, (ask, most, slices) in product(
-        CLASSES, Admission, ((False, 0, 0), (True, 12, 0), (False, 10, 8))
+        CLASSES, AdmissionMode, ((False, 0, 0), (True, 12, 0), (False, 10, 8))
     )
 ]
 
@@ -68,7 +70,7 @@
         host(
             rng.randrange(1, 9),
             zone,
-            rng.choice(list(HostState)),
+            rng.choice(list(EndpointStatus)),
             rng.choice((0, now - 1, now + 9)),
             weight=rng.choice((0.0, 1.0, 4.0)),
         )
@@ -76,13 +78,13 @@
     )
     return rng.choice(
         (
-            HostList(rng.choice(list(ListKind)), 1, listed),
+            EndpointList(rng.choice(list(EndpointListKind)), 1, listed),
             ProxyJoined(
                 proxy, zone if zone != "elsewhere" else "east", rng.choice((0.0, 9.0)), True
             ),
             ProxyLeft(proxy),
-            OrdersApplied(proxy, rng.randrange(9), 5),
-            HostReport(
+            OrdersAcknowledged(proxy, rng.randrange(9), 5),
+            EndpointReport(
                 number,
                 zone,
                 count,
@@ -93,9 +95,9 @@
             ),
             DemandReport(proxy, rng.randrange(2), count, 0, span),
             SliceDemand(1, 0, count, 0, span),
-            ProbeAnswered(number, rng.choice(list(ProbeStatus)), 1, ()),
+            HealthCheckCompleted(number, rng.choice(list(HealthCheckStatus)), 1, ()),
             SliceLeased(1, rng.random() < 0.5),
-            SliceLine(1, number, 1.0),
+            SliceWeight(1, number, 1.0),
             PeerMessage(1, b""),
             TimerFired("other"),
         )
@@ -105,10 +107,10 @@
 @pytest.mark.parametrize("site", range(len(SITES)))
 def test_nothing_raises_and_orders_stay_legal(site: int) -> None:
     rng = random.Random(site)
-    director, now = Director(SITES[site]), 10_000_000
-    director.step(now, [Started(1), HostList(ListKind.RESTORED, 0, ())])
+    director, now = RoutingPolicy(SITES[site]), 10_000_000
+    director.step(now, [Started(1), EndpointList(EndpointListKind.RESTORED, 0, ())])
     for _ in range(1500):
         now += rng.choice((0, 2_000, 700_000))
         actions = director.step(now, [odd_event(rng, now) for _ in range(rng.randrange(5))])
-        assert all(a.weight >= 0 and 1 <= a.host < 9 for a in only(actions, SetLine))
-        assert all(a.level >= 0 for a in only(actions, SetLevel))
+        assert all(a.weight >= 0 and 1 <= a.endpoint < 9 for a in only(actions, SetWeight))
+        assert all(a.limit >= 0 for a in only(actions, SetAdmission))
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from kelpcourse.interface import ProbeAnswered, ProbeStatus
+from kelpcourse.policy.events import HealthCheckCompleted, HealthCheckStatus
 from kelpcourse.wire.probes import Probes, read_load
 from kelpcourse.wire.stream import Act
 from tests.standins import QUICK, Bench, Caller, StandIn, member
@@ -39,8 +39,8 @@
     caller.reset()
 
 
-def answers(bench: Bench) -> list[ProbeAnswered]:
-    return [event for event in bench.module.events if isinstance(event, ProbeAnswered)]
+def answers(bench: Bench) -> list[HealthCheckCompleted]:
+    return [event for event in bench.module.events if isinstance(event, HealthCheckCompleted)]
 
 
 @pytest.mark.parametrize(
@@ -48,28 +48,28 @@
     [
         (
             answering(200, b'{"inflight":7,"queue":2,"util":0.61}'),
-            ProbeStatus.OK,
+            HealthCheckStatus.OK,
             (("inflight", 7.0), ("queue", 2.0), ("util", 0.61)),
         ),
-        (answering(200, b""), ProbeStatus.OK, ()),
-        (answering(200, b'{"inflight":"many","queue":1}'), ProbeStatus.OK, (("queue", 1.0),)),
-        (answering(200, b"{"), ProbeStatus.ERROR, ()),
-        (answering(503, b'{"inflight":7}'), ProbeStatus.FULL, (("inflight", 7.0),)),
-        (answering(500, b""), ProbeStatus.ERROR, ()),
-        (silent, ProbeStatus.TIMEOUT, ()),
-        (reset, ProbeStatus.RESET, ()),
+        (answering(200, b""), HealthCheckStatus.OK, ()),
+        (answering(200, b'{"inflight":"many","queue":1}'), HealthCheckStatus.OK, (("queue", 1.0),)),
+        (answering(200, b"{"), HealthCheckStatus.ERROR, ()),
+        (answering(503, b'{"inflight":7}'), HealthCheckStatus.FULL, (("inflight", 7.0),)),
+        (answering(500, b""), HealthCheckStatus.ERROR, ()),
+        (silent, HealthCheckStatus.TIMEOUT, ()),
+        (reset, HealthCheckStatus.RESET, ()),
     ],
 )
 def test_what_came_of_a_probe(
     bench: Bench,
     serve: Callable[[Caller], Act[None]],
-    status: ProbeStatus,
+    status: HealthCheckStatus,
     load: tuple[tuple[str, float], ...],
 ) -> None:
     host = StandIn(bench.loop, serve)
     Probes(bench.parts).probe("h1", host.address)
     bench.until(lambda: answers(bench))
-    assert [(a.host, a.status, a.load) for a in answers(bench)] == [(1, status, load)]
+    assert [(a.endpoint, a.status, a.load) for a in answers(bench)] == [(1, status, load)]
 
 
 def test_a_host_that_is_down_failed_to_connect(bench: Bench) -> None:
@@ -77,7 +77,7 @@
     host.close()
     Probes(bench.parts).probe("h1", host.address)
     bench.until(lambda: answers(bench))
-    assert answers(bench)[0].status is ProbeStatus.CONNECT_FAILED
+    assert answers(bench)[0].status is HealthCheckStatus.CONNECT_FAILED
 
 
 def test_probes_beyond_the_limit_wait_and_beyond_that_are_cancelled(bench: Bench) -> None:
@@ -87,7 +87,7 @@
     for _ in range(8):
         probes.probe("h1", host.address)
     bench.until(lambda: len(answers(bench)) == 8)
-    assert [a.status for a in answers(bench)].count(ProbeStatus.CANCELLED) == 3
+    assert [a.status for a in answers(bench)].count(HealthCheckStatus.CANCELLED) == 3
     assert host.connections == 5
 
 
@@ -99,7 +99,7 @@
     probes.probe("h1", ("127.0.0.1", 99_999))
     probes.probe("h1", host.address)
     bench.until(lambda: len(answers(bench)) == 2)
-    assert [a.status for a in answers(bench)] == [ProbeStatus.ERROR, ProbeStatus.OK]
+    assert [a.status for a in answers(bench)] == [HealthCheckStatus.ERROR, HealthCheckStatus.OK]
     assert [type(error) for error in bench.defects] == [OverflowError]
     bench.defects.clear()
 
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -8,9 +8,9 @@
 import orjson
 import pytest
 
-from kelpcourse.interface import OrdersDoubted, OrdersTaken
-from kelpcourse.memory.orders import Mark, Order, SetShare, ShutOut
-from kelpcourse.memory.outbox import Outbox
+from kelpcourse.memory.order_queue import OrderQueue
+from kelpcourse.memory.orders import Checkpoint, Order, RestoreEndpoint, SetWeight, WithdrawEndpoint
+from kelpcourse.policy.events import OrdersAccepted, OrdersOutcomeUnknown
 from kelpcourse.wire.loop import Signal, Wait
 from kelpcourse.wire.relay_calls import RelayCalls
 from kelpcourse.wire.relay_codec import encode_order
@@ -96,7 +96,7 @@
     caller.stream.close()
 
 
-def start_calls(bench: Bench, relay: Relay, outbox: Outbox) -> Signal:
+def start_calls(bench: Bench, relay: Relay, outbox: OrderQueue) -> Signal:
     waiting = Signal()
     bench.loop.start(
         "calls", RelayCalls(bench.parts, relay.stand_in.address, outbox, waiting).run()
@@ -108,7 +108,7 @@
     relay, outbox = Relay(bench), outbox_of(SET, USE, MARK)
     waiting = start_calls(bench, relay, outbox)
     bench.until(lambda: not outbox.batches)
-    outbox.add([ShutOut("h1", True), Mark(6, True)])
+    outbox.add([WithdrawEndpoint("h1"), Checkpoint(6, True)])
     waiting.raise_()
     bench.until(lambda: not outbox.batches)
     assert relay.verbs() == [["SET", "USE", "SYNC"], ["OUT", "SYNC"]]
@@ -118,7 +118,7 @@
 
 def test_a_refused_order_is_dropped_and_told_and_the_rest_goes_again(bench: Bench) -> None:
     relay = Relay(bench, take_two, take_none)
-    outbox = outbox_of(SET, SetShare(0, "h2", 1.0), USE, MARK)
+    outbox = outbox_of(SET, SetWeight(0, "h2", 1.0), USE, MARK)
     start_calls(bench, relay, outbox)
     bench.until(lambda: not outbox.batches)
     assert relay.verbs() == [["SET", "SET", "USE", "SYNC"], ["USE", "SYNC"], ["SYNC"]]
@@ -134,7 +134,7 @@
 
 
 def test_a_refusal_that_a_spoilt_answer_made_up_costs_no_order(bench: Bench) -> None:
-    relay, outbox = Relay(bench, take_two), outbox_of(SET, SetShare(0, "h2", 1.0), USE, MARK)
+    relay, outbox = Relay(bench, take_two), outbox_of(SET, SetWeight(0, "h2", 1.0), USE, MARK)
     start_calls(bench, relay, outbox)
     bench.until(lambda: not outbox.batches)
     assert relay.verbs() == [["SET", "SET", "USE", "SYNC"], ["USE", "SYNC"]]
@@ -196,7 +196,7 @@
     relay, outbox = Relay(bench, trouble), outbox_of(SET, MARK)
     start_calls(bench, relay, outbox)
     bench.until(lambda: len(relay.calls) == 1)
-    outbox.add([SetShare(0, "h1", 2.0), Mark(6, False)])
+    outbox.add([SetWeight(0, "h1", 2.0), Checkpoint(6, False)])
     bench.until(lambda: not outbox.batches)
     sent = [order for call in relay.calls[1:] for order in call]
     assert [order.get("share", order.get("stamp")) for order in sent] in (
@@ -205,12 +205,12 @@
     )
     assert bench.counters["relay_calls_failed"] == 1
     # the channel may hold the step twice: 36,000 lines ordered again uncounted would be more than it may
-    assert [event for event in bench.module.events if isinstance(event, OrdersDoubted)] == [
-        OrdersDoubted((5,))
+    assert [event for event in bench.module.events if isinstance(event, OrdersOutcomeUnknown)] == [
+        OrdersOutcomeUnknown((5,))
     ]
 
 
-def in_doubt(bench: Bench, trouble: Callable[[Caller, int], Act[None]]) -> tuple[Relay, Outbox]:
+def in_doubt(bench: Bench, trouble: Callable[[Caller, int], Act[None]]) -> tuple[Relay, OrderQueue]:
     """The first call breaks, and the module does not let it go again yet."""
     bench.module.repeats = False
     relay, outbox = Relay(bench, trouble), outbox_of(SET, MARK)
@@ -224,8 +224,10 @@
 ) -> None:
     """6,416 lines waited where 5,800 may: an answer was lost, and the call went again beside its first copy."""
     relay, outbox = in_doubt(bench, trouble)
-    bench.until(lambda: len([e for e in bench.module.events if isinstance(e, OrdersDoubted)]) > 3)
-    outbox.add([SetShare(0, "h1", 2.0), Mark(6, False)])
+    bench.until(
+        lambda: len([e for e in bench.module.events if isinstance(e, OrdersOutcomeUnknown)]) > 3
+    )
+    outbox.add([SetWeight(0, "h1", 2.0), Checkpoint(6, False)])
     bench.pass_us(50 * MS)
     assert len(relay.calls) == 1
     bench.module.repeats = True
@@ -238,16 +240,16 @@
     bench: Bench, trouble: Callable[[Caller, int], Act[None]]
 ) -> None:
     relay, outbox = in_doubt(bench, trouble)
-    bench.until(lambda: any(isinstance(e, OrdersDoubted) for e in bench.module.events))
-    outbox.add([USE, Mark(6, False)])
+    bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.module.events))
+    outbox.add([USE, Checkpoint(6, False)])
     outbox.answered(5)
     bench.until(lambda: not outbox.batches)
     assert relay.verbs() == [["SET", "SYNC"], ["USE", "SYNC"]]
     assert bench.counters["relay_calls_proved"] == 1
-    bench.until(lambda: OrdersTaken(6) in bench.module.events)
-    assert [e for e in bench.module.events if isinstance(e, OrdersTaken)] == [
-        OrdersTaken(5),
-        OrdersTaken(6),
+    bench.until(lambda: OrdersAccepted(6) in bench.module.events)
+    assert [e for e in bench.module.events if isinstance(e, OrdersAccepted)] == [
+        OrdersAccepted(5),
+        OrdersAccepted(6),
     ]
 
 
@@ -341,7 +343,7 @@
     relay.stand_in.close()
     waiting = start_calls(bench, relay, outbox)
     for stamp in range(6, 206):
-        outbox.add([SetShare(0, "h1", stamp), Mark(stamp, False)])
+        outbox.add([SetWeight(0, "h1", stamp), Checkpoint(stamp, False)])
         waiting.raise_()
         bench.pass_us(MS)
     assert 10 < bench.counters["relay_calls_failed"] <= 10 + 200 * MS // QUICK.backoff_most_us
@@ -351,7 +353,7 @@
     """The relay takes no more of it than the system holds. It was never carried out, and goes again at once."""
     bench.parts = replace(bench.parts, limits=replace(QUICK, call_bytes=1 << 30))
     long = "h" * 2_000
-    orders: list[Order] = [SetShare(0, f"{long}{k}", 1.0) for k in range(10_000)]
+    orders: list[Order] = [SetWeight(0, f"{long}{k}", 1.0) for k in range(10_000)]
 
     def takes_nothing(_: Caller) -> Act[None]:
         while True:
@@ -363,7 +365,7 @@
     bench.until(lambda: bench.counters["relay_calls_failed"] == 3)
     assert bench.log.named("relay_call_failed")[0]["reason"] == "nothing was taken in time"
     assert stalled.connections >= 2
-    assert not [e for e in bench.module.events if isinstance(e, OrdersDoubted)]
+    assert not [e for e in bench.module.events if isinstance(e, OrdersOutcomeUnknown)]
 
 
 def test_a_call_unanswered_at_the_old_address_waits_for_the_module_at_the_new_one_too(
@@ -385,11 +387,11 @@
 
 def test_a_withdrawal_ordered_while_a_call_is_in_doubt_goes_out_with_it(bench: Bench) -> None:
     """Behind it, not ahead: the call may let the same host back."""
-    relay, outbox = Relay(bench, say_nothing), outbox_of(ShutOut("h1", False), MARK)
+    relay, outbox = Relay(bench, say_nothing), outbox_of(RestoreEndpoint("h1"), MARK)
     bench.module.repeats = False
     start_calls(bench, relay, outbox)
-    bench.until(lambda: any(isinstance(e, OrdersDoubted) for e in bench.module.events))
-    outbox.add([ShutOut("h1", True), Mark(6, False)])
+    bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.module.events))
+    outbox.add([WithdrawEndpoint("h1"), Checkpoint(6, False)])
     bench.module.repeats = True
     bench.until(lambda: not outbox.batches)
     assert relay.verbs() == [["IN", "SYNC"], ["OUT", "SYNC"]]
@@ -411,7 +413,7 @@
 
 
 def test_a_large_step_is_split_into_calls_in_order(bench: Bench) -> None:
-    orders: list[Order] = [SetShare(0, f"h{k}", 1.0) for k in range(2000)]
+    orders: list[Order] = [SetWeight(0, f"h{k}", 1.0) for k in range(2000)]
     relay, outbox = Relay(bench), outbox_of(*orders, MARK)
     start_calls(bench, relay, outbox)
     bench.until(lambda: not outbox.batches)
@@ -419,5 +421,5 @@
     sent = [order["host"] for call in relay.calls for order in call if order["verb"] == "SET"]
     assert sent == [f"h{k}" for k in range(2000)]
     assert all(call[-1]["verb"] == "SYNC" for call in relay.calls)
-    bench.until(lambda: OrdersTaken(5) in bench.module.events)
-    assert bench.module.events.count(OrdersTaken(5)) == 1  # with its last part
+    bench.until(lambda: OrdersAccepted(5) in bench.module.events)
+    assert bench.module.events.count(OrdersAccepted(5)) == 1  # with its last part
--- a/tests/test_relay_codec.py
+++ b/tests/test_relay_codec.py
@@ -5,7 +5,16 @@
 import orjson
 import pytest
 
-from kelpcourse.memory.orders import EmptyTable, Limit, Mark, Order, SetShare, ShutOut, UseTable
+from kelpcourse.memory.orders import (
+    BindProxy,
+    Checkpoint,
+    ClearTable,
+    Order,
+    RestoreEndpoint,
+    SetAdmission,
+    SetWeight,
+    WithdrawEndpoint,
+)
 from kelpcourse.memory.proxies import Applied, Joined, Left
 from kelpcourse.wire.fields import BadMessage, NotJson
 from kelpcourse.wire.relay_codec import (
@@ -26,18 +35,18 @@
 @pytest.mark.parametrize(
     ("order", "text"),
     [
-        (SetShare(4, "s-1", 1.5), '{"verb":"SET","cluster":4,"host":"s-1","share":1.5}'),
-        (EmptyTable(4), '{"verb":"DEL","cluster":4}'),
-        (UseTable(17, 4, ("lookup",)), '{"verb":"USE","sidecar":17,"cluster":4,"for":["lookup"]}'),
-        (UseTable(17, 4, ()), '{"verb":"USE","sidecar":17,"cluster":4}'),
-        (ShutOut("s-1", True), '{"verb":"OUT","host":"s-1"}'),
-        (ShutOut("s-1", False), '{"verb":"IN","host":"s-1"}'),
+        (SetWeight(4, "s-1", 1.5), '{"verb":"SET","cluster":4,"host":"s-1","share":1.5}'),
+        (ClearTable(4), '{"verb":"DEL","cluster":4}'),
+        (BindProxy(17, 4, ("lookup",)), '{"verb":"USE","sidecar":17,"cluster":4,"for":["lookup"]}'),
+        (BindProxy(17, 4, ()), '{"verb":"USE","sidecar":17,"cluster":4}'),
+        (WithdrawEndpoint("s-1"), '{"verb":"OUT","host":"s-1"}'),
+        (RestoreEndpoint("s-1"), '{"verb":"IN","host":"s-1"}'),
         (
-            Limit(4, ("lookup",), 0.9, 1),
+            SetAdmission(4, ("lookup",), 0.9, 1),
             '{"verb":"LIMIT","cluster":4,"for":["lookup"],"gate":0.9,"again":1}',
         ),
-        (Limit(None, (), 0.0, 1), '{"verb":"LIMIT","cluster":"*","gate":0.0,"again":1}'),
-        (Mark(905, True), '{"verb":"SYNC","stamp":905,"yes":1}'),
+        (SetAdmission(None, (), 0.0, 1), '{"verb":"LIMIT","cluster":"*","gate":0.0,"again":1}'),
+        (Checkpoint(905, True), '{"verb":"SYNC","stamp":905,"yes":1}'),
     ],
 )
 def test_orders_are_written_as_the_protocol_shows_them(order: Order, text: str) -> None:
@@ -45,7 +54,7 @@
 
 
 def test_a_call_holds_what_fits_and_each_part_ends_with_the_mark() -> None:
-    orders: list[Order] = [*(SetShare(0, f"h{k}", 1.0) for k in range(50)), MARK]
+    orders: list[Order] = [*(SetWeight(0, f"h{k}", 1.0) for k in range(50)), MARK]
     body = call_body(orders, 1000)
     assert len(body.data) <= 1000
     assert 1 < body.order_count < 50
@@ -57,7 +66,7 @@
 
 
 def test_an_order_larger_than_a_call_goes_alone() -> None:
-    assert call_body([SetShare(0, "h" * 300, 1.0), SET], 100).order_count == 1
+    assert call_body([SetWeight(0, "h" * 300, 1.0), SET], 100).order_count == 1
 
 
 def test_answers() -> None:
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from kelpcourse.interface import OrdersApplied, ProxyJoined, ProxyLeft
-from kelpcourse.memory.orders import Mark, UseTable
-from kelpcourse.memory.outbox import Outbox
+from kelpcourse.memory.order_queue import OrderQueue
+from kelpcourse.memory.orders import BindProxy, Checkpoint
+from kelpcourse.policy.events import OrdersAcknowledged, ProxyJoined, ProxyLeft
 from kelpcourse.wire.loop import Signal
 from kelpcourse.wire.relay_events import EventStreams
 from tests.relays import SET, USE, Broadcaster, applied, joined, left, outbox_of
@@ -12,7 +12,7 @@
 
 
 def start_news(
-    bench: Bench, source: Broadcaster, outbox: Outbox | None = None, streams: int = 1
+    bench: Bench, source: Broadcaster, outbox: OrderQueue | None = None, streams: int = 1
 ) -> None:
     reader = EventStreams(
         bench.parts,
@@ -33,7 +33,7 @@
     assert bench.module.events[1:] == [
         ProxyJoined(0, "east", 2.0, True),
         ProxyJoined(1, "east", 2.0, True),
-        OrdersApplied(1, 905, 1500),
+        OrdersAcknowledged(1, 905, 1500),
         ProxyLeft(0),
     ]
 
@@ -59,14 +59,14 @@
     bench.until(lambda: source.stand_in.connections == 2 and len(bench.module.events) == 3)
     bench.asked(5)
     source.feed += [b"{}", b"{}", b"{}", applied(0, 5)]
-    bench.until(lambda: OrdersApplied(0, 5, 1500) in bench.module.events)
+    bench.until(lambda: OrdersAcknowledged(0, 5, 1500) in bench.module.events)
     bench.pass_us(5 * MS)
     source.hang_up = True
     bench.until(lambda: source.stand_in.connections == 3)
     source.feed += [left(1), b"{}"]
     bench.until(lambda: ProxyLeft(1) in bench.module.events)
     bench.pass_us(5 * MS)
-    assert bench.module.events[3:] == [OrdersApplied(0, 5, 1500), ProxyLeft(1)]
+    assert bench.module.events[3:] == [OrdersAcknowledged(0, 5, 1500), ProxyLeft(1)]
     assert bench.log.named("news_lost")[0]["steady"] is True
 
 
@@ -104,7 +104,7 @@
 
 
 def test_bindings_of_a_proxy_that_left_are_dropped(bench: Bench) -> None:
-    outbox = outbox_of(UseTable(0, 0, ()), SET)
+    outbox = outbox_of(BindProxy(0, 0, ()), SET)
     source = Broadcaster(bench, [joined(0), b"{}", left(0)])
     start_news(bench, source, outbox)
     bench.until(lambda: ProxyLeft(0) in bench.module.events)
@@ -112,15 +112,18 @@
 
 
 def test_an_answer_to_a_merged_mark_answers_the_earlier_ones_too(bench: Bench) -> None:
-    outbox = outbox_of(SET, Mark(4, False))
-    outbox.add([USE, Mark(5, True)])
-    assert outbox.begin()[-1] == Mark(5, True, (4,))
+    outbox = outbox_of(SET, Checkpoint(4, False))
+    outbox.add([USE, Checkpoint(5, True)])
+    assert outbox.begin()[-1] == Checkpoint(5, True, (4,))
     outbox.taken(3)
     bench.asked(4, 5)
     source = Broadcaster(bench, [joined(3), b"{}", applied(3, 5)])
     start_news(bench, source, outbox)
-    bench.until(lambda: OrdersApplied(3, 5, 1500) in bench.module.events)
-    assert bench.module.events[-2:] == [OrdersApplied(3, 4, 1500), OrdersApplied(3, 5, 1500)]
+    bench.until(lambda: OrdersAcknowledged(3, 5, 1500) in bench.module.events)
+    assert bench.module.events[-2:] == [
+        OrdersAcknowledged(3, 4, 1500),
+        OrdersAcknowledged(3, 5, 1500),
+    ]
 
 
 def test_news_moves_without_a_gap_and_lets_go_of_the_old_streams(bench: Bench) -> None:
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -4,8 +4,9 @@
 
 import pytest
 
-from kelpcourse.decide import HOLD_US
-from kelpcourse.interface import Action, BindProxy, Event, HostReport, HostState, ProxyJoined
+from kelpcourse.policy.actions import Action, BindProxy
+from kelpcourse.policy.controller import HOLD_US
+from kelpcourse.policy.events import EndpointReport, EndpointStatus, Event, ProxyJoined
 from tests.fleet import SECOND, Day, changes, host, hosts, only
 
 FAST = 100  # the host that the tables of before send three times as much as the others
@@ -26,7 +27,7 @@
     day.until(day.now + SECOND)
     return day.send(
         *(
-            HostReport(h.id, "east", tries * (3 if h.id == FAST else 1), 0, SECOND, 200_000, ())
+            EndpointReport(h.id, "east", tries * (3 if h.id == FAST else 1), 0, SECOND, 200_000, ())
             for h in hosts(10)
         )
     )
@@ -52,8 +53,8 @@
 @pytest.mark.parametrize(
     "before",
     [
-        changes([host(105, "west", HostState.GONE)]),
-        changes([host(105, "west", HostState.DRAINING)]),
+        changes([host(105, "west", EndpointStatus.GONE)]),
+        changes([host(105, "west", EndpointStatus.DRAINING)]),
         changes([host(105, "west", started=52 * SECOND)]),
     ],
     ids=["gone", "draining", "cold"],
@@ -65,7 +66,7 @@
 
 def test_a_host_that_drains_meanwhile_ends_it() -> None:
     day, _ = restarted()
-    actions = day.send(changes([host(105, "west", HostState.DRAINING)]))
+    actions = day.send(changes([host(105, "west", EndpointStatus.DRAINING)]))
     assert {b.proxy for b in only(actions, BindProxy)} == {1, 2, 3}
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,26 +6,39 @@
 
 import pytest
 
-from kelpcourse.decide import FORGET_US
-from kelpcourse.interface import (
+from kelpcourse.policy.actions import (
     BindProxy,
     Checkpoint,
-    Effect,
-    Host,
-    HostList,
-    HostState,
-    ListKind,
-    OrdersApplied,
-    OrdersTaken,
+    RestoreEndpoint,
+    SetAdmission,
+    SetWeight,
+    WithdrawEndpoint,
+)
+from kelpcourse.policy.controller import FORGET_US
+from kelpcourse.policy.events import (
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointStatus,
+    OrdersAccepted,
+    OrdersAcknowledged,
     ProxyJoined,
     ProxyLeft,
-    Retry,
-    SetLevel,
-    SetLine,
-    Withdraw,
 )
-from tests.fleet import READ, SECOND, SETTINGS, WRITE, Day, changes, full, host, hosts, only
-
+from kelpcourse.policy.settings import Idempotency, RetryPolicy
+from tests.fleet import (
+    READ,
+    SECOND,
+    SETTINGS,
+    WRITE,
+    Day,
+    changes,
+    endpoint_orders,
+    full,
+    host,
+    hosts,
+    only,
+)
 
 # Rule 1: no proxy without a line
 
@@ -62,7 +75,7 @@
 
 
 def test_a_class_for_some_zones_has_its_own_table_of_their_hosts() -> None:
-    bound = replace(WRITE, only_zones=frozenset({"east"}))
+    bound = replace(WRITE, allowed_zones=frozenset({"east"}))
     day = Day(replace(SETTINGS, classes=(READ, bound)), listed=hosts(6))
     east = {h.id for h in hosts(6) if h.zone == "east"}
     assert set(day.tables[1]) == east
@@ -70,7 +83,7 @@
 
 
 def test_zone_bound_classes_have_a_table_for_each_zone() -> None:
-    own = replace(READ, zone_bound=True)
+    own = replace(READ, same_zone_only=True)
     day = Day(replace(SETTINGS, classes=(own,)), listed=hosts(6), proxies=2)
     binds = [a for _, a in day.log if isinstance(a, BindProxy)]
     for bind in binds:
@@ -79,7 +92,7 @@
 
 
 def test_a_class_whose_hosts_appear_later_is_bound_then() -> None:
-    bound = replace(WRITE, only_zones=frozenset({"west"}))
+    bound = replace(WRITE, allowed_zones=frozenset({"west"}))
     day = Day(replace(SETTINGS, classes=(READ, bound)), listed=[host(1), host(2)], proxies=1)
     actions = day.send(changes([host(3, "west")]))
     actions += day.until(day.now + 3 * SECOND)
@@ -89,53 +102,53 @@
 # Rule 2: no effect twice
 
 
-@pytest.mark.parametrize("effect", list(Effect))
-def test_a_try_that_may_have_run_is_never_ordered_again(effect: Effect) -> None:
+@pytest.mark.parametrize("effect", list(Idempotency))
+def test_a_try_that_may_have_run_is_never_ordered_again(effect: Idempotency) -> None:
     listed = hosts(6)
-    day = Day(replace(SETTINGS, classes=(replace(WRITE, effect=effect),)), listed=listed)
+    day = Day(replace(SETTINGS, classes=(replace(WRITE, idempotency=effect),)), listed=listed)
     for share in (0.0, 0.3, 0.9):
         for _ in range(4):
             day.second(listed, failed={100: share}, demand=(20,))
-    ways = {a.retry for _, a in day.log if isinstance(a, SetLevel)}
-    assert ways == {Retry.PROVEN_UNRUN}
+    ways = {a.retry_policy for _, a in day.log if isinstance(a, SetAdmission)}
+    assert ways == {RetryPolicy.IF_NOT_EXECUTED}
 
 
 # Rule 3: drains are kept
 
 
-@pytest.mark.parametrize("state", [HostState.DRAINING, HostState.GONE])
-def test_a_draining_or_gone_host_is_withdrawn_in_the_same_step(state: HostState) -> None:
+@pytest.mark.parametrize("state", [EndpointStatus.DRAINING, EndpointStatus.GONE])
+def test_a_draining_or_gone_host_is_withdrawn_in_the_same_step(state: EndpointStatus) -> None:
     day = Day(listed=hosts(6))
     day.until(day.now + 10 * SECOND)
     actions = day.send(changes([host(100, state=state)]))
-    assert only(actions, Withdraw) == [Withdraw(100, True)]
-    assert SetLine(0, 100, 0.0) in actions
+    assert endpoint_orders(actions) == [WithdrawEndpoint(100)]
+    assert SetWeight(0, 100, 0.0) in actions
     assert 100 not in day.tables[0]
 
 
 def test_a_host_missing_from_a_full_list_is_withdrawn() -> None:
     day = Day(listed=hosts(6))
     actions = day.send(full(hosts(5)))
-    assert only(actions, Withdraw) == [Withdraw(105, True)]
+    assert endpoint_orders(actions) == [WithdrawEndpoint(105)]
 
 
 def test_an_unavailable_list_changes_nothing() -> None:
     day = Day(listed=hosts(6))
-    actions = day.send(HostList(ListKind.UNAVAILABLE, 0, ()))
-    assert only(actions, Withdraw) == []
+    actions = day.send(EndpointList(EndpointListKind.UNAVAILABLE, 0, ()))
+    assert endpoint_orders(actions) == []
     assert len(day.tables[0]) == 6
 
 
 def test_a_withdrawn_host_that_is_listed_ready_again_comes_back() -> None:
     day = Day(listed=hosts(6))
-    day.send(changes([host(100, state=HostState.DRAINING)]))
+    day.send(changes([host(100, state=EndpointStatus.DRAINING)]))
     actions = day.send(changes([host(100, started=day.now)]))
     actions += day.until(day.now + 3 * SECOND)
-    assert only(actions, Withdraw) == [Withdraw(100, False)]
+    assert endpoint_orders(actions) == [RestoreEndpoint(100)]
     assert 100 in day.tables[0]
 
 
-def served(day: Day, seconds: int, listed: list[Host]) -> None:
+def served(day: Day, seconds: int, listed: list[Endpoint]) -> None:
     """So long, with a weight that changes now and then, so that lines go out."""
     for k in range(seconds):
         day.second(listed, failed={103: 0.5 * (k // 5 % 2)})
@@ -145,14 +158,14 @@
     """Bindings would restate it for good. Listed again, draining or anew, it meets the rules as before."""
     day = Day(listed=hosts(6))
     left = hosts(6)[1:]
-    day.send(changes([host(100, state=HostState.GONE)]))
+    day.send(changes([host(100, state=EndpointStatus.GONE)]))
     served(day, FORGET_US // SECOND - 1, left)
-    assert Withdraw(100, False) not in [action for _, action in day.log]
+    assert RestoreEndpoint(100) not in [action for _, action in day.log]
     served(day, 12, left)
-    assert [action for _, action in day.log].count(Withdraw(100, False)) == 1
+    assert [action for _, action in day.log].count(RestoreEndpoint(100)) == 1
     assert 100 not in day.tables[0]
-    drains = day.send(changes([host(100, state=HostState.DRAINING)], 3))
-    assert only(drains, Withdraw) == [Withdraw(100, True)]
+    drains = day.send(changes([host(100, state=EndpointStatus.DRAINING)], 3))
+    assert endpoint_orders(drains) == [WithdrawEndpoint(100)]
     served(day, FORGET_US // SECOND + 12, left)
     day.send(changes([host(100, started=day.now)], 4))
     served(day, 3, left)
@@ -160,16 +173,16 @@
 
 
 def test_no_host_is_let_back_past_a_proxy_that_may_still_hold_it() -> None:
-    day = Day(replace(SETTINGS, channel_backlog=60), listed=hosts(6), answers=False)
-    day.send(changes([host(100, state=HostState.GONE)]))
+    day = Day(replace(SETTINGS, max_backlog_entries=60), listed=hosts(6), answers=False)
+    day.send(changes([host(100, state=EndpointStatus.GONE)]))
     assert day.director.loose
     served(day, FORGET_US // SECOND + 12, hosts(6)[1:])
-    assert Withdraw(100, False) not in [action for _, action in day.log]
+    assert RestoreEndpoint(100) not in [action for _, action in day.log]
 
 
 def test_all_hosts_draining_is_served_and_leaves_an_empty_table() -> None:
     day = Day(listed=hosts(3))
-    day.send(changes([host(h.id, h.zone, HostState.DRAINING) for h in hosts(3)]))
+    day.send(changes([host(h.id, h.zone, EndpointStatus.DRAINING) for h in hosts(3)]))
     day.until(day.now + 5 * SECOND)
     assert day.tables[0] == {}
 
@@ -185,8 +198,8 @@
     day.send(changes([fresh]))
     for _ in range(14):
         day.until(day.now + SECOND)
-        age = (day.now - fresh.started_us) / SETTINGS.cold_us
-        least = min(1.0, SETTINGS.cold_from + (1 - SETTINGS.cold_from) * age)
+        age = (day.now - fresh.started_us) / SETTINGS.warm_up_us
+        least = min(1.0, SETTINGS.warm_up_min_capacity + (1 - SETTINGS.warm_up_min_capacity) * age)
         if 200 in day.tables[0]:
             assert day.share(200) <= 0.1 * least * 1.1
     assert day.share(200) == pytest.approx(0.1, rel=0.1)
@@ -208,7 +221,7 @@
     day.send(changes(cold))
     day.until(day.now + 3 * SECOND)
     for h in cold:
-        least = SETTINGS.cold_from + (1 - SETTINGS.cold_from) * 3 / 12
+        least = SETTINGS.warm_up_min_capacity + (1 - SETTINGS.warm_up_min_capacity) * 3 / 12
         assert day.share(h.id) <= least / 16 * 1.05
 
 
@@ -230,9 +243,9 @@
 
 def test_messages_to_a_proxy_stay_under_the_cap() -> None:
     listed = hosts(10)
-    day = Day(replace(SETTINGS, messages_most=12), listed=listed)
+    day = Day(replace(SETTINGS, max_messages_per_proxy=12), listed=listed)
     for k in range(60):
-        state = HostState.DRAINING if k % 2 else HostState.READY
+        state = EndpointStatus.DRAINING if k % 2 else EndpointStatus.READY
         day.until(day.now + SECOND // 3)
         day.send(changes([host(100 + k % 10, state=state, started=day.now)]))
     sent = [t for t, a in day.log if isinstance(a, Checkpoint)][1:]  # the first went to nobody
@@ -242,7 +255,7 @@
 
 def test_messages_that_waited_for_the_relay_count_from_when_it_took_them() -> None:
     listed = hosts(10)
-    day = Day(replace(SETTINGS, messages_most=12), listed=listed)
+    day = Day(replace(SETTINGS, max_messages_per_proxy=12), listed=listed)
     written: list[int] = []
     waits: list[tuple[int, int]] = []  # when the relay takes it, checkpoint
     for k in range(150):
@@ -250,15 +263,15 @@
         due = [(at, number) for at, number in waits if at <= day.now]
         waits = [w for w in waits if w not in due]
         written += [day.now for _ in due]
-        state = HostState.DRAINING if k % 2 else HostState.READY
+        state = EndpointStatus.DRAINING if k % 2 else EndpointStatus.READY
         out += day.send(
-            *(OrdersTaken(number) for _, number in due),
+            *(OrdersAccepted(number) for _, number in due),
             changes([host(100 + k % 10, state=state, started=day.now)]),
         )
         back_us = (
             day.now + SECOND - k % 60 * SECOND // 5
         )  # now and then the relay is out of reach for a second
-        waits += [(max(day.now, back_us), a.number) for a in only(out, Checkpoint)]
+        waits += [(max(day.now, back_us), a.checkpoint_id) for a in only(out, Checkpoint)]
     assert len(written) > 24
     written = written[1:]  # the first went to nobody
     assert all(len([t for t in written if now - 10 * SECOND < t <= now]) <= 12 for now in written)
@@ -266,23 +279,23 @@
 
 def test_ordinary_orders_wait_while_the_channel_is_slow() -> None:
     listed = hosts(10)
-    day = Day(replace(SETTINGS, channel_backlog=300.0), listed=listed, answers=False)
+    day = Day(replace(SETTINGS, max_backlog_entries=300.0), listed=listed, answers=False)
     uneven = {h.id: 100_000 * (1 + k) for k, h in enumerate(listed)}
-    lines = [len(only(day.second(listed, times=uneven), SetLine)) for _ in range(12)]
+    lines = [len(only(day.second(listed, times=uneven), SetWeight)) for _ in range(12)]
     assert sum(lines[4:]) == 0
 
 
 def test_a_drain_is_ordered_even_where_ordinary_orders_wait() -> None:
-    day = Day(replace(SETTINGS, channel_backlog=300.0), listed=hosts(10), answers=False)
+    day = Day(replace(SETTINGS, max_backlog_entries=300.0), listed=hosts(10), answers=False)
     day.until(day.now + 10 * SECOND)
-    assert only(day.send(changes([host(100, state=HostState.GONE)])), Withdraw) == [
-        Withdraw(100, True)
+    assert endpoint_orders(day.send(changes([host(100, state=EndpointStatus.GONE)]))) == [
+        WithdrawEndpoint(100)
     ]
 
 
 def test_a_class_left_with_a_cold_host_is_let_in_by_what_that_can_do() -> None:
     """A lost zone left one cold host to a class, which brought it five times its work."""
-    bound = replace(WRITE, only_zones=frozenset({"east"}))
+    bound = replace(WRITE, allowed_zones=frozenset({"east"}))
     listed = hosts(10)
     day = Day(replace(SETTINGS, classes=(READ, bound)), listed=listed)
     for _ in range(6):
@@ -291,9 +304,9 @@
     day.send(changes([cold]))
     actions = day.send(full([cold, *(h for h in listed if h.zone == "west")]))
     assert set(day.tables[1]) == {300}
-    able = SETTINGS.cold_from * 200 / 10  # its least part of one host's rate
-    let_in = {a.classes: a.level for a in only(actions, SetLevel)}[(1,)] * 40
-    assert let_in <= SETTINGS.fall_multiple * able
+    able = SETTINGS.warm_up_min_capacity * 200 / 10  # its least part of one host's rate
+    let_in = {a.classes: a.limit for a in only(actions, SetAdmission)}[(1,)] * 40
+    assert let_in <= SETTINGS.overload_factor * able
 
 
 def test_a_fleet_that_restarts_as_a_whole_is_let_in_by_what_it_can_do() -> None:
@@ -303,16 +316,16 @@
         day.second(listed, demand=(40, 10))
     day.send(full([host(h.id, h.zone, started=day.now) for h in listed]))
     let_in = 160 * day.levels[0] + 40 * day.levels[1]
-    assert let_in <= SETTINGS.fall_multiple * SETTINGS.cold_from * 200
+    assert let_in <= SETTINGS.overload_factor * SETTINGS.warm_up_min_capacity * 200
 
 
 def test_acknowledgements_free_the_channel_when_checkpoint_numbers_start_over() -> None:
     listed = hosts(10)
-    day = Day(replace(SETTINGS, channel_backlog=300.0), listed=listed)
+    day = Day(replace(SETTINGS, max_backlog_entries=300.0), listed=listed)
     day.director.number = 65530
     uneven = {h.id: 100_000 * (1 + k) for k, h in enumerate(listed)}
-    lines = [len(only(day.second(listed, times=uneven), SetLine)) for _ in range(40)]
-    numbers = [a.number for _, a in day.log if isinstance(a, Checkpoint)]
+    lines = [len(only(day.second(listed, times=uneven), SetWeight)) for _ in range(40)]
+    numbers = [a.checkpoint_id for _, a in day.log if isinstance(a, Checkpoint)]
     assert min(numbers) == 0
     assert sum(lines[numbers.index(0) :]) > 0
 
@@ -321,6 +334,6 @@
     day = Day(listed=hosts(4), proxies=1)
     day.until(day.now + 2 * SECOND)
     day.send(ProxyLeft(0))
-    assert only(day.send(OrdersApplied(0, 1, 5)), Withdraw) == []
-    day.send(ProxyJoined(0, "east", 10.0, False), OrdersApplied(0, 999, 5))
+    assert endpoint_orders(day.send(OrdersAcknowledged(0, 1, 5))) == []
+    day.send(ProxyJoined(0, "east", 10.0, False), OrdersAcknowledged(0, 999, 5))
     assert day.director.channel.waiting(day.now) > 0
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -7,40 +7,44 @@
 
 import pytest
 
-from kelpcourse.decide import Director
-from kelpcourse.interface import (
-    Checkpoint,
-    HostId,
-    HostState,
-    ProxyJoined,
-    SetLine,
-    Settings,
-    Withdraw,
+from kelpcourse.policy.actions import Checkpoint, RestoreEndpoint, SetWeight, WithdrawEndpoint
+from kelpcourse.policy.controller import RoutingPolicy
+from kelpcourse.policy.events import EndpointStatus, ProxyJoined
+from kelpcourse.policy.settings import EndpointId, Settings
+from tests.fleet import (
+    SECOND,
+    SETTINGS,
+    Day,
+    LongTables,
+    changes,
+    endpoint_orders,
+    full,
+    host,
+    only,
 )
-from tests.fleet import SECOND, SETTINGS, Day, LongTables, changes, full, host, only
 from tests.massworld import Broken, ModuleDay
 
 HOSTS = [host(1_000 + k, "east" if k % 2 else "west") for k in range(200)]
 ROLL = replace(  # a restart of directors beside a release: half of the proxies at one director, a channel of 1.8 s
     SETTINGS,
-    proxies=240,
-    connections_least=392.0,
-    channel_lines_per_s=3_200.0,
-    channel_backlog=5_800.0,
+    proxy_count=240,
+    min_endpoint_connections=392.0,
+    delivery_entries_per_s=3_200.0,
+    max_backlog_entries=5_800.0,
     drain_grace_us=3_900_000,
-    transit_mean_us=226_000,
-    transit_longest_us=565_000,
-    messages_most=12,
-    bare_limit_us=8_600_000,
-    cold_us=14 * SECOND,
+    mean_transit_us=226_000,
+    max_transit_us=565_000,
+    max_messages_per_proxy=12,
+    max_unserved_us=8_600_000,
+    warm_up_us=14 * SECOND,
 )
 
 
-def numbers(first: int, count: int) -> list[HostId]:
+def numbers(first: int, count: int) -> list[EndpointId]:
     return [h.id for h in HOSTS[first : first + count]]
 
 
-def release(make: Callable[[Settings], Director]) -> ModuleDay:
+def release(make: Callable[[Settings], RoutingPolicy]) -> ModuleDay:
     """Six in ten hosts are replaced within 7 s while proxies of other directors come. Raises Broken."""
     day = ModuleDay(make, ROLL, HOSTS)
     day.step(full(HOSTS))
@@ -57,16 +61,16 @@
     return day
 
 
-@pytest.mark.parametrize("make", [Director, LongTables])
+@pytest.mark.parametrize("make", [RoutingPolicy, LongTables])
 def test_those_that_join_late_do_not_hold_up_the_next_withdrawal(
-    make: Callable[[Settings], Director],
+    make: Callable[[Settings], RoutingPolicy],
 ) -> None:
     """Forty hosts had been withdrawn when a proxy joined. They were withdrawn anew with the next twenty, at the cost
     of a line at every proxy that still had theirs in its table, and ahead of them: 60 hosts found no room for 4.2 s."""
     assert not release(make).director.dropped
 
 
-def takeover(make: Callable[[Settings], Director]) -> ModuleDay:
+def takeover(make: Callable[[Settings], RoutingPolicy]) -> ModuleDay:
     """Four of five directors die right after 30 hosts began to drain: their proxies, which hold all hosts and were not
     told, come to the fifth within a second. Raises Broken."""
     day = ModuleDay(make, ROLL, HOSTS)
@@ -84,7 +88,7 @@
 def test_all_proxies_of_lost_directors_are_told_of_drains_in_time() -> None:
     """On herd 41 a binding was 157 lines where 3,000 a second leave: 180 of 240 proxies waited for 12 s, 60 hosts
     were withdrawn by turns for 5 s, and drains of 4 s were broken 1,482 times."""
-    assert not takeover(Director).director.loose
+    assert not takeover(RoutingPolicy).director.loose
     with pytest.raises(Broken):
         takeover(LongTables)
 
@@ -93,22 +97,22 @@
     """Told anew for late joiners, a host still in the table cost a line at each proxy bound to it."""
     day = Day(ROLL, HOSTS, proxies=20, make=LongTables)
     day.until(day.now + 8 * SECOND)
-    out = day.send(changes([host(n, state=HostState.GONE) for n in numbers(0, 10)]))
-    assert {a.host for a in only(out, SetLine) if a.weight == 0} == set(numbers(0, 10))
-    assert {a.host for a in only(out, Withdraw) if a.out} == set(numbers(0, 10))
+    out = day.send(changes([host(n, state=EndpointStatus.GONE) for n in numbers(0, 10)]))
+    assert {a.endpoint for a in only(out, SetWeight) if a.weight == 0} == set(numbers(0, 10))
+    assert {a.endpoint for a in only(out, WithdrawEndpoint)} == set(numbers(0, 10))
     assert not day.tables[0].keys() & set(numbers(0, 10))
     before = day.director.channel.waiting(day.now)
-    assert before == 20 * (10 + ROLL.message_head + 1)
+    assert before == 20 * (10 + ROLL.message_overhead_entries + 1)
     day.until(day.now + SECOND // 10)
     day.send(*(ProxyJoined(p, "east", 10.0, False) for p in range(100, 130)))
     told = day.until(day.now + 2 * SECOND)
-    assert len(only(told, Withdraw)) == 10
-    assert not [a for a in only(told, SetLine) if a.host in numbers(0, 10)]
+    assert len(endpoint_orders(told)) == 10
+    assert not [a for a in only(told, SetWeight) if a.endpoint in numbers(0, 10)]
 
 
 def restarts_after_a_gap() -> ModuleDay:
     """The news had a gap, so all proxies are told as joined once more; then 60 hosts restart at once."""
-    day = ModuleDay(Director, ROLL, HOSTS)
+    day = ModuleDay(RoutingPolicy, ROLL, HOSTS)
     day.step(full(HOSTS))
     day.join(range(76), lambda _: numbers(0, 5), 0.5, fresh=True)
     day.run(10)
@@ -125,7 +129,7 @@
     day.run(20)
     assert not day.director.loose
     assert not day.director.doubtful
-    assert 2_000 < day.world.most <= ROLL.channel_backlog
+    assert 2_000 < day.world.most <= ROLL.max_backlog_entries
 
 
 def test_one_that_left_unseen_is_bound_again() -> None:
@@ -143,10 +147,10 @@
 class TellsAnewFirst(LongTables):
     """Lines of withdrawn hosts stay in the tables, as they did."""
 
-    def _order_host(self, number: HostId, out: bool) -> None:
+    def _order_host(self, number: EndpointId, out: bool) -> None:
         for table in [t for t, lines in self.lines.items() if number in lines]:
             self._charge(table)
-        self.out.append(Withdraw(number, out))
+        self.out.append(WithdrawEndpoint(number) if out else RestoreEndpoint(number))
         self.queued += self._loose_lines(self.loose_hosts + 1) - self._loose_lines(self.loose_hosts)
         self.loose_hosts += 1
 
@@ -170,7 +174,7 @@
 def test_a_channel_that_stands_still_is_not_taken_for_empty() -> None:
     """On roll 54 answers to a step came 2.4 to 3 s late. A full channel takes 2.38 s: after that its lines stood in the
     way of nothing any more, and 6,237 waited where 5,800 may. The rules' times grow with such a channel's."""
-    day = ModuleDay(Director, replace(ROLL, drain_grace_us=3 * ROLL.drain_grace_us), HOSTS)
+    day = ModuleDay(RoutingPolicy, replace(ROLL, drain_grace_us=3 * ROLL.drain_grace_us), HOSTS)
     day.step(full(HOSTS))
     day.join(range(2), lambda _: numbers(0, 5), 0.5, fresh=True)
     day.run(8)
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -8,10 +8,16 @@
 from types import FrameType
 from typing import Any
 
-from kelpcourse.interface import DemandReport, Event, HostReport, OrdersApplied, ProxyJoined
+from kelpcourse.policy.events import (
+    DemandReport,
+    EndpointReport,
+    Event,
+    OrdersAcknowledged,
+    ProxyJoined,
+)
 from tests.fleet import SECOND, SETTINGS, Day, changes, host, hosts
 
-CROWDED = replace(SETTINGS, channel_backlog=1e9, connections_least=1.0)
+CROWDED = replace(SETTINGS, max_backlog_entries=1e9, min_endpoint_connections=1.0)
 
 
 def steps(work: Callable[[], object]) -> int:
@@ -34,7 +40,7 @@
 
 
 def fleet_day(size: int) -> Day:
-    day = Day(settings=replace(CROWDED, proxies=2 * size), listed=hosts(size), proxies=2 * size)
+    day = Day(settings=replace(CROWDED, proxy_count=2 * size), listed=hosts(size), proxies=2 * size)
     day.until(day.now + 3 * SECOND)
     return day
 
@@ -44,7 +50,7 @@
     day = fleet_day(size)
     lines: list[Event] = [
         *(
-            HostReport(h.id, "east", 20, 0, SECOND, 1000 * (200 + h.id % 300), ())
+            EndpointReport(h.id, "east", 20, 0, SECOND, 1000 * (200 + h.id % 300), ())
             for h in hosts(size)
         ),
         *(DemandReport(p, k, 10, 0, SECOND) for p in range(2 * size) for k in range(2)),
@@ -57,18 +63,18 @@
     """Nine tenths of the hosts replaced by cold ones in one list."""
     day = fleet_day(size)
     new = [host(9000 + k, started=day.now) for k in range(size * 9 // 10)]
-    gone = [replace(h, state=type(h.state).GONE) for h in hosts(size)[: size * 9 // 10]]
+    gone = [replace(h, status=type(h.status).GONE) for h in hosts(size)[: size * 9 // 10]]
     return steps(lambda: day.send(changes([*gone, *new])))
 
 
 def acknowledgements(size: int) -> int:
     day = fleet_day(size)
-    return steps(lambda: day.send(*(OrdersApplied(p, 1, 1000) for p in range(2 * size))))
+    return steps(lambda: day.send(*(OrdersAcknowledged(p, 1, 1000) for p in range(2 * size))))
 
 
 def joining(size: int) -> int:
     """All proxies come to one director at once and are bound as its channel has room."""
-    day = Day(settings=replace(SETTINGS, proxies=2 * size), listed=hosts(30), proxies=0)
+    day = Day(settings=replace(SETTINGS, proxy_count=2 * size), listed=hosts(30), proxies=0)
     day.joined = list(range(2 * size))
     return steps(lambda: day.send(*(ProxyJoined(p, "east", 1.0, True) for p in day.joined)))
 
--- a/tests/test_zone_content.py
+++ b/tests/test_zone_content.py
@@ -10,13 +10,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kelpcourse.memory.hosts import Phase
+from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.answer import look_up
 from kelpcourse.zones.book import Changed, Replay, decode, encode, snapshot
 from kelpcourse.zones.content import Draft, Record, Zone, between, soa_of, zone_of
 from kelpcourse.zones.errors import BadZone
 from kelpcourse.zones.history import History, put_back
-from kelpcourse.zones.meaning import A, SRV, Meaning
+from kelpcourse.zones.meaning import SRV, A, Meaning
 from kelpcourse.zones.names import is_under, labels, relative
 from kelpcourse.zones.serials import after
 from kelpcourse.zones.update import Rejected, evaluate
@@ -65,7 +65,11 @@
         "m2",
         3,
     )
-    assert (one.phase, one.size, one.up_since_ms) == (Phase.DRAINING, 7.0, 1767225600000.0)
+    assert (one.status, one.weight, one.started_ms) == (
+        EndpointStatus.DRAINING,
+        7.0,
+        1767225600000.0,
+    )
     assert made.problems() == []
 
 
@@ -106,7 +110,7 @@
     made = meaning(*host("s-1"), *host("s-3"), record)
     assert [(p.owner, p.field) for p in made.problems()] == [(f"{owner}.{ORIGIN}", field)]
     assert sorted(made.hosts) == ["s-1", "s-3"]
-    assert made.hosts["s-1"].phase is Phase.READY
+    assert made.hosts["s-1"].status is EndpointStatus.READY
 
 
 def test_of_two_srv_for_one_target_the_same_counts_at_every_director() -> None:
@@ -132,7 +136,7 @@
     changes = made.take(step, start)
     assert list(changes) == ["s-1"]
     assert changes["s-1"] is not None
-    assert (changes["s-1"].address[0], changes["s-1"].up_since_ms) == ("10.9.9.9", 7.0)
+    assert (changes["s-1"].address[0], changes["s-1"].started_ms) == ("10.9.9.9", 7.0)
 
 
 pool = [
--- a/tests/test_zone_decisions.py
+++ b/tests/test_zone_decisions.py
@@ -8,7 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kelpcourse.memory.hosts import Member, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.belief import Belief, Verdict, Version, judge
 from kelpcourse.zones.content import Soa
 from kelpcourse.zones.errors import BadZone
@@ -224,7 +225,7 @@
     start = held(zone(1, rooms()))
     nothing = draft_of(start.head).difference(0)
 
-    def take(name: str, now_us: int, to: Member | None = None) -> str:
+    def take(name: str, now_us: int, to: ListedEndpoint | None = None) -> str:
         why = refusal(grant, nothing, hosts, {name: to}, losses, (), now_us)
         if not why:
             losses.note({name: hosts[name]}, {name: to}, now_us)
@@ -239,12 +240,14 @@
 
 
 def test_a_drain_counts_as_taking_away_and_putting_back_never_does() -> None:
-    hosts = {"a": member("a"), "b": member("b", phase=Phase.DRAINING)}
+    hosts = {"a": member("a"), "b": member("b", phase=EndpointStatus.DRAINING)}
     start = held(zone(1, rooms()))
     nothing = draft_of(start.head).difference(0)
     grant = Grant("k", most=0.0)
     losses = Losses(0)
-    assert refusal(grant, nothing, hosts, {"a": member("a", phase=Phase.DRAINING)}, losses, (), 0)
+    assert refusal(
+        grant, nothing, hosts, {"a": member("a", phase=EndpointStatus.DRAINING)}, losses, (), 0
+    )
     assert refusal(grant, nothing, hosts, {"b": member("b")}, losses, (), 0) == ""
     assert refusal(grant, nothing, hosts, {"b": None}, losses, (), 0) == ""
 
@@ -264,7 +267,7 @@
         HostClass("big", frozenset(), frozenset({"m8"})),
     )
     assert bare(classes, [member("s", "room-b")]) == ["submit", "big"]
-    assert bare(classes, [member("s", phase=Phase.DRAINING)]) == ["any", "submit", "big"]
+    assert bare(classes, [member("s", phase=EndpointStatus.DRAINING)]) == ["any", "submit", "big"]
 
 
 # Union
@@ -278,27 +281,29 @@
     one = union()
     one.take("z", {"s": member("s", started=5.0)}, 0, 1_000)
     gone, _ = one.take("z", {"s": None}, 10 * MS, 1_010)
-    assert [m.phase for m in gone] == [Phase.GONE]
+    assert [m.status for m in gone] == [EndpointStatus.GONE]
     back, _ = one.take("z", {"s": member("s", started=5.0)}, 60 * MS, 1_060)
     assert back == [member("s", started=5.0)]
     one.take("z", {"s": None}, 100 * MS, 1_100)
     back, _ = one.take("z", {"s": member("s", started=5.0)}, 100 * MS + 2 * SECOND_US + 1, 3_101)
-    assert [m.up_since_ms for m in back] == [3_101.0]
-    drained, _ = one.take("z", {"s": member("s", phase=Phase.DRAINING)}, 9 * SECOND_US, 9_000)
-    assert [(m.phase, m.up_since_ms) for m in drained] == [(Phase.DRAINING, 3_101.0)]
+    assert [m.started_ms for m in back] == [3_101.0]
+    drained, _ = one.take(
+        "z", {"s": member("s", phase=EndpointStatus.DRAINING)}, 9 * SECOND_US, 9_000
+    )
+    assert [(m.status, m.started_ms) for m in drained] == [(EndpointStatus.DRAINING, 3_101.0)]
 
 
 def test_a_host_is_there_while_any_zone_names_it_and_drains_if_any_says_so() -> None:
     both = union("a", "b")
     both.take("a", {"s": member("s", started=5.0)}, 0, 0)
     assert both.take("b", {"s": member("s", started=9.0)}, 0, 0)[0] == [member("s", started=9.0)]
-    out, _ = both.take("b", {"s": member("s", phase=Phase.DRAINING)}, 0, 0)
-    assert [m.phase for m in out] == [Phase.DRAINING]
+    out, _ = both.take("b", {"s": member("s", phase=EndpointStatus.DRAINING)}, 0, 0)
+    assert [m.status for m in out] == [EndpointStatus.DRAINING]
     assert (
         both.take("a", {"s": None}, 0, 0)[0] != []
     )  # it started long ago now, and drains as before
-    assert both.members["s"].phase is Phase.DRAINING
-    assert [m.phase for m in both.take("b", {"s": None}, 0, 0)[0]] == [Phase.GONE]
+    assert both.members["s"].status is EndpointStatus.DRAINING
+    assert [m.status for m in both.take("b", {"s": None}, 0, 0)[0]] == [EndpointStatus.GONE]
 
 
 def test_zones_that_differ_on_a_host_are_told_once_and_the_first_counts() -> None:
@@ -323,7 +328,7 @@
     assert (len(out), one.version, one.members) == (5, 2, {})
 
 
-phases = st.sampled_from([Phase.READY, Phase.DRAINING])
+phases = st.sampled_from([EndpointStatus.READY, EndpointStatus.DRAINING])
 steps = st.lists(
     st.tuples(
         st.sampled_from("ab"),
@@ -337,10 +342,12 @@
 
 @given(steps)
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_what_is_told_adds_up_to_the_union(steps: list[tuple[str, str, Phase | None, int]]) -> None:
+def test_what_is_told_adds_up_to_the_union(
+    steps: list[tuple[str, str, EndpointStatus | None, int]],
+) -> None:
     both, now = union("a", "b"), 0
-    said: dict[str, dict[str, Phase]] = {"a": {}, "b": {}}
-    listed: dict[str, Phase] = {}
+    said: dict[str, dict[str, EndpointStatus]] = {"a": {}, "b": {}}
+    listed: dict[str, EndpointStatus] = {}
     for source, name, phase, wait in steps:
         now += wait
         said[source].pop(name, None)
@@ -349,12 +356,14 @@
         out, _ = both.take(source, {name: member(name, phase=phase) if phase else None}, now, now)
         for told in out:
             listed.pop(told.name, None)
-            if told.phase is not Phase.GONE:
-                listed[told.name] = told.phase
-    expected: dict[str, Phase] = {}
+            if told.status is not EndpointStatus.GONE:
+                listed[told.name] = told.status
+    expected: dict[str, EndpointStatus] = {}
     for name in {*said["a"], *said["b"]}:
         views = [view[name] for view in said.values() if name in view]
-        expected[name] = Phase.DRAINING if Phase.DRAINING in views else Phase.READY
+        expected[name] = (
+            EndpointStatus.DRAINING if EndpointStatus.DRAINING in views else EndpointStatus.READY
+        )
     assert listed == expected
 
 
--- a/tests/test_zone_follower.py
+++ b/tests/test_zone_follower.py
@@ -12,8 +12,8 @@
 from kelpcourse.zones.content import Record, Zone
 from kelpcourse.zones.serials import HALF
 from kelpcourse.zones.transfer import incremental
-from tests.zonerig import MS, OTHER, SECOND, Part, World
 from tests.zoneprimary import ScriptedPrimary
+from tests.zonerig import MS, OTHER, SECOND, Part, World
 from tests.zoning import ORIGIN, draft_of, host, rooms, soa, zone
 
 
--- a/tests/test_zone_server.py
+++ b/tests/test_zone_server.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import socket
 from collections.abc import Iterator
 from dataclasses import replace
@@ -39,7 +40,6 @@
     update_of,
 )
 from tests.zoning import LIMITS, ORIGIN, SERVICE, held, host, rec, rooms, zone
-import contextlib
 
 SUBMIT = HostClass("move-submit", frozenset({"room-a"}), frozenset())
 NOERROR, REFUSED = dns.rcode.NOERROR, dns.rcode.REFUSED
@@ -197,9 +197,9 @@
     assert set(part.list) == {f"s-{k}" for k in range(4)}
     assert part.serial == 3
     assert (
-        part.members["s-0"].up_since_ms > 1e12
+        part.members["s-0"].started_ms > 1e12
     )  # it counts as started now: the rule on cold hosts covers it
-    assert part.members["s-1"].up_since_ms == 0
+    assert part.members["s-1"].started_ms == 0
     assert part.log.named("zone_classes_bare")[-1]["classes"] == []
 
 
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -19,7 +19,8 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.memory.hosts import Member, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.wire.loop import Loop, Routine
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.content import Zone
@@ -165,9 +166,9 @@
         self.path = path
         self.log = Records()
         self.counters = Counters()
-        self.list: dict[str, Phase] = {}
+        self.list: dict[str, EndpointStatus] = {}
         self.told: list[tuple[dict[str, str], bool]] = []
-        self.members: dict[str, Member] = {}
+        self.members: dict[str, ListedEndpoint] = {}
         self.losses = 0
         self._tasks: list[Any] = []
         around = Around(world.loop, limits, self.counters, self.log, self._keep)
@@ -180,15 +181,15 @@
     def _keep(self, name: str, make: Callable[[], Routine]) -> None:
         self._tasks.append(self.world.loop.start(name, make()))
 
-    def listed(self, members: Sequence[Member], version: int, whole: bool) -> None:
-        self.told.append(({m.name: m.phase.value for m in members}, whole))
+    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
+        self.told.append(({m.name: m.status.value for m in members}, whole))
         if whole:
             self.list.clear()
         for m in members:
             self.list.pop(m.name, None)
             self.members[m.name] = m
-            if m.phase is not Phase.GONE:
-                self.list[m.name] = m.phase
+            if m.status is not EndpointStatus.GONE:
+                self.list[m.name] = m.status
 
     def lost(self) -> None:
         self.losses += 1
--- a/tests/zoning.py
+++ b/tests/zoning.py
@@ -9,7 +9,8 @@
 import dns.rdatatype
 
 from kelpcourse.limits import Limits
-from kelpcourse.memory.hosts import Member, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.content import Draft, Record, Zone, data_of, zone_of
 from kelpcourse.zones.held import HeldZone
 
@@ -92,9 +93,9 @@
 def member(
     name: str,
     room: str = "room-a",
-    phase: Phase = Phase.READY,
+    phase: EndpointStatus = EndpointStatus.READY,
     started: float = 0.0,
     address: str = "10.0.0.1",
     kind: str = "default",
-) -> Member:
-    return Member(name, (address, 5000), room, kind, 0, phase, 1.0, started)
+) -> ListedEndpoint:
+    return ListedEndpoint(name, (address, 5000), room, kind, 0, phase, 1.0, started)
