--- a/kelpcourse/facade.py
+++ b/kelpcourse/facade.py
@@ -84,7 +84,7 @@
         self._settings = settings
         self._limits = limits
         self._module = make(settings)
-        self._hosts = EndpointRegistry(limits.names)
+        self._hosts = EndpointRegistry(limits.max_endpoint_names)
         self._events: list[Event] = [Started(seed)]
         self._gathered_us: int | None = None  # when what waits is to be stepped
         self._timers: list[tuple[int, int, str]] = []
@@ -93,7 +93,7 @@
         self._may_repeat = False
         self._classes = {cls.name: at for at, cls in enumerate(settings.classes)}
         self._stamps: dict[int, None] = {}  # of marks that were ordered, oldest first
-        self._longest_us = limits.late_aims * max(
+        self._longest_us = limits.max_mean_time_deadlines * max(
             (cls.deadline_us for cls in settings.classes), default=0
         )
         self._now = 0
@@ -208,7 +208,7 @@
         """Runs a step if something is due. What arrives together goes into one step."""
         self._now = now_us = max(now_us, self._now)
         if self._events and self._gathered_us is None:
-            self._gathered_us = now_us + self._limits.gather_us
+            self._gathered_us = now_us + self._limits.step_batching_us
         if not self._due(now_us):
             return False
         fired = self._fire(now_us)
@@ -219,7 +219,7 @@
             Exception
         ):  # whoever hosts this tells of it; a timer lost with the step would stop the module
             for name in fired:
-                self._set_timer(name, now_us + self._limits.restart_us)
+                self._set_timer(name, now_us + self._limits.coroutine_restart_us)
             raise
         self._work.steps += 1
         for action in actions:
@@ -275,12 +275,12 @@
     def _span(self, window_ms: float) -> int:
         """One figure of a spoilt report could outweigh all others for as long as means remember it."""
         span_us = _us(window_ms)
-        if not 0 < span_us <= self._limits.window_us:
+        if not 0 < span_us <= self._limits.max_report_window_us:
             raise InvalidReportError(f"window {window_ms} is out of range")
         return span_us
 
     def _within(self, count: int, span_us: int) -> int:
-        if _count(count) > self._limits.tries_per_s * max(1.0, span_us / 1e6):
+        if _count(count) > self._limits.max_report_attempts_per_s * max(1.0, span_us / 1e6):
             raise InvalidReportError(f"{count} in {span_us / 1e6:.3f} s are out of range")
         return count
 
@@ -306,7 +306,7 @@
                 self._order(action)
 
     def _set_timer(self, name: str, at_us: int) -> None:
-        if len(self._timers) >= self._limits.timers:
+        if len(self._timers) >= self._limits.max_timers:
             self._work.undelivered += 1
             return
         self._timer_number += 1
@@ -354,7 +354,7 @@
     def _remember(self, stamp: int) -> None:
         self._stamps.pop(stamp, None)
         self._stamps[stamp] = None
-        if len(self._stamps) > self._limits.stamps:
+        if len(self._stamps) > self._limits.max_checkpoints:
             del self._stamps[next(iter(self._stamps))]
 
     def _names(self, classes: tuple[int, ...]) -> tuple[str, ...]:
--- a/kelpcourse/lab/primary.py
+++ b/kelpcourse/lab/primary.py
@@ -106,7 +106,7 @@
         )
         settings = read_settings(write_settings(folder, "primary", listen, way))
         around = Around(
-            loop, replace(Limits(), zone_file_us=1 << 40), Counters(), Silent(), self._keep
+            loop, replace(Limits(), zone_file_poll_us=1 << 40), Counters(), Silent(), self._keep
         )
         self._zones = Zones(settings, around, self)
 
--- a/kelpcourse/service/director.py
+++ b/kelpcourse/service/director.py
@@ -86,7 +86,7 @@
         self._facade = Facade(config.settings, config.seed, limits)
         self._parts = Runtime(self._facade, limits, self._counters, self._log, self._loop)
         self._config = config
-        self._outbox = OrderQueue(limits.orders, limits.marks)
+        self._outbox = OrderQueue(limits.max_queued_orders, limits.max_superseded_checkpoints)
         self._waiting = Signal()
         self._source = (
             make_source(self._parts, config.settings, self._keep)
@@ -140,7 +140,7 @@
         """A file that is being replaced can't be read for a moment, and nobody sends a second signal when it can."""
         if self._source is not None:
             self._source.reread()
-        until_us, told = self._loop.clock() + self._limits.reload_us, False
+        until_us, told = self._loop.clock() + self._limits.reload_retry_us, False
         while True:
             try:
                 new = reread_config(self._environment)
@@ -154,7 +154,7 @@
                 return
             if not again:
                 return
-            yield Wait(self._loop.clock() + self._limits.reload_wait_us)
+            yield Wait(self._loop.clock() + self._limits.reload_retry_interval_us)
 
     def _follow(self, new: Config) -> None:
         """Follows the file to new addresses. Everything else lives on: listener, module, proxies, orders."""
@@ -231,8 +231,8 @@
         return BAD_CONFIG
     os.set_blocking(sys.stdout.fileno(), False)
     granted = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    limits = Limits().within(min(config.sockets, granted), config.memory_mb)
-    limits = limits.serving(config.settings.proxy_count, config.settings.report_period_us)
+    limits = Limits().for_machine(min(config.sockets, granted), config.memory_mb)
+    limits = limits.for_fleet(config.settings.proxy_count, config.settings.report_period_us)
     return Service(config, limits, environment, signals, sock, make_source).run()
 
 
@@ -240,7 +240,7 @@
     """The socket that listens there: who comes from now on is served once the loop runs. An address that this
     machine does not have is a mistake; one still in use passes (None)."""
     try:
-        return listen(address, Limits().listen_queue)
+        return listen(address, Limits().listen_backlog)
     except OSError as error:
         if error.errno != errno.EADDRINUSE:
             raise BadConfig(
--- a/kelpcourse/service/logs.py
+++ b/kelpcourse/service/logs.py
@@ -31,12 +31,12 @@
         """An event that may come often: beyond a burst its lines are counted and not written."""
         now = self._clock()
         start, lines = self._spans.get(name, (now, 0))
-        if now - start >= self._limits.log_span_us:
-            if lines > self._limits.log_burst:
-                self._write(now, name, {"suppressed": lines - self._limits.log_burst})
+        if now - start >= self._limits.log_burst_window_us:
+            if lines > self._limits.log_burst_lines:
+                self._write(now, name, {"suppressed": lines - self._limits.log_burst_lines})
             start, lines = now, 0
         self._spans[name] = (start, lines + 1)
-        if lines < self._limits.log_burst:
+        if lines < self._limits.log_burst_lines:
             self._write(now, name, fields)
         else:
             self._counters.add("log_lines_suppressed")
@@ -47,13 +47,13 @@
 
     def _write(self, now: int, name: str, fields: dict[str, object]) -> None:
         line = _encode({"t": round(now / 1e6, 6), "event": name, "node": self._node, **fields})
-        if len(line) > self._limits.log_bytes:
+        if len(line) > self._limits.max_log_line_bytes:
             line = _encode(
                 {
                     "t": round(now / 1e6, 6),
                     "event": name,
                     "node": self._node,
-                    "cut": line[: self._limits.log_bytes // 4].decode("utf-8", "replace"),
+                    "cut": line[: self._limits.max_log_line_bytes // 4].decode("utf-8", "replace"),
                 }
             )
         try:
--- a/kelpcourse/service/process.py
+++ b/kelpcourse/service/process.py
@@ -74,4 +74,4 @@
             return
         except Exception as error:  # told in full, so no defect hides
             on_defect(name, error)
-        yield Wait(loop.clock() + limits.restart_us)
+        yield Wait(loop.clock() + limits.coroutine_restart_us)
--- a/kelpcourse/shared/peers.py
+++ b/kelpcourse/shared/peers.py
@@ -67,9 +67,11 @@
         self._me = me
         self._tls = tls
         self._heard = heard
-        self._lines = {name: Line(name, at, limits.peer_waiting) for name, at in others.items()}
+        self._lines = {
+            name: Line(name, at, limits.max_queued_peer_messages) for name, at in others.items()
+        }
         self.members: dict[str, str] = {}  # by name: who last said Hello under it
-        self._sock = listen(address, limits.listen_queue)
+        self._sock = listen(address, limits.listen_backlog)
         self._connections = 0
         self._incoming: list[Task] = []
         self.address: Address = self._sock.getsockname()[:2]
@@ -108,12 +110,12 @@
 
     def _speak_once(self, line: Line, backoff: Backoff) -> Act[None]:
         clock = self._loop.clock
-        stream = yield from connect(line.address, clock() + self._limits.connect_us)
+        stream = yield from connect(line.address, clock() + self._limits.connect_timeout_us)
         try:
             tls = self._tls()
             if tls is not None:
                 stream = TlsStream(stream, tls.client, False, line.name)
-                yield from stream.handshake(clock() + self._limits.peer_handshake_us)
+                yield from stream.handshake(clock() + self._limits.peer_handshake_timeout_us)
             line.waiting.clear()  # what waited while it was away is old
             yield from self._put(stream, encode(self._me, "", Hello(self._me)))
             backoff.reset()
@@ -124,7 +126,7 @@
                     yield from self._put(stream, line.waiting.popleft())
                 # Nothing is ever said on this line but by us: what can be read is its end, or TLS's own.
                 woken = yield Wait(
-                    clock() + self._limits.peer_sign_us, stream.sock.fileno(), READ, line.more
+                    clock() + self._limits.peer_heartbeat_us, stream.sock.fileno(), READ, line.more
                 )
                 if woken is Woken.READY:
                     yield from self._still_open(stream)
@@ -145,7 +147,8 @@
 
     def _put(self, stream: Stream, data: bytes) -> Act[None]:
         yield from stream.send(
-            len(data).to_bytes(HEAD, "big") + data, self._loop.clock() + self._limits.send_us
+            len(data).to_bytes(HEAD, "big") + data,
+            self._loop.clock() + self._limits.send_timeout_us,
         )
         self._counters.add("peer_bytes_out", HEAD + len(data))
 
@@ -162,9 +165,9 @@
                 self._log.event(
                     "descriptors_used_up", reason=str(error), connections=self._connections
                 )
-                yield Wait(self._loop.clock() + self._limits.accept_wait_us)
+                yield Wait(self._loop.clock() + self._limits.accept_retry_us)
                 continue
-            if self._connections >= self._limits.peer_connections:
+            if self._connections >= self._limits.max_peer_connections:
                 connection.close()
                 continue
             self._incoming = [task for task in self._incoming if task.wait is not None]
@@ -173,7 +176,7 @@
     def _listen(self, stream: Stream) -> Routine:
         self._connections += 1
         clock = self._loop.clock
-        until_us = clock() + self._limits.peer_handshake_us
+        until_us = clock() + self._limits.peer_handshake_timeout_us
         try:
             tls = self._tls()
             name = None
@@ -186,7 +189,7 @@
             self._welcome(hello, name)
             while True:
                 letter = self._read(
-                    (yield from reader.next(clock() + self._limits.peer_silence_us))
+                    (yield from reader.next(clock() + self._limits.peer_silence_timeout_us))
                 )
                 self._take(letter, hello.sender)
         except (Broken, BadPeerMessage) as error:
@@ -228,9 +231,9 @@
 
     def __init__(self, stream: Stream, limits: Limits) -> None:
         self._stream = stream
-        self._most = limits.peer_message_bytes
+        self._most = limits.max_peer_message_bytes
         self._held = bytearray()
-        self._room = memoryview(bytearray(limits.read_bytes))
+        self._room = memoryview(bytearray(limits.initial_read_buffer_bytes))
 
     def next(self, until_us: int) -> Act[bytes]:
         while True:
--- a/kelpcourse/shared/standalone.py
+++ b/kelpcourse/shared/standalone.py
@@ -83,7 +83,7 @@
 
     def _run_commands(self) -> Routine:
         while True:
-            yield Wait(self.loop.clock() + self._limits.zone_command_us)
+            yield Wait(self.loop.clock() + self._limits.zone_command_poll_us)
             for path, data in commands(self._settings.state):
                 write_whole(path, orjson.dumps(self._carry_out(data)))
 
--- a/kelpcourse/shared/steering.py
+++ b/kelpcourse/shared/steering.py
@@ -67,7 +67,9 @@
         self._facade = Facade(around.settings, around.seed + gained.epoch, around.limits)
         self._facade.report_list = ToldHosts(self._facade, self._withdrawals)  # type: ignore[method-assign]
         parts = Runtime(self._facade, around.limits, around.counters, around.log, around.loop)
-        self._outbox = OrderQueue(around.limits.orders, around.limits.marks)
+        self._outbox = OrderQueue(
+            around.limits.max_queued_orders, around.limits.max_superseded_checkpoints
+        )
         self._waiting = Signal()
         self._discovery = Discovery(parts, around.discovery, 0)
         self._calls = RelayCalls(parts, around.relay, self._outbox, self._waiting, self._target)
@@ -109,7 +111,7 @@
 
     def _steps(self) -> Routine:
         """What is due at the module, at the pace at which its door gathers."""
-        clock, gather_us = self._around.loop.clock, self._around.limits.gather_us
+        clock, gather_us = self._around.loop.clock, self._around.limits.step_batching_us
         self._facade.start(clock())
         while True:
             self._carry_out(self._facade.pick())
--- a/kelpcourse/store/commit.py
+++ b/kelpcourse/store/commit.py
@@ -77,9 +77,9 @@
     def stage(self, payload: bytes, ticket: T) -> bool:
         """Takes a change in; false: it is turned away, as nothing can be written or too much waits."""
         size = FRAME.size + len(payload)
-        if self._broken or self.waiting >= self._limits.store_staged:
+        if self._broken or self.waiting >= self._limits.max_staged_changes:
             return False
-        if self._bytes and self._bytes + size > self._limits.store_staged_bytes:
+        if self._bytes and self._bytes + size > self._limits.max_staged_bytes:
             return False
         self._staged.append((Record(self._next, payload), ticket))
         self._next += 1
@@ -128,7 +128,7 @@
             self._snapshot_bytes, self._journal_bytes, self._broken = size, 0, False
         elif outcome is Outcome.UNSURE:
             self._broken = True
-        self._retry_us = now_us + self._limits.store_retry_us
+        self._retry_us = now_us + self._limits.snapshot_retry_us
         return Settled(
             undone=self._drop_staged() if self._broken else [], compacted=outcome is Outcome.DONE
         )
@@ -137,7 +137,7 @@
         if self._broken:
             return now_us >= self._retry_us
         grown = self._journal_bytes > max(
-            self._limits.store_journal_bytes,
-            self._limits.store_journal_factor * self._snapshot_bytes,
+            self._limits.min_compaction_bytes,
+            self._limits.compaction_factor * self._snapshot_bytes,
         )
         return grown and now_us >= self._retry_us
--- a/kelpcourse/wire/discovery.py
+++ b/kelpcourse/wire/discovery.py
@@ -128,7 +128,7 @@
         self._stop(former)
 
     def _run_watch(self, watch: Watch) -> Routine:
-        backoff = Backoff(self._parts.limits, self._parts.limits.watch_wait_us, self._spread)
+        backoff = Backoff(self._parts.limits, self._parts.limits.watch_retry_us, self._spread)
         reason = yield from self._until_lost(watch)
         while watch is self._watch and self._former is not None:
             self._parts.log.event("watch_tried_again", reason=reason)
@@ -167,7 +167,7 @@
         self._parts.facade.report_list_lost()
 
     def _follow(self, watch: Watch) -> Act[None]:
-        until_us = self._parts.clock() + self._parts.limits.list_us
+        until_us = self._parts.clock() + self._parts.limits.list_timeout_us
         target = f"{HOSTS}?stream=1&index={self._version}"
         client = yield from self._ask(watch.address, target, until_us)
         try:
@@ -188,7 +188,7 @@
             client.close()
 
     def _fetch_once(self) -> Act[None]:
-        until_us = self._parts.clock() + self._parts.limits.list_us
+        until_us = self._parts.clock() + self._parts.limits.list_timeout_us
         client = yield from self._ask(self._address, HOSTS, until_us)
         try:
             body = yield from client.whole_body(until_us)
@@ -198,7 +198,7 @@
 
     def _ask(self, address: Address, target: str, until_us: int) -> Act[HttpClient]:
         self._parts.counters.add("discovery_calls")
-        connect_us = self._parts.clock() + self._parts.limits.connect_us
+        connect_us = self._parts.clock() + self._parts.limits.connect_timeout_us
         client = yield from dial(address, self._parts.limits, connect_us)
         try:
             yield from client.request("GET", target, None)
@@ -229,7 +229,7 @@
         self._older = self._older + 1 if told.version < self._version else 0
         if self._older:
             known = self._version
-            if self._older >= self._parts.limits.older_most:
+            if self._older >= self._parts.limits.max_stale_lists:
                 self._older = self._version = 0
             if self._version or not told.whole:
                 raise BadMessage(f"a list of version {told.version} where {known} is known")
--- a/kelpcourse/wire/http.py
+++ b/kelpcourse/wire/http.py
@@ -24,9 +24,11 @@
         self._stream = stream
         self._host = f"{host[0]}:{host[1]}"
         self._limits = limits
-        self._parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=limits.head_bytes)
-        self._read = bytearray(limits.read_bytes)
-        self._body = Buffer(limits.read_bytes, limits.body_bytes)
+        self._parser = h11.Connection(
+            h11.CLIENT, max_incomplete_event_size=limits.max_http_head_bytes
+        )
+        self._read = bytearray(limits.initial_read_buffer_bytes)
+        self._body = Buffer(limits.initial_read_buffer_bytes, limits.max_http_body_bytes)
 
     @property
     def fd(self) -> int:
@@ -51,7 +53,7 @@
             parts.append(self._parser.send(h11.Data(data=body)))
         parts.append(self._parser.send(h11.EndOfMessage()))
         data = b"".join(part for part in parts if part)
-        yield from self._stream.send(data, self._limits.send_us)
+        yield from self._stream.send(data, self._limits.send_timeout_us)
 
     def status(self, until_us: int) -> Act[int]:
         """The status of the answer."""
@@ -69,7 +71,7 @@
             if not isinstance(event, h11.Data):
                 raise Broken("closed before its answer was whole")
             body += event.data
-            if len(body) > self._limits.body_bytes:
+            if len(body) > self._limits.max_http_body_bytes:
                 raise Unreadable("a body over its limit")
         if self._parser.our_state is h11.DONE and self._parser.their_state is h11.DONE:
             self._parser.start_next_cycle()
--- a/kelpcourse/wire/listener.py
+++ b/kelpcourse/wire/listener.py
@@ -45,12 +45,12 @@
         """When it is let go. A stranger's time runs from its connecting, or from the start of a message,
         and never from its last byte: else a slow drip would hold a place for good."""
         if self.zone:
-            return self.heard_us + limits.collector_us
+            return self.heard_us + limits.collector_idle_us
         if not self.asked:
-            return self.came_us + limits.join_us
+            return self.came_us + limits.handshake_timeout_us
         if self.half_us is not None:
-            return self.half_us + limits.join_us
-        return self.heard_us + limits.pinger_us
+            return self.half_us + limits.handshake_timeout_us
+        return self.heard_us + limits.ping_client_idle_us
 
 
 class Stranger(Broken):
@@ -81,20 +81,20 @@
     def run(self) -> Routine:
         sock, self._sock = self._sock, None  # started anew after a defect it is closed
         while sock is None and (sock := self._listen()) is None:
-            yield Wait(self._parts.clock() + self._parts.limits.bind_wait_us)
+            yield Wait(self._parts.clock() + self._parts.limits.bind_retry_us)
         self._parts.log.always("ready", listen=f"{self._address[0]}:{self._address[1]}")
         try:
             while True:
                 yield Wait(fd=sock.fileno(), mask=READ)
                 if not self._accept(sock):
-                    yield Wait(self._parts.clock() + self._parts.limits.accept_wait_us)
+                    yield Wait(self._parts.clock() + self._parts.limits.accept_retry_us)
         finally:
             sock.close()
 
     def _listen(self) -> socket.socket | None:
         """None: the process before this one still holds the address, which passes."""
         try:
-            return listen(self._address, self._parts.limits.listen_queue)
+            return listen(self._address, self._parts.limits.listen_backlog)
         except OSError as error:
             if error.errno != errno.EADDRINUSE:
                 raise
@@ -117,7 +117,7 @@
                 self._make_way(sock)
                 return False
             self._welcome(Stream(connection))
-            while len(self._guests) > self._parts.limits.connections:
+            while len(self._guests) > self._parts.limits.max_connections:
                 if not self._shed_quietest():
                     return False
 
@@ -141,8 +141,10 @@
         with contextlib.suppress(
             OSError
         ):  # nothing but pongs is ever written: the system need not hold many
-            stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, limits.stranger_bytes)
-        buffer = Buffer(limits.stranger_bytes, limits.stranger_bytes)
+            stream.sock.setsockopt(
+                socket.SOL_SOCKET, socket.SO_SNDBUF, limits.max_unauthenticated_bytes
+            )
+        buffer = Buffer(limits.max_unauthenticated_bytes, limits.max_unauthenticated_bytes)
         guest = Guest(stream, buffer, self._parts.clock())
         self._guests[guest] = None
         self._parts.counters.add("connections")
@@ -152,7 +154,7 @@
         """Strangers go first, then whoever said nothing for longest. One that has just come is waited for: it
         may be a collector in a crowd, whose first line is on its way. Tells whether there is room again."""
         quietest = min(self._guests, key=lambda g: (bool(g.zone), g.asked, g.heard_us))
-        if self._parts.clock() - quietest.came_us < self._parts.limits.accept_wait_us:
+        if self._parts.clock() - quietest.came_us < self._parts.limits.accept_retry_us:
             return False
         self._parts.counters.add("connections_shed")
         self._parts.log.event("connection_shed", zone=quietest.zone, connections=len(self._guests))
@@ -215,8 +217,8 @@
         held = sum(other.buffer.size for other in self._guests)
         self._parts.counters.most("read_buffers_most", held)
         return (
-            held > self._parts.limits.held_bytes
-            and guest.buffer.size > self._parts.limits.read_bytes
+            held > self._parts.limits.max_read_buffers_bytes
+            and guest.buffer.size > self._parts.limits.initial_read_buffer_bytes
         )
 
     def _end(self, guest: Guest) -> None:
@@ -247,7 +249,9 @@
                 self._pong(guest)
             case Collector(zone) if self._parts.facade.is_zone(zone):
                 guest.zone = zone
-                guest.buffer.widen(self._parts.limits.read_bytes, self._parts.limits.line_bytes)
+                guest.buffer.widen(
+                    self._parts.limits.initial_read_buffer_bytes, self._parts.limits.max_line_bytes
+                )
                 self._parts.log.event("collector", zone=zone)
             case Collector(zone):
                 raise Stranger(f"no zone {zone!r:.60}")
--- a/kelpcourse/wire/probes.py
+++ b/kelpcourse/wire/probes.py
@@ -38,14 +38,14 @@
 
     def probe(self, host: str, address: Address) -> None:
         """Each probe is answered to the module, also one that there was no room for."""
-        if len(self._waiting) >= self._parts.limits.probes_waiting:
+        if len(self._waiting) >= self._parts.limits.max_queued_health_checks:
             self._answer(host, "cancelled", 0, ())
             return
         self._waiting.append((host, address))
         self._start_next()
 
     def _start_next(self) -> None:
-        while self._waiting and self._running < self._parts.limits.probes_at_once:
+        while self._waiting and self._running < self._parts.limits.max_concurrent_health_checks:
             host, address = self._waiting.popleft()
             self._running += 1
             self._parts.loop.start("probe", self._run(host, address))
@@ -54,7 +54,9 @@
         """A probe that ends by a defect is answered too, and the next one has its turn: the module awaits both."""
         began_us = self._parts.clock()
         try:
-            outcome, load = yield from self._ask(address, began_us + self._parts.limits.probe_us)
+            outcome, load = yield from self._ask(
+                address, began_us + self._parts.limits.health_check_timeout_us
+            )
         except Exception:
             self._end(host, "error", began_us, ())
             raise
--- a/kelpcourse/wire/relay_calls.py
+++ b/kelpcourse/wire/relay_calls.py
@@ -69,7 +69,7 @@
     def _idle(self) -> Act[None]:
         """Until there are orders. A connection that is idle for long is given up before the relay does so:
         a call that crosses its end can't be told from one that was carried out."""
-        until_us = self._parts.clock() + self._parts.limits.idle_us
+        until_us = self._parts.clock() + self._parts.limits.idle_connection_us
         while not self._outbox.batches:
             self._waiting.lower()
             if self._client is None:
@@ -91,12 +91,12 @@
             self._outbox.again()
             self._parts.counters.add("relay_throttled")
             self._parts.log.event("relay_throttled", waiting=len(self._outbox))
-            return self._parts.limits.throttled_us
+            return self._parts.limits.throttled_retry_us
         except (
             InvalidCall
         ) as error:  # said again and again it holds: all later orders must not wait for ever
             self._invalid += 1
-            given_up = self._invalid >= self._parts.limits.invalid_most
+            given_up = self._invalid >= self._parts.limits.max_invalid_responses
             self._parts.counters.add("relay_calls_invalid")
             self._parts.log.event(
                 "call_invalid", reason=str(error), orders=self._sent, given_up=given_up
@@ -124,14 +124,14 @@
         if not orders:  # all of them were bindings of proxies that have left meanwhile
             self._outbox.taken(0)
             return
-        body = call_body(orders, self._parts.limits.call_bytes)
+        body = call_body(orders, self._parts.limits.max_call_bytes)
         self._parts.counters.add("relay_calls")
         self._parts.counters.add("relay_call_bytes", len(body.data))
         yield from client.request("POST", target, body.data)
         self._sent = (
             body.order_count
         )  # a call that breaks before its last byte is never carried out
-        until_us = self._parts.clock() + self._parts.limits.answer_us
+        until_us = self._parts.clock() + self._parts.limits.call_timeout_us
         yield from client.status(until_us)
         answer = yield from client.whole_body(until_us)
         if not client.reusable:
@@ -186,7 +186,7 @@
     def _connect(self) -> Act[None]:
         """Makes before it breaks: while a new address does not answer, the old connection serves."""
         address = self._address
-        until_us = self._parts.clock() + self._parts.limits.connect_us
+        until_us = self._parts.clock() + self._parts.limits.connect_timeout_us
         try:
             client = yield from dial(address, self._parts.limits, until_us)
         except Broken:
--- a/kelpcourse/wire/relay_events.py
+++ b/kelpcourse/wire/relay_events.py
@@ -33,15 +33,17 @@
         self._outbox = outbox
         self._reachable = reachable
         self._target = target
-        self._proxies = Proxies(parts.limits.news_ahead, parts.limits.news_cover_us)
+        self._proxies = Proxies(
+            parts.limits.max_buffered_events, parts.limits.event_stream_overlap_us
+        )
         self._first = 0  # stream at the address of now; those before it are on their way out
 
     def streams(self) -> range:
-        return range(self._first, self._first + self._parts.limits.news_streams)
+        return range(self._first, self._first + self._parts.limits.event_streams)
 
     def move(self, address: Address) -> None:
         """Streams are to run at another address. Those that are open tell on until one there is in step."""
-        self._first += self._parts.limits.news_streams
+        self._first += self._parts.limits.event_streams
         self._address = address
 
     def run(self, stream: int) -> Routine:
@@ -70,20 +72,20 @@
 
     def _follow(self, stream: int, address: Address, backoff: Backoff) -> Act[None]:
         limits = self._parts.limits
-        client = yield from dial(address, limits, self._parts.clock() + limits.connect_us)
+        client = yield from dial(address, limits, self._parts.clock() + limits.connect_timeout_us)
         try:
             yield from client.request("GET", self._target, None)
-            status = yield from client.status(self._parts.clock() + limits.news_silence_us)
+            status = yield from client.status(self._parts.clock() + limits.event_stream_silence_us)
             if status != 200:
                 raise Broken(f"answered {status}")
             now_us = self._parts.clock()
-            self._proxies.opened(stream, now_us, now_us + limits.news_settle_us)
+            self._proxies.opened(stream, now_us, now_us + limits.event_snapshot_timeout_us)
             self._parts.counters.add("relay_news_streams")
             self._parts.log.event("news_open", stream=stream)
             self._reachable.raise_()
             heard_us = self._parts.clock()
             while True:
-                lines = yield from client.some_lines(heard_us + limits.news_silence_us)
+                lines = yield from client.some_lines(heard_us + limits.event_stream_silence_us)
                 if lines is None:
                     return
                 for line in lines:
--- a/kelpcourse/wire/runtime.py
+++ b/kelpcourse/wire/runtime.py
@@ -42,13 +42,13 @@
 
     def __init__(self, limits: Limits, most_us: int = 0, spread: float = 0.0) -> None:
         self._limits = limits
-        self._most_us = most_us or limits.backoff_most_us
+        self._most_us = most_us or limits.max_backoff_us
         self._spread = spread
-        self._next_us = limits.backoff_least_us
+        self._next_us = limits.min_backoff_us
 
     def next_us(self) -> int:
         wait, self._next_us = self._next_us, min(self._next_us * 2, self._most_us)
         return round(wait * (1 + self._spread))
 
     def reset(self) -> None:
-        self._next_us = self._limits.backoff_least_us
+        self._next_us = self._limits.min_backoff_us
--- a/kelpcourse/zones/desk.py
+++ b/kelpcourse/zones/desk.py
@@ -111,7 +111,7 @@
         self._counters = counters
         self._log = log
         self._backstage = backstage
-        self._repeats = Repeats(limits.dns_updates * 16)
+        self._repeats = Repeats(limits.max_pending_dns_updates * 16)
         self._transfers = 0
 
     def handle(self, wire: bytes, peer: Address, tcp: bool, reply: Reply) -> None:
@@ -205,7 +205,7 @@
             self._transfer(request, zone, owner)
         else:
             response = dns.message.make_response(
-                request.message, our_payload=self._limits.dns_udp_bytes
+                request.message, our_payload=self._limits.max_dns_udp_bytes
             )
             fill(response, look_up(zone.zone, owner, int(type_)))
             request.reply([self._wire(response, request)])
@@ -219,7 +219,7 @@
             return response.to_wire(max_size=65_535, prefer_truncation=True)
         room = max(512, request.message.payload) if request.message.edns >= 0 else 512
         wire = response.to_wire(
-            max_size=min(room, self._limits.dns_udp_bytes), prefer_truncation=True
+            max_size=min(room, self._limits.max_dns_udp_bytes), prefer_truncation=True
         )
         if wire[2] & 0x02:
             self._counters.add("dns_truncated")
@@ -228,7 +228,7 @@
     def _say(self, request: Request, rcode: dns.rcode.Rcode) -> None:
         self._counters.add(f"dns_{dns.rcode.to_text(rcode).lower()}")
         response = dns.message.make_response(
-            request.message, our_payload=self._limits.dns_udp_bytes
+            request.message, our_payload=self._limits.max_dns_udp_bytes
         )
         response.set_rcode(rcode)
         request.reply([response.to_wire()])
@@ -252,7 +252,7 @@
                 response, look_up(zone.zone, zone.origin, SOA)
             )  # the SOA alone: come over TCP (RFC 1995)
             request.reply([self._wire(response, request)])
-        elif self._transfers >= self._limits.zone_transfers:
+        elif self._transfers >= self._limits.max_outgoing_zone_transfers:
             self._say(request, dns.rcode.REFUSED)
         else:
             request.reply(self._send_zone(request, zone))
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -73,7 +73,7 @@
         try:
             sock.connect(peer.address)
             sock.send(query.to_wire())
-            until_us = self.loop.clock() + self.limits.zone_ask_us
+            until_us = self.loop.clock() + self.limits.soa_query_timeout_us
             while (yield Wait(until_us, sock.fileno(), READ)) is not Woken.LATE:
                 message = self._believed(sock.recv(65_535), query, peer)
                 if message is not None:
@@ -134,18 +134,20 @@
 
     def open(self) -> Act[None]:
         clock, limits = self._asker.loop.clock, self._asker.limits
-        self._stream = yield from connect(self._peer.address, clock() + limits.zone_ask_us)
+        self._stream = yield from connect(self._peer.address, clock() + limits.soa_query_timeout_us)
         wire = self._query.to_wire()
-        yield from self._stream.send(len(wire).to_bytes(2, "big") + wire, clock() + limits.send_us)
+        yield from self._stream.send(
+            len(wire).to_bytes(2, "big") + wire, clock() + limits.send_timeout_us
+        )
 
     def next(self) -> Act[tuple[bytes, dns.message.Message]]:
         """Raises Broken or BadZone."""
         limits = self._asker.limits
-        until_us = self._asker.loop.clock() + limits.zone_silence_us
+        until_us = self._asker.loop.clock() + limits.transfer_silence_us
         while True:
             for slice_ in self._buffer.prefixed():
                 wire = bytes(slice_)
-                if len(wire) <= limits.zone_inline_bytes:
+                if len(wire) <= limits.max_inline_zone_bytes:
                     return self._read(wire)
                 return (yield from in_thread(partial(self._read, wire)))
             try:
@@ -281,7 +283,7 @@
             query.authority.append(rrset_of(held.origin, SOA, 0, (held.zone.soa_data,)))
         incoming = Incoming(held.zone, query, rdtype, False, limits)
         session = Session(self._asker, peer, query)
-        until_us = clock() + limits.zone_transfer_us
+        until_us = clock() + limits.incoming_transfer_timeout_us
         try:
             yield from session.open()
             whole = False
@@ -290,7 +292,7 @@
                 # The zone held is read meanwhile and not changed: this routine alone changes it.
                 whole = (
                     incoming.take(wire, message)
-                    if len(wire) <= limits.zone_inline_bytes
+                    if len(wire) <= limits.max_inline_zone_bytes
                     else (yield from in_thread(partial(incoming.take, wire, message)))
                 )
                 if clock() > until_us:
@@ -352,8 +354,8 @@
             yield from self._tell()
 
     def _tell(self) -> Act[None]:
-        wait_us = self._asker.limits.zone_notify_wait_us
-        for _ in range(self._asker.limits.zone_notify_tries):
+        wait_us = self._asker.limits.notify_retry_us
+        for _ in range(self._asker.limits.max_notify_attempts):
             query = question(self._held.origin, dns.rdatatype.SOA, self._peer)
             query.set_opcode(dns.opcode.NOTIFY)
             query.flags |= dns.flags.AA
--- a/kelpcourse/zones/held.py
+++ b/kelpcourse/zones/held.py
@@ -22,12 +22,12 @@
     def __init__(self, origin: str, service: str, limits: Limits) -> None:
         self.origin = origin
         self.zone = Zone(origin)
-        self.history = History(limits.zone_history_records)
+        self.history = History(limits.max_zone_history_records)
         self.meaning = Meaning(origin, service)
         self.belief = Belief(None)
         self.seen_ms = 0  # Unix time when its source last confirmed it
         self._limits = limits
-        self._losses = Losses(limits.zone_losses_us)
+        self._losses = Losses(limits.zone_removal_window_us)
         self._head: Zone | None = None  # None: the same as `zone`
         self._head_meaning: Meaning | None = None
         self._staged = 0
@@ -46,9 +46,9 @@
             )
         if (
             len(self.zone) + len(difference.added) - len(difference.removed)
-            > self._limits.zone_records
+            > self._limits.max_zone_records
         ):
-            raise BadZone(f"{self.origin}: more than {self._limits.zone_records} records")
+            raise BadZone(f"{self.origin}: more than {self._limits.max_zone_records} records")
         self.zone.apply(difference)
         self.history.add(difference)
         self.belief.take(Version(self.zone.serial, self.zone.soa_data))
--- a/kelpcourse/zones/refresh.py
+++ b/kelpcourse/zones/refresh.py
@@ -26,7 +26,7 @@
         self._failures = 0  # rounds in a row without an answer
         self._again = False  # a NOTIFY came while a round was under way
         self._running = False
-        self._ended_us = now_us - limits.zone_notify_us  # the last round
+        self._ended_us = now_us - limits.notify_batching_us  # the last round
 
     def hold(self, soa: Soa, confirmed_us: int) -> None:
         """A zone is held that a primary last confirmed then, be it before this process started."""
@@ -60,7 +60,7 @@
             self._again = True
         else:
             self._next_us = min(
-                self._next_us, max(now_us, self._ended_us + self._limits.zone_notify_us)
+                self._next_us, max(now_us, self._ended_us + self._limits.notify_batching_us)
             )
 
     def answered(self, now_us: int, confirms: bool) -> None:
@@ -73,7 +73,7 @@
         self._end(
             now_us,
             self._soa.refresh if self._soa is not None else 0,
-            self._limits.zone_refresh_least_us,
+            self._limits.min_zone_refresh_us,
         )
 
     def failed(self, now_us: int) -> bool:
@@ -85,7 +85,7 @@
         self._end(
             now_us,
             self._soa.retry if self._soa is not None else 0,
-            self._limits.zone_retry_least_us,
+            self._limits.min_zone_retry_us,
         )
         return False
 
@@ -93,5 +93,5 @@
         """Without a zone it is tried again soon; a SOA with silly times must not make a flood of questions."""
         self._running = False
         self._ended_us = now_us
-        wait_us = min(max(wait_s * SECOND_US, least_us), self._limits.zone_refresh_most_us)
-        self._next_us = now_us + (self._limits.zone_notify_us if self._again else wait_us)
+        wait_us = min(max(wait_s * SECOND_US, least_us), self._limits.max_zone_refresh_us)
+        self._next_us = now_us + (self._limits.notify_batching_us if self._again else wait_us)
--- a/kelpcourse/zones/server.py
+++ b/kelpcourse/zones/server.py
@@ -66,8 +66,8 @@
         """When it is let go: it asks nothing, or a message of its does not become whole. Slow drips don't
         count as life."""
         if self.half_us is not None:
-            return self.half_us + limits.dns_half_us
-        return self.heard_us + limits.dns_idle_us
+            return self.half_us + limits.dns_partial_message_timeout_us
+        return self.heard_us + limits.dns_idle_timeout_us
 
 
 class Server:
@@ -99,7 +99,7 @@
         while True:
             yield Wait(fd=self._udp.fileno(), mask=READ)
             for _ in range(
-                self._limits.dns_datagrams
+                self._limits.max_dns_datagrams_per_read
             ):  # the rest in the next round: others want their turn
                 try:
                     wire, peer = self._udp.recvfrom(65_535)
@@ -128,9 +128,9 @@
                     "descriptors_used_up", reason=str(error), connections=len(self._clients)
                 )
                 self._shed()
-                yield Wait(self._loop.clock() + self._limits.accept_wait_us)
+                yield Wait(self._loop.clock() + self._limits.accept_retry_us)
                 continue
-            if len(self._clients) >= self._limits.dns_tcp:
+            if len(self._clients) >= self._limits.max_dns_tcp_connections:
                 self._shed()
             self._welcome(Client(Stream(connection), peer[:2], self._loop.clock()))
 
@@ -176,7 +176,7 @@
         if woken is not Woken.READY:
             return True
         count = yield from client.stream.recv_into(
-            client.buffer.space(), self._loop.clock() + limits.dns_half_us
+            client.buffer.space(), self._loop.clock() + limits.dns_partial_message_timeout_us
         )
         if not count:
             return False
@@ -201,7 +201,7 @@
         while client.out:
             wires = client.out[0]
             for wire in wires:
-                until_us = self._loop.clock() + self._limits.dns_half_us
+                until_us = self._loop.clock() + self._limits.dns_partial_message_timeout_us
                 yield from client.stream.send(len(wire).to_bytes(2, "big") + wire, until_us)
             client.out.popleft()
 
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -87,7 +87,7 @@
         replay = self._open_store()
         self.held = replay.zones
         self._others = replay.others()
-        self.union = Union(list(self.held), grace_us, around.limits.names)
+        self.union = Union(list(self.held), grace_us, around.limits.max_endpoint_names)
         self._bare: set[str] = set()
         self._unsaved: set[str] = set()  # zones whose last version the store does not have
         self._covered: set[str] = set()  # those of them that the snapshot being written holds
@@ -198,7 +198,7 @@
             around.counters,
             around.log,
             desk,
-            pair(self.settings.listen, around.limits.listen_queue),
+            pair(self.settings.listen, around.limits.listen_backlog),
         )
         around.keep("dns udp", self.server.run_udp)
         around.keep("dns tcp", self.server.run_tcp)
@@ -234,7 +234,10 @@
         return time.time_ns() // 1_000_000
 
     def stage(self, ticket: Ticket) -> bool:
-        if self._writer is None or self._writer.waiting >= self._around.limits.dns_updates:
+        if (
+            self._writer is None
+            or self._writer.waiting >= self._around.limits.max_pending_dns_updates
+        ):
             return False
         if ticket.zone.origin in self._unsaved:
             self._save(ticket.zone, keep(ticket.zone))
@@ -330,7 +333,7 @@
     def _tell_problems(self, held: HeldZone) -> None:
         problems = held.meaning.problems()
         if problems:
-            most = self._around.limits.zone_problems
+            most = self._around.limits.max_logged_zone_problems
             self._around.log.event(
                 "zone_records_skipped",
                 zone=held.origin,
@@ -356,7 +359,10 @@
             self._sink.listed(
                 list(self.union.members.values()), self.union.version, self.union.whole
             )
-        if now_us - self._seen_us.get(held.origin, -1 << 62) >= self._around.limits.zone_seen_us:
+        if (
+            now_us - self._seen_us.get(held.origin, -1 << 62)
+            >= self._around.limits.zone_confirmation_interval_us
+        ):
             self._seen_us[held.origin] = now_us
             self._save(held, Seen(held.origin, held.seen_ms))
 
@@ -379,7 +385,7 @@
 
     def _run_files(self) -> Routine:
         while True:
-            yield Wait(self.clock() + self._around.limits.zone_file_us, signal=self._look)
+            yield Wait(self.clock() + self._around.limits.zone_file_poll_us, signal=self._look)
             self._look.lower()
             for zone in self._by_origin.values():
                 if zone.file is not None:
@@ -395,7 +401,7 @@
             self._bad_file(zone, error)
             return
         while self.held[zone.origin].staged:  # updates that wait for the disk come first
-            yield Wait(self.clock() + self._around.limits.zone_command_us)
+            yield Wait(self.clock() + self._around.limits.zone_command_poll_us)
         self._take_file(zone, path, new)
 
     def _moved(self, zone: ZoneSettings, path: Path) -> bool:
@@ -449,7 +455,7 @@
         """Orders of somebody who may write into the folder of the state, which is its owner's alone."""
         assert self.settings.state is not None
         while True:
-            yield Wait(self.clock() + self._around.limits.zone_command_us)
+            yield Wait(self.clock() + self._around.limits.zone_command_poll_us)
             for path, data in commands(self.settings.state):
                 self._command(path, data)
 
--- a/kelpcourse/zones/transfer.py
+++ b/kelpcourse/zones/transfer.py
@@ -141,8 +141,8 @@
     def take(self, wire: bytes, message: dns.message.Message) -> bool:
         """True once it is whole. Raises BadZone, Unfit or dns.xfr.UseTCP."""
         self._bytes += len(wire)
-        if self._bytes > self._limits.zone_transfer_bytes:
-            raise BadZone(f"a transfer over {self._limits.zone_transfer_bytes} bytes")
+        if self._bytes > self._limits.max_incoming_transfer_bytes:
+            raise BadZone(f"a transfer over {self._limits.max_incoming_transfer_bytes} bytes")
         try:
             return bool(self._inbound.process_message(message))
         except (dns.xfr.UseTCP, BadZone):
@@ -189,8 +189,8 @@
             record = Record(owner, int(rdataset.rdtype), int(rdataset.ttl), data_of(rdata))
             if self._records is not None:
                 self._records.append(record)
-                if len(self._records) > self._limits.zone_records:
-                    raise BadZone(f"more than {self._limits.zone_records} records")
+                if len(self._records) > self._limits.max_zone_records:
+                    raise BadZone(f"more than {self._limits.max_zone_records} records")
             elif self._draft is not None:
                 self._draft.add(record)
 
--- a/kelpcourse/zones/zonefile.py
+++ b/kelpcourse/zones/zonefile.py
@@ -92,8 +92,8 @@
         owner = canonical(name)
         if not is_under(owner, self._origin):
             raise BadZone(f"{owner} is not in {self._origin}")
-        if len(self.records) >= self._limits.zone_records:
-            raise BadZone(f"more than {self._limits.zone_records} records")
+        if len(self.records) >= self._limits.max_zone_records:
+            raise BadZone(f"more than {self._limits.max_zone_records} records")
         self.records.append(Record(owner, int(rdata.rdtype), ttl, data_of(rdata)))
 
 
--- a/tests/relays.py
+++ b/tests/relays.py
@@ -16,7 +16,7 @@
 
 
 def outbox_of(*orders: Order) -> OrderQueue:
-    outbox = OrderQueue(QUICK.orders, QUICK.marks)
+    outbox = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
     outbox.add(orders)
     return outbox
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -23,24 +23,26 @@
 MS = 1000
 QUICK = replace(
     Limits(),
-    gather_us=2 * MS,
-    connect_us=60 * MS,
-    send_us=60 * MS,
-    backoff_least_us=5 * MS,
-    backoff_most_us=10 * MS,
-    answer_us=40 * MS,
-    throttled_us=5 * MS,
-    idle_us=50 * MS,
-    news_silence_us=80 * MS,
-    news_settle_us=40 * MS,
-    list_us=80 * MS,
+    step_batching_us=2 * MS,
+    connect_timeout_us=60 * MS,
+    send_timeout_us=60 * MS,
+    min_backoff_us=5 * MS,
+    max_backoff_us=10 * MS,
+    call_timeout_us=40 * MS,
+    throttled_retry_us=5 * MS,
+    idle_connection_us=50 * MS,
+    event_stream_silence_us=80 * MS,
+    event_snapshot_timeout_us=40 * MS,
+    list_timeout_us=80 * MS,
     watch_silence_us=80 * MS,
-    watch_wait_us=10 * MS,
-    probe_us=40 * MS,
-    accept_wait_us=5 * MS,
-    bind_wait_us=5 * MS,
+    watch_retry_us=10 * MS,
+    health_check_timeout_us=40 * MS,
+    accept_retry_us=5 * MS,
+    bind_retry_us=5 * MS,
 )
-HASTY = replace(QUICK, join_us=40 * MS, pinger_us=80 * MS, collector_us=160 * MS)  # to test silence
+HASTY = replace(
+    QUICK, handshake_timeout_us=40 * MS, ping_client_idle_us=80 * MS, collector_idle_us=160 * MS
+)  # to test silence
 
 
 class FakeClock:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -208,8 +208,15 @@
         "pending_max": 90_000.0,
     }
     config = read_config(environment(tmp_path, root))
-    limits = Limits().within(config.sockets, config.memory_mb).serving(config.settings.proxy_count)
-    facade, outbox = Facade(config.settings, 7, limits), OrderQueue(limits.orders, limits.marks)
+    limits = (
+        Limits()
+        .for_machine(config.sockets, config.memory_mb)
+        .for_fleet(config.settings.proxy_count)
+    )
+    facade, outbox = (
+        Facade(config.settings, 7, limits),
+        OrderQueue(limits.max_queued_orders, limits.max_superseded_checkpoints),
+    )
     facade.report_known(config.known.members, config.known.version)
     facade.start(0)
     for proxy in range(5_000):
@@ -242,11 +249,14 @@
 
 
 def test_limits_follow_what_the_machine_grants() -> None:
-    small = Limits().within(64, 16)
-    assert small.connections + small.probes_at_once < 64
-    assert small.held_bytes == 4 << 20
-    large = Limits().within(1 << 20, 1 << 20)
-    assert (large.connections, large.held_bytes) == (Limits().connections, Limits().held_bytes)
+    small = Limits().for_machine(64, 16)
+    assert small.max_connections + small.max_concurrent_health_checks < 64
+    assert small.max_read_buffers_bytes == 4 << 20
+    large = Limits().for_machine(1 << 20, 1 << 20)
+    assert (large.max_connections, large.max_read_buffers_bytes) == (
+        Limits().max_connections,
+        Limits().max_read_buffers_bytes,
+    )
 
 
 CUSTOMERS: dict[str, dict[str, object]] = {
@@ -310,7 +320,7 @@
     ]
     root["known"]["members"] = listed
     config = read_config(environment(tmp_path, root))
-    limits = Limits().serving(config.settings.proxy_count, config.settings.report_period_us)
+    limits = Limits().for_fleet(config.settings.proxy_count, config.settings.report_period_us)
     facade, ordered = Facade(config.settings, 7, limits), list[Order]()
     facade.report_known(config.known.members, config.known.version)
     for proxy in range(config.settings.proxy_count):
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -123,7 +123,7 @@
     bench.until(lambda: lists(bench))
     discovery.fetch()
     bench.until(lambda: len(lists(bench)) == 2)
-    bench.pass_us(3 * QUICK.list_us)
+    bench.pass_us(3 * QUICK.list_timeout_us)
     assert [event.kind for event in lists(bench)] == [EndpointListKind.UNAVAILABLE] * 2
     assert len(bench.log.named("list_unavailable")) == 2
 
@@ -296,8 +296,8 @@
 
 def test_watches_that_move_to_an_address_that_is_down_wait_longer_and_apart() -> None:
     """A new configuration moves all directors at once: at ten tries a second each, 230 of them were 2,300."""
-    limits = replace(QUICK, watch_wait_us=800 * MS)
-    one, other = Backoff(limits, limits.watch_wait_us), Backoff(limits, limits.watch_wait_us, 0.5)
+    limits = replace(QUICK, watch_retry_us=800 * MS)
+    one, other = Backoff(limits, limits.watch_retry_us), Backoff(limits, limits.watch_retry_us, 0.5)
     waits = [(one.next_us(), other.next_us()) for _ in range(12)]
     assert waits[-1] == (800 * MS, 1_200 * MS)
     assert all(later == 1.5 * sooner for sooner, later in waits)
@@ -343,7 +343,7 @@
 
 def test_discovery_that_keeps_to_an_older_list_has_started_over(bench: Bench) -> None:
     """Else its changes would be turned away for good, and the director would see no drain any more."""
-    times = QUICK.older_most
+    times = QUICK.max_stale_lists
     service = Service(
         bench,
         *[body(listed(3, entry("a")))] * times,
@@ -362,7 +362,7 @@
 
 
 def test_discovery_that_tells_changes_of_before_is_asked_for_all_that_it_has(bench: Bench) -> None:
-    times = QUICK.older_most
+    times = QUICK.max_stale_lists
     service = Service(
         bench,
         *[stream(bench, listed(3, whole=False))] * times,
@@ -464,7 +464,7 @@
     bench.until(lambda: other.targets)
     discovery.move(first.stand_in.address)
     bench.until(lambda: any(told.version == 43 for told in lists(bench)))
-    bench.pass_us(3 * QUICK.list_us)
+    bench.pass_us(3 * QUICK.list_timeout_us)
     assert EndpointListKind.UNAVAILABLE not in {told.kind for told in lists(bench)}
     assert (len(first.targets), len(other.targets)) == (2, 1)
 
@@ -503,5 +503,5 @@
     bench.until(lambda: lists(bench))
     assert [told.kind for told in lists(bench)] == [EndpointListKind.UNAVAILABLE]
     assert (
-        bench.clock() - began_us <= QUICK.list_us + 20 * MS
+        bench.clock() - began_us <= QUICK.list_timeout_us + 20 * MS
     )  # the bench's clock, not the machine's
--- a/tests/test_end_result.py
+++ b/tests/test_end_result.py
@@ -157,7 +157,11 @@
 def test_the_end_result_is_what_the_steps_ordered(
     bench: Bench, troubles: list[Trouble], pace_ms: int
 ) -> None:
-    relay, outbox, waiting = Relay(bench, troubles), OrderQueue(QUICK.orders, QUICK.marks), Signal()
+    relay, outbox, waiting = (
+        Relay(bench, troubles),
+        OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints),
+        Signal(),
+    )
     bench.loop.start(
         "calls", RelayCalls(bench.parts, relay.stand_in.address, outbox, waiting).run()
     )
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -78,8 +78,8 @@
     facade.report_probe("h1", "timeout", 400_000, ())
     facade.report_list_lost()
     assert not facade.tick(5000)
-    assert facade.due_us() == 5000 + QUICK.gather_us
-    assert facade.tick(5000 + QUICK.gather_us)
+    assert facade.due_us() == 5000 + QUICK.step_batching_us
+    assert facade.tick(5000 + QUICK.step_batching_us)
     assert door.module.steps[2] == [
         ProxyJoined(1, "east", 21.5, True),
         EndpointReport(1, "west", 10, 1, SECOND, 41_700, (("inflight", 7.0),)),
@@ -193,14 +193,14 @@
     with pytest.raises(ZeroDivisionError):
         door.facade.tick(9000)
     failing.append(False)
-    assert door.facade.due_us() == 9000 + QUICK.restart_us
-    assert door.facade.tick(9000 + QUICK.restart_us)
+    assert door.facade.due_us() == 9000 + QUICK.coroutine_restart_us
+    assert door.facade.tick(9000 + QUICK.coroutine_restart_us)
     assert door.module.steps[-1] == [TimerFired("tick")]
 
 
 def test_timers_are_bounded() -> None:
     door = Door()
-    door.module.ready = [[SetTimer("t", 10**9 + k) for k in range(QUICK.timers + 5)]]
+    door.module.ready = [[SetTimer("t", 10**9 + k) for k in range(QUICK.max_timers + 5)]]
     door.facade.report_left(0)
     door.facade.tick(2000)
     door.facade.tick(2000 + 10 * MS)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -28,9 +28,9 @@
     def __init__(self) -> None:
         settings = replace(SETTINGS, proxy_count=PROXIES)
         self.facade = Facade(settings, 7, QUICK)
-        self.outbox = OrderQueue(QUICK.orders, QUICK.marks)
-        self.proxies = Proxies(QUICK.news_ahead, QUICK.news_cover_us)
-        self.buffer = Buffer(QUICK.read_bytes, QUICK.line_bytes)
+        self.outbox = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
+        self.proxies = Proxies(QUICK.max_buffered_events, QUICK.event_stream_overlap_us)
+        self.buffer = Buffer(QUICK.initial_read_buffer_bytes, QUICK.max_line_bytes)
         self.now = 50 * SECOND
         self.second = 0
         self.version = 1
@@ -82,7 +82,7 @@
         self.buffer.put(self.lines())
         for line in self.buffer.lines():
             self.take(line)
-        self.facade.tick(self.now - QUICK.gather_us)
+        self.facade.tick(self.now - QUICK.step_batching_us)
         self.facade.tick(self.now)
         orders = self.facade.pick().orders
         for order in orders:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,15 +9,15 @@
 from kelpcourse.policy.events import EndpointStatus
 
 LISTS = (
-    "names",
-    "stamps",
-    "orders",
-    "news_ahead",
-    "peer_connections",
-    "peer_waiting",
-    "connections",
-    "listen_queue",
-    "probes_waiting",
+    "max_endpoint_names",
+    "max_checkpoints",
+    "max_queued_orders",
+    "max_buffered_events",
+    "max_peer_connections",
+    "max_queued_peer_messages",
+    "max_connections",
+    "listen_backlog",
+    "max_queued_health_checks",
 )
 
 
@@ -28,25 +28,25 @@
 
 def test_what_waits_grows_with_the_proxies_that_may_come() -> None:
     """With 5,000 proxies two streams of news may be a mass join, as many answers and as many leavings apart."""
-    limits = Limits().serving(5_000)
-    assert limits.news_ahead >= 3 * 5_000
-    assert limits.orders >= 5_000 + 5_000
-    assert Limits().serving(60) == Limits()
+    limits = Limits().for_fleet(5_000)
+    assert limits.max_buffered_events >= 3 * 5_000
+    assert limits.max_queued_orders >= 5_000 + 5_000
+    assert Limits().for_fleet(60) == Limits()
 
 
 def test_limits_of_reports_follow_how_often_they_come() -> None:
     """A customer whose reports tell of two minutes each had them all refused, and its collectors ended in between."""
-    assert Limits().serving(60, 2_000_000) == Limits()
-    patient = Limits().serving(60, 120_000_000)
-    assert min(patient.window_us, patient.collector_us) == 480_000_000
+    assert Limits().for_fleet(60, 2_000_000) == Limits()
+    patient = Limits().for_fleet(60, 120_000_000)
+    assert min(patient.max_report_window_us, patient.collector_idle_us) == 480_000_000
 
 
 def test_descriptors_and_memory_granted_bound_what_is_open_and_held() -> None:
-    limits = Limits().within(256, 32)
-    assert limits.connections == 128
-    assert limits.probes_at_once == 16
-    assert limits.held_bytes == 8 << 20
-    assert Limits().within(65_536, 8_192).connections == 1_024
+    limits = Limits().for_machine(256, 32)
+    assert limits.max_connections == 128
+    assert limits.max_concurrent_health_checks == 16
+    assert limits.max_read_buffers_bytes == 8 << 20
+    assert Limits().for_machine(65_536, 8_192).max_connections == 1_024
 
 
 def test_hosts_that_are_listed_are_remembered_whatever_the_limit() -> None:
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -239,7 +239,7 @@
 
 
 def test_a_line_over_the_limit_ends_its_connection_alone(bench: Bench) -> None:
-    bench.parts = replace(bench.parts, limits=replace(QUICK, line_bytes=64 << 10))
+    bench.parts = replace(bench.parts, limits=replace(QUICK, max_line_bytes=64 << 10))
     front = Front(bench)
     endless, sound = front.collector(), front.collector()
     assert any(ended_after(bench, endless, b"heard" + b" x=" * 1400) for _ in range(2000))
@@ -273,10 +273,10 @@
 def test_strangers_that_say_nothing_are_let_go_and_collectors_stay(hasty: Front) -> None:
     front = hasty
     stranger, collector = front.connect(), front.collector()
-    front.bench.pass_us(HASTY.join_us + 20 * MS)
+    front.bench.pass_us(HASTY.handshake_timeout_us + 20 * MS)
     assert heard_back(stranger) == b"refused\r\n"
     assert heard_back(collector) is None
-    front.bench.pass_us(HASTY.collector_us)
+    front.bench.pass_us(HASTY.collector_idle_us)
     assert heard_back(collector) == b""
 
 
@@ -288,7 +288,7 @@
     push(peer, said)
     for _ in range(20):
         push(peer, b"x")
-        front.bench.pass_us(HASTY.join_us // 10)
+        front.bench.pass_us(HASTY.handshake_timeout_us // 10)
     assert b"refused" in all_back(peer)
 
 
@@ -297,9 +297,9 @@
     peer = front.connect()
     for _ in range(3):
         push(peer, b"ping\r\n")
-        front.bench.pass_us(HASTY.join_us + 20 * MS)
+        front.bench.pass_us(HASTY.handshake_timeout_us + 20 * MS)
         assert heard_back(peer) == b"pong\r\n"
-    front.bench.pass_us(HASTY.pinger_us)
+    front.bench.pass_us(HASTY.ping_client_idle_us)
     assert heard_back(peer) == b"refused\r\n"
 
 
@@ -307,12 +307,12 @@
     for _ in range(50):
         push(front.connect(), b"colle")
     front.bench.until(lambda: front.bench.counters["bytes_in"] == 250)
-    assert front.bench.counters["read_buffers_most"] == 50 * QUICK.stranger_bytes
+    assert front.bench.counters["read_buffers_most"] == 50 * QUICK.max_unauthenticated_bytes
 
 
 def test_one_that_just_came_is_not_shed_for_those_behind_it(bench: Bench) -> None:
     """A collector in the midst of a crowd, whose first line is still on its way."""
-    bench.parts = replace(bench.parts, limits=replace(QUICK, connections=8))
+    bench.parts = replace(bench.parts, limits=replace(QUICK, max_connections=8))
     front = Front(bench)
     for _ in range(20):
         front.connect()
@@ -328,7 +328,7 @@
 
 
 def test_hundreds_of_connections_are_shed_before_collectors(bench: Bench) -> None:
-    bench.parts = replace(bench.parts, limits=replace(QUICK, connections=8))
+    bench.parts = replace(bench.parts, limits=replace(QUICK, max_connections=8))
     front = Front(bench)
     collector = front.collector()
     for _ in range(100):
@@ -361,7 +361,7 @@
     front: Front, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     collector, stranger = front.collector(), front.connect()
-    front.bench.pass_us(QUICK.accept_wait_us)
+    front.bench.pass_us(QUICK.accept_retry_us)
     NoDescriptors(monkeypatch, 1)
     later = front.connect()
     later.sendall(b"collector az=east\r\n" + USAGE)
@@ -383,7 +383,7 @@
 
 
 def test_read_buffers_are_bounded_together(bench: Bench) -> None:
-    bench.parts = replace(bench.parts, limits=replace(QUICK, held_bytes=256 << 10))
+    bench.parts = replace(bench.parts, limits=replace(QUICK, max_read_buffers_bytes=256 << 10))
     front = Front(bench)
     peers = [front.collector() for _ in range(12)]
     for _ in range(20):
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -44,18 +44,18 @@
     for _ in range(1000):
         pipe.log.event("bad_message")
     pipe.log.event("other")
-    assert len(pipe.lines()) == QUICK.log_burst + 1
-    assert pipe.counters["log_lines_suppressed"] == 1000 - QUICK.log_burst
-    pipe.clock.now += QUICK.log_span_us
+    assert len(pipe.lines()) == QUICK.log_burst_lines + 1
+    assert pipe.counters["log_lines_suppressed"] == 1000 - QUICK.log_burst_lines
+    pipe.clock.now += QUICK.log_burst_window_us
     pipe.log.event("bad_message")
-    assert [line.get("suppressed") for line in pipe.lines()] == [1000 - QUICK.log_burst, None]
+    assert [line.get("suppressed") for line in pipe.lines()] == [1000 - QUICK.log_burst_lines, None]
 
 
 def test_a_long_line_is_cut_and_still_json(pipe: Pipe) -> None:
     pipe.log.always("defect", error="x" * 100_000)
     (line,) = pipe.lines()
     assert line["event"] == "defect"
-    assert len(str(line["cut"])) <= QUICK.log_bytes
+    assert len(str(line["cut"])) <= QUICK.max_log_line_bytes
 
 
 def test_whoever_reads_the_log_slowly_or_not_at_all_does_not_stop_the_director(pipe: Pipe) -> None:
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -129,12 +129,15 @@
     def __init__(
         self, lost: float, make: Callable[[Settings], RoutingPolicy] = RoutingPolicy, seed: int = 1
     ) -> None:
-        limits = Limits().serving(MASS.proxy_count)
+        limits = Limits().for_fleet(MASS.proxy_count)
         self.world = MassWorld(MASS)
         self.bench = Bench(limits, MASS)
         self.facade = self.bench.facade = Facade(MASS, 7, limits, make)
         parts = replace(self.bench.parts, facade=self.facade)
-        self.outbox, self.waiting = OrderQueue(limits.orders, limits.marks), Signal()
+        self.outbox, self.waiting = (
+            OrderQueue(limits.max_queued_orders, limits.max_superseded_checkpoints),
+            Signal(),
+        )
         self.lost, self.draw = (
             lost,
             random.Random(seed),
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -81,7 +81,10 @@
 
 
 def test_probes_beyond_the_limit_wait_and_beyond_that_are_cancelled(bench: Bench) -> None:
-    bench.parts = replace(bench.parts, limits=replace(QUICK, probes_at_once=2, probes_waiting=3))
+    bench.parts = replace(
+        bench.parts,
+        limits=replace(QUICK, max_concurrent_health_checks=2, max_queued_health_checks=3),
+    )
     host = StandIn(bench.loop, answering(200, b""))
     probes = Probes(bench.parts)
     for _ in range(8):
@@ -93,7 +96,7 @@
 
 def test_a_probe_that_ends_by_a_defect_is_answered_and_the_next_has_its_turn(bench: Bench) -> None:
     """The module awaits an answer to each, and those that waited behind it were never made."""
-    bench.parts = replace(bench.parts, limits=replace(QUICK, probes_at_once=1))
+    bench.parts = replace(bench.parts, limits=replace(QUICK, max_concurrent_health_checks=1))
     host = StandIn(bench.loop, answering(200, b""))
     probes = Probes(bench.parts)
     probes.probe("h1", ("127.0.0.1", 99_999))
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -150,7 +150,7 @@
 
 
 def test_a_call_that_is_none_is_given_up_so_that_later_orders_go_out(bench: Bench) -> None:
-    times = QUICK.invalid_most
+    times = QUICK.max_invalid_responses
     relay, outbox = Relay(bench, *[invalid] * times), outbox_of(SET, MARK)
     waiting = start_calls(bench, relay, outbox)
     bench.until(lambda: not outbox.batches)
@@ -278,7 +278,7 @@
     relay, outbox = Relay(bench), outbox_of(SET, MARK)
     waiting = start_calls(bench, relay, outbox)
     bench.until(lambda: not outbox.batches)
-    bench.pass_us(2 * QUICK.idle_us)
+    bench.pass_us(2 * QUICK.idle_connection_us)
     outbox.add([USE])
     waiting.raise_()
     bench.until(lambda: not outbox.batches)
@@ -309,7 +309,7 @@
 
 
 def test_an_idle_connection_to_the_old_address_is_let_go(bench: Bench) -> None:
-    bench.parts = replace(bench.parts, limits=replace(QUICK, idle_us=3_600_000_000))
+    bench.parts = replace(bench.parts, limits=replace(QUICK, idle_connection_us=3_600_000_000))
     old, new, outbox = Relay(bench), Relay(bench), outbox_of(SET, MARK)
     waiting = Signal()
     calls = RelayCalls(bench.parts, old.stand_in.address, outbox, waiting)
@@ -346,12 +346,12 @@
         outbox.add([SetWeight(0, "h1", stamp), Checkpoint(stamp, False)])
         waiting.raise_()
         bench.pass_us(MS)
-    assert 10 < bench.counters["relay_calls_failed"] <= 10 + 200 * MS // QUICK.backoff_most_us
+    assert 10 < bench.counters["relay_calls_failed"] <= 10 + 200 * MS // QUICK.max_backoff_us
 
 
 def test_a_call_that_breaks_before_its_last_byte_is_not_in_doubt(bench: Bench) -> None:
     """The relay takes no more of it than the system holds. It was never carried out, and goes again at once."""
-    bench.parts = replace(bench.parts, limits=replace(QUICK, call_bytes=1 << 30))
+    bench.parts = replace(bench.parts, limits=replace(QUICK, max_call_bytes=1 << 30))
     long = "h" * 2_000
     orders: list[Order] = [SetWeight(0, f"{long}{k}", 1.0) for k in range(10_000)]
 
@@ -377,7 +377,7 @@
     bench.loop.start("calls", calls.run())
     bench.until(lambda: old.calls)
     calls.move(new.stand_in.address)
-    bench.pass_us(4 * QUICK.answer_us)
+    bench.pass_us(4 * QUICK.call_timeout_us)
     assert not new.calls
     calls.move(old.stand_in.address)  # and back, before the first move was through
     bench.module.repeats = True
@@ -398,7 +398,7 @@
 
 
 def test_news_that_opens_sends_what_waits_for_the_relay(bench: Bench) -> None:
-    bench.parts = replace(bench.parts, limits=replace(QUICK, throttled_us=3_600_000_000))
+    bench.parts = replace(bench.parts, limits=replace(QUICK, throttled_retry_us=3_600_000_000))
     relay, outbox = Relay(bench, throttle), outbox_of(SET, MARK)
     source = Broadcaster(bench, [b"{}"])
     calls = RelayCalls(bench.parts, relay.stand_in.address, outbox, Signal())
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -81,9 +81,9 @@
     source = Broadcaster(bench, [b"{}"])
     start_news(bench, source)
     for _ in range(6):
-        bench.pass_us(QUICK.news_silence_us // 2)
+        bench.pass_us(QUICK.event_stream_silence_us // 2)
         source.feed.append(b"{}")
-    bench.pass_us(QUICK.news_silence_us // 2)
+    bench.pass_us(QUICK.event_stream_silence_us // 2)
     assert source.stand_in.connections == 1
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -120,7 +120,7 @@
 
 # Commit
 
-FEW = replace(Limits(), store_staged=4, store_journal_bytes=100, store_retry_us=50)
+FEW = replace(Limits(), max_staged_changes=4, min_compaction_bytes=100, snapshot_retry_us=50)
 
 
 def test_one_job_serves_all_that_was_staged_and_one_runs_at_a_time() -> None:
@@ -192,7 +192,7 @@
 def test_what_waits_is_bounded() -> None:
     commit: Commit[int] = Commit(FEW, 1, 0, False)
     assert [commit.stage(b"x", k) for k in range(6)] == [True] * 4 + [False] * 2
-    wide: Commit[int] = Commit(replace(FEW, store_staged_bytes=100), 1, 0, False)
+    wide: Commit[int] = Commit(replace(FEW, max_staged_bytes=100), 1, 0, False)
     assert [wide.stage(b"x" * 60, k) for k in range(2)] == [True, False]
 
 
--- a/tests/test_zone_content.py
+++ b/tests/test_zone_content.py
@@ -158,7 +158,7 @@
     one, plain = zone(1), set(zone(1).records())
     known, history, versions = (
         Meaning(ORIGIN, SERVICE),
-        History(LIMITS.zone_history_records),
+        History(LIMITS.max_zone_history_records),
         [one.copy()],
     )
     known.start(one)
--- a/tests/test_zone_decisions.py
+++ b/tests/test_zone_decisions.py
@@ -136,7 +136,7 @@
         if refresh.begin(now):
             asked += 1
             refresh.answered(now, True)
-    assert asked == 10 * SECOND_US // LIMITS.zone_notify_us
+    assert asked == 10 * SECOND_US // LIMITS.notify_batching_us
 
 
 def test_a_notify_during_a_round_is_not_lost() -> None:
@@ -145,7 +145,7 @@
     refresh.begin(0)
     refresh.notified(5)
     refresh.answered(10, True)
-    assert refresh.due_us() == 10 + LIMITS.zone_notify_us
+    assert refresh.due_us() == 10 + LIMITS.notify_batching_us
 
 
 def test_times_of_a_silly_soa_are_bounded() -> None:
@@ -153,14 +153,14 @@
     refresh.hold(replace(SOA, refresh=0, retry=0), 0)
     refresh.begin(0)
     refresh.answered(0, True)
-    assert refresh.due_us() == LIMITS.zone_refresh_least_us
+    assert refresh.due_us() == LIMITS.min_zone_refresh_us
     refresh.begin(refresh.due_us())
     refresh.failed(refresh.due_us())
-    assert refresh.due_us() >= 2 * LIMITS.zone_retry_least_us
+    assert refresh.due_us() >= 2 * LIMITS.min_zone_retry_us
     refresh.hold(replace(SOA, refresh=1 << 31), 0)
     refresh.begin(refresh.due_us())
     refresh.answered(0, True)
-    assert refresh.due_us() == LIMITS.zone_refresh_most_us
+    assert refresh.due_us() == LIMITS.max_zone_refresh_us
 
 
 # Grants
@@ -220,7 +220,7 @@
 
 def test_many_small_updates_do_not_add_up_to_a_large_one() -> None:
     hosts = {f"s-{k}": member(f"s-{k}") for k in range(10)}
-    losses = Losses(LIMITS.zone_losses_us)
+    losses = Losses(LIMITS.zone_removal_window_us)
     grant = Grant("k", most=0.3, within_us=60 * SECOND_US)
     start = held(zone(1, rooms()))
     nothing = draft_of(start.head).difference(0)
--- a/tests/test_zone_server.py
+++ b/tests/test_zone_server.py
@@ -446,7 +446,7 @@
 
 
 def test_connections_are_bounded_and_the_quietest_goes_first(world: World) -> None:
-    part = world.primary(zone(1, rooms()), limits=replace(QUICK, dns_tcp=8))
+    part = world.primary(zone(1, rooms()), limits=replace(QUICK, max_dns_tcp_connections=8))
     client = Client(world, part)
     crowd = []
     for _ in range(30):
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -40,15 +40,15 @@
 OTHER = dns.tsig.Key(KEY.name, base64.b64encode(bytes(32)).decode(), KEY.algorithm)
 QUICK = replace(
     Limits(),
-    zone_ask_us=50 * MS,
-    zone_silence_us=50 * MS,
-    zone_file_us=20 * MS,
-    zone_command_us=5 * MS,
-    zone_notify_us=5 * MS,
-    zone_notify_wait_us=20 * MS,
-    store_retry_us=20 * MS,
-    dns_idle_us=200 * MS,
-    dns_half_us=60 * MS,
+    soa_query_timeout_us=50 * MS,
+    transfer_silence_us=50 * MS,
+    zone_file_poll_us=20 * MS,
+    zone_command_poll_us=5 * MS,
+    notify_batching_us=5 * MS,
+    notify_retry_us=20 * MS,
+    snapshot_retry_us=20 * MS,
+    dns_idle_timeout_us=200 * MS,
+    dns_partial_message_timeout_us=60 * MS,
 )
 PRIMARY = """zones {{
     listen "127.0.0.1:1"
