--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,36 +1,237 @@
-"""The on-call page names every log line and every counter that the code can write."""
+"""The pages name every log event and counter that the code writes, and nothing that is not there."""
 
 from __future__ import annotations
 
+import ast
+import importlib.util
 import re
+from collections.abc import Iterator
 from pathlib import Path
 
+import pytest
+
 ROOT = Path(__file__).parent.parent
-SOURCE = "".join(
-    path.read_text(encoding="utf-8") for path in sorted((ROOT / "kelpcourse").rglob("*.py"))
-)
-PAGES = ("on-call.md", "operating-zones.md", "operating-shared.md")
-PAGE = "".join((ROOT / "docs" / name).read_text(encoding="utf-8") for name in PAGES)
+DOCS = ROOT / "docs"
+SOURCES = {
+    path: ast.parse(path.read_text(encoding="utf-8"))
+    for path in sorted((ROOT / "kelpcourse").rglob("*.py"))
+}
+PAGES = [
+    ROOT / "README.md",
+    ROOT / "CONTRIBUTING.md",
+    ROOT / "CHANGELOG.md",
+    ROOT / "deploy" / "sites" / "README.md",
+    *sorted(DOCS.rglob("*.md")),
+]
+# These keep the names of their time; their links are held all the same.
+RECORDS = ("CHANGELOG.md", "docs/history/", "docs/incidents/")
+CURRENT_PAGES = [
+    page for page in PAGES if not page.relative_to(ROOT).as_posix().startswith(RECORDS)
+]
+OPERATORS_PAGES = [
+    DOCS / name for name in ("on-call.md", "operating-zones.md", "operating-shared.md")
+]
+RENAMED = "Renamed log events, fields and counters"
+
+LOG_METHODS = {"event", "always"}
+CODE = re.compile(r"`([^`\n]+)`")
+LINK = re.compile(r"\]\(([^)\s]+)\)")
+
+
+def text_of(page: Path) -> str:
+    return page.read_text(encoding="utf-8")
+
+
+def name_of(page: Path) -> str:
+    return page.relative_to(ROOT).as_posix()
+
+
+# Names in the code
+
+
+def calls() -> Iterator[tuple[str, str, ast.Call]]:
+    """Every call of a method: the last name of its receiver, the method's name, the call."""
+    for tree in SOURCES.values():
+        for node in ast.walk(tree):
+            if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute):
+                receiver = node.func.value
+                if isinstance(receiver, ast.Attribute):
+                    yield receiver.attr, node.func.attr, node
+                elif isinstance(receiver, ast.Name):
+                    yield receiver.id, node.func.attr, node
+
+
+def first_names(call: ast.Call) -> Iterator[str]:
+    """The names that a call's first argument may be; what is filled in at run time is a `*`."""
+    values = call.args[:1]
+    while values:
+        value = values.pop()
+        if isinstance(value, ast.IfExp):
+            values += [value.body, value.orelse]
+        elif isinstance(value, ast.Constant) and isinstance(value.value, str):
+            yield value.value
+        elif isinstance(value, ast.JoinedStr):
+            yield "".join(
+                str(part.value) if isinstance(part, ast.Constant) else "*" for part in value.values
+            )
+
+
+def logged_fields() -> dict[str, set[str]]:
+    """The log events, each with the fields that any call gives it."""
+    fields: dict[str, set[str]] = {}
+    for receiver, method, call in calls():
+        if receiver.endswith("log") and method in LOG_METHODS:
+            for event in first_names(call):
+                given = {keyword.arg for keyword in call.keywords if keyword.arg is not None}
+                fields.setdefault(event, set()).update(given)
+    return fields
+
+
+def counter_names() -> set[str]:
+    names: set[str] = set()
+    for receiver, method, call in calls():
+        if receiver.endswith("counters"):
+            names |= set(first_names(call))
+        elif method == "bad_message":
+            names |= {f"{source}_bad_messages" for source in first_names(call)}
+    return names
+
+
+EVENTS = logged_fields()
+COUNTERS = counter_names()
+
+
+def written(name: str, names: set[str]) -> bool:
+    """Whether the code has this name, or one that it fills in at run time to this name."""
+    return name in names or any(
+        re.fullmatch(pattern.replace("*", "[a-z_]+"), name)
+        for pattern in names
+        if "*" in pattern and not pattern.startswith("*")
+    )
 
 
 def named(pattern: str) -> set[str]:
-    return set(re.findall(pattern, SOURCE))
+    return {name for path in SOURCES for name in re.findall(pattern, text_of(path))}
+
+
+def test_the_names_that_the_source_shows_are_found() -> None:
+    assert named(r'log\.(?:event|always)\("([a-z_]+)"') <= set(EVENTS)
+    assert named(r'counters\.(?:add|most)\("([a-z_]+)"') <= COUNTERS
+    sources = named(r'bad_message\("([a-z_]+)"')
+    assert {f"{source}_bad_messages" for source in sources} <= COUNTERS
+
+
+# Names on the pages
+
 
+def section(page: Path, title: str) -> str:
+    """The text under a heading of the second level; empty if the page has none of this title."""
+    _, _, rest = text_of(page).partition(f"\n## {title}\n")
+    return rest.split("\n## ")[0]
 
-def test_every_log_line_is_explained() -> None:
-    events = named(r'log\.(?:event|always)\("([a-z_]+)"')
-    assert "news_lost" in events
-    assert [event for event in sorted(events) if f"| `{event}` |" not in PAGE] == []
+
+def rows(text: str) -> list[list[str]]:
+    """The rows of the tables in a text, head and rule left out."""
+    table = [line for line in text.splitlines() if line.startswith("|")]
+    cells = [[cell.strip() for cell in line.strip("|").split("|")] for line in table]
+    rules = {at for at, row in enumerate(cells) if all(set(cell) <= set("-: ") for cell in row)}
+    return [row for at, row in enumerate(cells) if at not in rules and at + 1 not in rules]
+
+
+def explained(title: str) -> dict[str, list[str]]:
+    """The names in the first column of the operators' tables under a heading, each with its row."""
+    return {
+        name: row
+        for page in OPERATORS_PAGES
+        for row in rows(section(page, title))
+        for name in CODE.findall(row[0])
+    }
+
+
+def test_every_log_event_is_explained() -> None:
+    assert "news_lost" in EVENTS
+    assert [event for event in sorted(EVENTS) if event not in explained("Log lines")] == []
+
+
+def test_every_log_event_that_is_explained_is_written() -> None:
+    events = explained("Log lines")
+    assert len(events) > 15
+    assert [event for event in events if event not in EVENTS] == []
+
+
+@pytest.mark.parametrize("event", sorted(EVENTS))
+def test_every_field_of_a_log_event_is_explained(event: str) -> None:
+    row = explained("Log lines").get(event, [])
+    assert [field for field in sorted(EVENTS[event]) if field not in re.split(r"\W+", row[1])] == []
 
 
 def test_every_counter_is_explained() -> None:
-    counters = named(r'counters\.(?:add|most)\("([a-z_]+)"')
-    counters |= {f"{source}_bad_messages" for source in named(r'bad_message\("([a-z_]+)"')}
-    assert "relay_bad_messages" in counters
-    assert [counter for counter in sorted(counters) if f"`{counter}`" not in PAGE] == []
+    literal = {name for name in COUNTERS if "*" not in name}
+    assert "relay_bad_messages" in literal
+    assert [name for name in sorted(literal) if name not in explained("Counters")] == []
+
+
+@pytest.mark.parametrize("pattern", sorted(name for name in COUNTERS if "*" in name))
+def test_some_counter_of_each_that_is_filled_in_at_run_time_is_explained(pattern: str) -> None:
+    assert any(written(name, {pattern}) for name in explained("Counters")) or pattern[0] == "*"
+
+
+def test_every_counter_that_is_explained_is_written() -> None:
+    counters = explained("Counters")
+    assert len(counters) > 50
+    assert [name for name in counters if not written(name, COUNTERS)] == []
 
 
 def test_nothing_is_explained_that_is_not_there() -> None:
-    explained = re.findall(r"^\| `([a-z_]+)` \|", PAGE, re.MULTILINE)
-    assert len(explained) > 15
-    assert [event for event in explained if f'"{event}"' not in SOURCE] == []
+    pages = "".join(text_of(page) for page in OPERATORS_PAGES)
+    renamed = section(DOCS / "on-call.md", RENAMED)
+    names = re.findall(r"^\| `([a-z_]+)` \|", pages.replace(renamed, ""), re.MULTILINE)
+    assert len(names) > 15
+    source = "".join(text_of(path) for path in SOURCES)
+    assert [name for name in names if f'"{name}"' not in source] == []
+
+
+# Links and names
+
+
+def anchors(page: Path) -> set[str]:
+    """The anchors of a page's headings as GitHub makes them."""
+    found: set[str] = set()
+    for heading in re.findall(r"^#+ (.+)$", text_of(page), re.MULTILINE):
+        kept = re.sub(r"[^\w\- ]", "", heading.lower())
+        found.add(kept.replace(" ", "-"))
+    return found
+
+
+@pytest.mark.parametrize("page", PAGES, ids=name_of)
+def test_every_relative_link_leads_somewhere(page: Path) -> None:
+    links = [link for link in LINK.findall(text_of(page)) if "://" not in link]
+    dead = []
+    for link in links:
+        path, _, anchor = link.partition("#")
+        target = (page.parent / path).resolve() if path else page
+        if not target.exists() or (anchor and anchor not in anchors(target)):
+            dead.append(link)
+    assert dead == []
+
+
+def backticked(page: Path) -> list[str]:
+    """What a page has in backticks; indented and fenced blocks are left out."""
+    text = re.sub(r"^```.*?^```$", "", text_of(page), flags=re.MULTILINE | re.DOTALL)
+    lines = [line for line in text.splitlines() if not line.startswith("    ")]
+    return CODE.findall("\n".join(lines))
+
+
+@pytest.mark.parametrize("page", CURRENT_PAGES, ids=name_of)
+def test_every_module_that_is_named_can_be_found(page: Path) -> None:
+    modules = [name for name in backticked(page) if re.fullmatch(r"kelpcourse(\.\w+)+", name)]
+    assert [name for name in modules if importlib.util.find_spec(name) is None] == []
+
+
+def test_every_test_that_is_named_exists() -> None:
+    tests = "".join(text_of(path) for path in sorted((ROOT / "tests").glob("*.py")))
+    defined = set(re.findall(r"^\s*def (test_\w+)\(", tests, re.MULTILINE))
+    names = [(name_of(page), name) for page in CURRENT_PAGES for name in backticked(page)]
+    named_tests = [(page, name) for page, name in names if re.fullmatch(r"test_\w+", name)]
+    assert len(named_tests) > 30
+    assert [(page, name) for page, name in named_tests if name not in defined] == []
