--- a/kelpcourse/facade.py
+++ b/kelpcourse/facade.py
@@ -8,49 +8,47 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from kelpcourse.decide import Director
-from kelpcourse.interface import (
+from kelpcourse.limits import Limits
+from kelpcourse.memory import orders
+from kelpcourse.memory.endpoints import EndpointRegistry, ListedEndpoint
+from kelpcourse.memory.orders import Order
+from kelpcourse.policy.actions import (
     Action,
     BindProxy,
+    CheckHealth,
     Checkpoint,
     ClearTable,
+    FetchEndpoints,
+    LogMessage,
+    ResendOrders,
+    RestoreEndpoint,
+    SendToPeer,
+    SetAdmission,
+    SetTimer,
+    SetWeight,
+    WatchEndpoints,
+    WithdrawEndpoint,
+)
+from kelpcourse.policy.controller import RoutingPolicy
+from kelpcourse.policy.events import (
     DemandReport,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointReport,
     Event,
-    FetchList,
-    Host,
-    HostList,
-    HostReport,
-    HostState,
-    ListKind,
-    Log,
-    OrdersApplied,
-    OrdersDoubted,
-    OrdersTaken,
-    ProbeAnswered,
-    ProbeHost,
-    ProbeStatus,
+    HealthCheckCompleted,
+    HealthCheckStatus,
+    OrdersAccepted,
+    OrdersAcknowledged,
+    OrdersOutcomeUnknown,
     ProxyJoined,
     ProxyLeft,
-    RepeatOrders,
-    SetLevel,
-    SetLine,
-    SetTimer,
-    Settings,
     Started,
-    TellPeer,
     TimerFired,
-    WatchList,
-    Withdraw,
 )
-from kelpcourse.memory.endpoints import EndpointRegistry, ListedEndpoint, Phase
-from kelpcourse.memory.orders import EmptyTable, Limit, Mark, Order, SetShare, ShutOut, UseTable
-from kelpcourse.limits import Limits
+from kelpcourse.policy.settings import Settings
 
-STATES = {
-    Phase.READY: HostState.READY,
-    Phase.DRAINING: HostState.DRAINING,
-    Phase.GONE: HostState.GONE,
-}
 Load = Sequence[tuple[str, float]]
 
 
@@ -58,7 +56,7 @@
     """What was reported names something that this director does not know, or a figure out of range."""
 
 
-class Decider(Protocol):
+class Policy(Protocol):
     def step(self, now_us: int, events: Sequence[Event]) -> list[Action]: ...
 
 
@@ -81,12 +79,12 @@
         settings: Settings,
         seed: int,
         limits: Limits,
-        make: Callable[[Settings], Decider] = Director,
+        make: Callable[[Settings], Policy] = RoutingPolicy,
     ) -> None:
         self._settings = settings
         self._limits = limits
         self._module = make(settings)
-        self._endpoints = EndpointRegistry(limits.names)
+        self._endpoints = EndpointRegistry(limits.max_endpoint_names)
         self._events: list[Event] = [Started(seed)]
         self._gathered_us: int | None = None  # when what waits is to be stepped
         self._timers: list[tuple[int, int, str]] = []
@@ -95,7 +93,7 @@
         self._may_repeat = False
         self._classes = {cls.name: at for at, cls in enumerate(settings.classes)}
         self._stamps: dict[int, None] = {}  # of marks that were ordered, oldest first
-        self._longest_us = limits.late_aims * max(
+        self._longest_us = limits.max_mean_time_deadlines * max(
             (cls.deadline_us for cls in settings.classes), default=0
         )
         self._now = 0
@@ -104,14 +102,16 @@
 
     def report_cached_list(self, members: Sequence[ListedEndpoint], version: int) -> None:
         """The list as this director last had it, before its start."""
-        self._take_list(ListKind.RESTORED, members, version)
+        self._take_list(EndpointListKind.RESTORED, members, version)
 
     def report_list(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
-        self._take_list(ListKind.FULL if whole else ListKind.CHANGES, members, version)
+        self._take_list(
+            EndpointListKind.FULL if whole else EndpointListKind.CHANGES, members, version
+        )
 
     def report_list_unavailable(self) -> None:
         """A watch or a call for the list failed."""
-        self._events.append(HostList(ListKind.UNAVAILABLE, 0, ()))
+        self._events.append(EndpointList(EndpointListKind.UNAVAILABLE, 0, ()))
 
     def has_zone(self, zone: str) -> bool:
         return zone in self._settings.zones
@@ -127,16 +127,16 @@
     def report_acknowledged(self, proxy: int, stamp: int, lag_ms: float) -> None:
         if stamp not in self._stamps:
             raise InvalidReportError(f"mark {stamp} was never asked for")
-        self._events.append(OrdersApplied(self._proxy(proxy), stamp, _us(lag_ms)))
+        self._events.append(OrdersAcknowledged(self._proxy(proxy), stamp, _us(lag_ms)))
 
     def report_accepted(self, stamp: int) -> None:
         """The relay took the call that ends in this mark."""
-        self._events.append(OrdersTaken(stamp))
+        self._events.append(OrdersAccepted(stamp))
 
     def report_outcome_unknown(self, stamps: tuple[int, ...]) -> None:
         """A call that broke may have been carried out, and its orders wait to go again."""
         self._may_repeat = False
-        self._events.append(OrdersDoubted(stamps))
+        self._events.append(OrdersOutcomeUnknown(stamps))
 
     def may_resend(self) -> bool:
         """Whether the module has let them go since."""
@@ -163,7 +163,7 @@
         if mean_us > self._longest_us:
             raise InvalidReportError(f"mean time {mean_ms} is beyond every deadline")
         self._events.append(
-            HostReport(
+            EndpointReport(
                 self._host(host), self._zone(zone), tries, failed, span_us, mean_us, _load(load)
             )
         )
@@ -187,7 +187,7 @@
 
     def report_probe(self, host: str, outcome: str, took_us: int, load: Load) -> None:
         self._events.append(
-            ProbeAnswered(self._host(host), ProbeStatus(outcome), took_us, _load(load))
+            HealthCheckCompleted(self._host(host), HealthCheckStatus(outcome), took_us, _load(load))
         )
 
     # Steps
@@ -208,7 +208,7 @@
         """Runs a step if something is due. What arrives together goes into one step."""
         self._now = now_us = max(now_us, self._now)
         if self._events and self._gathered_us is None:
-            self._gathered_us = now_us + self._limits.gather_us
+            self._gathered_us = now_us + self._limits.step_batching_us
         if not self._due(now_us):
             return False
         fired = self._fire(now_us)
@@ -219,7 +219,7 @@
             Exception
         ):  # whoever hosts this tells of it; a timer lost with the step would stop the module
             for name in fired:
-                self._set_timer(name, now_us + self._limits.restart_us)
+                self._set_timer(name, now_us + self._limits.coroutine_restart_us)
             raise
         self._work.steps += 1
         for action in actions:
@@ -244,14 +244,16 @@
 
     # From plain terms to the module's
 
-    def _take_list(self, kind: ListKind, members: Sequence[ListedEndpoint], version: int) -> None:
-        self._endpoints.update(members, kind is not ListKind.CHANGES)
+    def _take_list(
+        self, kind: EndpointListKind, members: Sequence[ListedEndpoint], version: int
+    ) -> None:
+        self._endpoints.update(members, kind is not EndpointListKind.CHANGES)
         hosts = tuple(self._listed(m) for m in members)
-        self._events.append(HostList(kind, version, hosts))
+        self._events.append(EndpointList(kind, version, hosts))
 
-    def _listed(self, m: ListedEndpoint) -> Host:
-        return Host(
-            self._host(m.name), m.zone, m.kind, m.cell, m.size, STATES[m.phase], _us(m.up_since_ms)
+    def _listed(self, m: ListedEndpoint) -> Endpoint:
+        return Endpoint(
+            self._host(m.name), m.zone, m.kind, m.cell, m.weight, m.status, _us(m.started_ms)
         )
 
     def _host(self, name: str) -> int:
@@ -261,8 +263,8 @@
         return number
 
     def _proxy(self, proxy: int) -> int:
-        if not 0 <= proxy < self._settings.proxies:
-            raise InvalidReportError(f"proxy {proxy} is not below {self._settings.proxies}")
+        if not 0 <= proxy < self._settings.proxy_count:
+            raise InvalidReportError(f"proxy {proxy} is not below {self._settings.proxy_count}")
         return proxy
 
     def _zone(self, zone: str) -> str:
@@ -273,12 +275,12 @@
     def _span(self, window_ms: float) -> int:
         """One figure of a spoilt report could outweigh all others for as long as means remember it."""
         span_us = _us(window_ms)
-        if not 0 < span_us <= self._limits.window_us:
+        if not 0 < span_us <= self._limits.max_report_window_us:
             raise InvalidReportError(f"window {window_ms} is out of range")
         return span_us
 
     def _within(self, count: int, span_us: int) -> int:
-        if _count(count) > self._limits.tries_per_s * max(1.0, span_us / 1e6):
+        if _count(count) > self._limits.max_report_attempts_per_s * max(1.0, span_us / 1e6):
             raise InvalidReportError(f"{count} in {span_us / 1e6:.3f} s are out of range")
         return count
 
@@ -288,23 +290,23 @@
         match action:
             case SetTimer(name, at_us):
                 self._set_timer(name, at_us)
-            case WatchList(on):
+            case WatchEndpoints(on):
                 self._work.watch = on
-            case FetchList():
+            case FetchEndpoints():
                 self._work.fetches += 1
-            case RepeatOrders():
+            case ResendOrders():
                 self._may_repeat = True
-            case ProbeHost(host):
+            case CheckHealth(host):
                 self._probe(host)
-            case Log(text):
+            case LogMessage(text):
                 self._work.notes.append(text)
-            case TellPeer():
+            case SendToPeer():
                 self._work.undelivered += 1  # no word for it on these sockets
             case _:
                 self._order(action)
 
     def _set_timer(self, name: str, at_us: int) -> None:
-        if len(self._timers) >= self._limits.timers:
+        if len(self._timers) >= self._limits.max_timers:
             self._work.undelivered += 1
             return
         self._timer_number += 1
@@ -327,27 +329,32 @@
 
     def _plain(self, action: Action) -> Order | None:
         match action:
-            case SetLine(table, host, weight):
+            case SetWeight(table, host, weight):
+                name = self._endpoints.name_of(host)
+                return orders.SetWeight(table, name, _rounded(weight)) if name is not None else None
+            case WithdrawEndpoint(host):
                 name = self._endpoints.name_of(host)
-                return SetShare(table, name, _rounded(weight)) if name is not None else None
-            case Withdraw(host, out):
+                return orders.WithdrawEndpoint(name) if name is not None else None
+            case RestoreEndpoint(host):
                 name = self._endpoints.name_of(host)
-                return ShutOut(name, out) if name is not None else None
+                return orders.RestoreEndpoint(name) if name is not None else None
             case ClearTable(table):
-                return EmptyTable(table)
+                return orders.ClearTable(table)
             case BindProxy(proxy, table, classes):
-                return UseTable(proxy, table, self._names(classes))
-            case SetLevel(table, classes, level, retry):
-                return Limit(table, self._names(classes), _rounded(level), retry.value)
+                return orders.BindProxy(proxy, table, self._names(classes))
+            case SetAdmission(table, classes, level, retry):
+                return orders.SetAdmission(
+                    table, self._names(classes), _rounded(level), retry.value
+                )
             case Checkpoint(number, everyone):
                 self._remember(number)
-                return Mark(number, everyone)
+                return orders.Checkpoint(number, everyone)
         return None
 
     def _remember(self, stamp: int) -> None:
         self._stamps.pop(stamp, None)
         self._stamps[stamp] = None
-        if len(self._stamps) > self._limits.stamps:
+        if len(self._stamps) > self._limits.max_checkpoints:
             del self._stamps[next(iter(self._stamps))]
 
     def _names(self, classes: tuple[int, ...]) -> tuple[str, ...]:
--- a/kelpcourse/memory/endpoints.py
+++ b/kelpcourse/memory/endpoints.py
@@ -4,15 +4,8 @@
 
 from collections.abc import Sequence
 from dataclasses import dataclass
-from enum import Enum
 
-
-class Phase(Enum):
-    """What the list says an endpoint does."""
-
-    READY = "ready"
-    DRAINING = "draining"
-    GONE = "gone"
+from kelpcourse.policy.events import EndpointStatus
 
 
 @dataclass(frozen=True)
@@ -24,9 +17,9 @@
     zone: str
     kind: str
     cell: int
-    phase: Phase
-    size: float  # relative capacity
-    up_since_ms: float  # Unix time, 0: long ago
+    status: EndpointStatus
+    weight: float  # relative capacity
+    started_ms: float  # Unix time, 0: long ago
 
 
 class EndpointRegistry:
@@ -61,7 +54,7 @@
                     self._mark_gone(name)
         for endpoint in endpoints:
             self._assign_number(endpoint.name)
-            if endpoint.phase is Phase.GONE:
+            if endpoint.status is EndpointStatus.GONE:
                 self._mark_gone(endpoint.name)
             else:
                 self._addresses[endpoint.name] = endpoint.address
--- a/kelpcourse/service/director.py
+++ b/kelpcourse/service/director.py
@@ -15,9 +15,10 @@
 from typing import Protocol
 
 from kelpcourse.facade import Facade, Work
-from kelpcourse.interface import Settings
+from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.memory.outbox import Outbox
+from kelpcourse.memory.order_queue import OrderQueue
+from kelpcourse.policy.settings import Settings
 from kelpcourse.service.clock import Clock
 from kelpcourse.service.config import (
     MOVES,
@@ -28,17 +29,16 @@
     read_config,
     reread_config,
 )
-from kelpcourse.limits import Limits
 from kelpcourse.service.logs import Log
 from kelpcourse.service.process import kept
 from kelpcourse.service.signals import Signals
 from kelpcourse.wire.discovery import Discovery
 from kelpcourse.wire.listener import Listener, listen
 from kelpcourse.wire.loop import Loop, Routine, Signal, Task, Wait
-from kelpcourse.wire.parts import Parts
 from kelpcourse.wire.probes import Probes
 from kelpcourse.wire.relay_calls import RelayCalls
 from kelpcourse.wire.relay_events import EventStreams
+from kelpcourse.wire.runtime import Runtime
 from kelpcourse.wire.stream import Address
 
 BAD_CONFIG = 2
@@ -61,7 +61,7 @@
     def move(self, address: Address) -> None: ...
 
 
-MakeSource = Callable[[Parts, Settings, Keep], Source]
+MakeSource = Callable[[Runtime, Settings, Keep], Source]
 
 
 class Service:
@@ -84,9 +84,9 @@
         self._log = Log(clock, limits, self._counters, config.name)
         self._loop = Loop(clock, self._defect)
         self._facade = Facade(config.settings, config.seed, limits)
-        self._parts = Parts(self._facade, limits, self._counters, self._log, self._loop)
+        self._parts = Runtime(self._facade, limits, self._counters, self._log, self._loop)
         self._config = config
-        self._outbox = Outbox(limits.orders, limits.marks)
+        self._outbox = OrderQueue(limits.max_queued_orders, limits.max_superseded_checkpoints)
         self._waiting = Signal()
         self._source = (
             make_source(self._parts, config.settings, self._keep)
@@ -104,10 +104,10 @@
 
     def run(self) -> int:
         self._log.always(
-            "start",
+            "started",
             pid=os.getpid(),
-            hosts=len(self._config.known.members),
-            proxies=self._config.settings.proxies,
+            endpoints=len(self._config.known.members),
+            proxies=self._config.settings.proxy_count,
         )
         self._facade.report_cached_list(self._config.known.members, self._config.known.version)
         if self._source is not None:
@@ -123,7 +123,7 @@
         if self._source is not None:
             self._source.close()
         self._signals.close()
-        self._log.always("stop", signal=self._stop, counters=self._counters.snapshot())
+        self._log.always("stopped", signal=self._stop, counters=self._counters.snapshot())
         return 0
 
     def _follow_events(self) -> None:
@@ -140,28 +140,30 @@
         """A file that is being replaced can't be read for a moment, and nobody sends a second signal when it can."""
         if self._source is not None:
             self._source.reread()
-        until_us, told = self._loop.clock() + self._limits.reload_us, False
+        until_us, told = self._loop.clock() + self._limits.reload_retry_us, False
         while True:
             try:
                 new = reread_config(self._environment)
             except BadConfig as error:
                 again = self._loop.clock() < until_us
                 if not (told and again):
-                    self._log.always("reload_failed", reason=str(error), tried_again=again)
+                    self._log.always(
+                        "configuration_reload_failed", reason=str(error), will_retry=again
+                    )
                 told = True
             else:
                 self._follow(new)
                 return
             if not again:
                 return
-            yield Wait(self._loop.clock() + self._limits.reload_wait_us)
+            yield Wait(self._loop.clock() + self._limits.reload_retry_interval_us)
 
     def _follow(self, new: Config) -> None:
         """Follows the file to new addresses. Everything else lives on: listener, module, proxies, orders."""
         moved, waits = differing(self._config, new, MOVES), differing(self._config, new, WAITS)
         self._config = replace(self._config, discovery=new.discovery, relay=new.relay)
-        self._counters.add("reloads")
-        self._log.always("reload", moved=moved, wait_for_restart=waits)
+        self._counters.add("configuration_reloads")
+        self._log.always("configuration_reloaded", changed=moved, requires_restart=waits)
         if "relay" in moved:
             self._calls.move(new.relay)
             self._events.move(new.relay)
@@ -189,9 +191,9 @@
             self._counters.add("orders", len(work.orders))
             given_up = self._outbox.add(work.orders)
             if given_up:
-                self._counters.add("orders_given_up", given_up)
-                self._log.event("orders_given_up", count=given_up)
-            self._counters.most("orders_waiting_most", len(self._outbox))
+                self._counters.add("orders_dropped", given_up)
+                self._log.event("orders_dropped", count=given_up)
+            self._counters.most("max_queued_orders", len(self._outbox))
             self._waiting.raise_()
         if work.watch is not None:
             self._discovery.watch(work.watch)
@@ -200,10 +202,10 @@
         for host, address in work.probes:
             self._probes.probe(host, address)
         for note in work.notes:
-            self._log.event("module", text=note)
+            self._log.event("policy_message", text=note)
         if work.undelivered:
-            self._counters.add("undelivered", work.undelivered)
-            self._log.event("undelivered", count=work.undelivered)
+            self._counters.add("actions_undeliverable", work.undelivered)
+            self._log.event("actions_undeliverable", count=work.undelivered)
 
     def _on_signal(self, number: int) -> None:
         if number == signal.SIGUSR1:
@@ -215,9 +217,11 @@
 
     def _defect(self, routine: str, error: Exception) -> None:
         """A routine has ended by an error that nobody foresaw."""
-        self._counters.add("defects")
+        self._counters.add("unexpected_errors")
         self._log.always(
-            "defect", routine=routine, error="".join(traceback.format_exception(error))[-3000:]
+            "unexpected_error",
+            coroutine=routine,
+            error="".join(traceback.format_exception(error))[-3000:],
         )
 
 
@@ -231,8 +235,8 @@
         return BAD_CONFIG
     os.set_blocking(sys.stdout.fileno(), False)
     granted = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    limits = Limits().within(min(config.sockets, granted), config.memory_mb)
-    limits = limits.serving(config.settings.proxies, config.settings.report_period_us)
+    limits = Limits().for_machine(min(config.sockets, granted), config.memory_mb)
+    limits = limits.for_fleet(config.settings.proxy_count, config.settings.report_period_us)
     return Service(config, limits, environment, signals, sock, make_source).run()
 
 
@@ -240,7 +244,7 @@
     """The socket that listens there: who comes from now on is served once the loop runs. An address that this
     machine does not have is a mistake; one still in use passes (None)."""
     try:
-        return listen(address, Limits().listen_queue)
+        return listen(address, Limits().listen_backlog)
     except OSError as error:
         if error.errno != errno.EADDRINUSE:
             raise BadConfig(
--- a/kelpcourse/service/logs.py
+++ b/kelpcourse/service/logs.py
@@ -43,13 +43,15 @@
         """Writes an event that may come often: beyond a burst its lines are counted and not written."""
         now_us = self._clock()
         window = self._windows.setdefault(name, _Window(now_us))
-        if now_us - window.start_us >= self._limits.log_span_us:
-            if window.lines > self._limits.log_burst:
-                self._write(now_us, name, {"suppressed": window.lines - self._limits.log_burst})
+        if now_us - window.start_us >= self._limits.log_burst_window_us:
+            if window.lines > self._limits.log_burst_lines:
+                self._write(
+                    now_us, name, {"suppressed": window.lines - self._limits.log_burst_lines}
+                )
             window.start_us = now_us
             window.lines = 0
         window.lines += 1
-        if window.lines <= self._limits.log_burst:
+        if window.lines <= self._limits.log_burst_lines:
             self._write(now_us, name, fields)
         else:
             self._counters.add("log_lines_suppressed")
@@ -61,8 +63,8 @@
     def _write(self, now_us: int, name: str, fields: dict[str, object]) -> None:
         head = {"t": round(now_us / 1e6, 6), "event": name, "node": self._node}
         line = _encode({**head, **fields})
-        if len(line) > self._limits.log_bytes:
-            cut = line[: self._limits.log_bytes // 4].decode("utf-8", "replace")
+        if len(line) > self._limits.max_log_line_bytes:
+            cut = line[: self._limits.max_log_line_bytes // 4].decode("utf-8", "replace")
             line = _encode({**head, "cut": cut})
         try:
             os.write(self._fd, line)
--- a/kelpcourse/wire/discovery.py
+++ b/kelpcourse/wire/discovery.py
@@ -6,16 +6,21 @@
 from dataclasses import dataclass
 
 from kelpcourse.facade import InvalidReportError
-from kelpcourse.memory.endpoints import ListedEndpoint, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.wire.fields import BadMessage, address, flag, json_object, number, text, whole
 from kelpcourse.wire.http import HttpClient, dial
 from kelpcourse.wire.loop import Routine, Task, Wait
-from kelpcourse.wire.parts import Backoff, Parts
+from kelpcourse.wire.runtime import Backoff, Runtime
 from kelpcourse.wire.stream import Act, Address, Broken
 
 HOSTS = "/discovery/hosts"
 TIME_MOST_MS = 1e15  # that the module's clock holds
-PHASES = {"ready": Phase.READY, "draining": Phase.DRAINING, "gone": Phase.GONE}
+PHASES = {
+    "ready": EndpointStatus.READY,
+    "draining": EndpointStatus.DRAINING,
+    "gone": EndpointStatus.GONE,
+}
 
 
 @dataclass(frozen=True)
@@ -74,7 +79,7 @@
 class Discovery:
     """Makes the calls that the module asks for; each is answered to it exactly once."""
 
-    def __init__(self, parts: Parts, address: Address, version: int, spread: float = 0.0) -> None:
+    def __init__(self, parts: Runtime, address: Address, version: int, spread: float = 0.0) -> None:
         """`spread`: see Backoff; a new configuration moves the watches of all directors to one address at once."""
         self._parts = parts
         self._spread = spread
@@ -123,10 +128,10 @@
         self._stop(former)
 
     def _run_watch(self, watch: Watch) -> Routine:
-        backoff = Backoff(self._parts.limits, self._parts.limits.watch_wait_us, self._spread)
+        backoff = Backoff(self._parts.limits, self._parts.limits.watch_retry_us, self._spread)
         reason = yield from self._until_lost(watch)
         while watch is self._watch and self._former is not None:
-            self._parts.log.event("watch_tried_again", reason=reason)
+            self._parts.log.event("watch_retried", reason=reason)
             yield Wait(self._parts.clock() + backoff.next_us())
             reason = yield from self._until_lost(watch)
         if watch is self._former:
@@ -158,11 +163,13 @@
 
     def _lost(self, call: str, reason: str) -> None:
         self._parts.counters.add("discovery_lost")
-        self._parts.log.event("list_unavailable", call=call, reason=reason, version=self._version)
+        self._parts.log.event(
+            "discovery_unavailable", call=call, reason=reason, version=self._version
+        )
         self._parts.facade.report_list_unavailable()
 
     def _follow(self, watch: Watch) -> Act[None]:
-        until_us = self._parts.clock() + self._parts.limits.list_us
+        until_us = self._parts.clock() + self._parts.limits.list_timeout_us
         target = f"{HOSTS}?stream=1&index={self._version}"
         client = yield from self._ask(watch.address, target, until_us)
         try:
@@ -183,7 +190,7 @@
             client.close()
 
     def _fetch_once(self) -> Act[None]:
-        until_us = self._parts.clock() + self._parts.limits.list_us
+        until_us = self._parts.clock() + self._parts.limits.list_timeout_us
         client = yield from self._ask(self._address, HOSTS, until_us)
         try:
             body = yield from client.whole_body(until_us)
@@ -193,7 +200,7 @@
 
     def _ask(self, address: Address, target: str, until_us: int) -> Act[HttpClient]:
         self._parts.counters.add("discovery_calls")
-        connect_us = self._parts.clock() + self._parts.limits.connect_us
+        connect_us = self._parts.clock() + self._parts.limits.connect_timeout_us
         client = yield from dial(address, self._parts.limits, connect_us)
         try:
             yield from client.request("GET", target, None)
@@ -224,13 +231,16 @@
         self._older = self._older + 1 if told.version < self._version else 0
         if self._older:
             known = self._version
-            if self._older >= self._parts.limits.older_most:
+            if self._older >= self._parts.limits.max_stale_lists:
                 self._older = self._version = 0
             if self._version or not told.whole:
                 raise BadMessage(f"a list of version {told.version} where {known} is known")
         self._version = told.version
         self._parts.counters.add("discovery_lists")
         self._parts.log.event(
-            "list", version=told.version, whole=told.whole, hosts=len(told.members)
+            "endpoints_updated",
+            version=told.version,
+            complete=told.whole,
+            endpoints=len(told.members),
         )
         self._parts.facade.report_list(told.members, told.version, told.whole)
--- a/kelpcourse/zones/grants.py
+++ b/kelpcourse/zones/grants.py
@@ -12,7 +12,8 @@
 
 import dns.rdatatype
 
-from kelpcourse.memory.endpoints import ListedEndpoint, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.content import SOA, Difference, type_name
 from kelpcourse.zones.errors import BadZone
 from kelpcourse.zones.names import is_under, labels, read_name
@@ -113,7 +114,7 @@
 
 
 def is_ready(member: ListedEndpoint | None) -> bool:
-    return member is not None and member.phase is Phase.READY
+    return member is not None and member.status is EndpointStatus.READY
 
 
 def refusal(
--- a/kelpcourse/zones/meaning.py
+++ b/kelpcourse/zones/meaning.py
@@ -19,7 +19,8 @@
 import dns.name
 import dns.rdatatype
 
-from kelpcourse.memory.endpoints import ListedEndpoint, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.content import Difference, Record, Zone
 from kelpcourse.zones.errors import BadZone
 from kelpcourse.zones.names import canonical, is_under, labels, read_name, relative
@@ -29,7 +30,7 @@
 AAAA = int(dns.rdatatype.AAAA)
 TXT = int(dns.rdatatype.TXT)
 SRV_HEAD = struct.Struct(">HHH")
-PHASES = {"ready": Phase.READY, "draining": Phase.DRAINING}
+PHASES = {"ready": EndpointStatus.READY, "draining": EndpointStatus.DRAINING}
 KIND_UNTOLD = "default"
 COUNT_MOST = 1 << 53
 PLAIN = frozenset(b"abcdefghijklmnopqrstuvwxyz0123456789-_.")
@@ -219,7 +220,7 @@
 
     kind: str = KIND_UNTOLD
     cell: int = 0
-    phase: Phase = Phase.READY
+    phase: EndpointStatus = EndpointStatus.READY
     started_ms: int = 0  # Unix time; 0: long ago
 
 
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -71,15 +71,15 @@
 
 def entry(member: ListedEndpoint) -> dict[str, object]:
     """As discovery has it."""
-    since = int(member.up_since_ms) if member.up_since_ms.is_integer() else member.up_since_ms
+    since = int(member.started_ms) if member.started_ms.is_integer() else member.started_ms
     return {
         "id": member.name,
         "host_port": shown(member.address),
         "locality": member.zone,
         "flavor": member.kind,
         "cell": member.cell,
-        "phase": member.phase.value,
-        "size": member.size,
+        "phase": member.status.value,
+        "size": member.weight,
         "up_since_ms": since,
     }
 
--- a/kelpcourse/zones/source.py
+++ b/kelpcourse/zones/source.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable, Sequence
 
-from kelpcourse.interface import Settings
 from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.settings import Settings
 from kelpcourse.wire.loop import Routine
-from kelpcourse.wire.parts import Parts
+from kelpcourse.wire.runtime import Runtime
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.grants import HostClass
 from kelpcourse.zones.service import Around, Zones
@@ -20,14 +20,14 @@
 
     def __init__(
         self,
-        parts: Parts,
+        parts: Runtime,
         settings: Settings,
         zones: ZonesSettings,
         keep: Callable[[str, Callable[[], Routine]], None],
     ) -> None:
         self._parts = parts
         classes = tuple(
-            HostClass(cls.name, cls.only_zones, cls.only_kinds) for cls in settings.classes
+            HostClass(cls.name, cls.allowed_zones, cls.allowed_kinds) for cls in settings.classes
         )
         around = Around(parts.loop, parts.limits, parts.counters, parts.log, keep)
         self.zones = Zones(zones, around, self, classes, settings.drain_grace_us)
@@ -59,13 +59,15 @@
             self.lost()
 
     def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
-        self._parts.log.event("list", version=version, whole=whole, hosts=len(members))
+        self._parts.log.event(
+            "endpoints_updated", version=version, complete=whole, endpoints=len(members)
+        )
         self._parts.facade.report_list(members, version, whole)
 
     def lost(self) -> None:
         self._parts.counters.add("discovery_lost")
         self._parts.log.event(
-            "list_unavailable",
+            "discovery_unavailable",
             call="zones",
             reason="no zone is there to be followed",
             version=self.zones.union.version,
--- a/kelpcourse/zones/union.py
+++ b/kelpcourse/zones/union.py
@@ -11,7 +11,8 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, replace
 
-from kelpcourse.memory.endpoints import ListedEndpoint, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.events import EndpointStatus
 
 
 @dataclass(frozen=True)
@@ -92,7 +93,7 @@
                 return ()
             del self.members[name]
             self._went(name, now_us)
-            return (replace(was, phase=Phase.GONE),)
+            return (replace(was, status=EndpointStatus.GONE),)
         if was is None:
             self._came(name, now_us, unix_ms)
         merged = self._merged(name, [member for _, member in views])
@@ -102,10 +103,12 @@
         return (merged,)
 
     def _merged(self, name: str, views: Sequence[ListedEndpoint]) -> ListedEndpoint:
-        drains = any(view.phase is Phase.DRAINING for view in views)
-        started = max(max(view.up_since_ms for view in views), self._returned_ms.get(name, 0))
+        drains = any(view.status is EndpointStatus.DRAINING for view in views)
+        started = max(max(view.started_ms for view in views), self._returned_ms.get(name, 0))
         return replace(
-            views[0], phase=Phase.DRAINING if drains else Phase.READY, up_since_ms=started
+            views[0],
+            status=EndpointStatus.DRAINING if drains else EndpointStatus.READY,
+            started_ms=started,
         )
 
     def _went(self, name: str, now_us: int) -> None:
@@ -123,7 +126,9 @@
     def _note_conflict(
         self, name: str, views: Sequence[tuple[str, ListedEndpoint]], conflicts: list[Conflict]
     ) -> None:
-        alike = {replace(member, phase=Phase.READY, up_since_ms=0.0) for _, member in views}
+        alike = {
+            replace(member, status=EndpointStatus.READY, started_ms=0.0) for _, member in views
+        }
         sources = tuple(source for source, _ in views) if len(alike) > 1 else ()
         if sources == self._conflicts.get(name, ()):
             return
--- a/tests/test_stored_zones.py
+++ b/tests/test_stored_zones.py
@@ -89,7 +89,7 @@
             for difference in held.history
         ],
         "endpoints": {
-            name: [list(member.address), member.phase.value]
+            name: [list(member.address), member.status.value]
             for name, member in held.meaning.hosts.items()
         },
     }
--- a/tests/zoning.py
+++ b/tests/zoning.py
@@ -9,7 +9,8 @@
 import dns.rdatatype
 
 from kelpcourse.limits import Limits
-from kelpcourse.memory.endpoints import ListedEndpoint, Phase
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.content import Draft, Record, Zone, data_of, zone_of
 from kelpcourse.zones.held import HeldZone
 
@@ -92,7 +93,7 @@
 def member(
     name: str,
     room: str = "room-a",
-    phase: Phase = Phase.READY,
+    phase: EndpointStatus = EndpointStatus.READY,
     started: float = 0.0,
     address: str = "10.0.0.1",
     kind: str = "default",
