--- a/tests/standins.py
+++ b/tests/standins.py
@@ -8,37 +8,41 @@
 import orjson
 
 from kelpcourse.facade import Facade
-from kelpcourse.interface import Action, Checkpoint, Event, OrdersDoubted, RepeatOrders, Settings
 from kelpcourse.lab.http import Caller, StandIn
-from kelpcourse.memory.counters import Counters
-from kelpcourse.memory.hosts import Member, Phase
 from kelpcourse.limits import Limits
+from kelpcourse.memory.counters import Counters
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.policy.actions import Action, Checkpoint, ResendOrders
+from kelpcourse.policy.events import EndpointStatus, Event, OrdersOutcomeUnknown
+from kelpcourse.policy.settings import Settings
 from kelpcourse.wire.loop import Loop
-from kelpcourse.wire.parts import Parts
+from kelpcourse.wire.runtime import Runtime
 from kelpcourse.wire.stream import Address
 from tests.fleet import SETTINGS
 
 MS = 1000
 QUICK = replace(
     Limits(),
-    gather_us=2 * MS,
-    connect_us=60 * MS,
-    send_us=60 * MS,
-    backoff_least_us=5 * MS,
-    backoff_most_us=10 * MS,
-    answer_us=40 * MS,
-    throttled_us=5 * MS,
-    idle_us=50 * MS,
-    news_silence_us=80 * MS,
-    news_settle_us=40 * MS,
-    list_us=80 * MS,
+    step_batching_us=2 * MS,
+    connect_timeout_us=60 * MS,
+    send_timeout_us=60 * MS,
+    min_backoff_us=5 * MS,
+    max_backoff_us=10 * MS,
+    call_timeout_us=40 * MS,
+    throttled_retry_us=5 * MS,
+    idle_connection_us=50 * MS,
+    event_stream_silence_us=80 * MS,
+    event_snapshot_timeout_us=40 * MS,
+    list_timeout_us=80 * MS,
     watch_silence_us=80 * MS,
-    watch_wait_us=10 * MS,
-    probe_us=40 * MS,
-    accept_wait_us=5 * MS,
-    bind_wait_us=5 * MS,
+    watch_retry_us=10 * MS,
+    health_check_timeout_us=40 * MS,
+    accept_retry_us=5 * MS,
+    bind_retry_us=5 * MS,
 )
-HASTY = replace(QUICK, join_us=40 * MS, pinger_us=80 * MS, collector_us=160 * MS)  # to test silence
+HASTY = replace(
+    QUICK, handshake_timeout_us=40 * MS, ping_client_idle_us=80 * MS, collector_idle_us=160 * MS
+)  # to test silence
 
 
 class FakeClock:
@@ -74,7 +78,9 @@
 
     def step(self, _now_us: int, events: Iterable[Event]) -> list[Action]:
         self.steps.append(list(events))
-        doubted = [RepeatOrders() for event in self.steps[-1] if isinstance(event, OrdersDoubted)]
+        doubted = [
+            ResendOrders() for event in self.steps[-1] if isinstance(event, OrdersOutcomeUnknown)
+        ]
         return [*(self.ready.pop(0) if self.ready else []), *(doubted if self.repeats else [])]
 
     @property
@@ -93,7 +99,7 @@
         self.module = Script(settings)
         self.facade = Facade(settings, 7, limits, lambda _: self.module)
         self.counters = Counters()
-        self.parts = Parts(self.facade, limits, self.counters, self.log, self.loop)
+        self.parts = Runtime(self.facade, limits, self.counters, self.log, self.loop)
 
     def until(self, what: Callable[[], object], most: int = 4000) -> None:
         for _ in range(most):
@@ -125,8 +131,10 @@
             raise self.defects[0]
 
 
-def member(name: str, phase: Phase = Phase.READY, address: Address = ("127.0.0.1", 9)) -> Member:
-    return Member(name, address, "east", "std", 0, phase, 1.0, 0.0)
+def member(
+    name: str, phase: EndpointStatus = EndpointStatus.READY, address: Address = ("127.0.0.1", 9)
+) -> ListedEndpoint:
+    return ListedEndpoint(name, address, "east", "std", 0, phase, 1.0, 0.0)
 
 
 def entry(
