--- a/tests/recording.py
+++ b/tests/recording.py
@@ -3,8 +3,6 @@
 A sequence is drawn by `random.Random` alone, so that it is the same in every run. The fleet that it plays reacts to the
 actions: tables and admission ratios change what endpoints are reported to have served. An action is hashed by its line
 on the simulator's wire together with its exact floating-point figures, so the hash knows no name of a type.
-
-The aliases below are the only place where sequences name the types and fields of settings, events and actions.
 """
 
 from __future__ import annotations
@@ -15,101 +13,35 @@
 from dataclasses import astuple, dataclass, field, replace
 from typing import Any
 
-from kelpcourse import interface
-from kelpcourse.decide import Director
+from kelpcourse.policy.actions import (
+    Checkpoint,
+    ResendOrders,
+    SetAdmission,
+    SetTimer,
+    SetWeight,
+    WatchEndpoints,
+)
+from kelpcourse.policy.controller import RoutingPolicy
+from kelpcourse.policy.events import (
+    DemandReport,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointReport,
+    EndpointStatus,
+    Event,
+    OrdersAccepted,
+    OrdersAcknowledged,
+    OrdersOutcomeUnknown,
+    ProxyJoined,
+    ProxyLeft,
+    Started,
+    TimerFired,
+)
+from kelpcourse.policy.settings import AdmissionMode, EndpointId, ProxyId, Settings
 from kelpcourse.simhost.actions import write_action
 from tests.fleet import READ, SECOND, SETTINGS, WRITE
 
-# Names of the decisions' types
-
-Policy = Director
-Settings = interface.Settings
-Event = interface.Event
-Admission = interface.Admission
-EndpointId = int
-ProxyId = int
-READY = interface.HostState.READY
-DRAINING = interface.HostState.DRAINING
-GONE = interface.HostState.GONE
-SetTimer = interface.SetTimer
-SetWeight = interface.SetLine
-SetAdmission = interface.SetLevel
-Checkpoint = interface.Checkpoint
-ResendOrders = interface.RepeatOrders
-WatchEndpoints = interface.WatchList
-
-
-def endpoint(
-    number: EndpointId, zone: str, kind: str, weight: float, state: Any, started_us: int
-) -> Any:
-    return interface.Host(number, zone, kind, 0, weight, state, started_us)
-
-
-def endpoint_list(kind: str, version: int, endpoints: list[Any]) -> Event:
-    return interface.HostList(interface.ListKind(kind), version, tuple(endpoints))
-
-
-def started(seed: int) -> Event:
-    return interface.Started(seed)
-
-
-def timer_fired(name: str) -> Event:
-    return interface.TimerFired(name)
-
-
-def proxy_joined(proxy: ProxyId, zone: str, rate: float, fresh: bool) -> Event:
-    return interface.ProxyJoined(proxy, zone, rate, fresh)
-
-
-def proxy_left(proxy: ProxyId) -> Event:
-    return interface.ProxyLeft(proxy)
-
-
-def orders_acknowledged(proxy: ProxyId, number: int) -> Event:
-    return interface.OrdersApplied(proxy, number, 200_000)
-
-
-def orders_accepted(number: int) -> Event:
-    return interface.OrdersTaken(number)
-
-
-def orders_outcome_unknown(numbers: tuple[int, ...]) -> Event:
-    return interface.OrdersDoubted(numbers)
-
-
-def endpoint_report(
-    number: EndpointId,
-    zone: str,
-    attempts: int,
-    failed: int,
-    span_us: int,
-    mean_us: int,
-    load: tuple[tuple[str, float], ...],
-) -> Event:
-    return interface.HostReport(number, zone, attempts, failed, span_us, mean_us, load)
-
-
-def demand_report(
-    proxy: ProxyId, position: int, offered: int, unanswered: int, span_us: int
-) -> Event:
-    return interface.DemandReport(proxy, position, offered, unanswered, span_us)
-
-
-def timer_of(action: SetTimer) -> tuple[str, int]:
-    return action.name, action.at_us
-
-
-def weight_of(action: SetWeight) -> tuple[int, EndpointId, float]:
-    return action.table, action.host, action.weight
-
-
-def admission_of(action: SetAdmission) -> tuple[tuple[int, ...], float]:
-    return action.classes, action.level
-
-
-def watching(action: WatchEndpoints) -> bool:
-    return action.on
-
 
 def canonical(action: Any) -> str:
     """The action's line on the simulator's wire, then its figures to the last digit."""
@@ -119,6 +51,10 @@
     return " ".join([write_action(0, action), *figures])
 
 
+def endpoint_list(kind: str, version: int, endpoints: list[Endpoint]) -> Event:
+    return EndpointList(EndpointListKind(kind), version, tuple(endpoints))
+
+
 # Fleets
 
 STEP_RANGE_MS = (20, 240)
@@ -156,7 +92,7 @@
     weight: float
     speed: float
     started_us: int = 0
-    state: Any = READY
+    status: EndpointStatus = EndpointStatus.READY
     fault: float = 0.0
     silent: bool = False
 
@@ -173,7 +109,7 @@
         settings = self.sequence.settings
         self.settings = settings
         self.draw = random.Random(self.sequence.seed)
-        self.policy = Policy(settings)
+        self.policy = RoutingPolicy(settings)
         self.now_us = 50 * SECOND
         self.version = 1
         self.endpoints = {
@@ -202,18 +138,21 @@
         speed = self.draw.uniform(0.6, 1.7)
         return PlayedEndpoint(number, zones[number % len(zones)], kind, weight, speed, started_us)
 
-    def _listed(self, played: PlayedEndpoint) -> Any:
-        return endpoint(
+    def _listed(self, played: PlayedEndpoint) -> Endpoint:
+        return Endpoint(
             played.number,
             played.zone,
             played.kind,
+            0,
             played.weight,
-            played.state,
+            played.status,
             played.started_us,
         )
 
     def _ready(self) -> list[PlayedEndpoint]:
-        return [played for played in self.endpoints.values() if played.state is READY]
+        return [
+            played for played in self.endpoints.values() if played.status is EndpointStatus.READY
+        ]
 
     def _zone_of(self, proxy: ProxyId) -> str:
         return self.settings.zones[proxy % len(self.settings.zones)]
@@ -223,8 +162,8 @@
     def play(self) -> str:
         """The hash of all actions of all steps."""
         listed = [self._listed(played) for played in self.endpoints.values()]
-        self._step([started(7), endpoint_list(self.sequence.first_list, 1, listed)])
-        first = round(self.settings.proxies * self.sequence.initial_share)
+        self._step([Started(7), endpoint_list(self.sequence.first_list, 1, listed)])
+        first = round(self.settings.proxy_count * self.sequence.initial_share)
         self._step(self._join(range(first)))
         for _ in range(self.sequence.steps):
             self.now_us += 1000 * self.draw.randint(*STEP_RANGE_MS)
@@ -244,22 +183,19 @@
 
     def _apply(self, action: Any) -> None:
         if isinstance(action, SetTimer):
-            name, due_us = timer_of(action)
-            self.timers.append((due_us, name))
+            self.timers.append((action.due_us, action.name))
         elif isinstance(action, SetWeight):
-            table, number, weight = weight_of(action)
-            entries = self.tables.setdefault(table, {})
-            entries.pop(number, None)
-            if weight > 0:
-                entries[number] = weight
+            entries = self.tables.setdefault(action.table, {})
+            entries.pop(action.endpoint, None)
+            if action.weight > 0:
+                entries[action.endpoint] = action.weight
         elif isinstance(action, SetAdmission):
-            positions, ratio = admission_of(action)
-            for position in positions:
-                self.ratios[position] = ratio
+            for position in action.classes:
+                self.ratios[position] = action.limit
         elif isinstance(action, WatchEndpoints):
-            self.watched = watching(action)
+            self.watched = action.enabled
         elif isinstance(action, Checkpoint):
-            self._answer(action.number)
+            self._answer(action.checkpoint_id)
 
     def _answer(self, number: int) -> None:
         self.checkpoints = [*self.checkpoints[-3:], number]
@@ -267,17 +203,17 @@
         unknown = self.sequence.incidents.get("call_lost", 0.0)
         if fate < unknown:
             numbers = tuple(self.checkpoints[-self.draw.randint(1, 2) :])
-            self.pending.append((self.now_us + 50_000, orders_outcome_unknown(numbers)))
+            self.pending.append((self.now_us + 50_000, OrdersOutcomeUnknown(numbers)))
             if fate < unknown / 2:
                 return
         if fate > 0.7:
-            self.pending.append((self.now_us + 80_000, orders_accepted(number)))
+            self.pending.append((self.now_us + 80_000, OrdersAccepted(number)))
         if self.unanswering:
             return
         for proxy in self.joined:
             if self.draw.random() < self.sequence.ack_chance:
                 due_us = self.now_us + 1000 * self.draw.randint(100, 900)
-                self.pending.append((due_us, orders_acknowledged(proxy, number)))
+                self.pending.append((due_us, OrdersAcknowledged(proxy, number, 200_000)))
 
     def _due(self) -> list[Event]:
         events = [event for due_us, event in self.pending if due_us <= self.now_us]
@@ -287,7 +223,7 @@
         if self.watched and self.draw.random() < 0.1:
             self.watched = False
             events.append(endpoint_list("unavailable", 0, []))
-        return events + [timer_fired(name) for name in fired]
+        return events + [TimerFired(name) for name in fired]
 
     # Incidents
 
@@ -310,48 +246,52 @@
             self.joined[proxy] = self._zone_of(proxy)
             rate = self.sequence.rate_per_proxy * self.draw.uniform(0.5, 1.5)
             fresh = self.draw.random() < self.sequence.fresh_chance
-            events.append(proxy_joined(proxy, self.joined[proxy], rate, fresh))
+            events.append(ProxyJoined(proxy, self.joined[proxy], rate, fresh))
         return events
 
     def _incident_join(self) -> list[Event]:
-        away = [proxy for proxy in range(self.settings.proxies) if proxy not in self.joined]
+        away = [proxy for proxy in range(self.settings.proxy_count) if proxy not in self.joined]
         return self._join(self.draw.sample(away, min(len(away), 3)))
 
     def _incident_leave(self) -> list[Event]:
         proxies = self.draw.sample(sorted(self.joined), min(len(self.joined), 2))
         for proxy in proxies:
             del self.joined[proxy]
-        return [proxy_left(proxy) for proxy in proxies]
+        return [ProxyLeft(proxy) for proxy in proxies]
 
     def _incident_rejoin_unseen(self) -> list[Event]:
         return self._join(self.draw.sample(sorted(self.joined), min(len(self.joined), 2)))
 
     def _incident_reconnect_storm(self) -> list[Event]:
-        everyone = range(self.settings.proxies)
+        everyone = range(self.settings.proxy_count)
         events: list[Event] = []
         if self.draw.random() < 0.5:
-            events = [proxy_left(proxy) for proxy in sorted(self.joined)]
+            events = [ProxyLeft(proxy) for proxy in sorted(self.joined)]
         return events + self._join(everyone)
 
     def _incident_drain(self) -> list[Event]:
         ready = self._ready()
         drained = self.draw.sample(ready, min(len(ready) // 2, self.draw.randint(1, 3)))
         for played in drained:
-            played.state = self.draw.choice((DRAINING, GONE))
+            played.status = self.draw.choice((EndpointStatus.DRAINING, EndpointStatus.GONE))
         return self._changes(drained)
 
     def _incident_drain_many(self) -> list[Event]:
         ready = self._ready()
         drained = self.draw.sample(ready, len(ready) // 4)
         for played in drained:
-            played.state = DRAINING
+            played.status = EndpointStatus.DRAINING
         return self._changes(drained)
 
     def _incident_restart(self) -> list[Event]:
-        away = [played for played in self.endpoints.values() if played.state is not READY]
+        away = [
+            played
+            for played in self.endpoints.values()
+            if played.status is not EndpointStatus.READY
+        ]
         back = away[:3] or self.draw.sample(self._ready(), min(len(self._ready()), 2))
         for played in back:
-            played.state = READY
+            played.status = EndpointStatus.READY
             played.started_us = self.now_us - self.draw.choice((0, 1, 30)) * SECOND
         return self._changes(back)
 
@@ -426,7 +366,7 @@
         return served + self._demand_reports(turn, parts, span_us)
 
     def _demand_reports(self, turn: int, parts: int, span_us: int) -> list[Event]:
-        events = []
+        events: list[Event] = []
         count = len(self.settings.classes)
         rate = self.sequence.rate_per_proxy * self.load_factor * parts
         for proxy in sorted(self.joined)[turn::parts]:
@@ -434,7 +374,7 @@
                 share = 2 * (count - position) / (count * (count + 1))
                 offered = round(rate * share * self.draw.uniform(0.7, 1.3))
                 unanswered = offered // 6 if self.load_factor > 1 else 0
-                events.append(demand_report(proxy, position, offered, unanswered, span_us))
+                events.append(DemandReport(proxy, position, offered, unanswered, span_us))
         return events
 
     def _endpoint_reports(self, turn: int, offered: float, span_us: int) -> list[Event]:
@@ -466,7 +406,7 @@
         if self.sequence.loaded and self.draw.random() < 0.995:
             load = (("util", min(1.0, busy)), ("qps", attempts * SECOND / span_us))
         reported_us = mean_us if failed < attempts else 0
-        return endpoint_report(
+        return EndpointReport(
             played.number, played.zone, attempts, failed, span_us, reported_us, load
         )
 
@@ -476,16 +416,18 @@
 ZONES = ("east", "north", "south", "west")
 FLEET = replace(
     SETTINGS,
-    proxies=40,
-    channel_lines_per_s=6000.0,
-    channel_backlog=5000.0,
+    proxy_count=40,
+    delivery_entries_per_s=6000.0,
+    max_backlog_entries=5000.0,
     drain_grace_us=6 * SECOND,
 )
-SMALL_CHANNEL = replace(FLEET, channel_lines_per_s=900.0, channel_backlog=1200.0)
-BATCH = replace(READ, name="batch", aim_us=2 * SECOND, deadline_us=6 * SECOND, worth=0.5)
-ZONE_BOUND = replace(READ, name="local", zone_bound=True, worth=2.0)
-EAST_ONLY = replace(WRITE, name="east-only", only_zones=frozenset({"east"}))
-BIG_ONLY = replace(READ, name="big-only", only_kinds=frozenset({"big"}), worth=3.0)
+SMALL_CHANNEL = replace(FLEET, delivery_entries_per_s=900.0, max_backlog_entries=1200.0)
+BATCH = replace(
+    READ, name="batch", latency_objective_us=2 * SECOND, deadline_us=6 * SECOND, priority_weight=0.5
+)
+ZONE_BOUND = replace(READ, name="local", same_zone_only=True, priority_weight=2.0)
+EAST_ONLY = replace(WRITE, name="east-only", allowed_zones=frozenset({"east"}))
+BIG_ONLY = replace(READ, name="big-only", allowed_kinds=frozenset({"big"}), priority_weight=3.0)
 THREE = (READ, WRITE, BATCH)
 
 CHURN = {"join": 0.03, "leave": 0.03, "rejoin_unseen": 0.01}
@@ -498,7 +440,7 @@
     Sequence(
         "reconnect_storms",
         3,
-        replace(FLEET, proxies=90),
+        replace(FLEET, proxy_count=90),
         40,
         {**ROLLING, "reconnect_storm": 0.02, "join": 0.05, "leave": 0.02},
         fresh_chance=0.2,
@@ -516,7 +458,7 @@
     Sequence(
         "overload_by_rate",
         5,
-        replace(FLEET, classes=THREE, admission=Admission.RATE),
+        replace(FLEET, classes=THREE, admission_mode=AdmissionMode.RATE),
         20,
         {"overload": 0.012, "outlier": 0.005, "drain": 0.005, "restart": 0.01},
         rate_per_proxy=9.0,
@@ -525,7 +467,7 @@
     Sequence(
         "no_admission",
         6,
-        replace(FLEET, admission=Admission.NONE),
+        replace(FLEET, admission_mode=AdmissionMode.NONE),
         20,
         {"overload": 0.012, **CHURN},
         rate_per_proxy=9.0,
@@ -541,7 +483,7 @@
     Sequence(
         "subsets",
         9,
-        replace(FLEET, proxies=80, connections_least=30.0, zones=ZONES, classes=THREE),
+        replace(FLEET, proxy_count=80, min_endpoint_connections=30.0, zones=ZONES, classes=THREE),
         60,
         {**CHURN, **ROLLING, "reconnect_storm": 0.003, "relist": 0.005, "overload": 0.005},
         rate_per_proxy=6.0,
@@ -551,8 +493,8 @@
         10,
         replace(
             FLEET,
-            proxies=64,
-            connections_least=25.0,
+            proxy_count=64,
+            min_endpoint_connections=25.0,
             zones=ZONES,
             classes=(READ, ZONE_BOUND, WRITE),
         ),
@@ -571,7 +513,13 @@
     Sequence(
         "polled_list",
         12,
-        replace(FLEET, must_ask=True, ask_within_us=9 * SECOND, director=3, directors=5),
+        replace(
+            FLEET,
+            discovery_is_polled=True,
+            discovery_poll_deadline_us=9 * SECOND,
+            controller_index=3,
+            controller_count=5,
+        ),
         24,
         {"list_unavailable": 0.03, "relist": 0.02, **ROLLING},
         first_list="restored",
@@ -580,7 +528,7 @@
     Sequence(
         "lost_calls",
         13,
-        replace(FLEET, proxies=50),
+        replace(FLEET, proxy_count=50),
         30,
         {"call_lost": 0.2, **ROLLING, **CHURN},
         ack_chance=0.8,
@@ -597,14 +545,14 @@
     Sequence(
         "message_limit",
         15,
-        replace(FLEET, messages_most=12),
+        replace(FLEET, max_messages_per_proxy=12),
         30,
         {**ROLLING, **CHURN, "outlier": 0.02, "overload": 0.01},
     ),
     Sequence(
         "drains_at_once",
         16,
-        replace(SMALL_CHANNEL, proxies=70, channel_backlog=1500.0),
+        replace(SMALL_CHANNEL, proxy_count=70, max_backlog_entries=1500.0),
         60,
         {"drain_many": 0.012, "restart": 0.05, "join": 0.04, "leave": 0.02, "silence": 0.01},
         initial_share=0.8,
@@ -613,7 +561,7 @@
     Sequence(
         "load_reports",
         17,
-        replace(FLEET, load_inline=True, load_names=("util", "qps")),
+        replace(FLEET, load_reports_inline=True, load_report_names=("util", "qps")),
         24,
         {"restart": 0.01, "outlier": 0.01, "report_gap": 0.01},
         loaded=True,
@@ -621,7 +569,7 @@
     Sequence(
         "inherited_tables",
         18,
-        replace(FLEET, proxies=60),
+        replace(FLEET, proxy_count=60),
         24,
         {"report_gap": 0.005, "reweigh": 0.01},
         fresh_chance=0.0,
@@ -630,7 +578,7 @@
     Sequence(
         "tiny_channel",
         21,
-        replace(FLEET, proxies=30, channel_backlog=9.0 * 30),
+        replace(FLEET, proxy_count=30, max_backlog_entries=9.0 * 30),
         8,
         {"drain_many": 0.03, "restart": 0.05, "silence": 0.01},
     ),
@@ -639,13 +587,13 @@
         22,
         replace(
             FLEET,
-            proxies=300,
+            proxy_count=300,
             zones=ZONES,
-            connections_least=120.0,
-            channel_lines_per_s=3400.0,
-            channel_backlog=12_000.0,
+            min_endpoint_connections=120.0,
+            delivery_entries_per_s=3400.0,
+            max_backlog_entries=12_000.0,
             drain_grace_us=13_700_000,
-            messages_most=12,
+            max_messages_per_proxy=12,
         ),
         80,
         {
@@ -661,11 +609,11 @@
         report_parts=4,
         rate_per_proxy=2.0,
     ),
-    Sequence("slices", 19, replace(FLEET, slices=4), 20, {**ROLLING, **CHURN}, steps=120),
+    Sequence("slices", 19, replace(FLEET, slice_count=4), 20, {**ROLLING, **CHURN}, steps=120),
     Sequence(
         "empty_start",
         20,
-        replace(FLEET, connections_least=16.0),
+        replace(FLEET, min_endpoint_connections=16.0),
         0,
         {"grow": 0.05, "relist": 0.01, **CHURN},
         initial_share=0.0,
