--- a/kelpcourse/cli/main.py
+++ b/kelpcourse/cli/main.py
@@ -21,13 +21,12 @@
     """Mistakes of the operator's are lines on standard error and exit code 2, never a traceback."""
     from kelpcourse.kdl import BadSettings
     from kelpcourse.service.config import BadConfig
-    from kelpcourse.store.folder import InUse
-    from kelpcourse.store.spool import NoAnswer
+    from kelpcourse.store.errors import FolderInUseError, NoAnswerError
     from kelpcourse.zones.errors import BadZone
 
     try:
         yield
-    except (BadSettings, BadConfig, BadZone, InUse, NoAnswer) as error:
+    except (BadSettings, BadConfig, BadZone, FolderInUseError, NoAnswerError) as error:
         click.echo("\n".join(f"kelpcourse: {line}" for line in str(error).splitlines()), err=True)
         sys.exit(BAD_SETTINGS)
     except OSError as error:
--- a/kelpcourse/store/commit.py
+++ b/kelpcourse/store/commit.py
@@ -1,35 +1,48 @@
-"""When changes are written, together, and what a failure undoes: group commit as a state machine. Pure.
+"""Group commit as a state machine: when changes are written together, and what a failure undoes.
 
 One job runs at a time. What is staged while it runs goes into the next: one sync serves all of them. Each
-staged change builds on those before it, so a failed job takes along all that was staged since.
+staged change builds on those before it, so with a failed job all that was staged since fails too.
+No input or output.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Generic, TypeVar
+from typing import Generic, NamedTuple, TypeVar
 
 from kelpcourse.limits import Limits
 from kelpcourse.store.frames import FRAME, Record
 
-T = TypeVar("T")
+Ticket = TypeVar("Ticket")
 
 
 class Outcome(Enum):
+    """What came of a job."""
+
     DONE = "done"
     NOT_WRITTEN = "not_written"  # the file is as it was before the job
-    UNSURE = "unsure"  # after a failed sync nobody knows what the file holds, nor does a second sync tell
+    UNSURE = "unsure"  # a sync failed: what the file holds is unknown, and a second sync can't tell
+
+
+class JobResult(NamedTuple):
+    """What came of a job, the bytes that it wrote, and the reason of a failure."""
+
+    outcome: Outcome
+    size_bytes: int = 0
+    reason: str = ""
 
 
 @dataclass(frozen=True)
 class Append:
+    """A job: write records to the journal and sync it."""
+
     records: tuple[Record, ...]
 
 
 @dataclass(frozen=True)
 class Compact:
-    """A new generation: a snapshot of all that is durable, and an empty journal after it."""
+    """A job: a new generation of a snapshot of all that is durable and an empty journal after it."""
 
     first: int  # number of the snapshot's own record; the next change is one above
 
@@ -38,106 +51,128 @@
 
 
 @dataclass
-class Settled(Generic[T]):
-    durable: list[T] = field(default_factory=list)
-    undone: list[T] = field(default_factory=list)  # in the order they were staged
-    compacted: bool = False  # the snapshot stands
+class Settled(Generic[Ticket]):
+    """The tickets of the changes that a job settled, in the order they were staged."""
 
+    durable: list[Ticket] = field(default_factory=list)
+    undone: list[Ticket] = field(default_factory=list)
+    compacted: bool = False  # a new generation is in place
 
-class Commit(Generic[T]):
-    """Staged changes by the caller's own tickets."""
+
+class Commit(Generic[Ticket]):
+    """Staged changes, each with a ticket of the caller's."""
 
     def __init__(self, limits: Limits, next_number: int, journal_bytes: int, fresh: bool) -> None:
+        """Goes on after a recovery.
+
+        Args:
+            limits: how much may be staged, and when the journal is compacted.
+            next_number: number of the next record.
+            journal_bytes: size of the journal that was recovered.
+            fresh: a new generation is needed before anything is written.
+        """
         self._limits = limits
-        self._next = next_number
-        self._durable_next = next_number
+        self._next_number = next_number
+        self._next_durable_number = next_number
         self._journal_bytes = journal_bytes
         self._snapshot_bytes = 0
-        self._broken = fresh  # only a new generation can be written on
+        self._broken = fresh
         self._retry_us = 0
-        self._staged: list[tuple[Record, T]] = []
-        self._writing: list[tuple[Record, T]] = []
+        self._staged: list[tuple[Record, Ticket]] = []
+        self._writing: list[tuple[Record, Ticket]] = []
         self._job: Job | None = None
-        self._bytes = 0
+        self._pending_bytes = 0  # staged or being written
 
     @property
     def broken(self) -> bool:
-        """Changes are turned away until a new generation stands."""
+        """Whether changes are rejected until a new generation is in place."""
         return self._broken
 
     @property
     def busy(self) -> bool:
+        """Whether a job is running."""
         return self._job is not None
 
     @property
     def waiting(self) -> int:
-        """Changes that are not durable yet."""
+        """The number of changes that are not durable yet."""
         return len(self._staged) + len(self._writing)
 
-    def stage(self, payload: bytes, ticket: T) -> bool:
-        """Takes a change in; false: it is turned away, as nothing can be written or too much waits."""
-        size = FRAME.size + len(payload)
+    def stage(self, payload: bytes, ticket: Ticket) -> bool:
+        """Stages a change; false: it is rejected, as nothing can be written or too much is pending."""
+        size_bytes = FRAME.size + len(payload)
         if self._broken or self.waiting >= self._limits.store_staged:
             return False
-        if self._bytes and self._bytes + size > self._limits.store_staged_bytes:
+        pending_bytes = self._pending_bytes + size_bytes
+        if self._pending_bytes and pending_bytes > self._limits.store_staged_bytes:
             return False
-        self._staged.append((Record(self._next, payload), ticket))
-        self._next += 1
-        self._bytes += size
+        self._staged.append((Record(self._next_number, payload), ticket))
+        self._next_number += 1
+        self._pending_bytes = pending_bytes
         return True
 
     def next_job(self, now_us: int) -> Job | None:
-        """The job to be started now. Compact comes between two batches, when all that was staged stands."""
+        """The job to be started now, if any. A compaction comes between two batches."""
         if self._job is not None:
             return None
         if self._compaction_due(now_us):
-            self._job = Compact(self._durable_next - 1)
+            self._job = Compact(self._next_durable_number - 1)
         elif self._staged:
-            self._writing, self._staged = self._staged, []
+            self._writing = self._staged
+            self._staged = []
             self._job = Append(tuple(record for record, _ in self._writing))
         return self._job
 
     def due_us(self) -> int | None:
-        """When a job is to be tried again though nothing is staged."""
+        """When a job is to be retried though nothing is staged."""
         return self._retry_us if self._broken and self._job is None else None
 
-    def settle(self, outcome: Outcome, size: int, now_us: int) -> Settled[T]:
-        """The job has ended; `size`: bytes that it wrote."""
-        job, self._job = self._job, None
+    def settle(self, outcome: Outcome, size_bytes: int, now_us: int) -> Settled[Ticket]:
+        """Takes the end of the running job, which wrote `size_bytes`."""
+        job = self._job
+        self._job = None
         if isinstance(job, Compact):
-            return self._settle_compact(outcome, size, now_us)
-        batch, self._writing = self._writing, []
+            return self._settle_compaction(outcome, size_bytes, now_us)
+        return self._settle_batch(outcome, size_bytes, now_us)
+
+    def _settle_batch(self, outcome: Outcome, size_bytes: int, now_us: int) -> Settled[Ticket]:
+        batch = self._writing
+        self._writing = []
+        tickets = [ticket for _, ticket in batch]
         if outcome is Outcome.DONE:
-            self._journal_bytes += size
-            self._durable_next += len(batch)
-            self._bytes -= sum(FRAME.size + len(record.payload) for record, _ in batch)
-            return Settled(durable=[ticket for _, ticket in batch])
-        undone = [ticket for _, ticket in batch] + self._drop_staged()
+            self._journal_bytes += size_bytes
+            self._next_durable_number += len(batch)
+            self._pending_bytes -= sum(FRAME.size + len(record.payload) for record, _ in batch)
+            return Settled(durable=tickets)
         if outcome is Outcome.UNSURE:
             self._broken = True
             self._retry_us = now_us
-        return Settled(undone=undone)
-
-    def _drop_staged(self) -> list[T]:
-        undone = [ticket for _, ticket in self._staged]
-        self._staged, self._bytes, self._next = [], 0, self._durable_next
-        return undone
-
-    def _settle_compact(self, outcome: Outcome, size: int, now_us: int) -> Settled[T]:
-        if outcome is Outcome.DONE:
-            self._snapshot_bytes, self._journal_bytes, self._broken = size, 0, False
+        return Settled(undone=tickets + self._drop_staged())
+
+    def _settle_compaction(self, outcome: Outcome, size_bytes: int, now_us: int) -> Settled[Ticket]:
+        compacted = outcome is Outcome.DONE
+        if compacted:
+            self._snapshot_bytes = size_bytes
+            self._journal_bytes = 0
+            self._broken = False
         elif outcome is Outcome.UNSURE:
             self._broken = True
         self._retry_us = now_us + self._limits.store_retry_us
-        return Settled(
-            undone=self._drop_staged() if self._broken else [], compacted=outcome is Outcome.DONE
-        )
+        undone = self._drop_staged() if self._broken else []
+        return Settled(undone=undone, compacted=compacted)
+
+    def _drop_staged(self) -> list[Ticket]:
+        undone = [ticket for _, ticket in self._staged]
+        self._staged = []
+        self._pending_bytes = 0
+        self._next_number = self._next_durable_number
+        return undone
 
     def _compaction_due(self, now_us: int) -> bool:
-        if self._broken:
-            return now_us >= self._retry_us
-        grown = self._journal_bytes > max(
+        if now_us < self._retry_us:
+            return False
+        max_bytes = max(
             self._limits.store_journal_bytes,
             self._limits.store_journal_factor * self._snapshot_bytes,
         )
-        return grown and now_us >= self._retry_us
+        return self._broken or self._journal_bytes > max_bytes
--- a/kelpcourse/store/frames.py
+++ b/kelpcourse/store/frames.py
@@ -1,4 +1,4 @@
-"""Records as they stand in a file: each with its number, length and checksum, so that damage is found. Pure.
+"""The file format: records with number, length and checksum, so that damage is found. No input or output.
 
 A file starts with a header (what it is, its generation, the number of its first record), then come frames:
 
@@ -14,17 +14,21 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from kelpcourse.store.errors import RecordTooLargeError, UnusableFileError
+
 HEADER = struct.Struct(">4sQQ")
 HEADER_SUM = struct.Struct(">I")
 HEADER_BYTES = HEADER.size + HEADER_SUM.size
 FRAME = struct.Struct(">2sIQI")
-COVERED = struct.Struct(">IQ")
+CHECKED_FIELDS = struct.Struct(">IQ")
 MARKER = b"\xc5\x5a"
-PAYLOAD_MOST = 256 << 20  # bytes; a length beyond it is damage and is not waited for
-LOOK_AHEAD = 1 << 20  # bytes after damage in which a later record is looked for
+MAX_PAYLOAD_BYTES = 256 << 20  # a length beyond it is damage
+LOOK_AHEAD_BYTES = 1 << 20  # after damage, in which a later record is looked for
 
 
 class Kind(Enum):
+    """What a file is, by the first bytes of its header."""
+
     JOURNAL = b"KCJ1"
     SNAPSHOT = b"KCS1"
 
@@ -33,12 +37,14 @@
     """How a file ends."""
 
     NONE = "none"
-    TORN = "torn"  # the last write did not come through whole, as after a crash
-    INSIDE = "inside"  # later records are whole: bytes were changed or lost in the middle
+    TORN = "torn"  # the last write is incomplete, as after a crash
+    INSIDE = "inside"  # later records are intact: bytes were changed or lost in the middle
 
 
 @dataclass(frozen=True)
 class Record:
+    """A payload with its number; numbers follow each other."""
+
     number: int
     payload: bytes
 
@@ -48,74 +54,92 @@
     """What a file holds up to its first damage."""
 
     generation: int
-    first: int
+    first: int  # number of the first record
     records: tuple[Record, ...]
-    good_bytes: int
+    good_bytes: int  # from the start of the file up to the damage
     damage: Damage
 
 
-class Unusable(ValueError):
-    """A file whose header can't be believed."""
-
-
 def header(kind: Kind, generation: int, first: int) -> bytes:
+    """The header of a file whose first record has the number `first`."""
     head = HEADER.pack(kind.value, generation, first)
     return head + HEADER_SUM.pack(zlib.crc32(head))
 
 
 def frame(record: Record) -> bytes:
-    size = len(record.payload)
-    if size > PAYLOAD_MOST:
-        raise ValueError(f"a record of {size} bytes, {PAYLOAD_MOST} at most")
-    return (
-        FRAME.pack(MARKER, size, record.number, _sum(size, record.number, record.payload))
-        + record.payload
-    )
+    """A record as it is written.
+
+    Raises:
+        RecordTooLargeError: the payload is over MAX_PAYLOAD_BYTES.
+    """
+    size_bytes = len(record.payload)
+    if size_bytes > MAX_PAYLOAD_BYTES:
+        raise RecordTooLargeError(size_bytes, MAX_PAYLOAD_BYTES)
+    checksum = _checksum(size_bytes, record.number, record.payload)
+    return FRAME.pack(MARKER, size_bytes, record.number, checksum) + record.payload
 
 
 def read(kind: Kind, data: bytes) -> Contents:
-    """Raises Unusable if the header is cut or wrong."""
-    if len(data) < HEADER_BYTES:
-        raise Unusable("the header is cut")
-    magic, generation, first = HEADER.unpack_from(data)
-    if HEADER_SUM.unpack_from(data, HEADER.size)[0] != zlib.crc32(data[: HEADER.size]):
-        raise Unusable("the header's checksum is wrong")
-    if magic != kind.value:
-        raise Unusable(f"not a {kind.name.lower()}")
+    """Reads a file up to its first damage.
+
+    Raises:
+        UnusableFileError: the header is cut off, damaged or of another kind.
+    """
+    generation, first = _read_header(kind, data)
     records: list[Record] = []
-    at, number = HEADER_BYTES, first
-    while at < len(data):
-        record = _record_at(data, at)
+    offset = HEADER_BYTES
+    number = first
+    damage = Damage.NONE
+    while offset < len(data):
+        record = _record_at(data, offset)
         if record is None or record.number != number:
-            return Contents(generation, first, tuple(records), at, _damage(data, at, number))
+            damage = _damage_at(data, offset, number)
+            break
         records.append(record)
-        at += FRAME.size + len(record.payload)
+        offset += FRAME.size + len(record.payload)
         number += 1
-    return Contents(generation, first, tuple(records), at, Damage.NONE)
+    return Contents(generation, first, tuple(records), offset, damage)
+
+
+def _read_header(kind: Kind, data: bytes) -> tuple[int, int]:
+    """Generation and number of the first record."""
+    if len(data) < HEADER_BYTES:
+        raise UnusableFileError("the header is cut")
+    magic, generation, first = HEADER.unpack_from(data)
+    (checksum,) = HEADER_SUM.unpack_from(data, HEADER.size)
+    if checksum != zlib.crc32(data[: HEADER.size]):
+        raise UnusableFileError("the header's checksum is wrong")
+    if magic != kind.value:
+        raise UnusableFileError(f"not a {kind.name.lower()}")
+    return generation, first
 
 
-def _record_at(data: bytes, at: int) -> Record | None:
-    if len(data) - at < FRAME.size:
+def _record_at(data: bytes, offset: int) -> Record | None:
+    """The intact record whose frame starts at `offset`, if there is one."""
+    if len(data) - offset < FRAME.size:
+        return None
+    marker, size_bytes, number, checksum = FRAME.unpack_from(data, offset)
+    start = offset + FRAME.size
+    end = start + size_bytes
+    if marker != MARKER or size_bytes > MAX_PAYLOAD_BYTES or end > len(data):
         return None
-    marker, size, number, checksum = FRAME.unpack_from(data, at)
-    start = at + FRAME.size
-    if marker != MARKER or size > PAYLOAD_MOST or start + size > len(data):
+    payload = data[start:end]
+    if _checksum(size_bytes, number, payload) != checksum:
         return None
-    payload = data[start : start + size]
-    return Record(number, payload) if _sum(size, number, payload) == checksum else None
+    return Record(number, payload)
 
 
-def _damage(data: bytes, at: int, number: int) -> Damage:
-    """A record with a later number beyond the damage tells that the file went on: nothing a crash does."""
-    end = min(len(data), at + LOOK_AHEAD)
-    place = data.find(MARKER, at + 1, end)
-    while place >= 0:
-        record = _record_at(data, place)
+def _damage_at(data: bytes, offset: int, number: int) -> Damage:
+    """Tells a torn end from damage inside: a crash leaves no later record beyond the damage."""
+    end = min(len(data), offset + LOOK_AHEAD_BYTES)
+    candidate = data.find(MARKER, offset + 1, end)
+    while candidate >= 0:
+        record = _record_at(data, candidate)
         if record is not None and record.number > number:
             return Damage.INSIDE
-        place = data.find(MARKER, place + 1, end)
+        candidate = data.find(MARKER, candidate + 1, end)
     return Damage.TORN
 
 
-def _sum(size: int, number: int, payload: bytes) -> int:
-    return zlib.crc32(payload, zlib.crc32(COVERED.pack(size, number)))
+def _checksum(size_bytes: int, number: int, payload: bytes) -> int:
+    return zlib.crc32(payload, zlib.crc32(CHECKED_FIELDS.pack(size_bytes, number)))
--- a/kelpcourse/store/recovery.py
+++ b/kelpcourse/store/recovery.py
@@ -1,7 +1,7 @@
-"""What stands after a crash: which snapshot is believed, which records follow it, what is cut off. Pure.
+"""Recovery after a crash: which snapshot is used, which records follow it, what is cut off.
 
 Generation g is a snapshot and the journal of all changes after it. Making generation g+1 leaves g in place,
-so that a snapshot that was written whole and spoilt later can be done without.
+so that a snapshot that was written completely and damaged later can be done without. No input or output of its own.
 """
 
 from __future__ import annotations
@@ -10,18 +10,25 @@
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from kelpcourse.store.frames import Contents, Damage, Kind, Record, Unusable, read
+from kelpcourse.store.errors import UnusableFileError
+from kelpcourse.store.frames import Contents, Damage, Kind, Record, read
 
 NAME = re.compile(r"(snapshot|journal)-(\d{12})\Z")
+TEMPORARY_SUFFIX = ".tmp"
+DAMAGED_SUFFIX = ".damaged"
+STATE = "state"  # named in a remark on all files together
+
+Load = Callable[[str], bytes]
 
 
 def file_name(kind: Kind, generation: int) -> str:
+    """The name of a generation's snapshot or journal."""
     return f"{kind.name.lower()}-{generation:012d}"
 
 
 @dataclass(frozen=True)
 class Remark:
-    """Something that was found and is told to the operators."""
+    """Something that was found and is reported to the operators."""
 
     file: str
     what: str
@@ -31,131 +38,155 @@
 
 @dataclass
 class Recovered:
+    """What is durable, and how to go on."""
+
     generation: int = 0  # of the journal that is written on; 0: there is none yet
     snapshot: bytes | None = None
     records: list[Record] = field(default_factory=list)
     next_number: int = 1
-    cut_to: int | None = None  # bytes of that journal that stand, if not all do
-    journal_bytes: int = 0  # of all journals that had to be read
+    cut_to: int | None = None  # bytes of that journal that are intact, if not all are
+    journal_bytes: int = 0  # of all journals that were read
     remarks: list[Remark] = field(default_factory=list)
     fresh: bool = False  # a new generation is to be made before anything is written
 
 
 @dataclass(frozen=True)
 class Files:
-    snapshots: tuple[int, ...]  # generations, newest first
+    """The generations of which there are files."""
+
+    snapshots: tuple[int, ...]  # newest first
     journals: frozenset[int]
 
+    @property
+    def newest(self) -> int:
+        """The newest generation of all; 0 if there is none."""
+        return max(*self.snapshots, *self.journals, 0, 0)
+
 
 def sort_files(names: Sequence[str]) -> Files:
-    found: dict[str, list[int]] = {"snapshot": [], "journal": []}
+    """Snapshots and journals among a folder's names."""
+    generations: dict[str, list[int]] = {"snapshot": [], "journal": []}
     for name in names:
         match = NAME.match(name)
-        if match:
-            found[match[1]].append(int(match[2]))
-    return Files(tuple(sorted(found["snapshot"], reverse=True)), frozenset(found["journal"]))
+        if match is not None:
+            generations[match[1]].append(int(match[2]))
+    snapshots = tuple(sorted(generations["snapshot"], reverse=True))
+    return Files(snapshots, frozenset(generations["journal"]))
+
 
+def recover(names: Sequence[str], load: Load) -> Recovered:
+    """Reads the newest intact snapshot and the journals from its generation on, and nothing else.
 
-def recover(names: Sequence[str], load: Callable[[str], bytes]) -> Recovered:
-    """Reads what is needed and no more: the newest whole snapshot and the journals from its generation on."""
+    Args:
+        names: of all files in the folder.
+        load: reads a file; what it raises goes through.
+    """
     files = sort_files(names)
-    out = Recovered()
+    recovered = Recovered()
+    if _take_snapshot(files, load, recovered):
+        _follow_journals(files, load, recovered)
+        return recovered
+    recovered.fresh = True
+    if files.snapshots or files.journals:
+        recovered.generation = files.newest
+        # A first generation that a crash cut short holds no change.
+        lost = any(load(file_name(Kind.JOURNAL, generation)) for generation in files.journals)
+        what = "no snapshot can be used: nothing is restored"
+        recovered.remarks.append(Remark(STATE, what, alarming=lost))
+    return recovered
+
+
+def from_bytes(files: Mapping[str, bytes]) -> Recovered:
+    """Recovers from files in memory, by name."""
+    return recover(sorted(files), files.__getitem__)
+
+
+def _take_snapshot(files: Files, load: Load, recovered: Recovered) -> bool:
+    """Takes the newest intact snapshot; false if there is none."""
     for generation in files.snapshots:
         name = file_name(Kind.SNAPSHOT, generation)
-        contents = _try(Kind.SNAPSHOT, name, load, out)
+        contents = _read(Kind.SNAPSHOT, name, load(name), recovered)
         if contents is None:
             continue
         if contents.damage is not Damage.NONE or len(contents.records) != 1:
-            out.remarks.append(Remark(name, "the snapshot is not whole", alarming=True))
+            recovered.remarks.append(Remark(name, "the snapshot is not whole", alarming=True))
             continue
-        out.generation, out.snapshot = generation, contents.records[0].payload
-        out.next_number = contents.first + 1
-        break
-    else:
-        out.fresh = True
-        if (
-            files.snapshots or files.journals
-        ):  # a first generation that a crash cut short holds no change
-            out.generation = max(*files.snapshots, *files.journals, 0)
-            lost = any(len(load(file_name(Kind.JOURNAL, g))) > 0 for g in files.journals)
-            out.remarks.append(
-                Remark("state", "no snapshot can be used: nothing is restored", alarming=lost)
-            )
-        return out
-    _follow(files, load, out)
-    return out
-
-
-def _follow(files: Files, load: Callable[[str], bytes], out: Recovered) -> None:
-    """Journals from the believed snapshot's generation on, as long as their numbers follow each other."""
-    at = out.generation
-    while at in files.journals:
-        name = file_name(Kind.JOURNAL, at)
-        data_size = 0
-
-        def sized(name: str) -> bytes:
-            nonlocal data_size
-            data = load(name)
-            data_size = len(data)
-            return data
-
-        contents = _try(Kind.JOURNAL, name, sized, out)
-        if contents is None or contents.first > out.next_number:
-            if contents is not None:
-                out.remarks.append(
-                    Remark(
-                        name,
-                        f"starts at {contents.first}, {out.next_number} was next",
-                        data_size,
-                        alarming=True,
-                    )
-                )
-            out.fresh = True
-            break
-        out.records += [r for r in contents.records if r.number >= out.next_number]
-        out.next_number = max(out.next_number, contents.first + len(contents.records))
-        out.journal_bytes += contents.good_bytes
-        out.generation, out.cut_to = at, None
-        if contents.damage is not Damage.NONE:
-            lost = data_size - contents.good_bytes
-            inside = contents.damage is Damage.INSIDE
-            out.remarks.append(
-                Remark(name, "damaged inside" if inside else "the last write is torn", lost, inside)
-            )
-            out.cut_to = contents.good_bytes
-            out.fresh = inside or at + 1 in files.journals
+        recovered.generation = generation
+        recovered.snapshot = contents.records[0].payload
+        recovered.next_number = contents.first + 1
+        return True
+    return False
+
+
+def _follow_journals(files: Files, load: Load, recovered: Recovered) -> None:
+    """Takes journals from the snapshot's generation on, as long as their numbers follow each other."""
+    generation = recovered.generation
+    while generation in files.journals:
+        if not _take_journal(generation, files, load, recovered):
             break
-        # A journal of a generation that came to nothing may lag behind the one before it: its numbers end
-        # too early for what would be written on.
-        out.fresh = contents.first + len(contents.records) != out.next_number
-        at += 1
+        generation += 1
     else:
         # A snapshot without its journal: the crash came between the two, and nothing was written since.
-        out.fresh = out.fresh or out.generation not in files.journals
-    out.generation = (
-        max(out.generation, *files.snapshots, *files.journals) if out.fresh else out.generation
-    )
-
-
-def _try(kind: Kind, name: str, load: Callable[[str], bytes], out: Recovered) -> Contents | None:
+        recovered.fresh = recovered.fresh or recovered.generation not in files.journals
+    if recovered.fresh:
+        recovered.generation = max(recovered.generation, files.newest)
+
+
+def _take_journal(generation: int, files: Files, load: Load, recovered: Recovered) -> bool:
+    """Takes one journal; false where the next one can't follow it."""
+    name = file_name(Kind.JOURNAL, generation)
+    data = load(name)
+    contents = _read(Kind.JOURNAL, name, data, recovered)
+    if contents is None:
+        recovered.fresh = True
+        return False
+    if contents.first > recovered.next_number:
+        what = f"starts at {contents.first}, {recovered.next_number} was next"
+        recovered.remarks.append(Remark(name, what, len(data), alarming=True))
+        recovered.fresh = True
+        return False
+    end_number = contents.first + len(contents.records)
+    recovered.records += [
+        record for record in contents.records if record.number >= recovered.next_number
+    ]
+    recovered.next_number = max(recovered.next_number, end_number)
+    recovered.journal_bytes += contents.good_bytes
+    recovered.generation = generation
+    recovered.cut_to = None
+    if contents.damage is not Damage.NONE:
+        inside = contents.damage is Damage.INSIDE
+        what = "damaged inside" if inside else "the last write is torn"
+        lost_bytes = len(data) - contents.good_bytes
+        recovered.remarks.append(Remark(name, what, lost_bytes, inside))
+        recovered.cut_to = contents.good_bytes
+        recovered.fresh = inside or generation + 1 in files.journals
+        return False
+    # A journal of an abandoned generation may lag behind the one before it: its numbers then end
+    # too early for what would be written on.
+    recovered.fresh = end_number != recovered.next_number
+    return True
+
+
+def _read(kind: Kind, name: str, data: bytes, recovered: Recovered) -> Contents | None:
     try:
-        return read(kind, load(name))
-    except Unusable as error:
-        out.remarks.append(Remark(name, str(error), alarming=kind is Kind.SNAPSHOT))
+        return read(kind, data)
+    except UnusableFileError as error:
+        alarming = kind is Kind.SNAPSHOT
+        recovered.remarks.append(Remark(name, error.reason, alarming=alarming))
         return None
 
 
 def obsolete(names: Sequence[str], generation: int) -> list[str]:
-    """Files that no recovery needs once `generation` stands: all before the last generation but it that has a
-    snapshot, and what was never finished."""
-    least = max((g for g in sort_files(names).snapshots if g < generation), default=generation)
-    out = [name for name in names if name.endswith(".tmp")]
-    for name in names:
-        match = NAME.match(name)
-        if match and int(match[2]) < least:
-            out.append(name)
-    return out
+    """Files that no recovery needs once `generation` is in place.
 
+    These are all before the last earlier generation that has a snapshot, and what was never finished.
+    """
+    earlier = [snapshot for snapshot in sort_files(names).snapshots if snapshot < generation]
+    min_generation = max(earlier, default=generation)
+    unfinished = [name for name in names if name.endswith(TEMPORARY_SUFFIX)]
+    return unfinished + [name for name in names if _is_before(name, min_generation)]
 
-def from_bytes(files: Mapping[str, bytes]) -> Recovered:
-    return recover(sorted(files), files.__getitem__)
+
+def _is_before(name: str, generation: int) -> bool:
+    match = NAME.match(name)
+    return match is not None and int(match[2]) < generation
--- a/kelpcourse/store/spool.py
+++ b/kelpcourse/store/spool.py
@@ -1,6 +1,6 @@
-"""Commands to a running process by files in a folder that its owner alone may write into: no address, no key.
+"""Commands to a running process by files in a folder that its owner alone may write into.
 
-Whoever commands writes `command-ID.json` whole and waits for `answer-ID.json`.
+No address and no key is needed. A client writes `command-ID.json` completely and waits for `answer-ID.json`.
 """
 
 from __future__ import annotations
@@ -10,43 +10,51 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-ANSWER_S = 10.0
+from kelpcourse.store.errors import NoAnswerError
 
-
-class NoAnswer(Exception):
-    """Nobody carried the command out."""
+ANSWER_TIMEOUT_S = 10.0
+POLL_S = 0.02
+COMMAND_PREFIX = "command-"
+ANSWER_PREFIX = "answer-"
 
 
 def write_whole(path: Path, data: bytes) -> None:
-    """A file that others see whole or not at all."""
-    part = path.with_name(f"{path.name}.tmp")
-    with open(os.open(part, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:
+    """Writes a file that other processes see completely or not at all."""
+    temporary = path.with_name(f"{path.name}.tmp")
+    fd = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+    with open(fd, "wb") as file:
         file.write(data)
-    os.rename(part, path)
+    os.rename(temporary, path)
 
 
 def commands(folder: Path) -> Iterator[tuple[Path, bytes]]:
-    """Those that wait, oldest first, each taken away as it is read, and where its answer goes."""
-    for path in sorted(folder.glob("command-*.json")):
+    """Pending commands, oldest first, each removed as it is read: where its answer goes, and its bytes."""
+    for path in sorted(folder.glob(f"{COMMAND_PREFIX}*.json")):
         try:
             data = path.read_bytes()
         except OSError:
             data = b""
         path.unlink(missing_ok=True)
-        yield path.with_name(path.name.replace("command-", "answer-", 1)), data
+        yield path.with_name(path.name.replace(COMMAND_PREFIX, ANSWER_PREFIX, 1)), data
 
 
 def ask(folder: Path, command: bytes) -> bytes:
-    """The answer of the process that holds the folder. Raises NoAnswer or OSError."""
+    """Sends a command to the process that holds the folder and returns its answer.
+
+    Raises:
+        NoAnswerError: no answer came within ANSWER_TIMEOUT_S.
+        OSError: the folder can't be written or read.
+    """
     name = f"{os.getpid()}-{time.monotonic_ns()}.json"
-    waiting, answer = folder / f"command-{name}", folder / f"answer-{name}"
+    waiting = folder / f"{COMMAND_PREFIX}{name}"
+    answer = folder / f"{ANSWER_PREFIX}{name}"
     write_whole(waiting, command)
-    ends = time.monotonic() + ANSWER_S
+    deadline = time.monotonic() + ANSWER_TIMEOUT_S
     while not answer.exists():
-        if time.monotonic() > ends:
+        if time.monotonic() > deadline:
             waiting.unlink(missing_ok=True)
-            raise NoAnswer(f"no process that holds {folder} answered within {ANSWER_S:.0f} s")
-        time.sleep(0.02)
+            raise NoAnswerError(folder, ANSWER_TIMEOUT_S)
+        time.sleep(POLL_S)
     data = answer.read_bytes()
     answer.unlink()
     return data
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -13,7 +13,8 @@
 from kelpcourse.memory.hosts import Member
 from kelpcourse.service.clock import Clock
 from kelpcourse.service.process import kept
-from kelpcourse.store.folder import Folder, InUse
+from kelpcourse.store.errors import FolderInUseError
+from kelpcourse.store.folder import Folder
 from kelpcourse.store.recovery import recover
 from kelpcourse.store.spool import ask
 from kelpcourse.wire.loop import Loop
@@ -92,7 +93,7 @@
     folder = Folder(settings.state)
     try:
         folder.lock()
-    except InUse:
+    except FolderInUseError:
         return _by_server(settings.state, command)
     folder.close()
     return _by_ourselves(settings, command)
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -67,8 +67,8 @@
 
 
 class Zones:
-    """Made and started by whoever hosts it. Raises BadSettings, InUse, BadZone or OSError at the start; later
-    trouble is logged and lived with."""
+    """Made and started by whoever hosts it. Raises BadSettings, FolderInUseError, BadZone or OSError at the
+    start; later trouble is logged and lived with."""
 
     def __init__(
         self,
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,13 +11,13 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.store.commit import Append, Commit, Compact, Outcome
-from kelpcourse.store.folder import Folder, InUse
+from kelpcourse.store.errors import FolderInUseError, UnusableFileError
+from kelpcourse.store.folder import Folder
 from kelpcourse.store.frames import (
     HEADER_BYTES,
     Damage,
     Kind,
     Record,
-    Unusable,
     frame,
     header,
     read,
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("data", [b"", SNAPSHOT[:5], JOURNAL, b"\xff" + SNAPSHOT[1:]])
 def test_a_header_that_can_not_be_believed(data: bytes) -> None:
-    with pytest.raises(Unusable):
+    with pytest.raises(UnusableFileError):
         read(Kind.SNAPSHOT, data)
 
 
@@ -215,18 +215,18 @@
         if call in self.fails:
             raise OSError(self.fails[call], os.strerror(self.fails[call]))
 
-    def write(self, fd: int, data: bytes, at: int) -> None:
+    def write(self, fd: int, data: bytes, offset: int) -> None:
         if "write" in self.fails or self.calls + 1 == self.dies_at:
-            os.pwrite(fd, data[: len(data) // 2], at)  # a part of it is there
+            os.pwrite(fd, data[: len(data) // 2], offset)  # a part of it is there
         self._at("write")
-        super().write(fd, data, at)
+        super().write(fd, data, offset)
 
     def sync(self, fd: int) -> None:
         self._at("sync")
 
-    def cut(self, fd: int, size: int) -> None:
-        self._at("cut")
-        super().cut(fd, size)
+    def truncate(self, fd: int, size_bytes: int) -> None:
+        self._at("truncate")
+        super().truncate(fd, size_bytes)
 
     def rename(self, old: str, new: str) -> None:
         self._at("rename")
@@ -262,7 +262,7 @@
         0,
         "writing: No space left on device",
     )
-    disk.fails = {"write": errno.ENOSPC, "cut": errno.EIO}
+    disk.fails = {"write": errno.ENOSPC, "truncate": errno.EIO}
     assert journal.append([Record(2, b"lost")])[0] is Outcome.UNSURE
     disk.fails = {"sync": errno.EIO}
     assert journal.append([Record(2, b"b")])[0] is Outcome.UNSURE
@@ -304,7 +304,7 @@
 
 def test_two_processes_do_not_share_a_folder(tmp_path: Path) -> None:
     _, journal = begun(tmp_path)
-    with pytest.raises(InUse):
+    with pytest.raises(FolderInUseError):
         Journal(Folder(tmp_path)).open()
     journal.close()
     assert recover([], b"".__getitem__).fresh  # type: ignore[arg-type]
