--- a/kelpcourse/service/director.py
+++ b/kelpcourse/service/director.py
@@ -15,9 +15,10 @@
 from typing import Protocol
 
 from kelpcourse.facade import Facade, Work
-from kelpcourse.interface import Settings
+from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.memory.outbox import Outbox
+from kelpcourse.memory.order_queue import OrderQueue
+from kelpcourse.policy.settings import Settings
 from kelpcourse.service.clock import Clock
 from kelpcourse.service.config import (
     MOVES,
@@ -28,17 +29,16 @@
     read_config,
     reread_config,
 )
-from kelpcourse.limits import Limits
 from kelpcourse.service.logs import Log
 from kelpcourse.service.process import kept
 from kelpcourse.service.signals import Signals
 from kelpcourse.wire.discovery import Discovery
 from kelpcourse.wire.listener import Listener, listen
 from kelpcourse.wire.loop import Loop, Routine, Signal, Task, Wait
-from kelpcourse.wire.parts import Parts
 from kelpcourse.wire.probes import Probes
 from kelpcourse.wire.relay_calls import RelayCalls
 from kelpcourse.wire.relay_events import EventStreams
+from kelpcourse.wire.runtime import Runtime
 from kelpcourse.wire.stream import Address
 
 BAD_CONFIG = 2
@@ -61,7 +61,7 @@
     def move(self, address: Address) -> None: ...
 
 
-MakeSource = Callable[[Parts, Settings, Keep], Source]
+MakeSource = Callable[[Runtime, Settings, Keep], Source]
 
 
 class Service:
@@ -84,9 +84,9 @@
         self._log = Log(clock, limits, self._counters, config.name)
         self._loop = Loop(clock, self._defect)
         self._facade = Facade(config.settings, config.seed, limits)
-        self._parts = Parts(self._facade, limits, self._counters, self._log, self._loop)
+        self._parts = Runtime(self._facade, limits, self._counters, self._log, self._loop)
         self._config = config
-        self._outbox = Outbox(limits.orders, limits.marks)
+        self._outbox = OrderQueue(limits.max_queued_orders, limits.max_superseded_checkpoints)
         self._waiting = Signal()
         self._source = (
             make_source(self._parts, config.settings, self._keep)
@@ -107,7 +107,7 @@
             "start",
             pid=os.getpid(),
             hosts=len(self._config.known.members),
-            proxies=self._config.settings.proxies,
+            proxies=self._config.settings.proxy_count,
         )
         self._facade.report_known(self._config.known.members, self._config.known.version)
         if self._source is not None:
@@ -140,7 +140,7 @@
         """A file that is being replaced can't be read for a moment, and nobody sends a second signal when it can."""
         if self._source is not None:
             self._source.reread()
-        until_us, told = self._loop.clock() + self._limits.reload_us, False
+        until_us, told = self._loop.clock() + self._limits.reload_retry_us, False
         while True:
             try:
                 new = reread_config(self._environment)
@@ -154,7 +154,7 @@
                 return
             if not again:
                 return
-            yield Wait(self._loop.clock() + self._limits.reload_wait_us)
+            yield Wait(self._loop.clock() + self._limits.reload_retry_interval_us)
 
     def _follow(self, new: Config) -> None:
         """Follows the file to new addresses. Everything else lives on: listener, module, proxies, orders."""
@@ -231,8 +231,8 @@
         return BAD_CONFIG
     os.set_blocking(sys.stdout.fileno(), False)
     granted = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    limits = Limits().within(min(config.sockets, granted), config.memory_mb)
-    limits = limits.serving(config.settings.proxies, config.settings.report_period_us)
+    limits = Limits().for_machine(min(config.sockets, granted), config.memory_mb)
+    limits = limits.for_fleet(config.settings.proxy_count, config.settings.report_period_us)
     return Service(config, limits, environment, signals, sock, make_source).run()
 
 
@@ -240,7 +240,7 @@
     """The socket that listens there: who comes from now on is served once the loop runs. An address that this
     machine does not have is a mistake; one still in use passes (None)."""
     try:
-        return listen(address, Limits().listen_queue)
+        return listen(address, Limits().listen_backlog)
     except OSError as error:
         if error.errno != errno.EADDRINUSE:
             raise BadConfig(
--- a/kelpcourse/store/commit.py
+++ b/kelpcourse/store/commit.py
@@ -101,10 +101,10 @@
     def stage(self, payload: bytes, ticket: Ticket) -> bool:
         """Stages a change; false: it is rejected, as nothing can be written or too much is pending."""
         size_bytes = FRAME.size + len(payload)
-        if self._broken or self.waiting >= self._limits.store_staged:
+        if self._broken or self.waiting >= self._limits.max_staged_changes:
             return False
         pending_bytes = self._pending_bytes + size_bytes
-        if self._pending_bytes and pending_bytes > self._limits.store_staged_bytes:
+        if self._pending_bytes and pending_bytes > self._limits.max_staged_bytes:
             return False
         self._staged.append((Record(self._next_number, payload), ticket))
         self._next_number += 1
@@ -157,7 +157,7 @@
             self._broken = False
         elif outcome is Outcome.UNSURE:
             self._broken = True
-        self._retry_us = now_us + self._limits.store_retry_us
+        self._retry_us = now_us + self._limits.snapshot_retry_us
         undone = self._drop_staged() if self._broken else []
         return Settled(undone=undone, compacted=compacted)
 
@@ -172,7 +172,7 @@
         if now_us < self._retry_us:
             return False
         max_bytes = max(
-            self._limits.store_journal_bytes,
-            self._limits.store_journal_factor * self._snapshot_bytes,
+            self._limits.min_compaction_bytes,
+            self._limits.compaction_factor * self._snapshot_bytes,
         )
         return self._broken or self._journal_bytes > max_bytes
