--- a/kelpcourse/memory/proxies.py
+++ b/kelpcourse/memory/proxies.py
@@ -13,7 +13,7 @@
 
     proxy: int
     zone: str
-    request_rate: float  # requests per second that the proxy usually receives
+    request_rate_per_s: float  # requests per second that the proxy usually receives
     has_no_table: bool  # it is bound to no table, so its first binding is yet to come
 
 
--- a/kelpcourse/wire/relay_events.py
+++ b/kelpcourse/wire/relay_events.py
@@ -117,9 +117,9 @@
     def _report_one(self, event: ProxyEvent) -> None:
         facade, counters = self._parts.facade, self._parts.counters
         match event:
-            case Joined(proxy, zone, request_rate, has_no_table):
+            case Joined(proxy, zone, request_rate_per_s, has_no_table):
                 counters.add("relay_proxies_joined")
-                facade.report_proxy_joined(proxy, zone, request_rate, has_no_table)
+                facade.report_proxy_joined(proxy, zone, request_rate_per_s, has_no_table)
             case Left(proxy):
                 counters.add("relay_proxies_left")
                 self._outbox.forget_proxy(proxy)
