--- a/kelpcourse/memory/order_queue.py
+++ b/kelpcourse/memory/order_queue.py
@@ -37,7 +37,7 @@
         return sum(len(batch) for batch in self._batches)
 
     @property
-    def batches(self) -> int:
+    def batch_count(self) -> int:
         return len(self._batches)
 
     def add(self, orders: Sequence[Order]) -> int:
@@ -48,7 +48,7 @@
             self._merge()
         return self._cut()
 
-    def begin(self) -> list[Order]:
+    def begin_call(self) -> list[Order]:
         """The orders of the next call."""
         self._calling = True
         self._left.clear()
@@ -70,11 +70,11 @@
         while len(self._covered) > self._marks:
             del self._covered[next(iter(self._covered))]
 
-    def stamps(self, stamp: int) -> tuple[int, ...]:
+    def covered_checkpoints(self, stamp: int) -> tuple[int, ...]:
         """What an answer to a mark answers: earlier marks merged into it, then itself."""
         return (*self._covered.get(stamp, ()), stamp)
 
-    def taken(self, count: int) -> list[int]:
+    def accept(self, count: int) -> list[int]:
         """The call was answered: the first `count` of its orders stand. The stamps of the steps whose messages were
         just written; of steps merged into it the last one, as what is merged may be two messages to a proxy."""
         self._calling = False
@@ -87,21 +87,21 @@
         mark = done[-1] if done else None
         return [*mark.superseded[-1:], mark.checkpoint_id] if isinstance(mark, Checkpoint) else []
 
-    def answered(self, stamp: int) -> None:
+    def acknowledge(self, stamp: int) -> None:
         """A proxy has applied all up to a mark."""
         self._proved = self._proved or (self._calling and stamp == self._telling)
 
     @property
-    def proved(self) -> bool:
+    def call_acknowledged(self) -> bool:
         """Whether the call under way was carried out, answered or not: a proxy has applied its mark."""
         return self._proved
 
-    def doubted(self) -> tuple[int, ...]:
+    def checkpoints_in_call(self) -> tuple[int, ...]:
         """The stamps of the steps whose messages the call under way holds: it broke, carried out or not."""
         mark = self._batches[0][-1] if self._batches and self._batches[0] else None
         return (*mark.superseded, mark.checkpoint_id) if isinstance(mark, Checkpoint) else ()
 
-    def again(self) -> None:
+    def requeue_call(self) -> None:
         """The orders of the call under way go again, before or with later ones."""
         self._calling = False
         if self._batches:  # a later binding is of one that came back, and stands
--- a/kelpcourse/wire/relay_calls.py
+++ b/kelpcourse/wire/relay_calls.py
@@ -70,7 +70,7 @@
         """Until there are orders. A connection that is idle for long is given up before the relay does so:
         a call that crosses its end can't be told from one that was carried out."""
         until_us = self._parts.clock() + self._parts.limits.idle_connection_us
-        while not self._outbox.batches:
+        while not self._outbox.batch_count:
             self._waiting.lower()
             if self._client is None:
                 yield Wait(signal=self._waiting)
@@ -88,7 +88,7 @@
             self._invalid = 0
             return 0
         except Throttled:
-            self._outbox.again()
+            self._outbox.requeue_call()
             self._parts.counters.add("relay_calls_throttled")
             self._parts.log.event("relay_calls_throttled", queued_orders=len(self._outbox))
             return self._parts.limits.throttled_retry_us
@@ -102,10 +102,10 @@
                 "relay_call_rejected", reason=str(error), orders=self._sent, dropped=given_up
             )
             if given_up:
-                self._outbox.taken(self._sent)
+                self._outbox.accept(self._sent)
                 self._invalid = 0
             else:
-                self._outbox.again()
+                self._outbox.requeue_call()
             self._close()
             return self._backoff.next_us()
         except (Broken, BadMessage) as error:
@@ -122,9 +122,9 @@
         target = self._target()
         if target is None:
             raise Throttled
-        orders = self._outbox.begin()
+        orders = self._outbox.begin_call()
         if not orders:  # all of them were bindings of proxies that have left meanwhile
-            self._outbox.taken(0)
+            self._outbox.accept(0)
             return
         body = call_body(orders, self._parts.limits.max_call_bytes)
         self._parts.counters.add("relay_calls")
@@ -144,24 +144,24 @@
     def _settle_broken(self) -> Act[int]:
         """How long to wait before the orders go again. Of a call that was sent whole the channel may hold them: a
         proxy that answers its mark proves that, and else they wait until the module lets them go a second time."""
-        stamps = self._outbox.doubted() if self._sent else ()
-        while stamps and not self._outbox.proved:
+        stamps = self._outbox.checkpoints_in_call() if self._sent else ()
+        while stamps and not self._outbox.call_acknowledged:
             self._parts.facade.report_outcome_unknown(stamps)
             yield Wait(self._parts.clock() + self._backoff.next_us())
             if self._parts.facade.may_resend():
                 break
-        if self._outbox.proved:
+        if self._outbox.call_acknowledged:
             self._parts.counters.add("relay_calls_confirmed")
             self._parts.log.event("relay_call_confirmed", orders=self._sent)
-            self._outbox.taken(self._sent)
+            self._outbox.accept(self._sent)
             for stamp in stamps:
                 self._parts.facade.report_accepted(stamp)
             return 0
-        self._outbox.again()
+        self._outbox.requeue_call()
         return 0 if stamps else self._backoff.next_us()
 
     def _settle(self, taken: int, sent: int) -> None:
-        for stamp in self._outbox.taken(taken):
+        for stamp in self._outbox.accept(taken):
             self._parts.facade.report_accepted(stamp)
         self._parts.counters.add("relay_orders_accepted", taken)
         if taken == sent:
--- a/kelpcourse/wire/relay_events.py
+++ b/kelpcourse/wire/relay_events.py
@@ -126,6 +126,6 @@
                 facade.report_proxy_left(proxy)
             case Applied(proxy, stamp, lag_ms):
                 counters.add("relay_acknowledgements")
-                self._outbox.answered(stamp)
-                for answered in self._outbox.stamps(stamp):
+                self._outbox.acknowledge(stamp)
+                for answered in self._outbox.covered_checkpoints(stamp):
                     facade.report_acknowledged(proxy, answered, lag_ms)
--- a/tests/test_end_result.py
+++ b/tests/test_end_result.py
@@ -169,5 +169,5 @@
         outbox.add(step(number))
         waiting.raise_()
         bench.pass_us(pace_ms * MS)
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert relay.standing == wanted()
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -57,7 +57,7 @@
                     self.outbox.forget_proxy(proxy)
                     self.facade.report_proxy_left(proxy)
                 case Applied(proxy, stamp, lag_ms):
-                    for answered in self.outbox.stamps(stamp):
+                    for answered in self.outbox.covered_checkpoints(stamp):
                         self.facade.report_acknowledged(proxy, answered, lag_ms)
 
     def lines(self) -> bytes:
@@ -92,9 +92,9 @@
                 case SetWeight() | WithdrawEndpoint() | RestoreEndpoint():
                     self.ordered[order.key] = order
         self.outbox.add(orders)
-        while self.second % 3 == 0 and (orders := self.outbox.begin()):
+        while self.second % 3 == 0 and (orders := self.outbox.begin_call()):
             stamps = [order.checkpoint_id for order in orders if isinstance(order, Checkpoint)]
-            self.outbox.taken(len(orders))
+            self.outbox.accept(len(orders))
             for stamp in stamps:
                 for proxy in range(PROXIES):
                     self.news(Applied(proxy, stamp, 100.0))
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -173,8 +173,8 @@
             now = self.bench.clock.now
             if now % (10 * MS) == 0:
                 for proxy, stamp in self.world.advance(now):
-                    self.outbox.answered(stamp)
-                    for covered in self.outbox.stamps(stamp):
+                    self.outbox.acknowledge(stamp)
+                    for covered in self.outbox.covered_checkpoints(stamp):
                         self.facade.report_acknowledged(proxy, covered, 1.0)
                 self.world.check(now)
 
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -107,10 +107,10 @@
 def test_a_step_is_one_call_and_the_next_follows_on_the_same_connection(bench: Bench) -> None:
     relay, outbox = Relay(bench), outbox_of(SET, USE, MARK)
     waiting = start_calls(bench, relay, outbox)
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     outbox.add([WithdrawEndpoint("h1"), Checkpoint(6, True)])
     waiting.raise_()
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert relay.verbs() == [["SET", "USE", "SYNC"], ["OUT", "SYNC"]]
     assert relay.stand_in.connections == 1
     assert bench.counters["relay_orders_accepted"] == 5
@@ -120,7 +120,7 @@
     relay = Relay(bench, take_two, take_none)
     outbox = outbox_of(SET, SetWeight(0, "h2", 1.0), USE, MARK)
     start_calls(bench, relay, outbox)
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert relay.verbs() == [["SET", "SET", "USE", "SYNC"], ["USE", "SYNC"], ["SYNC"]]
     assert bench.log.named("order_rejected") == [{"order": encode_order(USE).decode()}]
 
@@ -128,7 +128,7 @@
 def test_calls_turned_away_before_the_run_are_made_again(bench: Bench) -> None:
     relay, outbox = Relay(bench, throttle, throttle), outbox_of(SET, MARK)
     start_calls(bench, relay, outbox)
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert relay.verbs() == [["SET", "SYNC"]] * 3
     assert bench.counters["relay_calls_throttled"] == 2
 
@@ -136,7 +136,7 @@
 def test_a_refusal_that_a_spoilt_answer_made_up_costs_no_order(bench: Bench) -> None:
     relay, outbox = Relay(bench, take_two), outbox_of(SET, SetWeight(0, "h2", 1.0), USE, MARK)
     start_calls(bench, relay, outbox)
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert relay.verbs() == [["SET", "SET", "USE", "SYNC"], ["USE", "SYNC"]]
     assert bench.log.named("order_rejected") == []
 
@@ -144,7 +144,7 @@
 def test_a_call_taken_for_none_by_a_spoilt_answer_goes_again(bench: Bench) -> None:
     relay, outbox = Relay(bench, invalid), outbox_of(SET, MARK)
     start_calls(bench, relay, outbox)
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert relay.verbs() == [["SET", "SYNC"]] * 2
     assert bench.log.named("relay_call_rejected")[0]["dropped"] is False
 
@@ -153,10 +153,10 @@
     times = QUICK.max_invalid_responses
     relay, outbox = Relay(bench, *[invalid] * times), outbox_of(SET, MARK)
     waiting = start_calls(bench, relay, outbox)
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     outbox.add([USE])
     waiting.raise_()
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert relay.verbs() == [["SET", "SYNC"]] * times + [["USE"]]
     assert bench.log.named("relay_call_rejected")[-1]["dropped"] is True
 
@@ -184,7 +184,7 @@
 
     relay, outbox = Relay(bench, spoil), outbox_of(SET, MARK)
     start_calls(bench, relay, outbox)
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert relay.verbs() == [["SET", "SYNC"]] * 2
     assert bench.counters["relay_calls_failed"] == 1
 
@@ -197,7 +197,7 @@
     start_calls(bench, relay, outbox)
     bench.until(lambda: len(relay.calls) == 1)
     outbox.add([SetWeight(0, "h1", 2.0), Checkpoint(6, False)])
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     sent = [order for call in relay.calls[1:] for order in call]
     assert [order.get("share", order.get("stamp")) for order in sent] in (
         [2.0, 6],
@@ -231,7 +231,7 @@
     bench.pass_us(50 * MS)
     assert len(relay.calls) == 1
     bench.module.repeats = True
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert relay.verbs() == [["SET", "SYNC"], ["SET", "SYNC"]]
 
 
@@ -242,8 +242,8 @@
     relay, outbox = in_doubt(bench, trouble)
     bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.module.events))
     outbox.add([USE, Checkpoint(6, False)])
-    outbox.answered(5)
-    bench.until(lambda: not outbox.batches)
+    outbox.acknowledge(5)
+    bench.until(lambda: not outbox.batch_count)
     assert relay.verbs() == [["SET", "SYNC"], ["USE", "SYNC"]]
     assert bench.counters["relay_calls_confirmed"] == 1
     bench.until(lambda: OrdersAccepted(6) in bench.module.events)
@@ -256,11 +256,11 @@
 def test_a_connection_closed_while_idle_costs_no_call(bench: Bench) -> None:
     relay, outbox = Relay(bench, close_when_idle), outbox_of(SET, MARK)
     waiting = start_calls(bench, relay, outbox)
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     bench.pass_us(10 * MS)
     outbox.add([USE])
     waiting.raise_()
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert relay.verbs() == [["SET", "SYNC"], ["USE"]]
     assert bench.counters["relay_calls_failed"] == 0
 
@@ -269,7 +269,7 @@
     """What is written to it would be lost or not, and the call would count as broken."""
     relay, outbox = Relay(bench, throttle_and_close), outbox_of(SET, MARK)
     start_calls(bench, relay, outbox)
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert relay.verbs() == [["SET", "SYNC"]] * 2
     assert bench.counters["relay_calls_failed"] == 0
 
@@ -277,11 +277,11 @@
 def test_an_idle_connection_is_given_up_before_the_relay_does_so(bench: Bench) -> None:
     relay, outbox = Relay(bench), outbox_of(SET, MARK)
     waiting = start_calls(bench, relay, outbox)
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     bench.pass_us(2 * QUICK.idle_connection_us)
     outbox.add([USE])
     waiting.raise_()
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert relay.stand_in.connections == 2
 
 
@@ -294,7 +294,7 @@
     back = Relay(bench)
     calls = RelayCalls(bench.parts, back.stand_in.address, outbox, Signal())
     bench.loop.start("calls", calls.run())
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert back.verbs() == [["SET", "SYNC"]]
 
 
@@ -304,7 +304,7 @@
     bench.loop.start("calls", calls.run())
     bench.until(lambda: old.calls)
     calls.move(new.stand_in.address)
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert old.verbs() == new.verbs() == [["SET", "SYNC"]]
 
 
@@ -314,12 +314,12 @@
     waiting = Signal()
     calls = RelayCalls(bench.parts, old.stand_in.address, outbox, waiting)
     bench.loop.start("calls", calls.run())
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     calls.move(new.stand_in.address)
     bench.until(lambda: old.ended)
     outbox.add([USE])
     waiting.raise_()
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert (old.verbs(), new.verbs()) == ([["SET", "SYNC"]], [["USE"]])
 
 
@@ -330,7 +330,7 @@
     bench.loop.start("calls", calls.run())
     bench.until(lambda: old.calls)
     calls.move(down.stand_in.address)
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert old.verbs() == [["SET", "SYNC"]] * 2
     assert old.stand_in.connections == 1
 
@@ -381,7 +381,7 @@
     assert not new.calls
     calls.move(old.stand_in.address)  # and back, before the first move was through
     bench.module.repeats = True
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert (old.verbs(), new.verbs()) == ([["SET", "SYNC"]] * 2, [])
 
 
@@ -393,7 +393,7 @@
     bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.module.events))
     outbox.add([WithdrawEndpoint("h1"), Checkpoint(6, False)])
     bench.module.repeats = True
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert relay.verbs() == [["IN", "SYNC"], ["OUT", "SYNC"]]
 
 
@@ -409,14 +409,14 @@
     bench.loop.start(
         "news", EventStreams(bench.parts, source.stand_in.address, outbox, calls.reachable).run(0)
     )
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
 
 
 def test_a_large_step_is_split_into_calls_in_order(bench: Bench) -> None:
     orders: list[Order] = [SetWeight(0, f"h{k}", 1.0) for k in range(2000)]
     relay, outbox = Relay(bench), outbox_of(*orders, MARK)
     start_calls(bench, relay, outbox)
-    bench.until(lambda: not outbox.batches)
+    bench.until(lambda: not outbox.batch_count)
     assert len(relay.calls) > 1
     sent = [order["host"] for call in relay.calls for order in call if order["verb"] == "SET"]
     assert sent == [f"h{k}" for k in range(2000)]
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -108,14 +108,14 @@
     source = Broadcaster(bench, [joined(0), b"{}", left(0)])
     start_news(bench, source, outbox)
     bench.until(lambda: ProxyLeft(0) in bench.module.events)
-    assert outbox.begin() == [SET]
+    assert outbox.begin_call() == [SET]
 
 
 def test_an_answer_to_a_merged_mark_answers_the_earlier_ones_too(bench: Bench) -> None:
     outbox = outbox_of(SET, Checkpoint(4, False))
     outbox.add([USE, Checkpoint(5, True)])
-    assert outbox.begin()[-1] == Checkpoint(5, True, (4,))
-    outbox.taken(3)
+    assert outbox.begin_call()[-1] == Checkpoint(5, True, (4,))
+    outbox.accept(3)
     bench.asked(4, 5)
     source = Broadcaster(bench, [joined(3), b"{}", applied(3, 5)])
     start_news(bench, source, outbox)
