--- a/kelpcourse/__main__.py
+++ b/kelpcourse/__main__.py
@@ -3,7 +3,7 @@
 import os
 import sys
 
-from kelpcourse.service.director import main
+from kelpcourse.service.controller import main
 
 if __name__ == "__main__":
     sys.exit(main(os.environ))
--- a/kelpcourse/cli/main.py
+++ b/kelpcourse/cli/main.py
@@ -20,13 +20,13 @@
 def _mistakes() -> Iterator[None]:
     """Mistakes of the operator's are lines on standard error and exit code 2, never a traceback."""
     from kelpcourse.kdl import BadSettings
-    from kelpcourse.service.config import BadConfig
+    from kelpcourse.service.config import ConfigError
     from kelpcourse.store.errors import FolderInUseError, NoAnswerError
     from kelpcourse.zones.errors import BadZone
 
     try:
         yield
-    except (BadSettings, BadConfig, BadZone, FolderInUseError, NoAnswerError) as error:
+    except (BadSettings, ConfigError, BadZone, FolderInUseError, NoAnswerError) as error:
         click.echo("\n".join(f"kelpcourse: {line}" for line in str(error).splitlines()), err=True)
         sys.exit(BAD_SETTINGS)
     except OSError as error:
@@ -55,7 +55,7 @@
 @plainly
 def run_director(file: Path) -> None:
     """A director with the zones of FILE in place of discovery; NODE_CONFIG tells the rest."""
-    from kelpcourse.service.director import main
+    from kelpcourse.service.controller import main
     from kelpcourse.zones.settings import read_settings
     from kelpcourse.zones.source import ZoneSource
 
--- /dev/null
+++ b/kelpcourse/facade/facade.py
@@ -0,0 +1,324 @@
+"""The facade itself: reports go in as events, actions come out as work."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from typing import Protocol
+
+from kelpcourse.facade.timers import TimerQueue
+from kelpcourse.facade.translation import OrderTranslator
+from kelpcourse.facade.validation import (
+    InvalidReportError,
+    Load,
+    ReportValidator,
+    count,
+    load_report,
+    microseconds,
+    rate,
+)
+from kelpcourse.facade.work import HealthCheckRequest, Work
+from kelpcourse.limits import Limits
+from kelpcourse.memory.endpoints import EndpointRegistry, ListedEndpoint
+from kelpcourse.policy.actions import (
+    Action,
+    CheckHealth,
+    Checkpoint,
+    FetchEndpoints,
+    LogMessage,
+    ResendOrders,
+    SendToPeer,
+    SetTimer,
+    WatchEndpoints,
+)
+from kelpcourse.policy.controller import RoutingPolicy
+from kelpcourse.policy.events import (
+    DemandReport,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointReport,
+    Event,
+    HealthCheckCompleted,
+    HealthCheckStatus,
+    OrdersAccepted,
+    OrdersAcknowledged,
+    OrdersOutcomeUnknown,
+    ProxyJoined,
+    ProxyLeft,
+    Started,
+    TimerFired,
+)
+from kelpcourse.policy.settings import Settings
+
+
+class Policy(Protocol):
+    """What decides."""
+
+    def step(self, now_us: int, events: Sequence[Event]) -> list[Action]:
+        """Takes events and returns what is to be done."""
+        ...
+
+
+class Facade:
+    """Reports become events of the next step; what a step asks for waits until it is picked.
+
+    Every `report_` method raises InvalidReportError, with nothing reported, for what is unknown or out of range.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        seed: int,
+        limits: Limits,
+        policy_factory: Callable[[Settings], Policy] = RoutingPolicy,
+    ) -> None:
+        """Constructs the policy; nothing runs before `start`."""
+        self._settings = settings
+        self._limits = limits
+        self._policy = policy_factory(settings)
+        self._validate = ReportValidator(settings, limits)
+        self._endpoints = EndpointRegistry(limits.max_endpoint_names)
+        self._translator = OrderTranslator(settings, self._endpoints)
+        self._timers = TimerQueue(limits.max_timers)
+        self._events: list[Event] = [Started(seed)]
+        self._step_due_us: int | None = None  # when the events are handed to the policy
+        self._work = Work()
+        self._may_resend = False
+        self._checkpoints: dict[int, None] = {}  # numbers that were ordered, oldest first
+        self._now_us = 0
+
+    # Reports
+
+    def report_cached_list(self, endpoints: Sequence[ListedEndpoint], version: int) -> None:
+        """The endpoint list as this controller last had it, before its start."""
+        self._report_endpoints(EndpointListKind.RESTORED, endpoints, version)
+
+    def report_list(
+        self, endpoints: Sequence[ListedEndpoint], version: int, complete: bool
+    ) -> None:
+        """The endpoint list, or changes to it."""
+        kind = EndpointListKind.FULL if complete else EndpointListKind.CHANGES
+        self._report_endpoints(kind, endpoints, version)
+
+    def report_list_unavailable(self) -> None:
+        """A watch or a call for the list failed."""
+        self._events.append(EndpointList(EndpointListKind.UNAVAILABLE, 0, ()))
+
+    def has_zone(self, zone: str) -> bool:
+        """Whether the settings name a zone."""
+        return zone in self._settings.zones
+
+    def report_proxy_joined(
+        self, proxy: int, zone: str, request_rate_per_s: float, has_no_table: bool
+    ) -> None:
+        """A proxy has joined."""
+        self._events.append(
+            ProxyJoined(
+                self._validate.proxy(proxy),
+                self._validate.zone(zone),
+                rate(request_rate_per_s),
+                has_no_table,
+            )
+        )
+
+    def report_proxy_left(self, proxy: int) -> None:
+        """A proxy has left."""
+        self._events.append(ProxyLeft(self._validate.proxy(proxy)))
+
+    def report_acknowledged(self, proxy: int, checkpoint_id: int, lag_ms: float) -> None:
+        """A proxy has applied everything up to a checkpoint."""
+        if checkpoint_id not in self._checkpoints:
+            raise InvalidReportError(f"checkpoint {checkpoint_id}", "was never ordered")
+        self._events.append(
+            OrdersAcknowledged(self._validate.proxy(proxy), checkpoint_id, microseconds(lag_ms))
+        )
+
+    def report_accepted(self, checkpoint_id: int) -> None:
+        """The relay accepted the call that ends in this checkpoint."""
+        self._events.append(OrdersAccepted(checkpoint_id))
+
+    def report_outcome_unknown(self, checkpoint_ids: tuple[int, ...]) -> None:
+        """A call failed that may have been carried out; its orders wait to be resent."""
+        self._may_resend = False
+        self._events.append(OrdersOutcomeUnknown(checkpoint_ids))
+
+    def may_resend(self) -> bool:
+        """Whether the policy has allowed orders of unknown outcome to be resent since."""
+        return self._may_resend
+
+    def report_attempts(
+        self,
+        endpoint: str,
+        zone: str,
+        attempts: int,
+        failed: int,
+        window_ms: float,
+        mean_ms: float | None,
+        load: Load,
+    ) -> None:
+        """What the proxies of a zone measured at an endpoint; `mean_ms` is None without successes."""
+        window_us = self._validate.window_us(window_ms)
+        successes = self._validate.count_within(attempts, window_us) - count(failed)
+        if successes < 0:
+            raise InvalidReportError(f"{failed} of {attempts} attempts", "failed")
+        mean_us = self._validate.mean_us(mean_ms, successes)
+        self._events.append(
+            EndpointReport(
+                self._number_of(endpoint),
+                self._validate.zone(zone),
+                attempts,
+                failed,
+                window_us,
+                mean_us,
+                load_report(load),
+            )
+        )
+
+    def report_demand(
+        self, proxy: int, class_name: str, arrivals: int, unanswered: int, window_ms: float
+    ) -> None:
+        """The requests of a class that reached a proxy."""
+        class_index = self._validate.class_index(class_name)
+        window_us = self._validate.window_us(window_ms)
+        self._events.append(
+            DemandReport(
+                self._validate.proxy(proxy),
+                class_index,
+                self._validate.count_within(arrivals, window_us),
+                self._validate.count_within(unanswered, window_us),
+                window_us,
+            )
+        )
+
+    def report_probe(self, endpoint: str, status: str, latency_us: int, load: Load) -> None:
+        """The outcome of a health check, by the value of a `HealthCheckStatus`."""
+        self._events.append(
+            HealthCheckCompleted(
+                self._number_of(endpoint), HealthCheckStatus(status), latency_us, load_report(load)
+            )
+        )
+
+    def _report_endpoints(
+        self, kind: EndpointListKind, endpoints: Sequence[ListedEndpoint], version: int
+    ) -> None:
+        self._endpoints.update(endpoints, kind is not EndpointListKind.CHANGES)
+        listed = tuple(self._listed(endpoint) for endpoint in endpoints)
+        self._events.append(EndpointList(kind, version, listed))
+
+    def _listed(self, endpoint: ListedEndpoint) -> Endpoint:
+        return Endpoint(
+            self._number_of(endpoint.name),
+            endpoint.zone,
+            endpoint.kind,
+            endpoint.cell,
+            endpoint.weight,
+            endpoint.status,
+            microseconds(endpoint.started_ms),
+        )
+
+    def _number_of(self, endpoint: str) -> int:
+        number = self._endpoints.number_of(endpoint)
+        if number is None:
+            raise InvalidReportError(f"endpoint {endpoint!r:.60}", "was never listed")
+        return number
+
+    # Steps
+
+    def next_due_us(self) -> int | None:
+        """When the next tick has something to do; None: nothing is pending."""
+        timer_due_us = self._timers.next_due_us()
+        if not self._events:
+            return timer_due_us
+        step_due_us = self._step_due_us if self._step_due_us is not None else 0
+        return step_due_us if timer_due_us is None else min(timer_due_us, step_due_us)
+
+    def start(self, now_us: int) -> None:
+        """Runs the first step immediately: the policy takes the cached list before anyone is answered."""
+        self._step_due_us = now_us
+        self.tick(now_us)
+
+    def tick(self, now_us: int) -> bool:
+        """Runs a step if one is due, and tells whether it did. What arrives together goes into one step.
+
+        Raises whatever the policy raises; its timers are set again then, or the policy would stop.
+        """
+        now_us = max(now_us, self._now_us)
+        self._now_us = now_us
+        if self._events and self._step_due_us is None:
+            self._step_due_us = now_us + self._limits.step_batching_us
+        if not self._is_due(now_us):
+            return False
+        fired = self._timers.pop_due(now_us)
+        events = [*self._events, *map(TimerFired, fired)]
+        self._events = []
+        self._step_due_us = None
+        try:
+            actions = self._policy.step(now_us, events)
+        except Exception:
+            for name in fired:
+                self._set_timer(name, now_us + self._limits.coroutine_restart_us)
+            raise
+        self._work.steps += 1
+        for action in actions:
+            self._carry_out(action)
+        return True
+
+    def _is_due(self, now_us: int) -> bool:
+        timer_due_us = self._timers.next_due_us()
+        if timer_due_us is not None and timer_due_us <= now_us:
+            return True
+        return self._step_due_us is not None and self._step_due_us <= now_us
+
+    def pick(self) -> Work:
+        """The work that steps have asked for since the last pick."""
+        work = self._work
+        self._work = Work()
+        return work
+
+    # Actions
+
+    def _carry_out(self, action: Action) -> None:
+        match action:
+            case SetTimer(name, due_us):
+                self._set_timer(name, due_us)
+            case WatchEndpoints(enabled):
+                self._work.watch = enabled
+            case FetchEndpoints():
+                self._work.fetches += 1
+            case ResendOrders():
+                self._may_resend = True
+            case CheckHealth(endpoint):
+                self._check_health(endpoint)
+            case LogMessage(text):
+                self._work.log_messages.append(text)
+            case SendToPeer():
+                self._work.undeliverable += 1  # no connection carries it here
+            case _:
+                self._order(action)
+
+    def _set_timer(self, name: str, due_us: int) -> None:
+        if not self._timers.add(name, due_us):
+            self._work.undeliverable += 1
+
+    def _check_health(self, endpoint: int) -> None:
+        name = self._endpoints.name_of(endpoint)
+        address = self._endpoints.address_of(name) if name is not None else None
+        if name is None or address is None:
+            self._work.undeliverable += 1
+        else:
+            self._work.health_checks.append(HealthCheckRequest(name, address))
+
+    def _order(self, action: Action) -> None:
+        if isinstance(action, Checkpoint):
+            self._remember(action.checkpoint_id)
+        order = self._translator.order_of(action)
+        if order is None:
+            self._work.undeliverable += 1
+        else:
+            self._work.orders.append(order)
+
+    def _remember(self, checkpoint_id: int) -> None:
+        self._checkpoints.pop(checkpoint_id, None)
+        self._checkpoints[checkpoint_id] = None
+        if len(self._checkpoints) > self._limits.max_checkpoints:
+            del self._checkpoints[next(iter(self._checkpoints))]
--- /dev/null
+++ b/kelpcourse/facade/translation.py
@@ -0,0 +1,58 @@
+"""Actions of the policy as orders to the relay: endpoints and classes by name, figures as the wire has them."""
+
+from __future__ import annotations
+
+from kelpcourse.memory import orders
+from kelpcourse.memory.endpoints import EndpointRegistry
+from kelpcourse.policy.actions import (
+    Action,
+    BindProxy,
+    Checkpoint,
+    ClearTable,
+    RestoreEndpoint,
+    SetAdmission,
+    SetWeight,
+    WithdrawEndpoint,
+)
+from kelpcourse.policy.settings import Settings
+
+
+class OrderTranslator:
+    """Translates actions, with the names that the registry and the settings have."""
+
+    def __init__(self, settings: Settings, endpoints: EndpointRegistry) -> None:
+        """Takes where names come from."""
+        self._endpoints = endpoints
+        self._class_names = [request_class.name for request_class in settings.classes]
+
+    def order_of(self, action: Action) -> orders.Order | None:
+        """The order for an action, or None if its endpoint is forgotten or it is not for the relay."""
+        match action:
+            case SetWeight(table, endpoint, weight):
+                name = self._endpoints.name_of(endpoint)
+                return None if name is None else orders.SetWeight(table, name, _rounded(weight))
+            case WithdrawEndpoint(endpoint):
+                name = self._endpoints.name_of(endpoint)
+                return None if name is None else orders.WithdrawEndpoint(name)
+            case RestoreEndpoint(endpoint):
+                name = self._endpoints.name_of(endpoint)
+                return None if name is None else orders.RestoreEndpoint(name)
+            case ClearTable(table):
+                return orders.ClearTable(table)
+            case BindProxy(proxy, table, classes):
+                return orders.BindProxy(proxy, table, self._names_of(classes))
+            case SetAdmission(table, classes, limit, retry_policy):
+                return orders.SetAdmission(
+                    table, self._names_of(classes), _rounded(limit), retry_policy.value
+                )
+            case Checkpoint(checkpoint_id, all_proxies):
+                return orders.Checkpoint(checkpoint_id, all_proxies)
+        return None
+
+    def _names_of(self, classes: tuple[int, ...]) -> tuple[str, ...]:
+        return tuple(self._class_names[index] for index in classes)
+
+
+def _rounded(value: float) -> float:
+    """As many digits as the simulator's wire carries."""
+    return float(f"{value:.6g}")
--- a/kelpcourse/service/config.py
+++ b/kelpcourse/service/config.py
@@ -15,20 +15,31 @@
 from kelpcourse.wire.fields import BadMessage, address
 from kelpcourse.wire.stream import Address
 
-HOLDS = {"NODE_NAME": "name", "NODE_LISTEN": "listen", "NODE_DISCOVERY": "discovery"}
-MOVES = ("discovery", "relay")  # what a reload follows; a process's variables can't follow it
-WAITS = ("name", "listen", "settings", "sockets", "memory_mb")  # what waits for a restart
+# Variables that must agree with a field of the file where they are set.
+FIELD_BY_VARIABLE = {"NODE_NAME": "name", "NODE_LISTEN": "listen", "NODE_DISCOVERY": "discovery"}
+# Fields of `Config`, by the names that the log has.
+FOLLOWED_BY_RELOAD = ("discovery", "relay")
+REQUIRES_RESTART = ("name", "listen", "settings", "sockets", "memory_mb")
 
-SOCKETS = 1024  # where the configuration does not tell
-MEMORY_MB = 192
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 192
 
 
-class BadConfig(ValueError):
-    """The configuration can't be used; the text names the field."""
+class ConfigError(ValueError):
+    """The configuration can't be used; the text names the field or variable."""
 
 
 @dataclass(frozen=True)
 class Config:
+    """What a controller is started with.
+
+    | in the file | here |
+    | --- | --- |
+    | `registry.address` | `relay` |
+    | `known` | `known`, the endpoint list as it was last cached |
+    | `limits.sockets`, `limits.memory_mb` | `sockets`, `memory_mb` |
+    """
+
     name: str
     listen: Address
     discovery: Address
@@ -41,54 +52,63 @@
 
 
 def reread_config(environment: Mapping[str, str]) -> Config:
-    """The file as it is now. Discovery may have moved since the variable was set."""
+    """The file as it is now; discovery may have moved since the variable was set. Raises ConfigError."""
     return read_config(
         {name: value for name, value in environment.items() if name != "NODE_DISCOVERY"}
     )
 
 
-def differing(old: Config, new: Config, fields: tuple[str, ...]) -> list[str]:
+def changed_fields(old: Config, new: Config, fields: tuple[str, ...]) -> list[str]:
+    """Those of the fields in which two configurations differ."""
     return [field for field in fields if getattr(old, field) != getattr(new, field)]
 
 
 def read_config(environment: Mapping[str, str]) -> Config:
+    """Reads the file that NODE_CONFIG names and checks the other variables against it. Raises ConfigError."""
     path = environment.get("NODE_CONFIG", "")
     if not path:
-        raise BadConfig("variable NODE_CONFIG is missing")
+        raise ConfigError("variable NODE_CONFIG is missing")
     root = _load(path)
-    for variable, field in HOLDS.items():
+    _check_variables(environment, root)
+    try:
+        return _config(root)
+    except BadMessage as error:
+        raise ConfigError(str(error)) from error
+
+
+def _check_variables(environment: Mapping[str, str], root: Mapping[str, object]) -> None:
+    for variable, field in FIELD_BY_VARIABLE.items():
         if variable in environment and environment[variable] != root.get(field):
-            raise BadConfig(
+            raise ConfigError(
                 f"variable {variable} and field '{field}' differ:"
                 f" {environment[variable]!r:.60}, {root.get(field)!r:.60}"
             )
-    try:
-        return Config(
-            name=_text(root, "name"),
-            listen=address(_text(root, "listen"), "listen"),
-            discovery=address(_text(root, "discovery"), "discovery"),
-            relay=address(
-                _text(_object(root, "registry"), "address", "registry."), "registry.address"
-            ),
-            seed=_seed(_text(root, "seed")),
-            known=read_list(_object(root, "known"), _refuse),
-            settings=_settings(root),
-            sockets=_limit(root, "sockets", SOCKETS),
-            memory_mb=_limit(root, "memory_mb", MEMORY_MB),
-        )
-    except BadMessage as error:
-        raise BadConfig(str(error)) from None
+
+
+def _config(root: Mapping[str, object]) -> Config:
+    relay = _text(_object(root, "registry"), "address", "registry.")
+    return Config(
+        name=_text(root, "name"),
+        listen=address(_text(root, "listen"), "listen"),
+        discovery=address(_text(root, "discovery"), "discovery"),
+        relay=address(relay, "registry.address"),
+        seed=_seed(_text(root, "seed")),
+        known=read_list(_object(root, "known"), _raise),
+        settings=_settings(root),
+        sockets=_limit(root, "sockets", DEFAULT_SOCKETS),
+        memory_mb=_limit(root, "memory_mb", DEFAULT_MEMORY_MB),
+    )
 
 
 def _load(path: str) -> Mapping[str, object]:
     try:
         root = orjson.loads(Path(path).read_bytes())
     except OSError as error:
-        raise BadConfig(f"variable NODE_CONFIG: {path}: {error.strerror}") from None
+        raise ConfigError(f"variable NODE_CONFIG: {path}: {error.strerror}") from error
     except orjson.JSONDecodeError as error:
-        raise BadConfig(f"variable NODE_CONFIG: {path}: not JSON: {error}") from None
+        raise ConfigError(f"variable NODE_CONFIG: {path}: not JSON: {error}") from error
     if not isinstance(root, dict):
-        raise BadConfig(f"variable NODE_CONFIG: {path}: not a JSON object")
+        raise ConfigError(f"variable NODE_CONFIG: {path}: not a JSON object")
     return root
 
 
@@ -96,59 +116,59 @@
     try:
         settings = read_settings(Fields.from_nested(_object(root, "settings")))
     except InputError as error:
-        raise BadConfig(f"settings: {error}") from None
+        raise ConfigError(f"settings: {error}") from error
     _check_names(root["settings"])
     if settings.slice_count:
-        raise BadConfig("settings: field 'family_info.partitions_n': slices are not served here")
+        raise ConfigError("settings: field 'family_info.partitions_n': slices are not served here")
     return settings
 
 
 def _check_names(value: object, path: str = "settings") -> None:
-    """Settings are read as the simulator's wire tells them, which has `_` for both: zones and classes would come to
-    have names here that nobody else knows."""
+    """Refuses texts with a space or a comma.
+
+    Settings are read as the simulator's wire tells them, which has `_` for both: zones and classes would have names
+    here that nobody else knows.
+    """
     if isinstance(value, str) and (" " in value or "," in value):
-        raise BadConfig(f"field '{path}' holds a space or a comma: {value!r:.60}")
-    pairs = (
-        value.items()
-        if isinstance(value, dict)
-        else enumerate(value)
-        if isinstance(value, list)
-        else ()
-    )
-    for name, item in pairs:
-        _check_names(item, f"{path}.{name}")
+        raise ConfigError(f"field '{path}' holds a space or a comma: {value!r:.60}")
+    if isinstance(value, dict):
+        for name, item in value.items():
+            _check_names(item, f"{path}.{name}")
+    elif isinstance(value, list):
+        for index, item in enumerate(value):
+            _check_names(item, f"{path}.{index}")
 
 
 def _object(root: Mapping[str, object], name: str) -> Mapping[str, object]:
     value = root.get(name)
     if not isinstance(value, dict):
-        raise BadConfig(f"field '{name}' is missing or not an object")
+        raise ConfigError(f"field '{name}' is missing or not an object")
     return value
 
 
-def _text(root: Mapping[str, object], name: str, under: str = "") -> str:
+def _text(root: Mapping[str, object], name: str, prefix: str = "") -> str:
     value = root.get(name)
     if not isinstance(value, str) or not value:
-        raise BadConfig(f"field '{under}{name}' is missing or not a text")
+        raise ConfigError(f"field '{prefix}{name}' is missing or not a text")
     return value
 
 
-def _refuse(error: BadMessage) -> None:
+def _raise(error: BadMessage) -> None:
     raise error
 
 
-def _limit(root: Mapping[str, object], name: str, usual: int) -> int:
+def _limit(root: Mapping[str, object], name: str, default: int) -> int:
     limits = root.get("limits")
     if not isinstance(limits, dict) or name not in limits:
-        return usual
+        return default
     value = limits[name]
     if not isinstance(value, int | float) or isinstance(value, bool) or value < 1:
-        raise BadConfig(f"field 'limits.{name}' is not a number from 1 up: {value!r:.60}")
+        raise ConfigError(f"field 'limits.{name}' is not a number from 1 up: {value!r:.60}")
     return int(value)
 
 
 def _seed(value: str) -> int:
     try:
         return int(value, 16)
-    except ValueError:
-        raise BadConfig(f"field 'seed' is not hex digits: {value!r:.60}") from None
+    except ValueError as error:
+        raise ConfigError(f"field 'seed' is not hex digits: {value!r:.60}") from error
--- a/kelpcourse/shared/standalone.py
+++ b/kelpcourse/shared/standalone.py
@@ -60,9 +60,9 @@
         return self._process.run(self._start, self.member.close, self._renew)
 
     def _start(self) -> None:
-        self.member.start(self._process.keep)
-        self._process.keep("shared commands", self._run_commands)
-        self._process.keep("certificate", self._watch_certificate)
+        self.member.start(self._process.supervise)
+        self._process.supervise("shared commands", self._run_commands)
+        self._process.supervise("certificate", self._watch_certificate)
 
     def _renew(self) -> None:
         """Certificates are read again; lines that are made from now on show them, those that stand go on."""
--- a/kelpcourse/shared/steering.py
+++ b/kelpcourse/shared/steering.py
@@ -55,9 +55,9 @@
         self._report_list = facade.report_list
         self._tell = tell
 
-    def __call__(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
-        self._tell(members)
-        self._report_list(members, version, whole)
+    def __call__(self, endpoints: Sequence[ListedEndpoint], version: int, complete: bool) -> None:
+        self._tell(endpoints)
+        self._report_list(endpoints, version, complete)
 
 
 class GroupDirector:
@@ -129,7 +129,7 @@
             self._discovery.watch(work.watch)
         for _ in range(work.fetches):
             self._discovery.fetch()
-        for note in work.notes:
+        for note in work.log_messages:
             self._around.log.event("policy_message", text=f"group {self.group}: {note}")
 
     # Withdrawals
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -12,7 +12,7 @@
 from kelpcourse.memory.counters import Counters
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.service.clock import Clock
-from kelpcourse.service.process import kept
+from kelpcourse.service.process import supervised
 from kelpcourse.store.errors import FolderInUseError
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.recovery import recover
@@ -131,7 +131,7 @@
     try:
         zones.start_store(
             lambda name, make: loop.start(
-                name, kept(loop, limits, name, make, lambda _, error: failed.append(error))
+                name, supervised(loop, limits, name, make, lambda _, error: failed.append(error))
             )
         )
         while zones.settling:
--- a/kelpcourse/zones/standalone.py
+++ b/kelpcourse/zones/standalone.py
@@ -17,7 +17,9 @@
     def __init__(self, settings: ZonesSettings, limits: Limits, fd: int = 1) -> None:
         self._process = Process("zones", limits, fd)
         self.loop, self.log = self._process.loop, self._process.log
-        around = Around(self.loop, limits, self._process.counters, self.log, self._process.keep)
+        around = Around(
+            self.loop, limits, self._process.counters, self.log, self._process.supervise
+        )
         self.zones = Zones(settings, around, self)
 
     def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -16,7 +16,7 @@
 from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.orders import BindProxy, Checkpoint, Order, WithdrawEndpoint
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.service.config import BadConfig, read_config
+from kelpcourse.service.config import ConfigError, read_config
 from kelpcourse.settings import read_settings
 from tests.standins import entry
 from tests.test_adapter import CONFIG
@@ -193,7 +193,7 @@
     ],
 )
 def test_a_mistake_names_its_field(tmp_path: Path, root: object, field: str) -> None:
-    with pytest.raises(BadConfig, match=field.replace(".", r"\.")) as told:
+    with pytest.raises(ConfigError, match=field.replace(".", r"\.")) as told:
         read_config(environment(tmp_path, root))
     assert "\n" not in str(told.value)
 
@@ -233,18 +233,18 @@
 
 
 def test_files_that_can_not_be_read_are_told(tmp_path: Path) -> None:
-    with pytest.raises(BadConfig, match="NODE_CONFIG is missing"):
+    with pytest.raises(ConfigError, match="NODE_CONFIG is missing"):
         read_config({})
-    with pytest.raises(BadConfig, match="No such file"):
+    with pytest.raises(ConfigError, match="No such file"):
         read_config({"NODE_CONFIG": str(tmp_path / "nowhere")})
     (tmp_path / "half").write_text('{"name":')
-    with pytest.raises(BadConfig, match="not JSON"):
+    with pytest.raises(ConfigError, match="not JSON"):
         read_config({"NODE_CONFIG": str(tmp_path / "half")})
 
 
 @pytest.mark.parametrize("variable", ["NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY"])
 def test_variables_that_contradict_the_file_are_told(tmp_path: Path, variable: str) -> None:
-    with pytest.raises(BadConfig, match=variable):
+    with pytest.raises(ConfigError, match=variable):
         read_config(environment(tmp_path, ROOT, **{variable: "127.0.0.9:1"}))
 
 
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from kelpcourse.facade import HealthCheckRequest
 from kelpcourse.policy.actions import CheckHealth, WatchEndpoints
 from kelpcourse.policy.events import EndpointList, EndpointListKind, EndpointStatus
 from kelpcourse.wire.discovery import Discovery, read_list
@@ -240,7 +241,7 @@
     bench.facade.report_list_unavailable()
     bench.pass_us(5 * MS)
     work = bench.facade.pick()
-    assert work.probes == [("a", ("127.0.0.2", 7))]
+    assert work.health_checks == [HealthCheckRequest("a", ("127.0.0.2", 7))]
     assert work.watch is False
 
 
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from kelpcourse.facade import Facade, InvalidReportError
+from kelpcourse.facade import Facade, HealthCheckRequest, InvalidReportError
 from kelpcourse.memory import orders
 from kelpcourse.memory.endpoints import EndpointRegistry
 from kelpcourse.policy.actions import (
@@ -142,8 +142,11 @@
         orders.Checkpoint(9, True),
     ]
     assert (work.watch, work.fetches) == (True, 1)
-    assert (work.probes, work.notes) == ([("h1", ("127.0.0.1", 9))], ["seen"])
-    assert work.undelivered == 2  # a peer, for whom there is no word here, and a host never listed
+    assert work.health_checks == [HealthCheckRequest("h1", ("127.0.0.1", 9))]
+    assert work.log_messages == ["seen"]
+    assert (
+        work.undeliverable == 2
+    )  # a peer, for whom there is no word here, and a host never listed
     assert door.facade.pick().orders == []
 
 
@@ -204,7 +207,7 @@
     door.facade.report_proxy_left(0)
     door.facade.tick(2000)
     door.facade.tick(2000 + 10 * MS)
-    assert door.facade.pick().undelivered == 5
+    assert door.facade.pick().undeliverable == 5
 
 
 def test_time_never_goes_back_for_the_module() -> None:
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -11,7 +11,7 @@
 import pytest
 
 from kelpcourse.policy.events import DemandReport, EndpointReport
-from kelpcourse.service.director import bound
+from kelpcourse.service.controller import bind_listener
 from kelpcourse.wire.listener import Listener
 from tests.standins import HASTY, MS, QUICK, Bench, member
 
@@ -409,7 +409,7 @@
     """The address was tried out and closed again: who connected in between was taken by the system and reset."""
     front = Front(bench)
     bench.loop.stop(front.task)
-    sock = bound(front.address)
+    sock = bind_listener(front.address)
     assert sock is not None
     early = front.connect()
     early.sendall(b"ping\r\n")
