--- a/kelpcourse/policy/controller.py
+++ b/kelpcourse/policy/controller.py
@@ -20,7 +20,7 @@
     WatchEndpoints,
     WithdrawEndpoint,
 )
-from kelpcourse.policy.delivery import Channel
+from kelpcourse.policy.delivery import DeliveryTracker
 from kelpcourse.policy.events import (
     DemandReport,
     Endpoint,
@@ -212,7 +212,7 @@
         self.servers, self.proxies = dict[EndpointId, Server](), dict[ProxyId, int]()  # held till
         rate, grace_us = settings.delivery_entries_per_s / 1e6, settings.drain_grace_us
         longest_us = int(settings.max_backlog_entries / rate) + settings.max_transit_us
-        self.channel = Channel(
+        self.delivery = DeliveryTracker(
             longest_us,
             rate,
             settings.max_messages_per_proxy,
@@ -314,7 +314,7 @@
                     )  # the news had a gap: it is bound still, or left unseen
                 else:
                     self._let_go(proxy)
-                self.channel.joined(proxy, self.now)
+                self.delivery.proxy_joined(proxy, self.now)
                 self.proxies[proxy] = (self.now + HOLD_US) * (self._mass() and not fresh)
                 self.loose[proxy], self.seen[proxy] = self.now, (zone, rate)
             case ProxyLeft(proxy) if (
@@ -322,13 +322,13 @@
             ):  # what it holds is not reported here any more
                 self.backlog *= 1 - 1 / len(self.proxies)
                 self._let_go(proxy)
-                self.channel.left(proxy)
+                self.delivery.proxy_left(proxy)
             case OrdersAcknowledged(proxy, number, _):
-                self.channel.applied(proxy, number, self.now)
+                self.delivery.acknowledged(proxy, number, self.now)
             case OrdersAccepted(number):
-                self.channel.taken(number, self.now)
+                self.delivery.accepted(number, self.now)
             case OrdersOutcomeUnknown(numbers):
-                self.channel.doubted = numbers
+                self.delivery.outcome_unknown(numbers)
             case EndpointReport():
                 self._take_report(event)
             case DemandReport(_, cls, arrived, unanswered, _):
@@ -737,13 +737,15 @@
         self.cost[table] += 1
 
     def _publish(self) -> None:
-        if self.s.slice_count or not self.channel.few(1.0, self.now):
+        if self.s.slice_count or not self.delivery.within_message_budget(1.0, self.now):
             return
-        if self.channel.doubted:  # rule 5: what comes behind a call that broke waits for it
-            if not self.channel.again(self.now, QUEUE_MOST * self.s.max_backlog_entries):
+        if (
+            self.delivery.unknown_outcomes
+        ):  # rule 5: what comes behind a call that broke waits for it
+            if not self.delivery.try_resend(self.now, QUEUE_MOST * self.s.max_backlog_entries):
                 return
             self.out.append(ResendOrders())
-        self.queued = self.channel.waiting(self.now)
+        self.queued = self.delivery.backlog_entries(self.now)
         self.cost, self.loose_hosts = Counter[TableId](), 0  # withdrawn or back
         late = self._tell_late()
         self._withdraw_dropped()
@@ -756,7 +758,7 @@
         due &= (
             bool(self.proxies) or self.groups == 1
         )  # else fitted to how traffic splits over zones
-        few, room = self.channel.few, self._room
+        few, room = self.delivery.within_message_budget, self._room
         if (
             self.loose_hosts
             or (self.urgent and room(QUEUE_MOST) > 0 and few(MESSAGES_URGENT, self.now))
@@ -946,6 +948,6 @@
         cost = {
             number: count + self.s.message_overhead_entries + 1 for number, count in lines.items()
         }
-        self.channel.sent(
+        self.delivery.record_sent(
             self.number, self.now, cost, self._loose_lines(self.loose_hosts), self.loose
         )
--- a/kelpcourse/policy/delivery.py
+++ b/kelpcourse/policy/delivery.py
@@ -1,152 +1,293 @@
-"""Books of a director's channel: lines that may still wait in it, messages written to each proxy lately."""
+"""Tracks orders that have not been acknowledged yet, and the messages lately sent to each proxy.
+
+Orders leave a controller through one ordered delivery queue. Its length can't be observed, only estimated: from what
+was ordered, from acknowledgements, and from the rate at which the queue drains. Costs are counted in table entries.
+"""
 
 from __future__ import annotations
 
 import math
 from collections import deque
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
 
 from kelpcourse.policy.settings import ProxyId
 
 
-class Step:
-    def __init__(self, number: int, at_us: int, due_us: int, lines: float, others: float) -> None:
-        self.number, self.at_us = number, at_us  # of its checkpoint; when its messages were written
-        self.due_us = due_us  # when it is through at the channel's pace, or later
-        self.lines = self.unanswered = (
-            lines  # that its orders put into the channel; those not answered
-        )
-        self.others, self.unsure, self.heard_us = (
-            others,
-            others > 0,
-            0,
-        )  # to those that may not answer
+class Delivery:
+    """The messages of one step, identified by its checkpoint."""
+
+    def __init__(
+        self,
+        checkpoint_id: int,
+        sent_us: int,
+        due_us: int,
+        entries: float,
+        unconfirmed_entries: float,
+    ) -> None:
+        """Records a step.
+
+        Args:
+            checkpoint_id: of the step's checkpoint.
+            sent_us: when its messages were sent.
+            due_us: when all of them have left the queue if it drains at its usual rate.
+            entries: that its orders put into the queue, for proxies that acknowledge them.
+            unconfirmed_entries: about so many more, for proxies that may not acknowledge them.
+        """
+        self.checkpoint_id = checkpoint_id
+        self.sent_us = sent_us
+        self.due_us = due_us
+        self.entries = entries
+        self.unacknowledged_entries = entries
+        self.unconfirmed_entries = unconfirmed_entries
+        self.may_lack_acknowledgement = unconfirmed_entries > 0
+        self.last_acknowledged_us = 0
+
+    @property
+    def total_entries(self) -> float:
+        """All entries, acknowledged or not."""
+        return self.entries + self.unconfirmed_entries
+
+
+@dataclass(slots=True)
+class ProxyDelivery:
+    """The part of a delivery that goes to one proxy."""
 
+    delivery: Delivery
+    entries: float
 
-class Channel:
-    """Messages leave in order: what was ordered waits for answers to all before, or a full channel's time."""
+
+@dataclass(frozen=True)
+class UnseenDeparture:
+    """Entries for a proxy that joined again without a known departure: no acknowledgement of them will come."""
+
+    expires_us: int
+    entries: float
+
+
+class DeliveryTracker:
+    """Estimates the backlog of the delivery queue and counts the messages sent to each proxy.
+
+    Messages leave in order: a delivery counts as waiting until all earlier ones are acknowledged, or until the time
+    has passed that a full queue takes.
+    """
 
     def __init__(
-        self, longest_us: int, pace: float, most: int = 0, in_us: int = 0, lag_us: int = 0
+        self,
+        max_delivery_us: int,
+        entries_per_us: float,
+        max_messages: int = 0,
+        message_window_us: int = 0,
+        max_transit_us: int = 0,
     ) -> None:
-        self._longest_us, self._lines_per_us, self._due_us = longest_us, pace, 0
-        self._steps: deque[Step] = deque()
-        self._of: dict[ProxyId, deque[tuple[Step, float]]] = {}  # unanswered, oldest first
-        self._unseen: list[tuple[int, float]] = []  # until when lines count
-        self._told_us = self._heard_us = 0  # when what was answered last was ordered; heard
-        self._most, self._over_us = most, in_us  # messages to a proxy, and in which time
-        self._transit_us, self.doubted = lag_us, tuple[int, ...]()  # steps of a call that broke
-        self._written: dict[ProxyId | None, deque[Step]] = {}  # the last of them
-
-    def sent(
+        """Starts with an empty queue.
+
+        Args:
+            max_delivery_us: the longest time from an order to its acknowledgement.
+            entries_per_us: the usual rate at which the queue drains.
+            max_messages: that may be sent to one proxy within the window; 0: no limit.
+            message_window_us: of that count.
+            max_transit_us: the longest time from leaving the queue to the proxy.
+        """
+        self._max_delivery_us = max_delivery_us
+        self._entries_per_us = entries_per_us
+        self._max_messages = max_messages
+        self._message_window_us = message_window_us
+        self._max_transit_us = max_transit_us
+        self._queue_empty_us = 0
+        self._deliveries: deque[Delivery] = deque()
+        self._by_proxy: dict[ProxyId, deque[ProxyDelivery]] = {}  # unacknowledged, oldest first
+        self._unseen_departures: list[UnseenDeparture] = []
+        self._last_acknowledged_sent_us = 0  # when what was acknowledged last was sent
+        self._last_progress_us = 0  # last acknowledgement ahead of the oldest delivery still kept
+        self._recent_messages: deque[Delivery] = deque(maxlen=max_messages)  # to any proxy
+        self._recent_by_proxy: dict[ProxyId, deque[Delivery]] = {}
+        self._unknown_outcomes: tuple[int, ...] = ()
+
+    @property
+    def unknown_outcomes(self) -> tuple[int, ...]:
+        """Checkpoints of a call that failed after it was sent: whether it was carried out is unknown."""
+        return self._unknown_outcomes
+
+    def record_sent(
         self,
-        number: int,
+        checkpoint_id: int,
         now_us: int,
-        lines: dict[ProxyId, float],
-        others: float = 0.0,
-        to: Iterable[ProxyId] = (),
+        entries_by_proxy: Mapping[ProxyId, float],
+        unconfirmed_entries: float = 0.0,
+        unconfirmed_proxies: Iterable[ProxyId] = (),
     ) -> None:
-        """Books a step's messages, by proxy, and about so many lines `to` others, whose answer is unsure."""
-        total = sum(lines.values())
-        self._due_us = max(now_us, self._due_us) + int((total + others) / self._lines_per_us)
-        step = Step(number, now_us, self._due_us, total, others)
-        self._steps.append(step)
-        for proxy, cost in lines.items():
-            self._of.setdefault(proxy, deque()).append((step, cost))
-        for to_one in (None, *(lines.keys() | (to if others else ()))):  # None: to any
-            self._written.setdefault(to_one, deque(maxlen=self._most)).append(step)
-
-    def few(self, part: float, now_us: int) -> bool:
-        """Rule 5: no proxy was written so large a part of the messages that it may be within a time."""
-        count, since_us = math.ceil(self._most * part), now_us - self._over_us
-        many = (s[-count].at_us > since_us for s in self._written.values() if 0 < count <= len(s))
-        return not (next(many, False) and any(many))  # the first is of messages to any
-
-    def taken(self, number: int, now_us: int) -> None:
-        for step in (*self._steps, *self._written.get(None, ())):
-            if step.number == number:  # times run from here: it may have had to wait
-                step.due_us, step.at_us = step.due_us + now_us - step.at_us, now_us
-        self.doubted = self.doubted if number not in self.doubted else ()
-
-    def applied(self, proxy: ProxyId, number: int, now_us: int = 0) -> None:
-        """A proxy's messages arrive in order: this one and all before it are through. Numbers start over."""
-        numbers = [step.number for step, _ in self._of.get(proxy, ())]
-        for _ in range(numbers.index(number) + 1 if number in numbers else 0):
-            step, cost = self._of[proxy].popleft()
-            step.unanswered, step.heard_us = step.unanswered - cost, now_us
-            self._told_us = max(self._told_us, step.at_us)
-
-    def left(self, proxy: ProxyId, heard: bool = True) -> None:
-        self._written.pop(proxy if heard else -1, None)  # messages count from its joining
-        for step, cost in self._of.pop(proxy, ()):
-            step.unanswered, step.lines, step.unsure = (
-                step.unanswered - cost,
-                step.lines - cost,
-                True,
+        """Records the messages of a step, and entries for proxies that may not acknowledge them."""
+        entries = sum(entries_by_proxy.values())
+        queue_us = int((entries + unconfirmed_entries) / self._entries_per_us)
+        self._queue_empty_us = max(now_us, self._queue_empty_us) + queue_us
+        delivery = Delivery(
+            checkpoint_id, now_us, self._queue_empty_us, entries, unconfirmed_entries
+        )
+        self._deliveries.append(delivery)
+        for proxy, cost in entries_by_proxy.items():
+            self._by_proxy.setdefault(proxy, deque()).append(ProxyDelivery(delivery, cost))
+        self._recent_messages.append(delivery)
+        recipients = set(entries_by_proxy)
+        if unconfirmed_entries:
+            recipients.update(unconfirmed_proxies)
+        for proxy in recipients:
+            recent = self._recent_by_proxy.setdefault(proxy, deque(maxlen=self._max_messages))
+            recent.append(delivery)
+
+    def within_message_budget(self, fraction: float, now_us: int) -> bool:
+        """Whether every proxy was sent fewer messages within the window than this fraction of the limit."""
+        count = math.ceil(self._max_messages * fraction)
+        since_us = now_us - self._message_window_us
+        if not _has_recent(self._recent_messages, count, since_us):
+            return True  # no proxy was sent more messages than all together
+        return not any(
+            _has_recent(recent, count, since_us) for recent in self._recent_by_proxy.values()
+        )
+
+    def accepted(self, checkpoint_id: int, now_us: int) -> None:
+        """The relay has accepted a step's orders: their times count from now, as they may have waited."""
+        for delivery in (*self._deliveries, *self._recent_messages):
+            if delivery.checkpoint_id == checkpoint_id:
+                delivery.due_us += now_us - delivery.sent_us
+                delivery.sent_us = now_us
+        if checkpoint_id in self._unknown_outcomes:
+            self._unknown_outcomes = ()
+
+    def acknowledged(self, proxy: ProxyId, checkpoint_id: int, now_us: int = 0) -> None:
+        """A proxy has applied a checkpoint, and so every earlier message to it. Numbers wrap around."""
+        deliveries = self._by_proxy.get(proxy, deque())
+        checkpoint_ids = [part.delivery.checkpoint_id for part in deliveries]
+        if checkpoint_id not in checkpoint_ids:
+            return
+        for _ in range(checkpoint_ids.index(checkpoint_id) + 1):
+            part = deliveries.popleft()
+            part.delivery.unacknowledged_entries -= part.entries
+            part.delivery.last_acknowledged_us = now_us
+            self._last_acknowledged_sent_us = max(
+                self._last_acknowledged_sent_us, part.delivery.sent_us
             )
 
-    def joined(self, proxy: ProxyId, now_us: int) -> None:
-        """Of one that was not heard to leave, what waits may reach it yet, but no answer to it will come."""
-        self._unseen.append(
-            (now_us + self._longest_us, sum(cost for _, cost in self._of.get(proxy, ())))
+    def proxy_left(self, proxy: ProxyId) -> None:
+        """A proxy has left: it acknowledges nothing more, and its messages count from when it joins again."""
+        self._recent_by_proxy.pop(proxy, None)
+        self._forget_entries(proxy)
+
+    def proxy_joined(self, proxy: ProxyId, now_us: int) -> None:
+        """A proxy has joined. If it was not known to leave, what waits may reach it but is not acknowledged."""
+        waiting = sum(part.entries for part in self._by_proxy.get(proxy, ()))
+        self._unseen_departures.append(UnseenDeparture(now_us + self._max_delivery_us, waiting))
+        self._forget_entries(proxy)
+
+    def _forget_entries(self, proxy: ProxyId) -> None:
+        for part in self._by_proxy.pop(proxy, ()):
+            part.delivery.unacknowledged_entries -= part.entries
+            part.delivery.entries -= part.entries
+            part.delivery.may_lack_acknowledgement = True
+
+    def outcome_unknown(self, checkpoint_ids: tuple[int, ...]) -> None:
+        """A call with these checkpoints failed after it was sent."""
+        self._unknown_outcomes = checkpoint_ids
+
+    def try_resend(self, now_us: int, max_backlog_entries: float) -> bool:
+        """Lets orders of unknown outcome be sent again if that is safe, and tells whether none is left.
+
+        It is safe where both copies fit the backlog, where the first has left the queue for sure, or where nobody
+        has acknowledged what must have arrived by now, so that the call was not carried out.
+        """
+        deliveries = self._deliveries_of_unknown_outcome()
+        was_dropped = all(self._was_dropped(delivery, now_us) for delivery in deliveries)
+        has_left = all(
+            now_us - delivery.sent_us >= self._max_delivery_us for delivery in deliveries
         )
-        self.left(proxy, False)
-
-    def repeated(self, number: int, now_us: int) -> None:
-        """A step's orders may have gone out twice: no answer tells when the second are through."""
-        again = (step.lines + step.others for step in self._steps if step.number == number)
-        self.sent(number, now_us, {}, next(again, 0.0))
-        for written in self._written.values():
-            written += [step for step in written if step.number == number][:1]
-
-    def again(self, now_us: int, most: float) -> bool:
-        """Whether a call that broke may go again: both copies fit, or nobody answers what must be through."""
-        steps = {
-            step.number: step for step in reversed(self._steps) if step.number in self.doubted
-        }.values()
-        silent = all(
-            now_us >= step.due_us + 2 * self._transit_us and step.unanswered >= step.lines > 0
-            for step in steps
-        )  # so it was not carried out
-        old = all(now_us - step.at_us >= self._longest_us for step in steps)
-        if (
-            silent
-            or old
-            or sum(step.lines + step.others for step in steps) + self.waiting(now_us) <= most
-        ):
-            for number in () if silent else self.doubted:
-                self.repeated(number, now_us)
-            self.doubted = ()
-        return not self.doubted
-
-    def waiting(self, now_us: int) -> float:
-        self._unseen = [(until_us, n) for until_us, n in self._unseen if until_us >= now_us and n]
-        total, kept, behind, heard_us = (
-            sum(n for _, n in self._unseen),
-            deque[Step](),
-            False,
-            self._heard_us,
+        if not (was_dropped or has_left):
+            copy_entries = sum(delivery.total_entries for delivery in deliveries)
+            if copy_entries + self.backlog_entries(now_us) > max_backlog_entries:
+                return not self._unknown_outcomes
+        if not was_dropped:
+            for checkpoint_id in self._unknown_outcomes:
+                self.record_resent(checkpoint_id, now_us)
+        self._unknown_outcomes = ()
+        return True
+
+    def _deliveries_of_unknown_outcome(self) -> list[Delivery]:
+        """One delivery a checkpoint, the oldest of a number; the latest checkpoint first."""
+        by_checkpoint = {
+            delivery.checkpoint_id: delivery
+            for delivery in reversed(self._deliveries)
+            if delivery.checkpoint_id in self._unknown_outcomes
+        }
+        return list(by_checkpoint.values())
+
+    def _was_dropped(self, delivery: Delivery, now_us: int) -> bool:
+        """Whether nobody has acknowledged anything of a delivery that must have arrived by now."""
+        arrived_us = delivery.due_us + 2 * self._max_transit_us
+        return now_us >= arrived_us and delivery.unacknowledged_entries >= delivery.entries > 0
+
+    def record_resent(self, checkpoint_id: int, now_us: int) -> None:
+        """A step's orders may be in the queue twice: no acknowledgement tells when the second copy has left."""
+        copy_entries = next(
+            (d.total_entries for d in self._deliveries if d.checkpoint_id == checkpoint_id), 0.0
         )
-        for step in self._steps:
-            heard_us = max(
-                heard_us, step.heard_us
-            )  # while what is ahead is answered, its turn is to come
-            unanswered = (
-                step.unanswered > 0 and now_us - max(step.at_us, heard_us) < self._longest_us
-            )
-            held = unanswered or (step.unsure and now_us < step.due_us)
-            lost = self._told_us - step.at_us >= self._longest_us <= (now_us - step.at_us) // 2
-            if lost or not (
-                behind or held or step.unanswered
-            ):  # lost: much later ones are answered
-                self._heard_us = self._heard_us if kept else heard_us
+        self.record_sent(checkpoint_id, now_us, {}, copy_entries)
+        for recent in (self._recent_messages, *self._recent_by_proxy.values()):
+            first = next((d for d in recent if d.checkpoint_id == checkpoint_id), None)
+            if first is not None:
+                recent.append(first)
+
+    def backlog_entries(self, now_us: int) -> float:
+        """The entries that may still wait in the delivery queue; deliveries that have left it are forgotten."""
+        self._unseen_departures = [
+            departure
+            for departure in self._unseen_departures
+            if departure.expires_us >= now_us and departure.entries
+        ]
+        total: float = sum(departure.entries for departure in self._unseen_departures)
+        kept = deque[Delivery]()
+        is_behind = False  # behind a delivery that is surely still in the queue
+        progress_us = self._last_progress_us
+        for delivery in self._deliveries:
+            progress_us = max(progress_us, delivery.last_acknowledged_us)
+            is_awaited = self._is_awaited(delivery, progress_us, now_us)
+            is_held = is_awaited or (delivery.may_lack_acknowledgement and now_us < delivery.due_us)
+            may_wait = is_behind or is_held or delivery.unacknowledged_entries != 0
+            if self._was_lost(delivery, now_us) or not may_wait:
+                if not kept:
+                    self._last_progress_us = progress_us
                 continue
-            told = 1.0 if behind else step.unanswered / max(1.0, step.lines) if unanswered else 0.0
-            pace = (step.due_us - now_us) * self._lines_per_us / max(1.0, step.lines + step.others)
-            total += (step.lines if behind else step.unanswered) + step.others * min(
-                1.0, max(told, pace)
-            )
-            behind = behind or held  # it is surely still in the channel
-            kept.append(step)
-        self._steps = kept
+            total += self._waiting_entries(delivery, is_behind, is_awaited, now_us)
+            is_behind = is_behind or is_held
+            kept.append(delivery)
+        self._deliveries = kept
         return total
+
+    def _is_awaited(self, delivery: Delivery, progress_us: int, now_us: int) -> bool:
+        """Whether an acknowledgement may still come: while those ahead come in, its turn is yet to come."""
+        waited_us = now_us - max(delivery.sent_us, progress_us)
+        return delivery.unacknowledged_entries > 0 and waited_us < self._max_delivery_us
+
+    def _was_lost(self, delivery: Delivery, now_us: int) -> bool:
+        """Whether much later deliveries are acknowledged and this one is long overdue."""
+        overtaken_us = self._last_acknowledged_sent_us - delivery.sent_us
+        half_age_us = (now_us - delivery.sent_us) // 2
+        return overtaken_us >= self._max_delivery_us and half_age_us >= self._max_delivery_us
+
+    def _waiting_entries(
+        self, delivery: Delivery, is_behind: bool, is_awaited: bool, now_us: int
+    ) -> float:
+        """Unconfirmed entries are taken to leave as the others do, or at the queue's usual rate."""
+        unacknowledged_part = 0.0
+        if is_behind:
+            unacknowledged_part = 1.0
+        elif is_awaited:
+            unacknowledged_part = delivery.unacknowledged_entries / max(1.0, delivery.entries)
+        left_entries = (delivery.due_us - now_us) * self._entries_per_us
+        left_part = left_entries / max(1.0, delivery.total_entries)
+        unconfirmed_part = min(1.0, max(unacknowledged_part, left_part))
+        confirmed = delivery.entries if is_behind else delivery.unacknowledged_entries
+        return confirmed + delivery.unconfirmed_entries * unconfirmed_part
+
+
+def _has_recent(recent: deque[Delivery], count: int, since_us: int) -> bool:
+    """Whether at least `count` (above 0) of these messages were sent after a time."""
+    return 0 < count <= len(recent) and recent[-count].sent_us > since_us
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -115,7 +115,7 @@
     """Counted at every proxy, it kept hosts that leave waiting for room that there was."""
     day = joined(60, 60)
     day.answers = False
-    waits = day.director.channel.waiting(day.now)
+    waits = day.director.delivery.backlog_entries(day.now)
     holders = dict.fromkeys(day.tables, 0)
     for number in day.director.proxies:
         for table in day.director.tables[day.director.seen[number][0]][day.director.group(number)]:
@@ -132,7 +132,7 @@
             lines.update((table, lines[table] + 1) for table in held)
     cost = sum(holders[table] * (count + 7) for table, count in lines.items() if count)
     assert 0 < cost < 120 * 8
-    assert day.director.channel.waiting(day.now) - waits == cost
+    assert day.director.delivery.backlog_entries(day.now) - waits == cost
 
 
 @pytest.mark.parametrize("least", [0.0, 120.0, 500.0])
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -14,7 +14,7 @@
 from kelpcourse.limits import Limits
 from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.policy.controller import RoutingPolicy
-from kelpcourse.policy.delivery import Channel
+from kelpcourse.policy.delivery import DeliveryTracker
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.policy.settings import Settings
 from kelpcourse.wire.loop import Signal
@@ -95,16 +95,18 @@
             super()._withdraw_dropped()
 
 
-class ForgetsTheUnanswered(Channel):
+class ForgetsTheUnanswered(DeliveryTracker):
     """Books of what answers are awaited for alone."""
 
-    def waiting(self, now_us: int) -> float:
-        return super().waiting(now_us) - sum(step.others for step in self._steps)
+    def backlog_entries(self, now_us: int) -> float:
+        return super().backlog_entries(now_us) - sum(
+            delivery.unconfirmed_entries for delivery in self._deliveries
+        )
 
 
 def careless(settings: Settings) -> RoutingPolicy:
     made = LongTables(settings)
-    made.channel = ForgetsTheUnanswered(
+    made.delivery = ForgetsTheUnanswered(
         int(settings.max_backlog_entries / settings.delivery_entries_per_s * 1e6)
         + settings.max_transit_us,
         settings.delivery_entries_per_s / 1e6,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -336,4 +336,4 @@
     day.send(ProxyLeft(0))
     assert endpoint_orders(day.send(OrdersAcknowledged(0, 1, 5))) == []
     day.send(ProxyJoined(0, "east", 10.0, False), OrdersAcknowledged(0, 999, 5))
-    assert day.director.channel.waiting(day.now) > 0
+    assert day.director.delivery.backlog_entries(day.now) > 0
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -347,7 +347,7 @@
         SETTINGS, proxy_count=40, max_backlog_entries=1200.0, delivery_entries_per_s=1000.0
     )
     day = Day(settings, listed=hosts(10), proxies=40, answers=False)
-    waits = day.director.channel.waiting(day.now)
+    waits = day.director.delivery.backlog_entries(day.now)
     assert waits > 400
     bound = len(
         only(day.send(*(ProxyJoined(p, "east", 10.0, True) for p in day.joined)), BindProxy)
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -101,7 +101,7 @@
     assert {a.endpoint for a in only(out, SetWeight) if a.weight == 0} == set(numbers(0, 10))
     assert {a.endpoint for a in only(out, WithdrawEndpoint)} == set(numbers(0, 10))
     assert not day.tables[0].keys() & set(numbers(0, 10))
-    before = day.director.channel.waiting(day.now)
+    before = day.director.delivery.backlog_entries(day.now)
     assert before == 20 * (10 + ROLL.message_overhead_entries + 1)
     day.until(day.now + SECOND // 10)
     day.send(*(ProxyJoined(p, "east", 10.0, False) for p in range(100, 130)))
