--- a/kelpcourse/memory/__init__.py
+++ b/kelpcourse/memory/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept in memory: hosts and their names, joined proxies, orders not yet taken, counters."""
+"""What is kept in memory: the endpoint list, joined proxies, queued orders, counters."""
--- a/kelpcourse/memory/order_queue.py
+++ b/kelpcourse/memory/order_queue.py
@@ -1,210 +1,191 @@
-"""Orders not yet taken by the relay: a batch for each step, merged while they have to wait."""
+"""Orders that the relay has not yet accepted: one batch for each step, coalesced while they wait."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Sequence
 
-from kelpcourse.memory.orders import (
-    CHECKPOINT_KEY,
-    BindProxy,
-    Checkpoint,
-    ClearTable,
-    Order,
-    SetAdmission,
-    SetWeight,
-    WithdrawEndpoint,
-)
+from kelpcourse.memory.coalesce import coalesce
+from kelpcourse.memory.orders import BindProxy, Checkpoint, Order, WithdrawEndpoint
 
 
 class OrderQueue:
-    def __init__(self, most: int, marks: int) -> None:
-        self._most = most
-        self._marks = marks
-        self._covered: dict[int, tuple[int, ...]] = {}  # by stamp of the mark that went out
+    """The outbound order queue. The first batch goes out as one call and stays as it is meanwhile."""
+
+    def __init__(self, max_orders: int, max_superseded: int) -> None:
+        """Starts empty.
+
+        Args:
+            max_orders: Orders beyond which the oldest are dropped; withdrawals never are.
+            max_superseded: Checkpoints that are remembered as superseded by a later one.
+        """
+        self._max_orders = max_orders
+        self._max_superseded = max_superseded
+        self._superseded: dict[int, tuple[int, ...]] = {}  # by the checkpoint that was sent
         self._batches: deque[list[Order]] = deque()
-        self._calling = False  # the first batch is with the relay: it must stay as it is
-        self._left: set[int] = set()  # proxies that left while it was
-        self._telling: int | None = (
-            None  # stamp of a mark that only this call carried: an answer proves it
-        )
-        self._spent: int | None = (
-            None  # stamp of the mark of the last call that was taken, or of its like
-        )
-        self._proved = False
+        self._in_call = False  # the first batch is with the relay
+        self._left_during_call: set[int] = set()  # proxies
+        self._proving_checkpoint: int | None = None  # that no other call carried
+        self._used_checkpoint: int | None = None  # that an earlier call carried too
+        self._call_acknowledged = False
 
     def __len__(self) -> int:
+        """Orders in the queue."""
         return sum(len(batch) for batch in self._batches)
 
     @property
     def batch_count(self) -> int:
+        """Batches in the queue, with that of the call in progress."""
         return len(self._batches)
 
     def add(self, orders: Sequence[Order]) -> int:
-        """Takes a step's orders; returns how many had to be given up for room."""
+        """Adds a step's orders and returns how many were dropped for lack of space."""
         if orders:
             self._batches.append(list(orders))
-        if len(self._batches) > 1 + self._calling:
-            self._merge()
-        return self._cut()
+        if len(self._batches) > (2 if self._in_call else 1):
+            self._coalesce_waiting()
+        return self._drop_excess()
+
+    # The call in progress
 
     def begin_call(self) -> list[Order]:
         """The orders of the next call."""
-        self._calling = True
-        self._left.clear()
+        self._in_call = True
+        self._left_during_call.clear()
+        self._call_acknowledged = False
+        self._proving_checkpoint = None
         orders = self._batches[0] if self._batches else []
-        mark = orders[-1] if orders else None
-        if isinstance(mark, Checkpoint) and mark.superseded:
-            self._remember(mark)
-        self._telling = (
-            mark.checkpoint_id
-            if isinstance(mark, Checkpoint) and mark.checkpoint_id != self._spent
-            else None
-        )
-        self._proved = False
+        checkpoint = _checkpoint_of(orders)
+        if checkpoint is not None:
+            if checkpoint.superseded:
+                self._remember_superseded(checkpoint)
+            if checkpoint.checkpoint_id != self._used_checkpoint:
+                self._proving_checkpoint = checkpoint.checkpoint_id
         return orders
 
-    def _remember(self, mark: Checkpoint) -> None:
-        self._covered.pop(mark.checkpoint_id, None)
-        self._covered[mark.checkpoint_id] = mark.superseded
-        while len(self._covered) > self._marks:
-            del self._covered[next(iter(self._covered))]
-
-    def covered_checkpoints(self, stamp: int) -> tuple[int, ...]:
-        """What an answer to a mark answers: earlier marks merged into it, then itself."""
-        return (*self._covered.get(stamp, ()), stamp)
-
     def accept(self, count: int) -> list[int]:
-        """The call was answered: the first `count` of its orders stand. The stamps of the steps whose messages were
-        just written; of steps merged into it the last one, as what is merged may be two messages to a proxy."""
-        self._calling = False
+        """Ends the call: the relay accepted the first `count` orders.
+
+        Returns the checkpoints of the steps whose messages were just written. Of superseded ones it is the last, as
+        what was coalesced may be two messages to a proxy.
+        """
+        self._in_call = False
         if not self._batches:
             return []
-        self._spend()
-        done, self._batches[0][:count] = self._batches[0][:count], []
+        self._use_checkpoint()
+        accepted = self._batches[0][:count]
+        del self._batches[0][:count]
         if not self._batches[0]:
             self._batches.popleft()
-        mark = done[-1] if done else None
-        return [*mark.superseded[-1:], mark.checkpoint_id] if isinstance(mark, Checkpoint) else []
+        checkpoint = _checkpoint_of(accepted)
+        if checkpoint is None:
+            return []
+        return [*checkpoint.superseded[-1:], checkpoint.checkpoint_id]
 
-    def acknowledge(self, stamp: int) -> None:
-        """A proxy has applied all up to a mark."""
-        self._proved = self._proved or (self._calling and stamp == self._telling)
+    def acknowledge(self, checkpoint_id: int) -> None:
+        """Notes that a proxy has applied everything up to a checkpoint."""
+        if self._in_call and checkpoint_id == self._proving_checkpoint:
+            self._call_acknowledged = True
 
     @property
     def call_acknowledged(self) -> bool:
-        """Whether the call under way was carried out, answered or not: a proxy has applied its mark."""
-        return self._proved
+        """Whether the call was carried out, answered or not: a proxy has applied its checkpoint."""
+        return self._call_acknowledged
 
     def checkpoints_in_call(self) -> tuple[int, ...]:
-        """The stamps of the steps whose messages the call under way holds: it broke, carried out or not."""
-        mark = self._batches[0][-1] if self._batches and self._batches[0] else None
-        return (*mark.superseded, mark.checkpoint_id) if isinstance(mark, Checkpoint) else ()
+        """The checkpoints of the steps in the call, for when it fails with its outcome unknown."""
+        checkpoint = _checkpoint_of(self._batches[0]) if self._batches else None
+        if checkpoint is None:
+            return ()
+        return (*checkpoint.superseded, checkpoint.checkpoint_id)
 
     def requeue_call(self) -> None:
-        """The orders of the call under way go again, before or with later ones."""
-        self._calling = False
-        if self._batches:  # a later binding is of one that came back, and stands
-            first = self._batches.popleft()
-            kept = [o for o in first if not (isinstance(o, BindProxy) and o.proxy in self._left)]
-            self._batches.extendleft([kept] if kept else [])
-        self._left.clear()
+        """Puts the orders of the call back, ahead of later ones or coalesced with them."""
+        self._in_call = False
+        if self._batches:
+            orders = _without_bindings(self._batches.popleft(), self._left_during_call)
+            if orders:
+                self._batches.appendleft(orders)
+        self._left_during_call.clear()
         if len(self._batches) > 1:
-            self._spend()  # what is merged may go under the mark that the call had, and was not all in it
-            self._merge()
-
-    def _spend(self) -> None:
-        mark = self._batches[0][-1] if self._batches[0] else None
-        if isinstance(mark, Checkpoint):
-            self._spent = mark.checkpoint_id
+            self._use_checkpoint()  # it may end orders that were not in the call
+            self._coalesce_waiting()
 
     def first(self) -> Order:
+        """The oldest order."""
         return self._batches[0][0]
 
     def drop_first(self) -> Order:
+        """Removes the oldest order and returns it."""
         order = self._batches[0].pop(0)
         if not self._batches[0]:
             self._batches.popleft()
         return order
 
+    def _use_checkpoint(self) -> None:
+        """An acknowledgement of this call's checkpoint proves nothing about a later call."""
+        checkpoint = _checkpoint_of(self._batches[0])
+        if checkpoint is not None:
+            self._used_checkpoint = checkpoint.checkpoint_id
+
+    # Checkpoints and proxies
+
+    def covered_checkpoints(self, checkpoint_id: int) -> tuple[int, ...]:
+        """What an acknowledgement acknowledges: superseded checkpoints, then the named one."""
+        return (*self._superseded.get(checkpoint_id, ()), checkpoint_id)
+
+    def _remember_superseded(self, checkpoint: Checkpoint) -> None:
+        self._superseded.pop(checkpoint.checkpoint_id, None)
+        self._superseded[checkpoint.checkpoint_id] = checkpoint.superseded
+        while len(self._superseded) > self._max_superseded:
+            del self._superseded[next(iter(self._superseded))]
+
     def forget_proxy(self, proxy: int) -> None:
-        """A proxy that has left can't be bound any more: the relay would refuse the order."""
-        first = 1 if self._calling else 0
-        if self._calling:
-            self._left.add(proxy)
-        for batch in list(self._batches)[first:]:
-            batch[:] = [o for o in batch if not (isinstance(o, BindProxy) and o.proxy == proxy)]
-        kept = [batch for k, batch in enumerate(self._batches) if batch or k < first]
-        self._batches = deque(kept)
-
-    def _merge(self) -> None:
-        """Folds all batches that wait into one with the same end result. Hosts shut out go ahead of it, in a
-        call of their own: they have a time limit, and what piled up takes the channel a while. Both end in the mark:
-        proxies that the second does not concern would never answer, and the module would wait for them."""
-        first = [self._batches.popleft()] if self._calling else []
-        merged: dict[tuple[object, ...], Order] = {}
-        for batch in self._batches:
-            for order in batch:
-                fold(merged, order, self._marks)
-        out = {order.endpoint for order in merged.values() if isinstance(order, WithdrawEndpoint)}
-        urgent = [order for order in merged.values() if withdraws(order, out)]
-        rest = [order for order in merged.values() if not withdraws(order, out)]
-        urgent += [merged[CHECKPOINT_KEY]] if urgent and CHECKPOINT_KEY in merged else []
-        self._batches = deque(
-            batch for batch in (*first, urgent, rest if rest != urgent[-1:] else []) if batch
-        )
-
-    def _cut(self) -> int:
-        """Gives up the oldest orders beyond the limit, but no host shut out: proxies would go on sending there."""
-        over = len(self) - self._most
-        if over <= 0 or (self._calling and len(self._batches) == 1):
+        """Drops bindings of a proxy that has left: the relay would reject them.
+
+        Those in the call are dropped if it is requeued; a binding ordered after the proxy's return stays.
+        """
+        waiting = list(self._batches)
+        in_call: list[list[Order]] = []
+        if self._in_call:
+            self._left_during_call.add(proxy)
+            in_call = waiting[:1]
+            waiting = waiting[1:]
+        kept = [_without_bindings(batch, {proxy}) for batch in waiting]
+        self._batches = deque([*in_call, *(batch for batch in kept if batch)])
+
+    # Limits
+
+    def _coalesce_waiting(self) -> None:
+        in_call = [self._batches.popleft()] if self._in_call else []
+        merged = coalesce(self._batches, self._max_superseded)
+        self._batches = deque(batch for batch in (*in_call, *merged) if batch)
+
+    def _drop_excess(self) -> int:
+        """Drops the oldest orders beyond the limit, but no withdrawal, and returns how many."""
+        excess = len(self) - self._max_orders
+        only_call_left = self._in_call and len(self._batches) == 1
+        if excess <= 0 or only_call_left:
             return 0
-        kept, left = list[Order](), over
+        kept: list[Order] = []
+        dropped = 0
         for order in self._batches[-1]:
-            if left and not shuts_out(order):
-                left -= 1
+            if dropped < excess and not isinstance(order, WithdrawEndpoint):
+                dropped += 1
             else:
                 kept.append(order)
         self._batches[-1] = kept
-        return over - left
-
-
-def withdraws(order: Order, out: set[str]) -> bool:
-    """Whether it shuts one of these hosts out or takes its line. The lines go first, as ordered: a proxy that
-    holds the host no more is not written to for it."""
-    return shuts_out(order) or (
-        isinstance(order, SetWeight) and order.weight == 0 and order.endpoint in out
-    )
-
-
-def shuts_out(order: Order) -> bool:
-    return isinstance(order, WithdrawEndpoint)
-
-
-def fold(merged: dict[tuple[object, ...], Order], order: Order, marks: int) -> None:
-    """Adds an order behind others: what it overrides is taken out, what it does not keeps its place. A mark
-    stays last, as it answers for all that its call carries, and also for up to so many marks before it."""
-    if isinstance(order, ClearTable):
-        for key in [
-            k
-            for k, o in merged.items()
-            if isinstance(o, SetWeight | SetAdmission) and o.table == order.table
-        ]:
-            del merged[key]
-    mark = merged.pop(CHECKPOINT_KEY, None)
-    if isinstance(order, Checkpoint):
-        merged[CHECKPOINT_KEY] = (
-            later_mark(mark, order, marks) if isinstance(mark, Checkpoint) else order
-        )
-        return
-    merged.pop(order.key, None)
-    merged[order.key] = order
-    if mark is not None:
-        merged[CHECKPOINT_KEY] = mark
-
-
-def later_mark(earlier: Checkpoint, later: Checkpoint, most: int) -> Checkpoint:
-    if earlier.checkpoint_id == later.checkpoint_id:  # of hosts that were to go ahead
-        return later
-    covers = (*earlier.superseded, earlier.checkpoint_id, *later.superseded)
-    return Checkpoint(later.checkpoint_id, earlier.all_proxies or later.all_proxies, covers[-most:])
+        return dropped
+
+
+def _checkpoint_of(orders: Sequence[Order]) -> Checkpoint | None:
+    """The checkpoint that ends a batch, if one does."""
+    last = orders[-1] if orders else None
+    return last if isinstance(last, Checkpoint) else None
+
+
+def _without_bindings(orders: Sequence[Order], proxies: set[int]) -> list[Order]:
+    """The orders, but for bindings of these proxies."""
+    return [
+        order for order in orders if not (isinstance(order, BindProxy) and order.proxy in proxies)
+    ]
