--- a/kelpcourse/__main__.py
+++ b/kelpcourse/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point: `python -m kelpcourse` runs one director on real sockets."""
+"""Entry point: `python -m kelpcourse` runs one controller on real sockets."""
 
 import os
 import sys
--- a/kelpcourse/memory/counters.py
+++ b/kelpcourse/memory/counters.py
@@ -14,7 +14,7 @@
         """Adds to a counter."""
         self._counts[name] = self._counts.get(name, 0) + count
 
-    def most(self, name: str, value: int) -> None:
+    def record_max(self, name: str, value: int) -> None:
         """Raises a counter to a value if it is below it."""
         self._counts[name] = max(value, self._counts.get(name, 0))
 
--- a/kelpcourse/service/controller.py
+++ b/kelpcourse/service/controller.py
@@ -164,7 +164,7 @@
         if dropped:
             self._counters.add("orders_dropped", dropped)
             self._log.event("orders_dropped", count=dropped)
-        self._counters.most("max_queued_orders", len(self._queue))
+        self._counters.record_max("max_queued_orders", len(self._queue))
         self._orders_queued.raise_()
 
 
--- a/kelpcourse/settings.py
+++ b/kelpcourse/settings.py
@@ -1,10 +1,48 @@
-"""Reading Settings: one reader for the simulator's pairs and for the nested JSON of a configuration."""
+"""Reading `Settings`: one reader for the simulator's pairs and for the nested JSON of a configuration.
+
+Names on the wire and in files stay as they are; this is the one place that maps them.
+
+| on the wire | in `Settings` |
+| --- | --- |
+| `me`, `siblings` | `controller_index`, `controller_count` |
+| `az`, `zones` | `zone`, `zones` |
+| `lanes.N` | `classes` |
+| `discovery` (`on_request`) | `discovery_is_polled` |
+| `stats.how` (`inline`, `on_probe`) | `load_reports_inline`, `load_reports_on_health_check` |
+| `stats.names` | `load_report_names` |
+| `bounds.probing`, `bounds.peers` | `health_checks_allowed`, `peer_messages_allowed` |
+| `family_info.admission` | `admission_mode` |
+| `family_info.usual_how` | `default_retry_policy` |
+| `family_info.partitions_n`, `family_info.one_owner` | `slice_count`, `has_single_owner` |
+| `family_info.proxy_count`, `family_info.period_us` | `proxy_count`, `report_period_us` |
+| `family_info.egress_per_s`, `family_info.pending_max` | `delivery_entries_per_s`, `max_backlog_entries` |
+| `family_info.head` | `message_overhead_entries` |
+| `family_info.conns_least` | `min_endpoint_connections` |
+| `family_info.messages_most`, `family_info.messages_over_us` | `max_messages_per_proxy`, `message_window_us` |
+| `family_info.propagation_us`, `family_info.transit_max_us` | `mean_transit_us`, `max_transit_us` |
+| `family_info.blackhole_us` | `max_unserved_us` |
+| `invariants.ask_within_us` | `discovery_poll_deadline_us` |
+| `invariants.full_may_have_run` | `queue_full_may_have_executed` |
+| `invariants.soft_removal` | `only_draining_binds` |
+| `invariants.stop_sending_within_us` | `drain_grace_us` |
+| `invariants.cold_from`, `invariants.cold_us` | `warm_up_min_capacity`, `warm_up_us` |
+| `invariants.overload_factor`, `invariants.fall_us` | `overload_factor`, `overload_tolerance_us` |
+
+| of a class on the wire | in `RequestClass` |
+| --- | --- |
+| `lanes.N.aim_us`, `lanes.N.hard_limit_us` | `latency_objective_us`, `deadline_us` |
+| `lanes.N.worth` | `priority_weight` |
+| `lanes.N.effect` | `idempotency` |
+| `lanes.N.group`, `lanes.N.window_us` | `deduplication_scope`, `deduplication_window_us` |
+| `lanes.N.only_zones`, `lanes.N.only_kinds` | `allowed_zones`, `allowed_kinds` |
+| `family_info.zone_bound`, `family_info.class_writes` | `same_zone_only`, `is_write` |
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from kelpcourse.fields import Fields, InputError
+from kelpcourse.fields import FieldError, Fields
 from kelpcourse.policy.settings import (
     AdmissionMode,
     DeduplicationScope,
@@ -14,130 +52,106 @@
     Settings,
 )
 
-EFFECTS = {
+IDEMPOTENCY = {
     "read_like": Idempotency.IDEMPOTENT,
     "idempotency_key": Idempotency.WITH_KEY,
     "non_idempotent": Idempotency.NOT_IDEMPOTENT,
 }
-SCOPES = {
+DEDUPLICATION_SCOPES = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
-ADMISSIONS = {
+ADMISSION_MODES = {
     "fraction": AdmissionMode.RATIO,
     "per_second": AdmissionMode.RATE,
     "off": AdmissionMode.NONE,
 }
-RETRIES = {str(way.value): way for way in RetryPolicy}
-
-
-def _flag(fields: Fields, name: str) -> bool:
-    """A key that the wire may leave out, where absent is false."""
-    return fields.has(name) and fields.boolean(name)
-
-
-def _flags(fields: Fields, name: str, size: int) -> tuple[bool, ...]:
-    words = fields.words(name) or ("false",) * size
-    if len(words) != size or any(word not in ("true", "false", "1", "0") for word in words):
-        raise InputError(f"field 'family_info.{name}' is not one bool for each class")
-    return tuple(word in ("true", "1") for word in words)
-
-
-def _request_class(fields: Fields, bound: bool, writes: bool) -> RequestClass:
-    return RequestClass(
-        name=fields.text("name"),
-        latency_objective_us=fields.count("aim_us"),
-        deadline_us=fields.count("hard_limit_us"),
-        priority_weight=fields.number("worth"),
-        idempotency=fields.choice("effect", EFFECTS),
-        deduplication_scope=fields.choice("group", SCOPES)
-        if fields.has("group")
-        else DeduplicationScope.CELL,
-        deduplication_window_us=fields.count("window_us") if fields.has("window_us") else 0,
-        allowed_zones=frozenset(fields.words("only_zones")),
-        allowed_kinds=frozenset(fields.words("only_kinds")),
-        same_zone_only=bound,
-        is_write=writes,
-    )
-
+RETRY_POLICIES = {str(policy.value): policy for policy in RetryPolicy}
 
 Figure = Callable[[Settings], float]
-ABOVE_0: dict[str, Figure] = {  # without these nothing could ever be ordered
-    "family_info.proxy_count": lambda s: s.proxy_count,
-    "family_info.egress_per_s": lambda s: s.delivery_entries_per_s,
-    "family_info.pending_max": lambda s: s.max_backlog_entries,
-    "zones": lambda s: len(s.zones),
-    "lanes.count": lambda s: len(s.classes),
+
+# Without these nothing could ever be ordered.
+POSITIVE: dict[str, Figure] = {
+    "family_info.proxy_count": lambda settings: settings.proxy_count,
+    "family_info.egress_per_s": lambda settings: settings.delivery_entries_per_s,
+    "family_info.pending_max": lambda settings: settings.max_backlog_entries,
+    "zones": lambda settings: len(settings.zones),
+    "lanes.count": lambda settings: len(settings.classes),
 }
-FROM_0: dict[str, Figure] = {
-    "family_info.head": lambda s: s.message_overhead_entries,
-    "family_info.conns_least": lambda s: s.min_endpoint_connections,
-    "invariants.cold_from": lambda s: s.warm_up_min_capacity,
+NOT_NEGATIVE: dict[str, Figure] = {
+    "family_info.head": lambda settings: settings.message_overhead_entries,
+    "family_info.conns_least": lambda settings: settings.min_endpoint_connections,
+    "invariants.cold_from": lambda settings: settings.warm_up_min_capacity,
 }
 
 
 def read_settings(fields: Fields) -> Settings:
-    """Raises InputError for what can't be served, by the field's name."""
+    """Reads settings. Raises InputError for what can't be served, by the field's name."""
     settings = _read(fields)
-    if not settings.slice_count:  # of a site with slices nothing is served here
+    if not settings.slice_count:  # a site with slices is not served, so its figures don't matter
         _check(settings)
     return settings
 
 
 def _check(settings: Settings) -> None:
-    for name, value in ABOVE_0.items():
-        if not value(settings) > 0:
-            raise InputError(f"field '{name}' is not above 0")
-    for name, value in FROM_0.items():
-        if value(settings) < 0:
-            raise InputError(f"field '{name}' is below 0")
+    for name, figure in POSITIVE.items():
+        if not figure(settings) > 0:
+            raise FieldError(name, "is not above 0")
+    for name, figure in NOT_NEGATIVE.items():
+        if figure(settings) < 0:
+            raise FieldError(name, "is below 0")
     if settings.warm_up_min_capacity > 1:
-        raise InputError("field 'invariants.cold_from' is above 1")
+        raise FieldError("invariants.cold_from", "is above 1")
     if settings.max_messages_per_proxy and not settings.message_window_us:
-        raise InputError(
-            "field 'family_info.messages_over_us' is not above 0 beside 'family_info.messages_most'"
+        raise FieldError(
+            "family_info.messages_over_us",
+            "is not above 0 beside 'family_info.messages_most'",
         )
-    for at, cls in enumerate(settings.classes):
-        if cls.latency_objective_us == 0:
-            raise InputError(f"field 'lanes.{at}.aim_us' is not above 0")
-        if cls.priority_weight < 0:
-            raise InputError(f"field 'lanes.{at}.worth' is below 0")
-        if cls.name in [other.name for other in settings.classes[:at]]:
-            raise InputError(f"field 'lanes.{at}.name' stands twice: '{cls.name}'")
+    _check_classes(settings.classes)
+
+
+def _check_classes(classes: tuple[RequestClass, ...]) -> None:
+    names: set[str] = set()
+    for index, request_class in enumerate(classes):
+        if request_class.latency_objective_us == 0:
+            raise FieldError(f"lanes.{index}.aim_us", "is not above 0")
+        if request_class.priority_weight < 0:
+            raise FieldError(f"lanes.{index}.worth", "is below 0")
+        if request_class.name in names:
+            raise FieldError(f"lanes.{index}.name", f"stands twice: '{request_class.name}'")
+        names.add(request_class.name)
 
 
 def _read(fields: Fields) -> Settings:
     family = fields.under("family_info")
     bounds = fields.under("bounds")
     rules = fields.under("invariants")
-    stats = fields.under("stats")
-    size = fields.count("lanes.count")
-    bound = _flags(family, "zone_bound", size)
-    writes = _flags(family, "class_writes", size)
-    must_ask = fields.text("discovery") == "on_request"
-    how = fields.text("stats.how")
+    class_count = fields.count("lanes.count")
+    same_zone_only = _flags(family, "zone_bound", class_count)
+    is_write = _flags(family, "class_writes", class_count)
+    discovery = fields.text("discovery")
+    load_reports = fields.text("stats.how")
     return Settings(
         controller_index=fields.count("me"),
         controller_count=fields.count("siblings"),
         zone=fields.text("az"),
         zones=fields.words("zones"),
         classes=tuple(
-            _request_class(fields.under(f"lanes.{k}"), bound[k], writes[k]) for k in range(size)
+            _request_class(fields.under(f"lanes.{index}"), same_zone_only[index], is_write[index])
+            for index in range(class_count)
         ),
-        discovery_is_polled=must_ask,
-        discovery_poll_deadline_us=rules.count("ask_within_us")
-        if rules.has("ask_within_us")
-        else 0,
-        load_reports_inline=how == "inline",
-        load_reports_on_health_check=how in ("inline", "on_probe"),
-        load_report_names=stats.words("names"),
-        health_checks_allowed=_flag(bounds, "probing"),
-        peer_messages_allowed=_flag(bounds, "peers"),
-        admission_mode=family.choice("admission", ADMISSIONS),
-        default_retry_policy=family.choice("usual_how", RETRIES),
+        discovery_is_polled=discovery == "on_request",
+        discovery_poll_deadline_us=_optional_count(rules, "ask_within_us"),
+        load_reports_inline=load_reports == "inline",
+        load_reports_on_health_check=load_reports in ("inline", "on_probe"),
+        load_report_names=fields.words("stats.names"),
+        health_checks_allowed=_optional_flag(bounds, "probing"),
+        peer_messages_allowed=_optional_flag(bounds, "peers"),
+        admission_mode=family.choice("admission", ADMISSION_MODES),
+        default_retry_policy=family.choice("usual_how", RETRY_POLICIES),
         slice_count=family.count("partitions_n"),
-        has_single_owner=_flag(family, "one_owner"),
+        has_single_owner=_optional_flag(family, "one_owner"),
         proxy_count=family.count("proxy_count"),
         report_period_us=family.count("period_us"),
         delivery_entries_per_s=family.number("egress_per_s"),
@@ -145,11 +159,11 @@
         message_overhead_entries=family.number("head"),
         min_endpoint_connections=family.number("conns_least") if family.has("conns_least") else 0.0,
         max_messages_per_proxy=family.count("messages_most"),
-        message_window_us=family.count("messages_over_us") if family.has("messages_over_us") else 0,
+        message_window_us=_optional_count(family, "messages_over_us"),
         mean_transit_us=family.count("propagation_us"),
         max_transit_us=family.count("transit_max_us"),
-        queue_full_may_have_executed=_flag(rules, "full_may_have_run"),
-        only_draining_binds=_flag(rules, "soft_removal"),
+        queue_full_may_have_executed=_optional_flag(rules, "full_may_have_run"),
+        only_draining_binds=_optional_flag(rules, "soft_removal"),
         max_unserved_us=family.count("blackhole_us"),
         drain_grace_us=rules.count("stop_sending_within_us"),
         warm_up_min_capacity=rules.number("cold_from"),
@@ -157,3 +171,43 @@
         overload_factor=rules.number("overload_factor"),
         overload_tolerance_us=rules.count("fall_us"),
     )
+
+
+def _request_class(fields: Fields, same_zone_only: bool, is_write: bool) -> RequestClass:
+    return RequestClass(
+        name=fields.text("name"),
+        latency_objective_us=fields.count("aim_us"),
+        deadline_us=fields.count("hard_limit_us"),
+        priority_weight=fields.number("worth"),
+        idempotency=fields.choice("effect", IDEMPOTENCY),
+        deduplication_scope=_deduplication_scope(fields),
+        deduplication_window_us=_optional_count(fields, "window_us"),
+        allowed_zones=frozenset(fields.words("only_zones")),
+        allowed_kinds=frozenset(fields.words("only_kinds")),
+        same_zone_only=same_zone_only,
+        is_write=is_write,
+    )
+
+
+def _deduplication_scope(fields: Fields) -> DeduplicationScope:
+    if not fields.has("group"):
+        return DeduplicationScope.CELL
+    return fields.choice("group", DEDUPLICATION_SCOPES)
+
+
+def _optional_count(fields: Fields, name: str) -> int:
+    """A count that the wire may leave out, where absent is 0."""
+    return fields.count(name) if fields.has(name) else 0
+
+
+def _optional_flag(fields: Fields, name: str) -> bool:
+    """A flag that the wire may leave out, where absent is false."""
+    return fields.has(name) and fields.boolean(name)
+
+
+def _flags(fields: Fields, name: str, size: int) -> tuple[bool, ...]:
+    """One flag for each class; absent means that all are false."""
+    words = fields.words(name) or ("false",) * size
+    if len(words) != size or any(word not in ("true", "false", "1", "0") for word in words):
+        raise FieldError(f"family_info.{name}", "is not one bool for each class")
+    return tuple(word in ("true", "1") for word in words)
--- a/kelpcourse/simhost/__init__.py
+++ b/kelpcourse/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter that hosts decision modules on the simulator's line protocol."""
+"""Adapter that hosts routing policies on the simulator's line protocol."""
--- a/kelpcourse/simhost/actions.py
+++ b/kelpcourse/simhost/actions.py
@@ -1,4 +1,21 @@
-"""Translating the module's actions into reply lines."""
+"""Actions of the policy as reply lines of the simulator.
+
+| action | line |
+| --- | --- |
+| `SetTimer` | `notify_me` |
+| `SetWeight`, `ClearTable` | `upsert`, `empty` |
+| `BindProxy` | `point` |
+| `SetAdmission` | `throttle` |
+| `WithdrawEndpoint`, `RestoreEndpoint` | `bench` with `set=1`, with `set=0` |
+| `Checkpoint` | `checkpoint` |
+| `WatchEndpoints`, `FetchEndpoints` | `listen`, `reload` |
+| `CheckHealth` | `ask_load` |
+| `SendToPeer` | `notify` |
+| `LogMessage` | `emit` |
+| an error of the policy | `bail_out` |
+
+Classes are a bit mask of their positions, weights and admission limits have six significant digits.
+"""
 
 from __future__ import annotations
 
@@ -26,6 +43,7 @@
     """The simulator's wire has no line for an action."""
 
     def __init__(self, action: Action) -> None:
+        """Names the action's type."""
         super().__init__(f"the simulator's wire has no line for {type(action).__name__}")
         self.action = action
 
@@ -36,7 +54,7 @@
 
 
 def _class_mask(classes: tuple[int, ...]) -> int:
-    return sum(1 << position for position in classes)
+    return sum(1 << index for index in classes)
 
 
 def _order(action: Action) -> tuple[str, str]:
@@ -97,4 +115,5 @@
 
 
 def write_failure(instance: int, text: str) -> str:
+    """The reply line that ends the simulation with a reason."""
     return f"bail_out director_id={instance} words={one_line(text)}"
--- a/kelpcourse/simhost/events.py
+++ b/kelpcourse/simhost/events.py
@@ -1,10 +1,35 @@
-"""Translating event lines into the module's events."""
+"""Event lines of the simulator as events of the policy.
+
+| line | event |
+| --- | --- |
+| `timeout_fired` | `TimerFired` |
+| `subscribed`, `detached` | `ProxyJoined`, `ProxyLeft` |
+| `acked` | `OrdersAcknowledged` |
+| `stats` | `EndpointReport` |
+| `traffic`, `slice_load` | `DemandReport`, `SliceDemand` |
+| `echo` | `HealthCheckCompleted` |
+| `datagram` | `PeerMessage` |
+| `leased`, `in_store` | `SliceLeased`, `SliceWeight` |
+| `members` | `EndpointList`, of entries sent before as `sheet` and `item` |
+
+| field | meaning |
+| --- | --- |
+| `client_lb`, `host`, `route_table`, `who` | number of a proxy, an endpoint, a table or slice, a peer |
+| `az`, `sku`, `unit_group` | zone, kind, cell |
+| `cls` | request class, by name |
+| `heft` | weight, of a proxy its request rate |
+| `mode`, `state_code` | status of an endpoint, of a health check |
+| `number`, `failed` | a count and the part of it that failed, or the number of a checkpoint |
+| `elapsed_us`, `wait_time_us` | window of a report, a duration |
+| `usage` | load report |
+| `set` | a flag |
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from kelpcourse.fields import Fields, InputError
+from kelpcourse.fields import FieldError, Fields
 from kelpcourse.policy.events import (
     DemandReport,
     Endpoint,
@@ -25,7 +50,7 @@
 )
 from kelpcourse.policy.settings import Settings
 
-STATES = {
+ENDPOINT_STATUSES = {
     "SERVING": EndpointStatus.READY,
     "DRAINING": EndpointStatus.DRAINING,
     "DELETED": EndpointStatus.GONE,
@@ -36,7 +61,7 @@
     "restored": EndpointListKind.RESTORED,
     "unavailable": EndpointListKind.UNAVAILABLE,
 }
-STATUSES = {
+HEALTH_CHECK_STATUSES = {
     "Ok": HealthCheckStatus.OK,
     "Failed": HealthCheckStatus.ERROR,
     "QueueFull": HealthCheckStatus.FULL,
@@ -46,91 +71,127 @@
     "Canceled": HealthCheckStatus.CANCELLED,
     "Ignored": HealthCheckStatus.UNNECESSARY,
 }
+EMPTY_PAYLOAD = "-"
 
 
-def read_host(fields: Fields) -> Endpoint:
+def read_endpoint(fields: Fields) -> Endpoint:
+    """An entry of an endpoint list. Raises FieldError."""
     return Endpoint(
         id=fields.count("host"),
         zone=fields.text("az"),
         kind=fields.text("sku"),
         cell=fields.integer("unit_group"),
         weight=fields.number("heft"),
-        status=fields.choice("mode", STATES),
+        status=fields.choice("mode", ENDPOINT_STATUSES),
         started_us=fields.integer("started_at_us") if fields.has("started_at_us") else 0,
     )
 
 
-def _class_position(fields: Fields, settings: Settings) -> int:
+def _class_index(fields: Fields, settings: Settings) -> int:
     name = fields.text("cls")
-    for position, cls in enumerate(settings.classes):
-        if cls.name == name:
-            return position
-    raise InputError(f"field 'cls' names no class: '{name}'")
+    for index, request_class in enumerate(settings.classes):
+        if request_class.name == name:
+            return index
+    raise FieldError("cls", f"names no class: '{name}'")
 
 
-def _joined(f: Fields, _: Settings) -> Event:
-    return ProxyJoined(f.count("client_lb"), f.text("az"), f.number("heft"), f.boolean("set"))
+def _timer_fired(fields: Fields, _: Settings) -> Event:
+    return TimerFired(fields.text("name"))
 
 
-def _report(f: Fields, _: Settings) -> Event:
+def _proxy_joined(fields: Fields, _: Settings) -> Event:
+    return ProxyJoined(
+        proxy=fields.count("client_lb"),
+        zone=fields.text("az"),
+        request_rate_per_s=fields.number("heft"),
+        has_no_table=fields.boolean("set"),
+    )
+
+
+def _proxy_left(fields: Fields, _: Settings) -> Event:
+    return ProxyLeft(fields.count("client_lb"))
+
+
+def _acknowledged(fields: Fields, _: Settings) -> Event:
+    return OrdersAcknowledged(
+        proxy=fields.count("client_lb"),
+        checkpoint_id=fields.count("number"),
+        latency_us=fields.count("wait_time_us"),
+    )
+
+
+def _endpoint_report(fields: Fields, _: Settings) -> Event:
     return EndpointReport(
-        f.count("host"),
-        f.text("az"),
-        f.count("number"),
-        f.count("failed"),
-        f.count("elapsed_us"),
-        f.count("wait_time_us"),
-        f.load("usage"),
+        endpoint=fields.count("host"),
+        zone=fields.text("az"),
+        attempts=fields.count("number"),
+        failed=fields.count("failed"),
+        window_us=fields.count("elapsed_us"),
+        mean_success_us=fields.count("wait_time_us"),
+        load=fields.load("usage"),
     )
 
 
-def _traffic(f: Fields, settings: Settings) -> Event:
+def _demand_report(fields: Fields, settings: Settings) -> Event:
     return DemandReport(
-        f.count("client_lb"),
-        _class_position(f, settings),
-        f.count("number"),
-        f.count("failed"),
-        f.count("elapsed_us"),
+        proxy=fields.count("client_lb"),
+        class_index=_class_index(fields, settings),
+        arrivals=fields.count("number"),
+        unanswered=fields.count("failed"),
+        window_us=fields.count("elapsed_us"),
     )
 
 
-def _slice_load(f: Fields, settings: Settings) -> Event:
+def _slice_demand(fields: Fields, settings: Settings) -> Event:
     return SliceDemand(
-        f.count("route_table"),
-        _class_position(f, settings),
-        f.count("number"),
-        f.count("failed"),
-        f.count("elapsed_us"),
+        slice=fields.count("route_table"),
+        class_index=_class_index(fields, settings),
+        arrivals=fields.count("number"),
+        unanswered=fields.count("failed"),
+        window_us=fields.count("elapsed_us"),
     )
 
 
-def _echo(f: Fields, _: Settings) -> Event:
+def _health_check(fields: Fields, _: Settings) -> Event:
     return HealthCheckCompleted(
-        f.count("host"), f.choice("state_code", STATUSES), f.count("wait_time_us"), f.load("usage")
+        endpoint=fields.count("host"),
+        status=fields.choice("state_code", HEALTH_CHECK_STATUSES),
+        latency_us=fields.count("wait_time_us"),
+        load=fields.load("usage"),
     )
 
 
-def _datagram(f: Fields, _: Settings) -> Event:
-    payload = f.text("payload")
+def _peer_message(fields: Fields, _: Settings) -> Event:
+    payload = fields.text("payload")
     try:
-        data = b"" if payload == "-" else bytes.fromhex(payload)
-    except ValueError:
-        raise InputError(f"field 'payload' is not hex: '{payload}'") from None
-    return PeerMessage(f.count("who"), data)
+        data = b"" if payload == EMPTY_PAYLOAD else bytes.fromhex(payload)
+    except ValueError as error:
+        raise FieldError("payload", f"is not hex: '{payload}'") from error
+    return PeerMessage(sender=fields.count("who"), payload=data)
+
+
+def _slice_leased(fields: Fields, _: Settings) -> Event:
+    return SliceLeased(slice=fields.count("route_table"), is_held=fields.boolean("set"))
+
+
+def _slice_weight(fields: Fields, _: Settings) -> Event:
+    return SliceWeight(
+        slice=fields.count("route_table"),
+        endpoint=fields.count("host"),
+        weight=fields.number("heft"),
+    )
 
 
 READERS: dict[str, Callable[[Fields, Settings], Event]] = {
-    "timeout_fired": lambda f, _: TimerFired(f.text("name")),
-    "subscribed": _joined,
-    "detached": lambda f, _: ProxyLeft(f.count("client_lb")),
-    "acked": lambda f, _: OrdersAcknowledged(
-        f.count("client_lb"), f.count("number"), f.count("wait_time_us")
-    ),
-    "stats": _report,
-    "traffic": _traffic,
-    "slice_load": _slice_load,
-    "echo": _echo,
-    "datagram": _datagram,
-    "leased": lambda f, _: SliceLeased(f.count("route_table"), f.boolean("set")),
-    "in_store": lambda f, _: SliceWeight(f.count("route_table"), f.count("host"), f.number("heft")),
+    "timeout_fired": _timer_fired,
+    "subscribed": _proxy_joined,
+    "detached": _proxy_left,
+    "acked": _acknowledged,
+    "stats": _endpoint_report,
+    "traffic": _demand_report,
+    "slice_load": _slice_demand,
+    "echo": _health_check,
+    "datagram": _peer_message,
+    "leased": _slice_leased,
+    "in_store": _slice_weight,
 }
--- a/kelpcourse/simhost/server.py
+++ b/kelpcourse/simhost/server.py
@@ -1,32 +1,38 @@
-"""The batch loop: one reply for each batch, any number of instances, nothing shared."""
+"""The batch loop: one reply for each batch, any number of policies, nothing shared between them."""
 
 from __future__ import annotations
 
 import sys
 import traceback
-from collections.abc import Callable, Iterator, Sequence
-from typing import Protocol, TextIO
+from collections.abc import Callable, Iterator
+from typing import TextIO
 
-from kelpcourse.fields import Fields, InputError
-from kelpcourse.policy.actions import Action
+from kelpcourse.facade import Policy
+from kelpcourse.fields import FieldError, Fields, InputError
 from kelpcourse.policy.controller import RoutingPolicy
 from kelpcourse.policy.events import Endpoint, EndpointList, EndpointListKind, Event, Started
 from kelpcourse.policy.settings import Settings
 from kelpcourse.settings import read_settings
 from kelpcourse.simhost.actions import write_action, write_failure
-from kelpcourse.simhost.events import LIST_KINDS, READERS, read_host
+from kelpcourse.simhost.events import LIST_KINDS, READERS, read_endpoint
 
+BATCH_BEGIN = "mark"
+BATCH_END = "your_turn"
+REPLY_END = "eor"
+EXIT_BAD_INPUT = 2
 
-class Decider(Protocol):
-    def step(self, now_us: int, events: Sequence[Event]) -> list[Action]: ...
+
+class UnexpectedLineError(InputError):
+    """A line that may not come where it does."""
 
 
 class Instance:
-    """One hosted module and the events it has yet to see in this batch."""
+    """One hosted policy and the events that it has yet to see in this batch."""
 
-    def __init__(self, settings: Settings, seed: int, module: Decider) -> None:
+    def __init__(self, settings: Settings, seed: int, policy: Policy) -> None:
+        """The first event is the start."""
         self.settings = settings
-        self.module = module
+        self.policy = policy
         self.events: list[Event] = [Started(seed)]
 
 
@@ -34,10 +40,12 @@
     """Numbered input lines."""
 
     def __init__(self, source: TextIO) -> None:
+        """Reads nothing yet."""
         self._source = source
         self.number = 0
 
     def next(self) -> str | None:
+        """The next line, or None at the end of the input."""
         line = self._source.readline()
         if not line:
             return None
@@ -45,95 +53,112 @@
         return line.rstrip("\r\n")
 
     def within_batch(self) -> str:
+        """The next line of a batch. Raises UnexpectedLineError if the input ends."""
         line = self.next()
         if line is None:
-            raise InputError("input ends inside a batch")
+            raise UnexpectedLineError("input ends inside a batch")
         return line
 
 
 class Adapter:
-    def __init__(self, source: TextIO, make: Callable[[Settings], Decider]) -> None:
+    """Hosts policies by the simulator's lines."""
+
+    def __init__(self, source: TextIO, policy_factory: Callable[[Settings], Policy]) -> None:
+        """Reads nothing yet."""
         self.lines = Lines(source)
-        self._make = make
+        self._policy_factory = policy_factory
         self._instances: dict[int, Instance] = {}
         self._lists: dict[int, tuple[Endpoint, ...]] = {}
 
     def replies(self) -> Iterator[str]:
-        while (line := self.lines.next()) is not None:
+        """The reply to each batch. Raises InputError for a line that can't be understood."""
+        while True:
+            line = self.lines.next()
+            if line is None:
+                return
             name, *parts = line.split(" ")
-            if name != "mark":
-                raise InputError(f"'{name}' where a batch should begin")
+            if name != BATCH_BEGIN:
+                raise UnexpectedLineError(f"'{name}' where a batch should begin")
             now_us = Fields.parse(parts).integer("t_us")
             self._read_batch()
-            yield self._answer(now_us)
+            yield self._reply(now_us)
 
     def _read_batch(self) -> None:
-        while (line := self.lines.within_batch()) != "your_turn":
+        while True:
+            line = self.lines.within_batch()
+            if line == BATCH_END:
+                return
             name, *parts = line.split(" ")
-            fields = Fields.parse(parts)
-            if name == "sheet":
-                self._read_list(fields)
-            elif name == "open_instance":
-                self._open(fields)
-            elif name == "crash_now":
-                self._instances.pop(fields.count("director_id"), None)
-            elif name == "members":
-                self._instance(fields).events.append(self._members(fields))
-            elif name in READERS:
-                instance = self._instance(fields)
-                instance.events.append(READERS[name](fields, instance.settings))
-            else:
-                raise InputError(f"unknown event '{name}'")
+            self._read_line(name, Fields.parse(parts))
+
+    def _read_line(self, name: str, fields: Fields) -> None:
+        if name == "sheet":
+            self._read_list(fields)
+        elif name == "open_instance":
+            self._open(fields)
+        elif name == "crash_now":
+            self._instances.pop(fields.count("director_id"), None)
+        elif name == "members":
+            self._instance(fields).events.append(self._endpoint_list(fields))
+        elif name in READERS:
+            instance = self._instance(fields)
+            instance.events.append(READERS[name](fields, instance.settings))
+        else:
+            raise UnexpectedLineError(f"unknown event '{name}'")
 
     def _read_list(self, fields: Fields) -> None:
-        number, size = fields.count("roster_id"), fields.count("members")
-        hosts = []
+        number = fields.count("roster_id")
+        size = fields.count("members")
+        endpoints = []
         for _ in range(size):
             name, *parts = self.lines.within_batch().split(" ")
             if name != "item":
-                raise InputError(f"'{name}' where an entry of a list should be")
-            hosts.append(read_host(Fields.parse(parts)))
-        self._lists[number] = tuple(hosts)
+                raise UnexpectedLineError(f"'{name}' where an entry of a list should be")
+            endpoints.append(read_endpoint(Fields.parse(parts)))
+        self._lists[number] = tuple(endpoints)
 
     def _open(self, fields: Fields) -> None:
         settings = read_settings(fields)
         self._instances[fields.count("director_id")] = Instance(
-            settings, fields.integer("nonce64"), self._make(settings)
+            settings, fields.integer("nonce64"), self._policy_factory(settings)
         )
 
     def _instance(self, fields: Fields) -> Instance:
         number = fields.count("director_id")
         if number not in self._instances:
-            raise InputError(f"field 'director_id' names no running instance: '{number}'")
+            raise FieldError("director_id", f"names no running instance: '{number}'")
         return self._instances[number]
 
-    def _members(self, fields: Fields) -> EndpointList:
+    def _endpoint_list(self, fields: Fields) -> EndpointList:
         kind = fields.choice("scope", LIST_KINDS)
         if kind is EndpointListKind.UNAVAILABLE:
             return EndpointList(kind, 0, ())
         number = fields.count("roster_id")
         if number not in self._lists:
-            raise InputError(f"field 'roster_id' names no list: '{number}'")
+            raise FieldError("roster_id", f"names no list: '{number}'")
         return EndpointList(kind, fields.integer("number"), self._lists[number])
 
-    def _answer(self, now_us: int) -> str:
-        out = []
+    def _reply(self, now_us: int) -> str:
+        lines: list[str] = []
         for number in sorted(self._instances):
             instance = self._instances[number]
-            if not instance.events:
-                continue
-            events, instance.events = instance.events, []
-            try:
-                actions = instance.module.step(now_us, events)
-            except Exception as error:  # the day must end with the reason, whatever it is
-                traceback.print_exc(file=sys.stderr)
-                out.append(write_failure(number, f"{type(error).__name__}: {error}"))
-                continue
-            out.extend(write_action(number, action) for action in actions)
-        return "".join(line + "\n" for line in out) + "eor\n"
+            if instance.events:
+                lines += self._step(number, instance, now_us)
+        return "".join(f"{line}\n" for line in [*lines, REPLY_END])
+
+    def _step(self, number: int, instance: Instance, now_us: int) -> list[str]:
+        events = instance.events
+        instance.events = []
+        try:
+            actions = instance.policy.step(now_us, events)
+        except Exception as error:  # the run must end with the reason, whatever it is
+            traceback.print_exc(file=sys.stderr)
+            return [write_failure(number, f"{type(error).__name__}: {error}")]
+        return [write_action(number, action) for action in actions]
 
 
 def main() -> int:
+    """Serves standard input and output until the input ends; returns the exit status."""
     adapter = Adapter(sys.stdin, RoutingPolicy)
     try:
         for reply in adapter.replies():
@@ -141,8 +166,8 @@
             sys.stdout.flush()
     except InputError as error:
         print(f"simhost: line {adapter.lines.number}: {error}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_INPUT
     except UnicodeDecodeError as error:
         print(f"simhost: line {adapter.lines.number + 1}: not UTF-8: {error}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_INPUT
     return 0
--- a/kelpcourse/wire/listener.py
+++ b/kelpcourse/wire/listener.py
@@ -217,7 +217,7 @@
         """Half lines of up to a limit each are fine on a few connections, not on hundreds: whoever grows a
         buffer past what all may hold together is shed."""
         held = sum(other.buffer.size for other in self._guests)
-        self._parts.counters.most("max_read_buffer_bytes", held)
+        self._parts.counters.record_max("max_read_buffer_bytes", held)
         return (
             held > self._parts.limits.max_read_buffers_bytes
             and guest.buffer.size > self._parts.limits.initial_read_buffer_bytes
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -116,7 +116,7 @@
 
 def test_the_names_that_the_source_shows_are_found() -> None:
     assert named(r'log\.(?:event|always)\("([a-z_]+)"') <= set(EVENTS)
-    assert named(r'counters\.(?:add|most)\("([a-z_]+)"') <= COUNTERS
+    assert named(r'counters\.(?:add|record_max)\("([a-z_]+)"') <= COUNTERS
     sources = named(r'bad_message\("([a-z_]+)"')
     assert {f"{source}_messages_rejected" for source in sources} <= COUNTERS
 
