--- a/kelpcourse/service/__init__.py
+++ b/kelpcourse/service/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop: configuration, limits, logs, signals and the assembly of the director."""
+"""Start and stop of the controller: configuration, limits, log, signals and the components."""
