--- a/kelpcourse/settings.py
+++ b/kelpcourse/settings.py
@@ -73,7 +73,7 @@
 FROM_0: dict[str, Figure] = {
     "family_info.head": lambda s: s.message_overhead_entries,
     "family_info.conns_least": lambda s: s.min_endpoint_connections,
-    "invariants.warm_up_min_capacity": lambda s: s.warm_up_min_capacity,
+    "invariants.cold_from": lambda s: s.warm_up_min_capacity,
 }
 
 
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -206,7 +206,7 @@
     lines = log_lines(output)
     assert [line["event"] for line in lines][:2] == ["started", "ready"]
     assert lines[-1]["event"] == "stopped"
-    assert lines[-1]["counters"]["relay_orders_taken"] == len(world.orders)
+    assert lines[-1]["counters"]["relay_orders_accepted"] == len(world.orders)
     assert lines[-1]["counters"].get("defects", 0) == 0
 
 
@@ -422,7 +422,7 @@
     world.news += [joined(0).replace(b"east", b"room-a")]
     world.until(lambda: world.orders)
     world.signal(signal.SIGTERM)
-    assert world.ended()[-1]["counters"].get("relay_orders_taken", 0) == 0
+    assert world.ended()[-1]["counters"].get("relay_orders_accepted", 0) == 0
 
 
 def test_it_ends_at_once_while_its_address_is_still_in_use(world: World) -> None:
