--- a/kelpcourse/simhost/server.py
+++ b/kelpcourse/simhost/server.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import Protocol, TextIO
 
-from kelpcourse.fields import Fields, WireError
+from kelpcourse.fields import Fields, InputError
 from kelpcourse.policy.actions import Action
 from kelpcourse.policy.controller import RoutingPolicy
 from kelpcourse.policy.events import Endpoint, EndpointList, EndpointListKind, Event, Started
@@ -47,7 +47,7 @@
     def within_batch(self) -> str:
         line = self.next()
         if line is None:
-            raise WireError("input ends inside a batch")
+            raise InputError("input ends inside a batch")
         return line
 
 
@@ -62,7 +62,7 @@
         while (line := self.lines.next()) is not None:
             name, *parts = line.split(" ")
             if name != "mark":
-                raise WireError(f"'{name}' where a batch should begin")
+                raise InputError(f"'{name}' where a batch should begin")
             now_us = Fields.parse(parts).integer("t_us")
             self._read_batch()
             yield self._answer(now_us)
@@ -83,7 +83,7 @@
                 instance = self._instance(fields)
                 instance.events.append(READERS[name](fields, instance.settings))
             else:
-                raise WireError(f"unknown event '{name}'")
+                raise InputError(f"unknown event '{name}'")
 
     def _read_list(self, fields: Fields) -> None:
         number, size = fields.count("roster_id"), fields.count("members")
@@ -91,7 +91,7 @@
         for _ in range(size):
             name, *parts = self.lines.within_batch().split(" ")
             if name != "item":
-                raise WireError(f"'{name}' where an entry of a list should be")
+                raise InputError(f"'{name}' where an entry of a list should be")
             hosts.append(read_host(Fields.parse(parts)))
         self._lists[number] = tuple(hosts)
 
@@ -104,7 +104,7 @@
     def _instance(self, fields: Fields) -> Instance:
         number = fields.count("director_id")
         if number not in self._instances:
-            raise WireError(f"field 'director_id' names no running instance: '{number}'")
+            raise InputError(f"field 'director_id' names no running instance: '{number}'")
         return self._instances[number]
 
     def _members(self, fields: Fields) -> EndpointList:
@@ -113,7 +113,7 @@
             return EndpointList(kind, 0, ())
         number = fields.count("roster_id")
         if number not in self._lists:
-            raise WireError(f"field 'roster_id' names no list: '{number}'")
+            raise InputError(f"field 'roster_id' names no list: '{number}'")
         return EndpointList(kind, fields.integer("number"), self._lists[number])
 
     def _answer(self, now_us: int) -> str:
@@ -139,7 +139,7 @@
         for reply in adapter.replies():
             sys.stdout.write(reply)
             sys.stdout.flush()
-    except WireError as error:
+    except InputError as error:
         print(f"simhost: line {adapter.lines.number}: {error}", file=sys.stderr)
         return 2
     except UnicodeDecodeError as error:
--- a/kelpcourse/wire/discovery.py
+++ b/kelpcourse/wire/discovery.py
@@ -166,7 +166,7 @@
         self._parts.log.event(
             "discovery_unavailable", call=call, reason=reason, version=self._version
         )
-        self._parts.facade.report_list_lost()
+        self._parts.facade.report_list_unavailable()
 
     def _follow(self, watch: Watch) -> Act[None]:
         until_us = self._parts.clock() + self._parts.limits.list_timeout_us
--- a/kelpcourse/wire/listener.py
+++ b/kelpcourse/wire/listener.py
@@ -249,7 +249,7 @@
             case Ping():
                 guest.asked = True
                 self._pong(guest)
-            case Collector(zone) if self._parts.facade.is_zone(zone):
+            case Collector(zone) if self._parts.facade.has_zone(zone):
                 guest.zone = zone
                 guest.buffer.widen(
                     self._parts.limits.initial_read_buffer_bytes, self._parts.limits.max_line_bytes
@@ -268,10 +268,12 @@
                         f"zone {zone!r:.60} through the collector of {guest.zone!r:.60}"
                     )
                 self._parts.counters.add("endpoint_reports")
-                self._parts.facade.report_tries(host, zone, tries, failed, window_ms, mean_ms, load)
+                self._parts.facade.report_attempts(
+                    host, zone, tries, failed, window_ms, mean_ms, load
+                )
             case Usage(proxy, kind, arrived, unanswered, window_ms):
                 self._parts.counters.add("demand_reports")
-                self._parts.facade.report_usage(proxy, kind, arrived, unanswered, window_ms)
+                self._parts.facade.report_demand(proxy, kind, arrived, unanswered, window_ms)
             case Collector(zone) if zone != guest.zone:
                 raise BadMessage(f"the collector of {guest.zone!r:.60} is not that of {zone!r:.60}")
             case Ping():
--- a/kelpcourse/wire/relay_events.py
+++ b/kelpcourse/wire/relay_events.py
@@ -6,7 +6,7 @@
 
 from kelpcourse.facade import InvalidReportError
 from kelpcourse.memory.order_queue import OrderQueue
-from kelpcourse.memory.proxies import Applied, Joined, Left, News, Proxies
+from kelpcourse.memory.proxies import Applied, Joined, Left, ProxyEvent, ProxyRegistry
 from kelpcourse.wire.fields import BadMessage, NotJson
 from kelpcourse.wire.http import dial
 from kelpcourse.wire.loop import Routine, Signal, Wait
@@ -33,7 +33,7 @@
         self._outbox = outbox
         self._reachable = reachable
         self._target = target
-        self._proxies = Proxies(
+        self._proxies = ProxyRegistry(
             parts.limits.max_buffered_events, parts.limits.event_stream_overlap_us
         )
         self._first = 0  # stream at the address of now; those before it are on their way out
@@ -56,19 +56,19 @@
             except (Broken, NotJson) as error:
                 reason = str(error)
             finally:
-                self._report(self._proxies.lost(stream))
+                self._report(self._proxies.stream_lost(stream))
             self._parts.counters.add("event_streams_lost")
             self._parts.log.event(
                 "event_stream_lost",
                 stream=stream,
                 reason=reason,
-                synchronised=self._proxies.steady,
+                synchronised=self._proxies.synchronised,
                 joined_proxies=len(self._proxies),
             )
             yield Wait(self._parts.clock() + backoff.next_us())
 
     def _replaced(self, stream: int) -> bool:
-        return stream < self._first and self._proxies.in_step(self.streams())
+        return stream < self._first and self._proxies.any_synchronised(self.streams())
 
     def _follow(self, stream: int, address: Address, backoff: Backoff) -> Act[None]:
         limits = self._parts.limits
@@ -79,7 +79,7 @@
             if status != 200:
                 raise Broken(f"answered {status}")
             now_us = self._parts.clock()
-            self._proxies.opened(stream, now_us, now_us + limits.event_snapshot_timeout_us)
+            self._proxies.stream_opened(stream, now_us, now_us + limits.event_snapshot_timeout_us)
             self._parts.counters.add("event_streams_opened")
             self._parts.log.event("event_stream_opened", stream=stream)
             self._reachable.raise_()
@@ -101,31 +101,31 @@
         if not line:
             return
         try:
-            self._report(self._proxies.told(stream, read_event(line), self._parts.clock()))
+            self._report(self._proxies.receive(stream, read_event(line), self._parts.clock()))
         except NotJson:
             raise  # what it should have told is lost: only a fresh snapshot mends that
         except BadMessage as error:
             self._parts.bad_message("relay", error)
 
-    def _report(self, changes: Iterable[News]) -> None:
+    def _report(self, changes: Iterable[ProxyEvent]) -> None:
         for event in changes:
             try:
                 self._report_one(event)
             except InvalidReportError as error:
                 self._parts.bad_message("relay", error)
 
-    def _report_one(self, event: News) -> None:
+    def _report_one(self, event: ProxyEvent) -> None:
         facade, counters = self._parts.facade, self._parts.counters
         match event:
-            case Joined(proxy, zone, share, standing):
+            case Joined(proxy, zone, request_rate_per_s, has_no_table):
                 counters.add("relay_proxies_joined")
-                facade.report_joined(proxy, zone, share, standing)
+                facade.report_proxy_joined(proxy, zone, request_rate_per_s, has_no_table)
             case Left(proxy):
                 counters.add("relay_proxies_left")
                 self._outbox.forget_proxy(proxy)
-                facade.report_left(proxy)
+                facade.report_proxy_left(proxy)
             case Applied(proxy, stamp, lag_ms):
                 counters.add("relay_acknowledgements")
-                self._outbox.answered(stamp)
-                for answered in self._outbox.stamps(stamp):
-                    facade.report_applied(proxy, answered, lag_ms)
+                self._outbox.acknowledge(stamp)
+                for answered in self._outbox.covered_checkpoints(stamp):
+                    facade.report_acknowledged(proxy, answered, lag_ms)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from kelpcourse.fields import WireError
+from kelpcourse.fields import InputError
 from kelpcourse.policy.actions import (
     Action,
     BindProxy,
@@ -258,7 +258,7 @@
 def test_bad_input_names_line_and_field_and_ends_the_adapter(line: str, field: str) -> None:
     source = io.StringIO(batch(1, *START) + batch(2, line))
     adapter = Adapter(source, Recorder)
-    with pytest.raises(WireError, match=f"'{field}"):
+    with pytest.raises(InputError, match=f"'{field}"):
         list(adapter.replies())
     assert adapter.lines.number == len(START) + 2 + 2
 
@@ -277,7 +277,7 @@
 
 
 def test_input_that_ends_inside_a_batch_is_an_error() -> None:
-    with pytest.raises(WireError, match="inside a batch"):
+    with pytest.raises(InputError, match="inside a batch"):
         play("mark t_us=1\n")
 
 
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from kelpcourse.facade import HealthCheckRequest
 from kelpcourse.policy.actions import CheckHealth, WatchEndpoints
 from kelpcourse.policy.events import EndpointList, EndpointListKind, EndpointStatus
 from kelpcourse.wire.discovery import Discovery, read_list
@@ -237,10 +238,10 @@
     bench.until(lambda: lists(bench))
     host = lists(bench)[0].endpoints[0].id
     bench.module.ready = [[CheckHealth(host), WatchEndpoints(False)]]
-    bench.facade.report_list_lost()
+    bench.facade.report_list_unavailable()
     bench.pass_us(5 * MS)
     work = bench.facade.pick()
-    assert work.probes == [("a", ("127.0.0.2", 7))]
+    assert work.health_checks == [HealthCheckRequest("a", ("127.0.0.2", 7))]
     assert work.watch is False
 
 
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from kelpcourse.facade import Facade, InvalidReportError
+from kelpcourse.facade import Facade, HealthCheckRequest, InvalidReportError
 from kelpcourse.memory import orders
 from kelpcourse.memory.endpoints import EndpointRegistry
 from kelpcourse.policy.actions import (
@@ -49,7 +49,7 @@
     def __init__(self) -> None:
         self.module = Script(SETTINGS)
         self.facade = Facade(SETTINGS, 7, QUICK, lambda _: self.module)
-        self.facade.report_known([member("h1"), member("h2", EndpointStatus.DRAINING)], 41)
+        self.facade.report_cached_list([member("h1"), member("h2", EndpointStatus.DRAINING)], 41)
         self.facade.start(1000)
 
 
@@ -70,15 +70,15 @@
     facade = door.facade
     door.module.ready.append([Checkpoint(905, False)])
     facade.start(2000)
-    facade.report_joined(1, "east", 21.5, True)
-    facade.report_tries("h1", "west", 10, 1, 1000.0, 41.7, [("inflight", 7.0)])
-    facade.report_usage(1, "write", 19, 2, 2000.0)
-    facade.report_applied(1, 905, 310.4)
-    facade.report_left(1)
+    facade.report_proxy_joined(1, "east", 21.5, True)
+    facade.report_attempts("h1", "west", 10, 1, 1000.0, 41.7, [("inflight", 7.0)])
+    facade.report_demand(1, "write", 19, 2, 2000.0)
+    facade.report_acknowledged(1, 905, 310.4)
+    facade.report_proxy_left(1)
     facade.report_probe("h1", "timeout", 400_000, ())
-    facade.report_list_lost()
+    facade.report_list_unavailable()
     assert not facade.tick(5000)
-    assert facade.due_us() == 5000 + QUICK.step_batching_us
+    assert facade.next_due_us() == 5000 + QUICK.step_batching_us
     assert facade.tick(5000 + QUICK.step_batching_us)
     assert door.module.steps[2] == [
         ProxyJoined(1, "east", 21.5, True),
@@ -93,7 +93,7 @@
 
 def test_nothing_heard_and_no_timer_due_is_no_step() -> None:
     door = Door()
-    assert door.facade.due_us() is None
+    assert door.facade.next_due_us() is None
     assert not door.facade.tick(10 * SECOND)
     assert len(door.module.steps) == 1
 
@@ -101,10 +101,10 @@
 def test_timers_fire_once_at_their_time_and_in_order() -> None:
     door = Door()
     door.module.ready = [[SetTimer("late", 9000), SetTimer("soon", 8000)]]
-    door.facade.report_left(0)
+    door.facade.report_proxy_left(0)
     door.facade.tick(2000)
     door.facade.tick(5000)
-    assert door.facade.due_us() == 8000
+    assert door.facade.next_due_us() == 8000
     assert not door.facade.tick(7999)
     door.facade.tick(8000)
     door.facade.tick(20_000)
@@ -129,7 +129,7 @@
             SetWeight(0, 99, 1.0),
         ]
     ]
-    door.facade.report_left(0)
+    door.facade.report_proxy_left(0)
     door.facade.tick(2000)
     door.facade.tick(5000)
     work = door.facade.pick()
@@ -142,29 +142,32 @@
         orders.Checkpoint(9, True),
     ]
     assert (work.watch, work.fetches) == (True, 1)
-    assert (work.probes, work.notes) == ([("h1", ("127.0.0.1", 9))], ["seen"])
-    assert work.undelivered == 2  # a peer, for whom there is no word here, and a host never listed
+    assert work.health_checks == [HealthCheckRequest("h1", ("127.0.0.1", 9))]
+    assert work.log_messages == ["seen"]
+    assert (
+        work.undeliverable == 2
+    )  # a peer, for whom there is no word here, and a host never listed
     assert door.facade.pick().orders == []
 
 
 @pytest.mark.parametrize(
     "report",
     [
-        lambda f: f.report_joined(4, "east", 1.0, True),
-        lambda f: f.report_joined(-1, "east", 1.0, True),
-        lambda f: f.report_joined(0, "north", 1.0, True),
-        lambda f: f.report_joined(0, "east", math.inf, True),
-        lambda f: f.report_left(4),
-        lambda f: f.report_applied(0, -1, 1.0),
-        lambda f: f.report_applied(0, 1, math.nan),
-        lambda f: f.report_tries("h9", "east", 1, 0, 1.0, 1.0, ()),
-        lambda f: f.report_tries("h1", "east", 1, 2, 1.0, 1.0, ()),
-        lambda f: f.report_tries("h1", "east", 1 << 60, 0, 1.0, 1.0, ()),
-        lambda f: f.report_tries("h1", "east", 1, 0, 1e30, 1.0, ()),
-        lambda f: f.report_tries("h1", "east", 1, 0, 1.0, -1.0, ()),
-        lambda f: f.report_tries("h1", "east", 1, 0, 1.0, 1.0, [("util", math.nan)]),
-        lambda f: f.report_usage(0, "sing", 1, 0, 1.0),
-        lambda f: f.report_usage(9, "read", 1, 0, 1.0),
+        lambda f: f.report_proxy_joined(4, "east", 1.0, True),
+        lambda f: f.report_proxy_joined(-1, "east", 1.0, True),
+        lambda f: f.report_proxy_joined(0, "north", 1.0, True),
+        lambda f: f.report_proxy_joined(0, "east", math.inf, True),
+        lambda f: f.report_proxy_left(4),
+        lambda f: f.report_acknowledged(0, -1, 1.0),
+        lambda f: f.report_acknowledged(0, 1, math.nan),
+        lambda f: f.report_attempts("h9", "east", 1, 0, 1.0, 1.0, ()),
+        lambda f: f.report_attempts("h1", "east", 1, 2, 1.0, 1.0, ()),
+        lambda f: f.report_attempts("h1", "east", 1 << 60, 0, 1.0, 1.0, ()),
+        lambda f: f.report_attempts("h1", "east", 1, 0, 1e30, 1.0, ()),
+        lambda f: f.report_attempts("h1", "east", 1, 0, 1.0, -1.0, ()),
+        lambda f: f.report_attempts("h1", "east", 1, 0, 1.0, 1.0, [("util", math.nan)]),
+        lambda f: f.report_demand(0, "sing", 1, 0, 1.0),
+        lambda f: f.report_demand(9, "read", 1, 0, 1.0),
     ],
 )
 def test_what_is_unknown_or_out_of_range_does_not_reach_the_module(
@@ -179,7 +182,7 @@
 def test_a_failed_step_is_told_and_does_not_stop_the_module() -> None:
     door = Door()
     door.module.ready = [[SetTimer("tick", 9000)]]
-    door.facade.report_left(0)
+    door.facade.report_proxy_left(0)
     door.facade.tick(2000)
     door.facade.tick(5000)
     sound, failing = door.module.step, [True]
@@ -193,7 +196,7 @@
     with pytest.raises(ZeroDivisionError):
         door.facade.tick(9000)
     failing.append(False)
-    assert door.facade.due_us() == 9000 + QUICK.coroutine_restart_us
+    assert door.facade.next_due_us() == 9000 + QUICK.coroutine_restart_us
     assert door.facade.tick(9000 + QUICK.coroutine_restart_us)
     assert door.module.steps[-1] == [TimerFired("tick")]
 
@@ -201,10 +204,10 @@
 def test_timers_are_bounded() -> None:
     door = Door()
     door.module.ready = [[SetTimer("t", 10**9 + k) for k in range(QUICK.max_timers + 5)]]
-    door.facade.report_left(0)
+    door.facade.report_proxy_left(0)
     door.facade.tick(2000)
     door.facade.tick(2000 + 10 * MS)
-    assert door.facade.pick().undelivered == 5
+    assert door.facade.pick().undeliverable == 5
 
 
 def test_time_never_goes_back_for_the_module() -> None:
@@ -218,7 +221,7 @@
 
     door.module.step = step  # type: ignore[method-assign, assignment]
     for now in (50_000, 60_000, 40_000, 80_000):
-        door.facade.report_left(0)
+        door.facade.report_proxy_left(0)
         door.facade.tick(now)
     assert times == sorted(times)
     assert len(times) > 1
@@ -227,32 +230,34 @@
 # Memory behind the door
 
 
-def test_hosts_keep_their_number_while_gone_and_are_forgotten_beyond_the_limit() -> None:
-    hosts = EndpointRegistry(3)
-    hosts.take([member("a"), member("b"), member("c")], True)
-    number = hosts.number("a")
-    hosts.take([member("a", EndpointStatus.GONE)], False)
-    assert hosts.address("a") is None
-    assert hosts.number("a") == number
-    hosts.take([member("a")], False)
-    assert hosts.number("a") == number
-    hosts.take([member("b", EndpointStatus.GONE)], False)
-    hosts.take([member("c", EndpointStatus.GONE), member("d")], False)
-    assert hosts.number("b") is None
-    assert len(hosts) == 3
+def test_endpoints_keep_their_number_while_gone_and_are_forgotten_beyond_the_limit() -> None:
+    endpoints = EndpointRegistry(3)
+    endpoints.update([member("a"), member("b"), member("c")], True)
+    number = endpoints.number_of("a")
+    endpoints.update([member("a", EndpointStatus.GONE)], False)
+    assert endpoints.address_of("a") is None
+    assert endpoints.number_of("a") == number
+    endpoints.update([member("a")], False)
+    assert endpoints.number_of("a") == number
+    endpoints.update([member("b", EndpointStatus.GONE)], False)
+    endpoints.update([member("c", EndpointStatus.GONE), member("d")], False)
+    assert endpoints.number_of("b") is None
+    assert len(endpoints) == 3
 
 
-def test_names_do_not_grow_with_hosts_that_come_and_go() -> None:
-    hosts = EndpointRegistry(50)
+def test_names_do_not_grow_with_endpoints_that_come_and_go() -> None:
+    endpoints = EndpointRegistry(50)
     for version in range(1000):
-        hosts.take([member(f"h{version}"), member(f"h{version - 20}", EndpointStatus.GONE)], False)
-    assert len(hosts) <= 50
-    assert hosts.number("h999") is not None
-
-
-def test_a_whole_list_names_all_there_are() -> None:
-    hosts = EndpointRegistry(10)
-    hosts.take([member("a"), member("b")], True)
-    hosts.take([member("b")], True)
-    assert hosts.address("a") is None
-    assert hosts.address("b") is not None
+        endpoints.update(
+            [member(f"h{version}"), member(f"h{version - 20}", EndpointStatus.GONE)], False
+        )
+    assert len(endpoints) <= 50
+    assert endpoints.number_of("h999") is not None
+
+
+def test_a_full_list_names_all_there_are() -> None:
+    endpoints = EndpointRegistry(10)
+    endpoints.update([member("a"), member("b")], True)
+    endpoints.update([member("b")], True)
+    assert endpoints.address_of("a") is None
+    assert endpoints.address_of("b") is not None
