--- a/kelpcourse/wire/listener.py
+++ b/kelpcourse/wire/listener.py
@@ -7,12 +7,12 @@
 import os
 import socket
 
-from kelpcourse.facade import Unknown
+from kelpcourse.facade import InvalidReportError
 from kelpcourse.limits import Limits
 from kelpcourse.wire.buffers import Buffer, TooLong
 from kelpcourse.wire.fields import BadMessage
 from kelpcourse.wire.loop import READ, Routine, Task, Wait
-from kelpcourse.wire.parts import Parts
+from kelpcourse.wire.runtime import Runtime
 from kelpcourse.wire.stream import Address, Broken, Silent, Stream, family
 from kelpcourse.wire.text import (
     PONG,
@@ -45,12 +45,12 @@
         """When it is let go. A stranger's time runs from its connecting, or from the start of a message,
         and never from its last byte: else a slow drip would hold a place for good."""
         if self.zone:
-            return self.heard_us + limits.collector_us
+            return self.heard_us + limits.collector_idle_us
         if not self.asked:
-            return self.came_us + limits.join_us
+            return self.came_us + limits.handshake_timeout_us
         if self.half_us is not None:
-            return self.half_us + limits.join_us
-        return self.heard_us + limits.pinger_us
+            return self.half_us + limits.handshake_timeout_us
+        return self.heard_us + limits.ping_client_idle_us
 
 
 class Stranger(Broken):
@@ -70,7 +70,7 @@
 
 
 class Listener:
-    def __init__(self, parts: Parts, address: Address, sock: socket.socket | None = None) -> None:
+    def __init__(self, parts: Runtime, address: Address, sock: socket.socket | None = None) -> None:
         """`sock`: listens there already."""
         self._sock = sock
         self._parts = parts
@@ -81,20 +81,20 @@
     def run(self) -> Routine:
         sock, self._sock = self._sock, None  # started anew after a defect it is closed
         while sock is None and (sock := self._listen()) is None:
-            yield Wait(self._parts.clock() + self._parts.limits.bind_wait_us)
+            yield Wait(self._parts.clock() + self._parts.limits.bind_retry_us)
         self._parts.log.always("ready", listen=f"{self._address[0]}:{self._address[1]}")
         try:
             while True:
                 yield Wait(fd=sock.fileno(), mask=READ)
                 if not self._accept(sock):
-                    yield Wait(self._parts.clock() + self._parts.limits.accept_wait_us)
+                    yield Wait(self._parts.clock() + self._parts.limits.accept_retry_us)
         finally:
             sock.close()
 
     def _listen(self) -> socket.socket | None:
         """None: the process before this one still holds the address, which passes."""
         try:
-            return listen(self._address, self._parts.limits.listen_queue)
+            return listen(self._address, self._parts.limits.listen_backlog)
         except OSError as error:
             if error.errno != errno.EADDRINUSE:
                 raise
@@ -112,12 +112,12 @@
                 continue  # it was reset before it was taken
             except OSError as error:  # as a rule: no descriptor is left
                 self._parts.log.event(
-                    "descriptors_used_up", reason=str(error), connections=len(self._guests)
+                    "descriptors_exhausted", reason=str(error), connections=len(self._guests)
                 )
                 self._make_way(sock)
                 return False
             self._welcome(Stream(connection))
-            while len(self._guests) > self._parts.limits.connections:
+            while len(self._guests) > self._parts.limits.max_connections:
                 if not self._shed_quietest():
                     return False
 
@@ -127,7 +127,7 @@
         if self._guests:
             self._shed_quietest()
             return
-        self._parts.counters.add("connections_shed")
+        self._parts.counters.add("connections_evicted")
         if self._spare >= 0:
             os.close(self._spare)
             self._spare = -1
@@ -141,8 +141,10 @@
         with contextlib.suppress(
             OSError
         ):  # nothing but pongs is ever written: the system need not hold many
-            stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, limits.stranger_bytes)
-        buffer = Buffer(limits.stranger_bytes, limits.stranger_bytes)
+            stream.sock.setsockopt(
+                socket.SOL_SOCKET, socket.SO_SNDBUF, limits.max_unauthenticated_bytes
+            )
+        buffer = Buffer(limits.max_unauthenticated_bytes, limits.max_unauthenticated_bytes)
         guest = Guest(stream, buffer, self._parts.clock())
         self._guests[guest] = None
         self._parts.counters.add("connections")
@@ -152,10 +154,12 @@
         """Strangers go first, then whoever said nothing for longest. One that has just come is waited for: it
         may be a collector in a crowd, whose first line is on its way. Tells whether there is room again."""
         quietest = min(self._guests, key=lambda g: (bool(g.zone), g.asked, g.heard_us))
-        if self._parts.clock() - quietest.came_us < self._parts.limits.accept_wait_us:
+        if self._parts.clock() - quietest.came_us < self._parts.limits.accept_retry_us:
             return False
-        self._parts.counters.add("connections_shed")
-        self._parts.log.event("connection_shed", zone=quietest.zone, connections=len(self._guests))
+        self._parts.counters.add("connections_evicted")
+        self._parts.log.event(
+            "connection_evicted", zone=quietest.zone, connections=len(self._guests)
+        )
         if quietest.task is not None:
             self._parts.loop.stop(quietest.task)
         return True
@@ -178,7 +182,7 @@
             self._turn_away(guest, error)
         except Broken as error:
             self._parts.counters.add("connections_broken")
-            self._parts.log.event("connection_ended", zone=guest.zone, reason=str(error))
+            self._parts.log.event("connection_broken", zone=guest.zone, reason=str(error))
         finally:
             self._end(guest)
 
@@ -201,11 +205,11 @@
         its line can't be read, only coming anew helps it."""
         reason = str(error) or "a message over its limit"
         if guest.zone:
-            self._parts.counters.add("collectors_ended")
-            self._parts.log.event("collector_ended", zone=guest.zone, reason=reason)
+            self._parts.counters.add("collectors_disconnected")
+            self._parts.log.event("collector_disconnected", zone=guest.zone, reason=reason)
             return
-        self._parts.counters.add("strangers_refused")
-        self._parts.log.event("stranger_refused", reason=reason, asked=guest.asked)
+        self._parts.counters.add("clients_rejected")
+        self._parts.log.event("client_rejected", reason=reason, request=guest.asked)
         with contextlib.suppress(OSError):
             guest.stream.sock.send(REFUSED)
 
@@ -213,10 +217,10 @@
         """Half lines of up to a limit each are fine on a few connections, not on hundreds: whoever grows a
         buffer past what all may hold together is shed."""
         held = sum(other.buffer.size for other in self._guests)
-        self._parts.counters.most("read_buffers_most", held)
+        self._parts.counters.most("max_read_buffer_bytes", held)
         return (
-            held > self._parts.limits.held_bytes
-            and guest.buffer.size > self._parts.limits.read_bytes
+            held > self._parts.limits.max_read_buffers_bytes
+            and guest.buffer.size > self._parts.limits.initial_read_buffer_bytes
         )
 
     def _end(self, guest: Guest) -> None:
@@ -235,10 +239,10 @@
             guest.heard_us = self._parts.clock()
         except Unreadable:
             raise
-        except (BadMessage, Unknown) as error:
+        except (BadMessage, InvalidReportError) as error:
             if not guest.zone:
                 raise Stranger(str(error)) from None
-            self._parts.bad_message("guest", error)
+            self._parts.bad_message("collector", error)
 
     def _meet(self, guest: Guest, message: Message | None) -> None:
         match message:
@@ -247,8 +251,10 @@
                 self._pong(guest)
             case Collector(zone) if self._parts.facade.is_zone(zone):
                 guest.zone = zone
-                guest.buffer.widen(self._parts.limits.read_bytes, self._parts.limits.line_bytes)
-                self._parts.log.event("collector", zone=zone)
+                guest.buffer.widen(
+                    self._parts.limits.initial_read_buffer_bytes, self._parts.limits.max_line_bytes
+                )
+                self._parts.log.event("collector_connected", zone=zone)
             case Collector(zone):
                 raise Stranger(f"no zone {zone!r:.60}")
             case _:
@@ -261,10 +267,10 @@
                     raise BadMessage(
                         f"zone {zone!r:.60} through the collector of {guest.zone!r:.60}"
                     )
-                self._parts.counters.add("heard")
+                self._parts.counters.add("endpoint_reports")
                 self._parts.facade.report_tries(host, zone, tries, failed, window_ms, mean_ms, load)
             case Usage(proxy, kind, arrived, unanswered, window_ms):
-                self._parts.counters.add("usage")
+                self._parts.counters.add("demand_reports")
                 self._parts.facade.report_usage(proxy, kind, arrived, unanswered, window_ms)
             case Collector(zone) if zone != guest.zone:
                 raise BadMessage(f"the collector of {guest.zone!r:.60} is not that of {zone!r:.60}")
--- a/kelpcourse/zones/held.py
+++ b/kelpcourse/zones/held.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from kelpcourse.limits import Limits
-from kelpcourse.memory.hosts import Member
+from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.zones.belief import Belief, Version
 from kelpcourse.zones.content import Difference, Draft, Zone, between
 from kelpcourse.zones.errors import BadZone
@@ -15,19 +15,19 @@
 from kelpcourse.zones.history import History
 from kelpcourse.zones.meaning import Meaning
 
-Changes = dict[str, Member | None]
+Changes = dict[str, ListedEndpoint | None]
 
 
 class HeldZone:
     def __init__(self, origin: str, service: str, limits: Limits) -> None:
         self.origin = origin
         self.zone = Zone(origin)
-        self.history = History(limits.zone_history_records)
+        self.history = History(limits.max_zone_history_records)
         self.meaning = Meaning(origin, service)
         self.belief = Belief(None)
         self.seen_ms = 0  # Unix time when its source last confirmed it
         self._limits = limits
-        self._losses = Losses(limits.zone_losses_us)
+        self._losses = Losses(limits.zone_removal_window_us)
         self._head: Zone | None = None  # None: the same as `zone`
         self._head_meaning: Meaning | None = None
         self._staged = 0
@@ -46,9 +46,9 @@
             )
         if (
             len(self.zone) + len(difference.added) - len(difference.removed)
-            > self._limits.zone_records
+            > self._limits.max_zone_records
         ):
-            raise BadZone(f"{self.origin}: more than {self._limits.zone_records} records")
+            raise BadZone(f"{self.origin}: more than {self._limits.max_zone_records} records")
         self.zone.apply(difference)
         self.history.add(difference)
         self.belief.take(Version(self.zone.serial, self.zone.soa_data))
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -13,14 +13,14 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.memory.hosts import Member
+from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.store.commit import Settled
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.journal import Journal
 from kelpcourse.store.spool import commands, write_whole
-from kelpcourse.wire.storage import Thread, Writer
 from kelpcourse.wire.loop import Loop, Routine, Signal, Wait
-from kelpcourse.wire.parts import LogLike
+from kelpcourse.wire.runtime import EventLog
+from kelpcourse.wire.storage import Thread, Writer
 from kelpcourse.wire.stream import Act
 from kelpcourse.wire.worker import in_thread
 from kelpcourse.zones.belief import Verdict, Version
@@ -50,7 +50,7 @@
 class Sink(Protocol):
     """Who is steered by the list."""
 
-    def listed(self, members: Sequence[Member], version: int, whole: bool) -> None: ...
+    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None: ...
 
     def lost(self) -> None: ...
 
@@ -62,13 +62,13 @@
     loop: Loop
     limits: Limits
     counters: Counters
-    log: LogLike
+    log: EventLog
     keep: Callable[[str, Callable[[], Routine]], None]  # runs a routine that may not end
 
 
 class Zones:
-    """Made and started by whoever hosts it. Raises BadSettings, InUse, BadZone or OSError at the start; later
-    trouble is logged and lived with."""
+    """Made and started by whoever hosts it. Raises BadSettings, FolderInUseError, BadZone or OSError at the
+    start; later trouble is logged and lived with."""
 
     def __init__(
         self,
@@ -87,7 +87,7 @@
         replay = self._open_store()
         self.held = replay.zones
         self._others = replay.others()
-        self.union = Union(list(self.held), grace_us, around.limits.names)
+        self.union = Union(list(self.held), grace_us, around.limits.max_endpoint_names)
         self._bare: set[str] = set()
         self._unsaved: set[str] = set()  # zones whose last version the store does not have
         self._covered: set[str] = set()  # those of them that the snapshot being written holds
@@ -113,16 +113,16 @@
         journal.begin(found, snapshot(replay.zones.values(), replay.others()))
         for remark in found.remarks:
             around.log.always(
-                "store_remark",
+                "store_warning",
                 file=remark.file,
-                what=remark.what,
+                problem=remark.what,
                 lost_bytes=remark.lost_bytes,
                 alarming=remark.alarming,
             )
         for text in replay.remarks:
-            around.log.always("store_remark", file="", what=text, lost_bytes=0, alarming=True)
+            around.log.always("store_warning", file="", problem=text, lost_bytes=0, alarming=True)
         around.log.always(
-            "store_open",
+            "store_opened",
             changes=len(found.records),
             took_ms=round((time.monotonic() - began) * 1e3),
         )
@@ -198,7 +198,7 @@
             around.counters,
             around.log,
             desk,
-            pair(self.settings.listen, around.limits.listen_queue),
+            pair(self.settings.listen, around.limits.listen_backlog),
         )
         around.keep("dns udp", self.server.run_udp)
         around.keep("dns tcp", self.server.run_tcp)
@@ -234,7 +234,10 @@
         return time.time_ns() // 1_000_000
 
     def stage(self, ticket: Ticket) -> bool:
-        if self._writer is None or self._writer.waiting >= self._around.limits.dns_updates:
+        if (
+            self._writer is None
+            or self._writer.waiting >= self._around.limits.max_pending_dns_updates
+        ):
             return False
         if ticket.zone.origin in self._unsaved:
             self._save(ticket.zone, keep(ticket.zone))
@@ -263,7 +266,7 @@
 
     def _store_failed(self, reason: str, broken: bool) -> None:
         self._around.counters.add("store_failures")
-        self._around.log.event("store_failed", reason=reason, turns_away=broken)
+        self._around.log.event("store_failed", reason=reason, rejects_changes=broken)
 
     def _snapshot(self) -> bytes:
         self._covered = set(self._unsaved)
@@ -277,7 +280,7 @@
         held.drop_head()
         held.seen_ms = self.unix_ms()
         self._around.log.always(
-            "zone_version",
+            "zone_updated",
             zone=held.origin,
             serial=held.zone.serial,
             source=source,
@@ -322,15 +325,15 @@
     def _tell_conflicts(self, conflicts: Iterable[Conflict]) -> None:
         for conflict in conflicts:
             self._around.log.event(
-                "zone_conflict" if conflict.begins else "zone_conflict_over",
-                host=conflict.host,
+                "zone_conflict" if conflict.begins else "zone_conflict_resolved",
+                endpoint=conflict.host,
                 zones=conflict.sources,
             )
 
     def _tell_problems(self, held: HeldZone) -> None:
         problems = held.meaning.problems()
         if problems:
-            most = self._around.limits.zone_problems
+            most = self._around.limits.max_logged_zone_problems
             self._around.log.event(
                 "zone_records_skipped",
                 zone=held.origin,
@@ -343,7 +346,7 @@
         now = set(bare(self.classes, self.union.members.values()))
         if now != self._bare:
             self._around.log.always(
-                "zone_classes_bare", classes=sorted(now), were=sorted(self._bare)
+                "zone_classes_without_endpoints", classes=sorted(now), were=sorted(self._bare)
             )
             self._bare = now
 
@@ -356,14 +359,20 @@
             self._sink.listed(
                 list(self.union.members.values()), self.union.version, self.union.whole
             )
-        if now_us - self._seen_us.get(held.origin, -1 << 62) >= self._around.limits.zone_seen_us:
+        if (
+            now_us - self._seen_us.get(held.origin, -1 << 62)
+            >= self._around.limits.zone_confirmation_interval_us
+        ):
             self._seen_us[held.origin] = now_us
             self._save(held, Seen(held.origin, held.seen_ms))
 
     def _expired(self, held: HeldZone) -> None:
         self._around.counters.add("zone_expiries")
         self._around.log.always(
-            "zone_expired", zone=held.origin, serial=held.zone.serial, hosts=len(held.meaning.hosts)
+            "zone_expired",
+            zone=held.origin,
+            serial=held.zone.serial,
+            endpoints=len(held.meaning.hosts),
         )
         was = self.union.available
         self.union.lost(held.origin)
@@ -379,7 +388,7 @@
 
     def _run_files(self) -> Routine:
         while True:
-            yield Wait(self.clock() + self._around.limits.zone_file_us, signal=self._look)
+            yield Wait(self.clock() + self._around.limits.zone_file_poll_us, signal=self._look)
             self._look.lower()
             for zone in self._by_origin.values():
                 if zone.file is not None:
@@ -395,7 +404,7 @@
             self._bad_file(zone, error)
             return
         while self.held[zone.origin].staged:  # updates that wait for the disk come first
-            yield Wait(self.clock() + self._around.limits.zone_command_us)
+            yield Wait(self.clock() + self._around.limits.zone_command_poll_us)
         self._take_file(zone, path, new)
 
     def _moved(self, zone: ZoneSettings, path: Path) -> bool:
@@ -417,8 +426,8 @@
 
     def _bad_file(self, zone: ZoneSettings, error: BadZone) -> None:
         """The zone that stands serves on."""
-        self._around.counters.add("zone_files_bad")
-        self._around.log.always("zone_file_bad", zone=zone.origin, reason=str(error))
+        self._around.counters.add("zone_files_rejected")
+        self._around.log.always("zone_file_rejected", zone=zone.origin, reason=str(error))
 
     def _take_file(self, zone: ZoneSettings, path: Path, new: Zone) -> None:
         held = self.held[zone.origin]
@@ -449,7 +458,7 @@
         """Orders of somebody who may write into the folder of the state, which is its owner's alone."""
         assert self.settings.state is not None
         while True:
-            yield Wait(self.clock() + self._around.limits.zone_command_us)
+            yield Wait(self.clock() + self._around.limits.zone_command_poll_us)
             for path, data in commands(self.settings.state):
                 self._command(path, data)
 
@@ -488,9 +497,9 @@
                 self._around.log.always(
                     "zone_restored",
                     zone=held.origin,
-                    as_at=command.serial,
+                    restored_serial=command.serial,
                     serial=held.zone.serial,
-                    hosts=len(held.meaning.hosts),
+                    endpoints=len(held.meaning.hosts),
                 )
             answer(
                 Restored(held.zone.serial, len(held.meaning.hosts))
--- a/kelpcourse/zones/standalone.py
+++ b/kelpcourse/zones/standalone.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 
 from kelpcourse.limits import Limits
-from kelpcourse.memory.hosts import Member
+from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.service.process import Process
 from kelpcourse.zones.service import Around, Zones
 from kelpcourse.zones.settings import ZonesSettings
@@ -20,12 +20,12 @@
         around = Around(self.loop, limits, self._process.counters, self.log, self._process.keep)
         self.zones = Zones(settings, around, self)
 
-    def listed(self, members: Sequence[Member], version: int, whole: bool) -> None:
-        self.log.event("list", version=version, whole=whole, hosts=len(members))
+    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
+        self.log.event("endpoints_updated", version=version, complete=whole, endpoints=len(members))
 
     def lost(self) -> None:
         self.log.always(
-            "list_unavailable", call="zones", reason="every zone has expired", version=0
+            "discovery_unavailable", call="zones", reason="every zone has expired", version=0
         )
 
     def run(self) -> int:
