--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -19,20 +19,30 @@
 import orjson
 import pytest
 
-from kelpcourse.interface import (
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.memory.order_queue import OrderQueue
+from kelpcourse.memory.orders import (
+    BindProxy,
+    Checkpoint,
+    ClearTable,
+    Order,
+    RestoreEndpoint,
+    SetAdmission,
+    SetWeight,
+    WithdrawEndpoint,
+)
+from kelpcourse.memory.proxies import Applied, Joined, Left
+from kelpcourse.policy.events import (
     DemandReport,
+    EndpointList,
+    EndpointReport,
+    EndpointStatus,
     Event,
-    HostList,
-    HostReport,
-    OrdersApplied,
-    ProbeAnswered,
+    HealthCheckCompleted,
+    OrdersAcknowledged,
     ProxyJoined,
     ProxyLeft,
 )
-from kelpcourse.memory.hosts import Member, Phase
-from kelpcourse.memory.orders import EmptyTable, Limit, Mark, Order, SetShare, ShutOut, UseTable
-from kelpcourse.memory.outbox import Outbox
-from kelpcourse.memory.proxies import Applied, Joined, Left
 from kelpcourse.wire.discovery import Discovery, read_list
 from kelpcourse.wire.fields import BadMessage
 from kelpcourse.wire.listener import Listener
@@ -52,31 +62,31 @@
 # Values in the program's own types. Names of types and fields stand in this section alone, and their bytes below.
 
 ORDERS: tuple[tuple[Order, bytes], ...] = (
-    (SetShare(4, "s-1", 1.5), b'{"verb":"SET","cluster":4,"host":"s-1","share":1.5}'),
-    (SetShare(0, "s-1", 0.0), b'{"verb":"SET","cluster":0,"host":"s-1","share":0.0}'),
-    (SetShare(1, "s", 1 / 3), b'{"verb":"SET","cluster":1,"host":"s","share":0.3333333333333333}'),
-    (EmptyTable(4), b'{"verb":"DEL","cluster":4}'),
-    (UseTable(17, 4, ()), b'{"verb":"USE","sidecar":17,"cluster":4}'),
+    (SetWeight(4, "s-1", 1.5), b'{"verb":"SET","cluster":4,"host":"s-1","share":1.5}'),
+    (SetWeight(0, "s-1", 0.0), b'{"verb":"SET","cluster":0,"host":"s-1","share":0.0}'),
+    (SetWeight(1, "s", 1 / 3), b'{"verb":"SET","cluster":1,"host":"s","share":0.3333333333333333}'),
+    (ClearTable(4), b'{"verb":"DEL","cluster":4}'),
+    (BindProxy(17, 4, ()), b'{"verb":"USE","sidecar":17,"cluster":4}'),
     (
-        UseTable(17, 4, ("lookup", "write")),
+        BindProxy(17, 4, ("lookup", "write")),
         b'{"verb":"USE","sidecar":17,"cluster":4,"for":["lookup","write"]}',
     ),
-    (ShutOut("s-\u00e9", True), b'{"verb":"OUT","host":"s-\xc3\xa9"}'),
-    (ShutOut("s-1", False), b'{"verb":"IN","host":"s-1"}'),
-    (Limit(4, (), 0.9, 2), b'{"verb":"LIMIT","cluster":4,"gate":0.9,"again":2}'),
+    (WithdrawEndpoint("s-\u00e9"), b'{"verb":"OUT","host":"s-\xc3\xa9"}'),
+    (RestoreEndpoint("s-1"), b'{"verb":"IN","host":"s-1"}'),
+    (SetAdmission(4, (), 0.9, 2), b'{"verb":"LIMIT","cluster":4,"gate":0.9,"again":2}'),
     (
-        Limit(4, ("lookup",), 0.25, 0),
+        SetAdmission(4, ("lookup",), 0.25, 0),
         b'{"verb":"LIMIT","cluster":4,"for":["lookup"],"gate":0.25,"again":0}',
     ),
-    (Limit(None, (), 1.0, 1), b'{"verb":"LIMIT","cluster":"*","gate":1.0,"again":1}'),
+    (SetAdmission(None, (), 1.0, 1), b'{"verb":"LIMIT","cluster":"*","gate":1.0,"again":1}'),
     (
-        Limit(None, ("lookup", "write"), 1e-7, 1),
+        SetAdmission(None, ("lookup", "write"), 1e-7, 1),
         b'{"verb":"LIMIT","cluster":"*","for":["lookup","write"],"gate":1e-7,"again":1}',
     ),
-    (Mark(905, True), b'{"verb":"SYNC","stamp":905,"yes":1}'),
-    (Mark(906, False, (904, 905)), b'{"verb":"SYNC","stamp":906,"yes":0}'),
+    (Checkpoint(905, True), b'{"verb":"SYNC","stamp":905,"yes":1}'),
+    (Checkpoint(906, False, (904, 905)), b'{"verb":"SYNC","stamp":906,"yes":0}'),
 )
-BATCH: list[Order] = [SetShare(4, "s-1", 1.5), UseTable(17, 4, ("lookup",)), Mark(7, True)]
+BATCH: list[Order] = [SetWeight(4, "s-1", 1.5), BindProxy(17, 4, ("lookup",)), Checkpoint(7, True)]
 BATCH_BYTES = (
     b'{"orders":[{"verb":"SET","cluster":4,"host":"s-1","share":1.5},'
     b'{"verb":"USE","sidecar":17,"cluster":4,"for":["lookup"]},{"verb":"SYNC","stamp":7,"yes":1}]}'
@@ -150,21 +160,23 @@
     b'{"id":"s-3","host_port":"h:1","locality":"b","flavor":"m4","cell":0,"phase":"gone","size":0}]}'
 )
 LISTED_MEMBERS = (
-    Member("s-5be2a07c", ("10.1.0.18", 5000), "a", "m2", 3, Phase.READY, 1.0, 0.0),
-    Member("s-2", ("::1", 65535), "b", "m4", 0, Phase.DRAINING, 2.0, 1_700_000_000_000.5),
-    Member("s-3", ("h", 1), "b", "m4", 0, Phase.GONE, 0.0, 0.0),
+    ListedEndpoint("s-5be2a07c", ("10.1.0.18", 5000), "a", "m2", 3, EndpointStatus.READY, 1.0, 0.0),
+    ListedEndpoint(
+        "s-2", ("::1", 65535), "b", "m4", 0, EndpointStatus.DRAINING, 2.0, 1_700_000_000_000.5
+    ),
+    ListedEndpoint("s-3", ("h", 1), "b", "m4", 0, EndpointStatus.GONE, 0.0, 0.0),
 )
 LISTED_PART = (41, True, LISTED_MEMBERS)
 
 
 def run_calls(bench: Bench, server: RawServer, orders: list[Order]) -> None:
-    queue = Outbox(QUICK.orders, QUICK.marks)
+    queue = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
     queue.add(orders)
     bench.loop.start("calls", RelayCalls(bench.parts, server.address, queue, Signal()).run())
 
 
 def run_events(bench: Bench, server: RawServer) -> None:
-    queue = Outbox(QUICK.orders, QUICK.marks)
+    queue = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
     streams = EventStreams(bench.parts, server.address, queue, Signal())
     bench.loop.start("events", streams.run(0))
 
@@ -326,7 +338,7 @@
     assert reported(bench) == [
         ProxyJoined(1, "east", 21.5, True),
         ProxyJoined(2, "west", 0.0, False),
-        OrdersApplied(1, 905, 310_400),
+        OrdersAcknowledged(1, 905, 310_400),
         ProxyLeft(2),
     ]
 
@@ -347,7 +359,7 @@
         b"Host: 127.0.0.1:PORT\r\n"
         b"Accept: application/json\r\n\r\n"
     )
-    bench.until(lambda: any(isinstance(event, HostList) for event in bench.module.events))
+    bench.until(lambda: any(isinstance(event, EndpointList) for event in bench.module.events))
 
 
 def test_request_bytes_of_a_fetch(bench: Bench, server: Callable[[bytes], RawServer]) -> None:
@@ -356,7 +368,7 @@
     assert request_of(bench, discovery) == (
         b"GET /discovery/hosts HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\nAccept: application/json\r\n\r\n"
     )
-    bench.until(lambda: any(isinstance(event, HostList) for event in bench.module.events))
+    bench.until(lambda: any(isinstance(event, EndpointList) for event in bench.module.events))
 
 
 @pytest.mark.parametrize("complete", [True, False])
@@ -383,9 +395,11 @@
     assert request_of(bench, endpoint) == (
         b"GET /metrics/load HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\nAccept: application/json\r\n\r\n"
     )
-    bench.until(lambda: any(isinstance(event, ProbeAnswered) for event in bench.module.events))
+    bench.until(
+        lambda: any(isinstance(event, HealthCheckCompleted) for event in bench.module.events)
+    )
     answered = bench.module.events[-1]
-    assert isinstance(answered, ProbeAnswered)
+    assert isinstance(answered, HealthCheckCompleted)
     assert answered.load == (("inflight", 7.0), ("queue", 2.0), ("util", 0.61))
 
 
@@ -458,8 +472,8 @@
         bench.until(lambda: any(isinstance(event, DemandReport) for event in bench.module.events))
     load = (("inflight", 7.0), ("util", 0.61))
     assert bench.module.events[-3:] == [
-        HostReport(1, "east", 212, 3, 1_000_500, 41_700, load),
-        HostReport(1, "east", 4, 4, 250_000, 0, ()),
+        EndpointReport(1, "east", 212, 3, 1_000_500, 41_700, load),
+        EndpointReport(1, "east", 4, 4, 250_000, 0, ()),
         DemandReport(2, 1, 19, 5, 1_000_000),
     ]
 
