--- a/benchmarks/loop_turn.py
+++ b/benchmarks/loop_turn.py
@@ -39,9 +39,10 @@
     for _ in range(tasks - 1):
         loop.start("far", far())
     loop.start("busy", busy())
+    run_once = loop.run_once if hasattr(loop, "run_once") else loop.turn  # its name at BEFORE
     began = time.perf_counter_ns()
     for _ in range(turns):
-        loop.turn(None)
+        run_once(None)
     took = time.perf_counter_ns() - began
     loop.close()
     return took / turns / 1000
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -124,7 +124,7 @@
         while not what():
             if time.monotonic() > ends:
                 sys.exit("it does not come about")
-            self.loop.turn(time.monotonic_ns() // 1000 + 2_000)
+            self.loop.run_once(time.monotonic_ns() // 1000 + 2_000)
 
     def close(self) -> None:
         self.loop.close()
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -208,7 +208,7 @@
 
     def _run(self) -> None:
         while not self._ends:
-            self.host.loop.turn(now_us() + 50_000)
+            self.host.loop.run_once(now_us() + 50_000)
 
     def close(self) -> None:
         self._ends = True
--- a/kelpcourse/lab/http.py
+++ b/kelpcourse/lab/http.py
@@ -7,8 +7,8 @@
 
 import h11
 
-from kelpcourse.wire.loop import READ, Loop, Routine, Wait
-from kelpcourse.wire.stream import Act, Address, Broken, Stream
+from kelpcourse.wire.loop import READ, Coroutine, Loop, Wait
+from kelpcourse.wire.stream import Address, Broken, Stream
 
 
 class Caller:
@@ -22,14 +22,14 @@
     def _far(self) -> int:
         return self._loop.clock() + 3_600_000_000
 
-    def event(self) -> Act[object]:
+    def event(self) -> Coroutine[object]:
         while (event := self._parser.next_event()) is h11.NEED_DATA:
             room = memoryview(bytearray(65536))
             count = yield from self.stream.recv_into(room, self._far())
             self._parser.receive_data(bytes(room[:count]))
         return event
 
-    def request(self) -> Act[tuple[str, bytes] | None]:
+    def request(self) -> Coroutine[tuple[str, bytes] | None]:
         """The target and body of the next call; None: the connection has ended."""
         if self._parser.our_state is h11.DONE:
             self._parser.start_next_cycle()
@@ -41,23 +41,23 @@
             body += event.data
         return head.target.decode(), body
 
-    def say(self, *events: h11.Event) -> Act[None]:
+    def say(self, *events: h11.Event) -> Coroutine[None]:
         data = b"".join(self._parser.send(event) or b"" for event in events)
         yield from self.stream.send(data, self._far())
 
-    def answer(self, status: int, body: bytes) -> Act[None]:
+    def answer(self, status: int, body: bytes) -> Coroutine[None]:
         head = h11.Response(status_code=status, headers=[("Content-Length", str(len(body)))])
         yield from self.say(head, h11.Data(data=body), h11.EndOfMessage())
 
-    def open_body(self) -> Act[None]:
+    def open_body(self) -> Coroutine[None]:
         yield from self.say(
             h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")])
         )
 
-    def line(self, text: bytes) -> Act[None]:
+    def line(self, text: bytes) -> Coroutine[None]:
         yield from self.say(h11.Data(data=text + b"\n"))
 
-    def silence(self) -> Act[None]:
+    def silence(self) -> Coroutine[None]:
         """Says nothing until the other side closes."""
         room = memoryview(bytearray(4096))
         while (yield from self.stream.recv_into(room, self._far())):
@@ -69,7 +69,7 @@
         self.stream.close()
 
 
-Serve = Callable[[Caller], Act[None]]
+Serve = Callable[[Caller], Coroutine[None]]
 
 
 class StandIn:
@@ -84,16 +84,16 @@
         self.connections = 0
         self._accepting = loop.start("stand-in", self._accept())
 
-    def _accept(self) -> Routine:
+    def _accept(self) -> Coroutine[None]:
         while True:
-            yield Wait(fd=self._sock.fileno(), mask=READ)
+            yield Wait(fd=self._sock.fileno(), event_mask=READ)
             connection, _ = self._sock.accept()
             self.connections += 1
             self._loop.start(
                 "stand-in caller", self._guarded(Caller(Stream(connection), self._loop))
             )
 
-    def _guarded(self, caller: Caller) -> Routine:
+    def _guarded(self, caller: Caller) -> Coroutine[None]:
         try:
             yield from self._serve(caller)
         except (Broken, h11.RemoteProtocolError):
--- a/kelpcourse/lab/primary.py
+++ b/kelpcourse/lab/primary.py
@@ -18,8 +18,8 @@
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
 from kelpcourse.memory.endpoints import ListedEndpoint
-from kelpcourse.wire.loop import READ, Loop, Routine, Wait
-from kelpcourse.wire.stream import Act, Address
+from kelpcourse.wire.loop import READ, Coroutine, Loop, Wait
+from kelpcourse.wire.stream import Address
 from kelpcourse.zones.service import Around, Restore, Restored, Zones
 from kelpcourse.zones.settings import read_settings, shown
 
@@ -113,7 +113,7 @@
     def start(self) -> None:
         self._zones.start()
 
-    def _keep(self, name: str, make: Callable[[], Routine]) -> None:
+    def _keep(self, name: str, make: Callable[[], Coroutine[None]]) -> None:
         self._loop.start(name, make())
 
     def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
@@ -146,12 +146,12 @@
 
     def _send(
         self, message: dns.update.UpdateMessage, answered: Callable[[dns.rcode.Rcode], None]
-    ) -> Act[None]:
+    ) -> Coroutine[None]:
         assert self._zones.server is not None
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK) as sock:
             sock.connect(self._zones.server.address)
             sock.send(message.to_wire())
-            yield Wait(fd=sock.fileno(), mask=READ)
+            yield Wait(fd=sock.fileno(), event_mask=READ)
             answer = dns.message.from_wire(
                 sock.recv(65_535),
                 keyring={self._key.name: self._key},
--- a/kelpcourse/lab/world.py
+++ b/kelpcourse/lab/world.py
@@ -24,8 +24,8 @@
 from kelpcourse.lab.rules import Checker
 from kelpcourse.shared.leases import Fence
 from kelpcourse.wire.loop import READ as READABLE
-from kelpcourse.wire.loop import Loop, Routine, Wait
-from kelpcourse.wire.stream import Act, Address
+from kelpcourse.wire.loop import Coroutine, Loop, Wait
+from kelpcourse.wire.stream import Address
 
 TRANSIT_US = 50_000  # from the relay to a forwarder
 TURN_US = 100_000  # between two rounds of picks
@@ -100,11 +100,11 @@
     def able(self, cls: str) -> set[str]:
         return {name for name, room in self.rooms.items() if cls != SUBMIT or room == "room-a"}
 
-    def _serve_host(self, caller: Caller) -> Act[None]:
+    def _serve_host(self, caller: Caller) -> Coroutine[None]:
         while (yield from caller.request()) is not None:
             yield from caller.answer(200, b"")
 
-    def _serve_discovery(self, caller: Caller) -> Act[None]:
+    def _serve_discovery(self, caller: Caller) -> Coroutine[None]:
         """The list as it stands, then what changes. In a run on zones nobody asks here."""
         yield from caller.request()
         yield from caller.open_body()
@@ -126,7 +126,7 @@
 
     # Relay
 
-    def _serve_relay(self, caller: Caller) -> Act[None]:
+    def _serve_relay(self, caller: Caller) -> Coroutine[None]:
         """At `/v3/kv/groups/G/…` the forwarders of a group are ordered, under an epoch (`?epoch=`); elsewhere all."""
         while (call := (yield from caller.request())) is not None:
             match = GROUP.match(call[0])
@@ -151,7 +151,7 @@
         for forwarder in forwarders:
             self.loop.start("transit", self._carry(forwarder, orders))
 
-    def _carry(self, forwarder: Forwarder, orders: Sequence[dict[str, Any]]) -> Routine:
+    def _carry(self, forwarder: Forwarder, orders: Sequence[dict[str, Any]]) -> Coroutine[None]:
         yield Wait(now_us() + TRANSIT_US)
         for order in orders:
             forwarder.apply(order)
@@ -170,7 +170,7 @@
             if told["sidecar"] in numbers:
                 lines.append(orjson.dumps({"type": kind, "object": told}))
 
-    def _tell_news(self, caller: Caller, forwarders: Sequence[Forwarder]) -> Act[None]:
+    def _tell_news(self, caller: Caller, forwarders: Sequence[Forwarder]) -> Coroutine[None]:
         lines = [
             orjson.dumps(
                 {
@@ -203,7 +203,7 @@
 
     # Requests and reports
 
-    def run_requests(self) -> Routine:
+    def run_requests(self) -> Coroutine[None]:
         """Each forwarder picks for requests of both classes; once a second the collectors hand on the sums."""
         report_us = now_us()
         while True:
@@ -275,10 +275,10 @@
         self.loop.start("director log", self._read_log(self._process.stdout.fileno()))
         self.loop.start("requests", self.run_requests())
 
-    def _read_log(self, fd: int) -> Routine:
+    def _read_log(self, fd: int) -> Coroutine[None]:
         rest = b""
         while True:
-            yield Wait(fd=fd, mask=READABLE)
+            yield Wait(fd=fd, event_mask=READABLE)
             try:
                 data = os.read(fd, 65_536)
             except BlockingIOError:
@@ -308,7 +308,7 @@
         while not what():
             if now_us() > ends or (self._process is not None and not self.running):
                 return False
-            self.loop.turn(now_us() + 20_000)
+            self.loop.run_once(now_us() + 20_000)
         return True
 
     def for_s(self, seconds: float) -> None:
@@ -322,7 +322,7 @@
         process = self._process
         self.until(lambda: process.poll() is not None, 5.0)
         for _ in range(10):
-            self.loop.turn(now_us())
+            self.loop.run_once(now_us())
         if process.poll() is None:
             process.kill()
         return process.wait()
--- a/kelpcourse/service/director.py
+++ b/kelpcourse/service/director.py
@@ -34,7 +34,7 @@
 from kelpcourse.service.signals import Signals
 from kelpcourse.wire.discovery import Discovery
 from kelpcourse.wire.listener import Listener, listen
-from kelpcourse.wire.loop import Loop, Routine, Signal, Task, Wait
+from kelpcourse.wire.loop import Coroutine, Loop, Signal, Task, Wait
 from kelpcourse.wire.probes import Probes
 from kelpcourse.wire.relay_calls import RelayCalls
 from kelpcourse.wire.relay_events import EventStreams
@@ -42,7 +42,7 @@
 from kelpcourse.wire.stream import Address
 
 BAD_CONFIG = 2
-Keep = Callable[[str, Callable[[], Routine]], None]
+Keep = Callable[[str, Callable[[], Coroutine[None]]], None]
 
 
 class Source(Protocol):
@@ -118,7 +118,7 @@
         self._follow_events()
         self._keep("listener", Listener(self._parts, self._config.listen, self._sock).run)
         while not self._stop:
-            self._loop.turn(self._facade.due_us())
+            self._loop.run_once(self._facade.due_us())
             self._step(self._facade.tick)
         if self._source is not None:
             self._source.close()
@@ -136,7 +136,7 @@
             self._loop.stop(self._reloading)
         self._reloading = self._loop.start("reload", self._reload())
 
-    def _reload(self) -> Routine:
+    def _reload(self) -> Coroutine[None]:
         """A file that is being replaced can't be read for a moment, and nobody sends a second signal when it can."""
         if self._source is not None:
             self._source.reread()
@@ -171,7 +171,7 @@
         if "discovery" in moved:
             self._discovery.move(new.discovery)
 
-    def _keep(self, name: str, make: Callable[[], Routine]) -> None:
+    def _keep(self, name: str, make: Callable[[], Coroutine[None]]) -> None:
         """Runs a routine that the director can't do without: one that ends by a defect starts again, one that
         ends by itself has been replaced."""
         self._loop.start(name, kept(self._loop, self._limits, name, make, self._defect))
@@ -194,7 +194,7 @@
                 self._counters.add("orders_dropped", given_up)
                 self._log.event("orders_dropped", count=given_up)
             self._counters.most("max_queued_orders", len(self._outbox))
-            self._waiting.raise_()
+            self._waiting.set()
         if work.watch is not None:
             self._discovery.watch(work.watch)
         for _ in range(work.fetches):
--- a/kelpcourse/service/process.py
+++ b/kelpcourse/service/process.py
@@ -12,7 +12,7 @@
 from kelpcourse.service.clock import Clock
 from kelpcourse.service.logs import Log
 from kelpcourse.service.signals import Signals
-from kelpcourse.wire.loop import Loop, Routine, Wait
+from kelpcourse.wire.loop import Coroutine, Loop, Wait
 
 
 class Process:
@@ -27,7 +27,7 @@
         self._stop = 0
         self._hang_up: Callable[[], None] = lambda: None
 
-    def keep(self, name: str, make: Callable[[], Routine]) -> None:
+    def keep(self, name: str, make: Callable[[], Coroutine[None]]) -> None:
         """Runs a routine that can't be done without: one that ends by a defect starts again."""
         self.loop.start(name, kept(self.loop, self._limits, name, make, self._defect))
 
@@ -40,7 +40,7 @@
         self.keep("signals", lambda: signals.read(self._on_signal))
         start()
         while not self._stop:
-            self.loop.turn(None)
+            self.loop.run_once(None)
         close()
         signals.close()
         self.log.always("stopped", signal=self._stop, counters=self.counters.snapshot())
@@ -67,9 +67,9 @@
     loop: Loop,
     limits: Limits,
     name: str,
-    make: Callable[[], Routine],
+    make: Callable[[], Coroutine[None]],
     on_defect: Callable[[str, Exception], None],
-) -> Routine:
+) -> Coroutine[None]:
     while True:
         try:
             yield from make()
--- a/kelpcourse/service/signals.py
+++ b/kelpcourse/service/signals.py
@@ -7,7 +7,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from kelpcourse.wire.loop import READ, Routine, Wait
+from kelpcourse.wire.loop import READ, Coroutine, Wait
 
 CAUGHT = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 
@@ -25,13 +25,13 @@
         for number in CAUGHT:
             signal.signal(number, lambda *_: None)
 
-    def read(self, on_signal: Callable[[int], None]) -> Routine:
+    def read(self, on_signal: Callable[[int], None]) -> Coroutine[None]:
         """Hands them on in order when the loop is between two routines. If one ends it by a defect, those that came
         with it wait for the next reader."""
         while True:
             while self._waiting:
                 on_signal(self._waiting.popleft())
-            yield Wait(fd=self._ours.fileno(), mask=READ)
+            yield Wait(fd=self._ours.fileno(), event_mask=READ)
             self._waiting.extend(self._ours.recv(64))
 
     def close(self) -> None:
--- a/kelpcourse/shared/disk.py
+++ b/kelpcourse/shared/disk.py
@@ -27,7 +27,7 @@
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.journal import Journal
 from kelpcourse.store.recovery import Remark
-from kelpcourse.wire.loop import Loop, Routine
+from kelpcourse.wire.loop import Coroutine, Loop
 from kelpcourse.wire.storage import Runner, Writer
 
 TOKEN_BYTES = 6
@@ -101,7 +101,7 @@
             if not self._halted and not self._writer.stage(encode(write), write):
                 self._halt("a write was turned away")
 
-    def run(self) -> Routine:
+    def run(self) -> Coroutine[None]:
         yield from self._writer.run()
 
     def _snapshot(self) -> bytes:
--- a/kelpcourse/shared/member.py
+++ b/kelpcourse/shared/member.py
@@ -15,12 +15,12 @@
 from kelpcourse.shared.messages import Config, Member
 from kelpcourse.shared.peers import Peers, Tls, name_of
 from kelpcourse.shared.raft import Refused, Role
-from kelpcourse.wire.loop import Loop, Routine, Signal, Wait
+from kelpcourse.wire.loop import Coroutine, Loop, Signal, Wait
 from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.storage import Runner
 from kelpcourse.wire.stream import Address
 
-Keep = Callable[[str, Callable[[], Routine]], None]
+Keep = Callable[[str, Callable[[], Coroutine[None]]], None]
 
 
 @dataclass(frozen=True)
@@ -86,7 +86,7 @@
         self._peers.start(keep)
         keep("shared", self.run)
 
-    def run(self) -> Routine:
+    def run(self) -> Coroutine[None]:
         """Begins once its disk can be written: before that it can promise nothing."""
         while not self._disk.ready and not self.halted:
             yield Wait(self._loop.clock() + 5_000)
@@ -103,7 +103,7 @@
         while self.controller is not None:
             self.controller.tick(self._loop.clock())
             self._carry_out()
-            self._stir.lower()
+            self._stir.clear()
             yield Wait(self.controller.due_us(), signal=self._stir)
 
     def close(self) -> None:
@@ -209,7 +209,7 @@
         for event in out.events:
             self._tell(event)
         if out.writes or out.messages or out.events:
-            self._stir.raise_()
+            self._stir.set()
 
     def _tell(self, event: Event) -> None:
         match event:
--- a/kelpcourse/shared/peers.py
+++ b/kelpcourse/shared/peers.py
@@ -16,9 +16,9 @@
 from kelpcourse.shared.codec import BadPeerMessage, Hello, Letter, Unknown, decode, encode
 from kelpcourse.shared.controller import PeerMessage
 from kelpcourse.wire.listener import listen
-from kelpcourse.wire.loop import READ, Loop, Routine, Signal, Task, Wait, Woken
+from kelpcourse.wire.loop import READ, Coroutine, Loop, Signal, Task, Wait, WakeReason
 from kelpcourse.wire.runtime import Backoff, EventLog
-from kelpcourse.wire.stream import Act, Address, Broken, Silent, Stream, connect
+from kelpcourse.wire.stream import Address, Broken, Silent, Stream, connect
 from kelpcourse.wire.tls import TlsStream
 
 HEAD = 4  # bytes of a length
@@ -76,7 +76,7 @@
         self._incoming: list[Task] = []
         self.address: Address = self._sock.getsockname()[:2]
 
-    def start(self, keep: Callable[[str, Callable[[], Routine]], None]) -> None:
+    def start(self, keep: Callable[[str, Callable[[], Coroutine[None]]], None]) -> None:
         keep("peers in", self._accept)
         for line in self._lines.values():
             keep("peer out", lambda line=line: self._speak(line))  # type: ignore[misc]
@@ -94,11 +94,11 @@
         if len(line.waiting) == line.waiting.maxlen:
             self._counters.add("peer_messages_lost")
         line.waiting.append(encode(self._me, to, message))
-        line.more.raise_()
+        line.more.set()
 
     # Out
 
-    def _speak(self, line: Line) -> Routine:
+    def _speak(self, line: Line) -> Coroutine[None]:
         backoff = Backoff(self._limits)
         while True:
             try:
@@ -108,7 +108,7 @@
                 self._log.event("peer_unreachable", peer=line.name, reason=str(error))
             yield Wait(self._loop.clock() + backoff.next_us())
 
-    def _speak_once(self, line: Line, backoff: Backoff) -> Act[None]:
+    def _speak_once(self, line: Line, backoff: Backoff) -> Coroutine[None]:
         clock = self._loop.clock
         stream = yield from connect(line.address, clock() + self._limits.connect_timeout_us)
         try:
@@ -121,23 +121,23 @@
             backoff.reset()
             self._log.event("peer_connected", peer=line.name)
             while True:
-                line.more.lower()
+                line.more.clear()
                 while line.waiting:
                     yield from self._put(stream, line.waiting.popleft())
                 # Nothing is ever said on this line but by us: what can be read is its end, or TLS's own.
                 woken = yield Wait(
                     clock() + self._limits.peer_heartbeat_us, stream.sock.fileno(), READ, line.more
                 )
-                if woken is Woken.READY:
+                if woken is WakeReason.READY:
                     yield from self._still_open(stream)
                 elif (
-                    woken is Woken.LATE
+                    woken is WakeReason.TIMED_OUT
                 ):  # a sign of life: two followers have nothing to say to each other
                     yield from self._put(stream, encode(self._me, "", Hello(self._me)))
         finally:
             stream.close()
 
-    def _still_open(self, stream: Stream) -> Act[None]:
+    def _still_open(self, stream: Stream) -> Coroutine[None]:
         try:
             count = yield from stream.recv_into(memoryview(bytearray(512)), self._loop.clock())
         except Silent:  # TLS has taken what came for itself
@@ -145,7 +145,7 @@
         if not count:
             raise Broken("closed")
 
-    def _put(self, stream: Stream, data: bytes) -> Act[None]:
+    def _put(self, stream: Stream, data: bytes) -> Coroutine[None]:
         yield from stream.send(
             len(data).to_bytes(HEAD, "big") + data,
             self._loop.clock() + self._limits.send_timeout_us,
@@ -154,9 +154,9 @@
 
     # In
 
-    def _accept(self) -> Routine:
+    def _accept(self) -> Coroutine[None]:
         while True:
-            yield Wait(fd=self._sock.fileno(), mask=READ)
+            yield Wait(fd=self._sock.fileno(), event_mask=READ)
             try:
                 connection, _ = self._sock.accept()
             except (BlockingIOError, ConnectionAbortedError):
@@ -173,7 +173,7 @@
             self._incoming = [task for task in self._incoming if task.wait is not None]
             self._incoming.append(self._loop.start("peer in", self._listen(Stream(connection))))
 
-    def _listen(self, stream: Stream) -> Routine:
+    def _listen(self, stream: Stream) -> Coroutine[None]:
         self._connections += 1
         clock = self._loop.clock
         until_us = clock() + self._limits.peer_handshake_timeout_us
@@ -235,7 +235,7 @@
         self._held = bytearray()
         self._room = memoryview(bytearray(limits.initial_read_buffer_bytes))
 
-    def next(self, until_us: int) -> Act[bytes]:
+    def next(self, until_us: int) -> Coroutine[bytes]:
         while True:
             if len(self._held) >= HEAD:
                 size = int.from_bytes(self._held[:HEAD], "big")
--- a/kelpcourse/shared/standalone.py
+++ b/kelpcourse/shared/standalone.py
@@ -18,7 +18,7 @@
 from kelpcourse.shared.raft import Refused
 from kelpcourse.shared.settings import WARN_DAYS, SharedSettings, read_settings
 from kelpcourse.store.spool import ask, commands, write_whole
-from kelpcourse.wire.loop import Routine, Wait
+from kelpcourse.wire.loop import Coroutine, Wait
 from kelpcourse.wire.storage import Thread
 
 DAY_US = 86_400_000_000
@@ -74,14 +74,14 @@
         self._tls, self._settings = new.tls, new
         self.log.always("configuration_reloaded", changed=["tls"], requires_restart=[])
 
-    def _watch_certificate(self) -> Routine:
+    def _watch_certificate(self) -> Coroutine[None]:
         while True:
             left = self._settings.days_left
             if left is not None and left < WARN_DAYS:
                 self.log.always("certificate_expiring", days=round(left, 1))
             yield Wait(self.loop.clock() + DAY_US)
 
-    def _run_commands(self) -> Routine:
+    def _run_commands(self) -> Coroutine[None]:
         while True:
             yield Wait(self.loop.clock() + self._limits.zone_command_poll_us)
             for path, data in commands(self._settings.state):
--- a/kelpcourse/shared/steering.py
+++ b/kelpcourse/shared/steering.py
@@ -22,7 +22,7 @@
 from kelpcourse.shared.controller import Event, Gained, Lost
 from kelpcourse.shared.ledger import Cleared, Fact, Withdrew
 from kelpcourse.wire.discovery import Discovery
-from kelpcourse.wire.loop import Loop, Routine, Signal, Task, Wait
+from kelpcourse.wire.loop import Coroutine, Loop, Signal, Task, Wait
 from kelpcourse.wire.relay_calls import RelayCalls
 from kelpcourse.wire.relay_events import EventStreams
 from kelpcourse.wire.runtime import EventLog, Runtime
@@ -109,7 +109,7 @@
             self._around.loop.stop(task)
         self._discovery.watch(False)
 
-    def _steps(self) -> Routine:
+    def _steps(self) -> Coroutine[None]:
         """What is due at the module, at the pace at which its door gathers."""
         clock, gather_us = self._around.loop.clock, self._around.limits.step_batching_us
         self._facade.start(clock())
@@ -124,7 +124,7 @@
     def _carry_out(self, work: Work) -> None:
         if work.orders:
             self._outbox.add(work.orders)
-            self._waiting.raise_()
+            self._waiting.set()
         if work.watch is not None:
             self._discovery.watch(work.watch)
         for _ in range(work.fetches):
@@ -146,7 +146,7 @@
     def _clear(self, host: str) -> None:
         self._around.learn(Cleared(host, self.group, self._withdrawn.pop(host)))
 
-    def _clears(self) -> Routine:
+    def _clears(self) -> Coroutine[None]:
         while True:
             yield Wait(self._around.loop.clock() + CLEAR_US // 10)
             old_ms = self._around.unix_ms() - CLEAR_US // 1000
@@ -169,7 +169,7 @@
             case Lost(group):
                 self._around.loop.start("lose", self._later(partial(self._lose, group)))
 
-    def _later(self, what: Callable[[], None]) -> Routine:
+    def _later(self, what: Callable[[], None]) -> Coroutine[None]:
         yield Wait(0)
         what()
 
--- a/kelpcourse/wire/discovery.py
+++ b/kelpcourse/wire/discovery.py
@@ -10,9 +10,9 @@
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.wire.fields import BadMessage, address, flag, json_object, number, text, whole
 from kelpcourse.wire.http import HttpClient, dial
-from kelpcourse.wire.loop import Routine, Task, Wait
+from kelpcourse.wire.loop import Coroutine, Task, Wait
 from kelpcourse.wire.runtime import Backoff, Runtime
-from kelpcourse.wire.stream import Act, Address, Broken
+from kelpcourse.wire.stream import Address, Broken
 
 HOSTS = "/discovery/hosts"
 TIME_MOST_MS = 1e15  # that the module's clock holds
@@ -127,7 +127,7 @@
         former, self._former = self._former, None
         self._stop(former)
 
-    def _run_watch(self, watch: Watch) -> Routine:
+    def _run_watch(self, watch: Watch) -> Coroutine[None]:
         backoff = Backoff(self._parts.limits, self._parts.limits.watch_retry_us, self._spread)
         reason = yield from self._until_lost(watch)
         while watch is self._watch and self._former is not None:
@@ -140,7 +140,7 @@
         self._watch = None
         self._lost("watch", reason)
 
-    def _until_lost(self, watch: Watch) -> Act[str]:
+    def _until_lost(self, watch: Watch) -> Coroutine[str]:
         try:
             yield from self._follow(watch)
         except (Broken, BadMessage, InvalidReportError) as error:
@@ -152,7 +152,7 @@
             raise
         return "ended"
 
-    def _run_fetch(self) -> Routine:
+    def _run_fetch(self) -> Coroutine[None]:
         try:
             yield from self._fetch_once()
         except (Broken, BadMessage, InvalidReportError) as error:
@@ -168,7 +168,7 @@
         )
         self._parts.facade.report_list_lost()
 
-    def _follow(self, watch: Watch) -> Act[None]:
+    def _follow(self, watch: Watch) -> Coroutine[None]:
         until_us = self._parts.clock() + self._parts.limits.list_timeout_us
         target = f"{HOSTS}?stream=1&index={self._version}"
         client = yield from self._ask(watch.address, target, until_us)
@@ -189,7 +189,7 @@
         finally:
             client.close()
 
-    def _fetch_once(self) -> Act[None]:
+    def _fetch_once(self) -> Coroutine[None]:
         until_us = self._parts.clock() + self._parts.limits.list_timeout_us
         client = yield from self._ask(self._address, HOSTS, until_us)
         try:
@@ -198,7 +198,7 @@
         finally:
             client.close()
 
-    def _ask(self, address: Address, target: str, until_us: int) -> Act[HttpClient]:
+    def _ask(self, address: Address, target: str, until_us: int) -> Coroutine[HttpClient]:
         self._parts.counters.add("discovery_calls")
         connect_us = self._parts.clock() + self._parts.limits.connect_timeout_us
         client = yield from dial(address, self._parts.limits, connect_us)
--- a/kelpcourse/wire/http.py
+++ b/kelpcourse/wire/http.py
@@ -9,8 +9,8 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.wire.buffers import Buffer, TooLong
-from kelpcourse.wire.loop import Wait, Woken
-from kelpcourse.wire.stream import Act, Address, Broken, Stream, connect
+from kelpcourse.wire.loop import Coroutine, Wait, WakeReason
+from kelpcourse.wire.stream import Address, Broken, Stream, connect
 
 
 class Unreadable(Broken):
@@ -44,7 +44,7 @@
     def close(self) -> None:
         self._stream.close()
 
-    def request(self, method: str, target: str, body: bytes | None) -> Act[None]:
+    def request(self, method: str, target: str, body: bytes | None) -> Coroutine[None]:
         headers = [("Host", self._host), ("Accept", "application/json")]
         if body is not None:
             headers += [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
@@ -55,7 +55,7 @@
         data = b"".join(part for part in parts if part)
         yield from self._stream.send(data, self._limits.send_timeout_us)
 
-    def status(self, until_us: int) -> Act[int]:
+    def status(self, until_us: int) -> Coroutine[int]:
         """The status of the answer."""
         event = yield from self._event(until_us)
         while isinstance(event, h11.InformationalResponse):
@@ -64,7 +64,7 @@
             raise Broken("closed without an answer")
         return event.status_code
 
-    def whole_body(self, until_us: int) -> Act[memoryview]:
+    def whole_body(self, until_us: int) -> Coroutine[memoryview]:
         """All of the body; it is valid until the next read."""
         body = bytearray()
         while not isinstance(event := (yield from self._event(until_us)), h11.EndOfMessage):
@@ -77,7 +77,7 @@
             self._parser.start_next_cycle()
         return memoryview(body)
 
-    def some_lines(self, until_us: int) -> Act[Iterator[memoryview] | None]:
+    def some_lines(self, until_us: int) -> Coroutine[Iterator[memoryview] | None]:
         """Waits for more of an open body; the lines that are whole now, or None at its end."""
         event = yield from self._event(until_us)
         if not isinstance(event, h11.Data):
@@ -94,7 +94,7 @@
         except TooLong:
             raise Unreadable("a line over its limit") from None
 
-    def _event(self, until_us: int) -> Act[h11.Event]:
+    def _event(self, until_us: int) -> Coroutine[h11.Event]:
         while True:
             try:
                 event = self._parser.next_event()
@@ -109,6 +109,8 @@
             self._parser.receive_data(cast(bytes, memoryview(self._read)[:count]))
 
 
-def dial(address: Address, limits: Limits, until_us: int) -> Generator[Wait, Woken, HttpClient]:
+def dial(
+    address: Address, limits: Limits, until_us: int
+) -> Generator[Wait, WakeReason, HttpClient]:
     stream = yield from connect(address, until_us)
     return HttpClient(stream, address, limits)
--- a/kelpcourse/wire/listener.py
+++ b/kelpcourse/wire/listener.py
@@ -11,7 +11,7 @@
 from kelpcourse.limits import Limits
 from kelpcourse.wire.buffers import Buffer, TooLong
 from kelpcourse.wire.fields import BadMessage
-from kelpcourse.wire.loop import READ, Routine, Task, Wait
+from kelpcourse.wire.loop import READ, Coroutine, Task, Wait
 from kelpcourse.wire.runtime import Runtime
 from kelpcourse.wire.stream import Address, Broken, Silent, Stream, family
 from kelpcourse.wire.text import (
@@ -78,14 +78,14 @@
         self._guests: dict[Guest, None] = {}
         self._spare = os.open(os.devnull, os.O_RDONLY)
 
-    def run(self) -> Routine:
+    def run(self) -> Coroutine[None]:
         sock, self._sock = self._sock, None  # started anew after a defect it is closed
         while sock is None and (sock := self._listen()) is None:
             yield Wait(self._parts.clock() + self._parts.limits.bind_retry_us)
         self._parts.log.always("ready", listen=f"{self._address[0]}:{self._address[1]}")
         try:
             while True:
-                yield Wait(fd=sock.fileno(), mask=READ)
+                yield Wait(fd=sock.fileno(), event_mask=READ)
                 if not self._accept(sock):
                     yield Wait(self._parts.clock() + self._parts.limits.accept_retry_us)
         finally:
@@ -164,7 +164,7 @@
             self._parts.loop.stop(quietest.task)
         return True
 
-    def _serve(self, guest: Guest) -> Routine:
+    def _serve(self, guest: Guest) -> Coroutine[None]:
         try:
             while True:
                 room = guest.buffer.space()
--- a/kelpcourse/wire/loop.py
+++ b/kelpcourse/wire/loop.py
@@ -1,8 +1,15 @@
-"""Generators as coroutines on select.epoll. A routine yields a Wait and is told why it goes on.
-
-A turn costs what is ready and due, not how many routines wait: times stand in a heap, and a signal knows
-who waits for it. An entry of the heap outlives a wait that ended early; such entries are passed over, and
-swept out once they outnumber the others.
+"""An event loop on select.epoll that runs generators as coroutines.
+
+A coroutine is a generator that yields a `Wait` whenever it can't go on, and nothing else. The `Wait`
+names what it waits for: a descriptor, a signal, a deadline, or several of these, whichever comes
+first. The loop resumes the coroutine with the `WakeReason`. A coroutine runs another one by
+`yield from`, which evaluates to the other's return value. A coroutine that is stopped sees
+GeneratorExit where it waits, so its `finally` clauses and context managers run; it must not yield
+again from there.
+
+The cost of a round depends on the tasks that are ready or due, not on how many wait: deadlines stand
+in a heap, and each signal knows its waiters. A heap entry outlives a wait that ended early. Such
+stale entries are skipped, and swept out once they outnumber the live ones.
 """
 
 from __future__ import annotations
@@ -13,212 +20,277 @@
 from collections.abc import Callable, Generator
 from dataclasses import dataclass
 from enum import Enum
+from typing import TypeVar
+
+T = TypeVar("T")
 
 READ = select.EPOLLIN | select.EPOLLRDHUP
 WRITE = select.EPOLLOUT
-SWEEP_LEAST = 64  # stale times that are not worth a sweep
+MIN_STALE_DEADLINES = 64  # fewer are not worth a sweep
+MICROSECONDS_PER_SECOND = 1e6
+WAIT_FOREVER = -1  # as a timeout of epoll
+
 
+class WakeReason(Enum):
+    """Why a coroutine is resumed."""
 
-class Woken(Enum):
     READY = "ready"  # the descriptor can be read or written, or has failed
     SIGNALLED = "signalled"
-    LATE = "late"  # the time limit of the wait has passed
+    TIMED_OUT = "timed_out"
 
 
 class Signal:
-    """Raised by one part, taken by the routines that wait for it; raising it twice is raising it once."""
+    """A flag that one component sets and coroutines wait for, as asyncio.Event."""
 
     def __init__(self) -> None:
-        self._raised = False
-        self._waiting: dict[Task, Loop] = {}
+        """Create a signal that is not set."""
+        self._is_set = False
+        self._waiters: dict[Task, Loop] = {}
 
-    def __bool__(self) -> bool:
-        return self._raised
+    def is_set(self) -> bool:
+        """Whether the signal is set."""
+        return self._is_set
 
-    def raise_(self) -> None:
-        self._raised = True
-        for task, loop in self._waiting.items():
-            loop.signalled(task)
+    def set(self) -> None:
+        """Set the signal and wake all tasks that wait for it."""
+        self._is_set = True
+        for task, loop in self._waiters.items():
+            loop.wake(task)
 
-    def lower(self) -> None:
-        self._raised = False
+    def clear(self) -> None:
+        """Reset the signal; a task that was not resumed yet goes on waiting."""
+        self._is_set = False
 
-    def await_(self, task: Task, loop: Loop) -> None:
-        self._waiting[task] = loop
-        if self._raised:
-            loop.signalled(task)
+    def add_waiter(self, task: Task, loop: Loop) -> None:
+        """Register a task that waits for the signal."""
+        self._waiters[task] = loop
+        if self._is_set:
+            loop.wake(task)
 
-    def forget(self, task: Task) -> None:
-        self._waiting.pop(task, None)
+    def remove_waiter(self, task: Task) -> None:
+        """Forget a task that no longer waits for the signal."""
+        self._waiters.pop(task, None)
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    until_us: int | None = None
+    """What a coroutine yields: the events of which the first resumes it.
+
+    Attributes:
+        deadline_us: Time of the loop's clock at which the wait ends; None means no deadline.
+        fd: Descriptor to poll; -1 means none.
+        event_mask: READ or WRITE.
+        signal: Signal to wait for.
+    """
+
+    deadline_us: int | None = None
     fd: int = -1
-    mask: int = 0
+    event_mask: int = 0
     signal: Signal | None = None
 
 
-Routine = Generator[Wait, Woken, None]
+Coroutine = Generator[Wait, WakeReason, T]
 
 
 class Task:
-    """A running routine and what it waits for."""
+    """A started coroutine and what it waits for."""
 
-    __slots__ = ("name", "routine", "wait", "waits")
+    __slots__ = ("coroutine", "name", "wait", "wait_number")
 
-    def __init__(self, name: str, routine: Routine) -> None:
+    def __init__(self, name: str, coroutine: Coroutine[None]) -> None:
+        """Create a task; `Loop.start` runs it."""
         self.name = name
-        self.routine = routine
+        self.coroutine = coroutine
         self.wait: Wait | None = None
-        self.waits = 0  # so far; tells a time of this wait from one of a wait before
+        self.wait_number = 0  # tells a deadline of this wait from one of an earlier wait
 
 
 class Loop:
+    """Runs tasks on one thread."""
+
     def __init__(
-        self, clock: Callable[[], int], on_defect: Callable[[str, Exception], None]
+        self,
+        clock: Callable[[], int],
+        on_unexpected_error: Callable[[str, Exception], None],
     ) -> None:
+        """Create a loop without tasks.
+
+        Args:
+            clock: Gives the time in microseconds.
+            on_unexpected_error: Called with a task's name and the exception that ended it.
+        """
         self.clock = clock
-        self._on_defect = on_defect
+        self._on_unexpected_error = on_unexpected_error
         self._poll = select.epoll()
         self._tasks: dict[Task, None] = {}
-        self._by_fd: dict[int, Task] = {}
+        self._task_by_fd: dict[int, Task] = {}
         self._signalled: dict[Task, None] = {}
-        self._times: list[
-            tuple[int, int, int, Task]
-        ] = []  # due, order of entry, the task's wait, the task
-        self._entries = 0
-        self._timed = 0  # tasks whose wait has a time limit
-
-    def start(self, name: str, routine: Routine) -> Task:
-        task = Task(name, routine)
+        # Heap entries: deadline, order of entry, wait number, task.
+        self._deadlines: list[tuple[int, int, int, Task]] = []
+        self._deadline_entries = 0
+        self._waits_with_deadline = 0
+
+    def start(self, name: str, coroutine: Coroutine[None]) -> Task:
+        """Start a coroutine and run it up to its first wait."""
+        task = Task(name, coroutine)
         self._tasks[task] = None
         self._advance(task, None)
         return task
 
     def stop(self, task: Task) -> None:
-        """Ends a routine where it waits; its `finally` parts run. A routine may not stop itself."""
-        if self._tasks.pop(task, self) is not self:
-            self._forget(task)
-            self._end(task)
+        """Close a coroutine where it waits; its `finally` clauses run.
+
+        A coroutine must not stop itself. Stopping a task that has ended does nothing.
+        """
+        if task in self._tasks:
+            del self._tasks[task]
+            self._end_wait(task)
+            self._close_coroutine(task)
 
     def close(self) -> None:
+        """Stop all tasks and release the epoll descriptor."""
         for task in list(self._tasks):
             self.stop(task)
         self._poll.close()
 
     def __len__(self) -> int:
+        """The number of running tasks."""
         return len(self._tasks)
 
-    def signalled(self, task: Task) -> None:
-        """A signal that the task waits for has been raised."""
+    def wake(self, task: Task) -> None:
+        """Resume a task in the next round because its signal is set; called by `Signal`."""
         self._signalled[task] = None
 
-    def turn(self, until_us: int | None) -> int:
-        """One round: sleeps until something is due, then lets each routine concerned go on once. Tells how
-        many did."""
-        signalled, self._signalled = self._signalled, {}
-        woken: dict[Task, Woken] = {}
+    def run_once(self, until_us: int | None) -> int:
+        """Run one round: sleep until something is due, then resume each task concerned once.
+
+        Args:
+            until_us: Time at which to return even if nothing is due; None means to wait forever.
+
+        Returns:
+            The number of tasks that were woken.
+        """
+        signalled = self._signalled
+        self._signalled = {}
+        woken: dict[Task, WakeReason] = {}
         for task in signalled:
-            if task.wait is not None and task.wait.signal:  # it may have been lowered again since
-                woken[task] = Woken.SIGNALLED
-        for fd, _ in self._poll.poll(0 if woken else self._seconds_to(until_us)):
-            waits = self._by_fd.get(fd)
-            if waits is None:  # closed while a copy of it stays open: nobody waits for it any more
+            wait = task.wait
+            # The signal may have been cleared since.
+            if wait is not None and wait.signal is not None and wait.signal.is_set():
+                woken[task] = WakeReason.SIGNALLED
+        self._collect_ready(woken, 0 if woken else self._seconds_to(until_us))
+        self._collect_timed_out(woken)
+        for task, reason in woken.items():
+            if task in self._tasks:  # another task may have stopped it in this round
+                self._advance(task, reason)
+        return len(woken)
+
+    def _collect_ready(self, woken: dict[Task, WakeReason], timeout_s: float) -> None:
+        for fd, _ in self._poll.poll(timeout_s):
+            task = self._task_by_fd.get(fd)
+            if task is None:  # closed while a copy of it stays open: nobody waits for it any more
                 self._unregister(fd)
             else:
-                woken.setdefault(waits, Woken.READY)
-        now = self.clock()
-        while self._times and self._times[0][0] <= now:
-            _, _, wait, task = heapq.heappop(self._times)
-            if wait == task.waits and task.wait is not None:
-                woken.setdefault(task, Woken.LATE)
-        for task, why in woken.items():
-            if task in self._tasks:  # another routine may have stopped it in this round
-                self._advance(task, why)
-        return len(woken)
+                woken.setdefault(task, WakeReason.READY)
+
+    def _collect_timed_out(self, woken: dict[Task, WakeReason]) -> None:
+        now_us = self.clock()
+        while self._deadlines and self._deadlines[0][0] <= now_us:
+            _, _, wait_number, task = heapq.heappop(self._deadlines)
+            if wait_number == task.wait_number and task.wait is not None:
+                woken.setdefault(task, WakeReason.TIMED_OUT)
 
     def _seconds_to(self, until_us: int | None) -> float:
-        due = self._next_due()
-        if due is None or (until_us is not None and until_us < due):
-            due = until_us
-        return max(0, due - self.clock()) / 1e6 if due is not None else -1
-
-    def _next_due(self) -> int | None:
-        while self._times:
-            due, _, wait, task = self._times[0]
-            if wait == task.waits and task.wait is not None:
-                return due
-            heapq.heappop(self._times)
+        deadline_us = self._next_deadline_us()
+        if deadline_us is None or (until_us is not None and until_us < deadline_us):
+            deadline_us = until_us
+        if deadline_us is None:
+            return WAIT_FOREVER
+        return max(0, deadline_us - self.clock()) / MICROSECONDS_PER_SECOND
+
+    def _next_deadline_us(self) -> int | None:
+        while self._deadlines:
+            deadline_us, _, wait_number, task = self._deadlines[0]
+            if wait_number == task.wait_number and task.wait is not None:
+                return deadline_us
+            heapq.heappop(self._deadlines)
         return None
 
-    def _advance(self, task: Task, why: Woken | None) -> None:
-        self._forget(task)
+    def _advance(self, task: Task, reason: WakeReason | None) -> None:
+        """Resume a task and register its next wait; `reason` is None for its first run."""
+        self._end_wait(task)
         try:
-            wait = next(task.routine) if why is None else task.routine.send(why)
+            wait = next(task.coroutine) if reason is None else task.coroutine.send(reason)
         except StopIteration:
             self._tasks.pop(task, None)
             return
-        except (
-            Exception
-        ) as error:  # a defect in one routine ends that routine, loudly, not the director
+        except Exception as error:  # ends this task alone, not the process
             self._tasks.pop(task, None)
-            self._on_defect(task.name, error)
+            self._on_unexpected_error(task.name, error)
             return
         if wait.fd >= 0 and not self._register(task, wait):
             return
         task.wait = wait
-        task.waits += 1
+        task.wait_number += 1
         if wait.signal is not None:
-            wait.signal.await_(task, self)
-        if wait.until_us is not None:
-            self._entries += 1
-            self._timed += 1
-            heapq.heappush(self._times, (wait.until_us, self._entries, task.waits, task))
-            if len(self._times) > 2 * self._timed + SWEEP_LEAST:
-                self._sweep()
+            wait.signal.add_waiter(task, self)
+        if wait.deadline_us is not None:
+            self._deadline_entries += 1
+            self._waits_with_deadline += 1
+            entry = (wait.deadline_us, self._deadline_entries, task.wait_number, task)
+            heapq.heappush(self._deadlines, entry)
+            if len(self._deadlines) > 2 * self._waits_with_deadline + MIN_STALE_DEADLINES:
+                self._sweep_stale_deadlines()
 
     def _register(self, task: Task, wait: Wait) -> bool:
-        """A descriptor that was closed meanwhile, or that another routine waits for, ends the routine: it can never
-        be told that it is ready. One that was closed and used anew belongs to whoever waits for it last."""
+        """Poll the descriptor of a wait; False if that failed, which ends the task.
+
+        A descriptor that was closed, or that another task waits for, would never wake the task. A
+        number that was closed and reused belongs to whichever task waits for it last.
+        """
         try:
-            self._poll.register(wait.fd, wait.mask)
+            self._poll.register(wait.fd, wait.event_mask)
         except (OSError, ValueError) as error:
             self._tasks.pop(task, None)
-            self._on_defect(task.name, error)
-            self._end(task)
+            self._on_unexpected_error(task.name, error)
+            self._close_coroutine(task)
             return False
-        self._by_fd[wait.fd] = task
+        self._task_by_fd[wait.fd] = task
         return True
 
     def _unregister(self, fd: int) -> None:
-        with contextlib.suppress(
-            OSError, ValueError
-        ):  # closed while it was waited for: the system forgot it
+        # A descriptor that was closed during the wait is unknown to the system by now.
+        with contextlib.suppress(OSError, ValueError):
             self._poll.unregister(fd)
 
-    def _end(self, task: Task) -> None:
-        """Runs the `finally` parts of a routine that is over."""
+    def _close_coroutine(self, task: Task) -> None:
+        """Run the `finally` clauses of a task that is over."""
         try:
-            task.routine.close()
+            task.coroutine.close()
         except Exception as error:
-            self._on_defect(task.name, error)
-
-    def _sweep(self) -> None:
-        """Takes out the times of waits that ended early: a busy connection with a distant limit leaves one
-        behind with every message."""
-        self._times = [e for e in self._times if e[2] == e[3].waits and e[3].wait is not None]
-        heapq.heapify(self._times)
-
-    def _forget(self, task: Task) -> None:
-        wait, task.wait = task.wait, None
+            self._on_unexpected_error(task.name, error)
+
+    def _sweep_stale_deadlines(self) -> None:
+        """Drop deadlines of waits that ended early.
+
+        A busy connection with a distant deadline leaves one behind with every message.
+        """
+        self._deadlines = [
+            entry
+            for entry in self._deadlines
+            if entry[2] == entry[3].wait_number and entry[3].wait is not None
+        ]
+        heapq.heapify(self._deadlines)
+
+    def _end_wait(self, task: Task) -> None:
+        wait = task.wait
+        task.wait = None
         if wait is None:
             return
-        if wait.fd >= 0 and self._by_fd.get(wait.fd) is task:
-            del self._by_fd[wait.fd]
+        if wait.fd >= 0 and self._task_by_fd.get(wait.fd) is task:
+            del self._task_by_fd[wait.fd]
             self._unregister(wait.fd)
         if wait.signal is not None:
-            wait.signal.forget(task)
-        if wait.until_us is not None:
-            self._timed -= 1
+            wait.signal.remove_waiter(task)
+        if wait.deadline_us is not None:
+            self._waits_with_deadline -= 1
--- a/kelpcourse/wire/probes.py
+++ b/kelpcourse/wire/probes.py
@@ -7,9 +7,9 @@
 from kelpcourse.facade import InvalidReportError
 from kelpcourse.wire.fields import BadMessage, json_object, number
 from kelpcourse.wire.http import dial
-from kelpcourse.wire.loop import Routine
+from kelpcourse.wire.loop import Coroutine
 from kelpcourse.wire.runtime import Runtime
-from kelpcourse.wire.stream import Act, Address, Broken, Refused, Silent
+from kelpcourse.wire.stream import Address, Broken, Refused, Silent
 
 LOAD = "/metrics/load"
 OUTCOMES = {200: "ok", 503: "full"}  # any other status is an error
@@ -50,7 +50,7 @@
             self._running += 1
             self._parts.loop.start("probe", self._run(host, address))
 
-    def _run(self, host: str, address: Address) -> Routine:
+    def _run(self, host: str, address: Address) -> Coroutine[None]:
         """A probe that ends by a defect is answered too, and the next one has its turn: the module awaits both."""
         began_us = self._parts.clock()
         try:
@@ -67,7 +67,7 @@
         self._answer(host, outcome, self._parts.clock() - began_us, load)
         self._start_next()
 
-    def _ask(self, address: Address, until_us: int) -> Act[tuple[str, Load]]:
+    def _ask(self, address: Address, until_us: int) -> Coroutine[tuple[str, Load]]:
         self._parts.counters.add("health_checks")
         try:
             client = yield from dial(address, self._parts.limits, until_us)
--- a/kelpcourse/wire/relay_calls.py
+++ b/kelpcourse/wire/relay_calls.py
@@ -8,7 +8,7 @@
 from kelpcourse.memory.orders import Order
 from kelpcourse.wire.fields import BadMessage
 from kelpcourse.wire.http import HttpClient, dial
-from kelpcourse.wire.loop import READ, Routine, Signal, Wait, Woken
+from kelpcourse.wire.loop import READ, Coroutine, Signal, Wait, WakeReason
 from kelpcourse.wire.relay_codec import (
     ORDERS_PATH,
     InvalidCall,
@@ -18,7 +18,7 @@
     read_answer,
 )
 from kelpcourse.wire.runtime import Backoff, Runtime
-from kelpcourse.wire.stream import Act, Address, Broken
+from kelpcourse.wire.stream import Address, Broken
 
 
 class RelayCalls:
@@ -52,35 +52,35 @@
         """Calls go to another address from now on; the one under way is settled where it is."""
         self._address = address
         self._backoff.reset()
-        self._waiting.raise_()
-        self.reachable.raise_()
+        self._waiting.set()
+        self.reachable.set()
 
-    def run(self) -> Routine:
+    def run(self) -> Coroutine[None]:
         try:
             while True:
                 yield from self._idle()
                 wait_us = yield from self._try_call()
                 if wait_us:  # orders that come meanwhile don't shorten it: a relay that is down is not asked by each
-                    self.reachable.lower()
+                    self.reachable.clear()
                     yield Wait(self._parts.clock() + wait_us, signal=self.reachable)
         finally:
             self._close()
 
-    def _idle(self) -> Act[None]:
+    def _idle(self) -> Coroutine[None]:
         """Until there are orders. A connection that is idle for long is given up before the relay does so:
         a call that crosses its end can't be told from one that was carried out."""
         until_us = self._parts.clock() + self._parts.limits.idle_connection_us
         while not self._outbox.batches:
-            self._waiting.lower()
+            self._waiting.clear()
             if self._client is None:
                 yield Wait(signal=self._waiting)
                 continue
             woken = yield Wait(until_us, self._client.fd, READ, self._waiting)
-            if woken is not Woken.SIGNALLED or self._peer != self._address:
+            if woken is not WakeReason.SIGNALLED or self._peer != self._address:
                 self._close()
-        self._waiting.lower()
+        self._waiting.clear()
 
-    def _try_call(self) -> Act[int]:
+    def _try_call(self) -> Coroutine[int]:
         """Makes one call; how long to wait before the next."""
         try:
             yield from self._call()
@@ -116,7 +116,7 @@
             self._close()
             return (yield from self._settle_broken())
 
-    def _call(self) -> Act[None]:
+    def _call(self) -> Coroutine[None]:
         self._sent = 0
         client = yield from self._connected()
         target = self._target()
@@ -141,7 +141,7 @@
         taken = read_answer(answer, body.sent_count)
         self._settle(min(taken, body.order_count), body.order_count)
 
-    def _settle_broken(self) -> Act[int]:
+    def _settle_broken(self) -> Coroutine[int]:
         """How long to wait before the orders go again. Of a call that was sent whole the channel may hold them: a
         proxy that answers its mark proves that, and else they wait until the module lets them go a second time."""
         stamps = self._outbox.doubted() if self._sent else ()
@@ -176,7 +176,7 @@
         self._parts.counters.add("relay_orders_rejected")
         self._parts.log.event("order_rejected", order=encode_order(order).decode())
 
-    def _connected(self) -> Act[HttpClient]:
+    def _connected(self) -> Coroutine[HttpClient]:
         if self._client is not None and self._client.gone():
             self._close()
         if self._client is None or self._peer != self._address:
@@ -185,7 +185,7 @@
             raise Broken("not connected")
         return self._client
 
-    def _connect(self) -> Act[None]:
+    def _connect(self) -> Coroutine[None]:
         """Makes before it breaks: while a new address does not answer, the old connection serves."""
         address = self._address
         until_us = self._parts.clock() + self._parts.limits.connect_timeout_us
--- a/kelpcourse/wire/relay_events.py
+++ b/kelpcourse/wire/relay_events.py
@@ -9,10 +9,10 @@
 from kelpcourse.memory.proxies import Applied, Joined, Left, News, Proxies
 from kelpcourse.wire.fields import BadMessage, NotJson
 from kelpcourse.wire.http import dial
-from kelpcourse.wire.loop import Routine, Signal, Wait
+from kelpcourse.wire.loop import Coroutine, Signal, Wait
 from kelpcourse.wire.relay_codec import EVENTS_PATH, read_event
 from kelpcourse.wire.runtime import Backoff, Runtime
-from kelpcourse.wire.stream import Act, Address, Broken
+from kelpcourse.wire.stream import Address, Broken
 
 
 class EventStreams:
@@ -46,7 +46,7 @@
         self._first += self._parts.limits.event_streams
         self._address = address
 
-    def run(self, stream: int) -> Routine:
+    def run(self, stream: int) -> Coroutine[None]:
         backoff = Backoff(self._parts.limits)
         address = self._address
         while stream >= self._first:
@@ -70,7 +70,7 @@
     def _replaced(self, stream: int) -> bool:
         return stream < self._first and self._proxies.in_step(self.streams())
 
-    def _follow(self, stream: int, address: Address, backoff: Backoff) -> Act[None]:
+    def _follow(self, stream: int, address: Address, backoff: Backoff) -> Coroutine[None]:
         limits = self._parts.limits
         client = yield from dial(address, limits, self._parts.clock() + limits.connect_timeout_us)
         try:
@@ -82,7 +82,7 @@
             self._proxies.opened(stream, now_us, now_us + limits.event_snapshot_timeout_us)
             self._parts.counters.add("event_streams_opened")
             self._parts.log.event("event_stream_opened", stream=stream)
-            self._reachable.raise_()
+            self._reachable.set()
             heard_us = self._parts.clock()
             while True:
                 lines = yield from client.some_lines(heard_us + limits.event_stream_silence_us)
--- a/kelpcourse/wire/storage.py
+++ b/kelpcourse/wire/storage.py
@@ -16,7 +16,7 @@
 from kelpcourse.store.commit import Append, Commit, Job, Outcome, Settled
 from kelpcourse.store.journal import Journal
 from kelpcourse.store.recovery import Recovered
-from kelpcourse.wire.loop import READ, Loop, Routine, Signal, Wait
+from kelpcourse.wire.loop import READ, Coroutine, Loop, Signal, Wait
 
 T = TypeVar("T")
 Done = tuple[Outcome, int, str]
@@ -108,20 +108,20 @@
         """False: turned away. Else `settled` is told of the ticket later, never within this call."""
         taken = self._commit.stage(payload, ticket)
         if taken:
-            self._more.raise_()
+            self._more.set()
         return taken
 
-    def run(self) -> Routine:
+    def run(self) -> Coroutine[None]:
         """Everything staged within one round of the loop is started together, with one sync."""
         while True:
             job = self._commit.next_job(self._loop.clock())
             if job is None:
                 yield Wait(self._commit.due_us(), signal=self._more)
-                self._more.lower()
+                self._more.clear()
                 continue
             self._runner.start(self._work(job))
             while (done := self._runner.take()) is None:
-                yield Wait(fd=self._runner.fd, mask=READ)
+                yield Wait(fd=self._runner.fd, event_mask=READ)
             self._settle(done)
 
     def _work(self, job: Job) -> Callable[[], Done]:
--- a/kelpcourse/wire/stream.py
+++ b/kelpcourse/wire/stream.py
@@ -4,13 +4,9 @@
 
 import os
 import socket
-from collections.abc import Generator
-from typing import TypeVar
 
-from kelpcourse.wire.loop import READ, WRITE, Wait, Woken
+from kelpcourse.wire.loop import READ, WRITE, Coroutine, Wait, WakeReason
 
-T = TypeVar("T")
-Act = Generator[Wait, Woken, T]
 Address = tuple[str, int]
 
 
@@ -34,26 +30,26 @@
     def close(self) -> None:
         self.sock.close()
 
-    def recv_into(self, room: memoryview, until_us: int) -> Act[int]:
+    def recv_into(self, room: memoryview, until_us: int) -> Coroutine[int]:
         """Reads what is there, at least one byte; 0 is the end."""
         while True:
             try:
                 return self.sock.recv_into(room)
             except BlockingIOError:
                 woken = yield Wait(until_us, self.sock.fileno(), READ)
-                if woken is Woken.LATE:
+                if woken is WakeReason.TIMED_OUT:
                     raise Silent("nothing came in time") from None
             except OSError as error:
                 raise Broken(f"reading: {error.strerror}") from None
 
-    def send(self, data: bytes, until_us: int) -> Act[None]:
+    def send(self, data: bytes, until_us: int) -> Coroutine[None]:
         rest = memoryview(data)
         while rest:
             try:
                 rest = rest[self.sock.send(rest) :]
             except BlockingIOError:
                 woken = yield Wait(until_us, self.sock.fileno(), WRITE)
-                if woken is Woken.LATE:
+                if woken is WakeReason.TIMED_OUT:
                     raise Silent("nothing was taken in time") from None
             except OSError as error:
                 raise Broken(f"writing: {error.strerror}") from None
@@ -72,7 +68,7 @@
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
-def connect(address: Address, until_us: int) -> Act[Stream]:
+def connect(address: Address, until_us: int) -> Coroutine[Stream]:
     try:
         sock = socket.socket(family(address), socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     except OSError as error:  # descriptors used up: the caller tries again later
@@ -89,12 +85,12 @@
     return Stream(sock)
 
 
-def _dial(sock: socket.socket, address: Address, until_us: int) -> Act[None]:
+def _dial(sock: socket.socket, address: Address, until_us: int) -> Coroutine[None]:
     try:
         sock.connect(address)
     except BlockingIOError:
         woken = yield Wait(until_us, sock.fileno(), WRITE)
-        if woken is Woken.LATE:
+        if woken is WakeReason.TIMED_OUT:
             raise Refused("connecting took too long") from None
         number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if number:
--- a/kelpcourse/wire/tls.py
+++ b/kelpcourse/wire/tls.py
@@ -7,8 +7,8 @@
 from functools import partial
 from typing import TypeVar
 
-from kelpcourse.wire.loop import READ, WRITE, Wait, Woken
-from kelpcourse.wire.stream import Act, Broken, Silent, Stream
+from kelpcourse.wire.loop import READ, WRITE, Coroutine, Wait, WakeReason
+from kelpcourse.wire.stream import Broken, Silent, Stream
 
 T = TypeVar("T")
 
@@ -29,22 +29,22 @@
         super().__init__(sock)
         self._tls = sock
 
-    def handshake(self, until_us: int) -> Act[None]:
+    def handshake(self, until_us: int) -> Coroutine[None]:
         yield from self._until_done(self._tls.do_handshake, "TLS", until_us)
 
-    def recv_into(self, room: memoryview, until_us: int) -> Act[int]:
+    def recv_into(self, room: memoryview, until_us: int) -> Coroutine[int]:
         """What is there, at least one byte; 0 is the end. Bytes that TLS holds already are not waited for."""
         return (
             yield from self._until_done(partial(self._tls.recv_into, room), "reading", until_us)
         )
 
-    def send(self, data: bytes, until_us: int) -> Act[None]:
+    def send(self, data: bytes, until_us: int) -> Coroutine[None]:
         rest = memoryview(data)
         while rest:
             sent = yield from self._until_done(partial(self._tls.send, rest), "writing", until_us)
             rest = rest[sent:]
 
-    def _until_done(self, call: Callable[[], T], what: str, until_us: int) -> Act[T]:
+    def _until_done(self, call: Callable[[], T], what: str, until_us: int) -> Coroutine[T]:
         """TLS may have to read to write, and the other way round."""
         while True:
             try:
@@ -56,9 +56,9 @@
             except OSError as error:
                 raise Broken(f"{what}: {_reason(error)}") from None
 
-    def _wait(self, mask: int, until_us: int) -> Act[None]:
+    def _wait(self, mask: int, until_us: int) -> Coroutine[None]:
         woken = yield Wait(until_us, self._tls.fileno(), mask)
-        if woken is Woken.LATE:
+        if woken is WakeReason.TIMED_OUT:
             raise Silent("nothing came in time")
 
     def peer_name(self) -> str:
--- a/kelpcourse/wire/worker.py
+++ b/kelpcourse/wire/worker.py
@@ -11,8 +11,7 @@
 from collections.abc import Callable
 from typing import Generic, TypeVar
 
-from kelpcourse.wire.loop import READ, Wait
-from kelpcourse.wire.stream import Act
+from kelpcourse.wire.loop import READ, Coroutine, Wait
 
 T = TypeVar("T")
 
@@ -43,12 +42,12 @@
                 os.close(self.fd)
 
 
-def in_thread(work: Callable[[], T]) -> Act[T]:
+def in_thread(work: Callable[[], T]) -> Coroutine[T]:
     """What `work` returns or raises."""
     job = _Job(work)
     threading.Thread(target=job.run, name="work", daemon=True).start()
     try:
-        yield Wait(fd=job.fd, mask=READ)
+        yield Wait(fd=job.fd, event_mask=READ)
     finally:
         job.let_go()
     if job.error is not None:
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -19,9 +19,9 @@
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
 from kelpcourse.wire.buffers import Buffer, TooLong
-from kelpcourse.wire.loop import READ, Loop, Routine, Signal, Wait, Woken
+from kelpcourse.wire.loop import READ, Coroutine, Loop, Signal, Wait, WakeReason
 from kelpcourse.wire.runtime import EventLog
-from kelpcourse.wire.stream import Act, Broken, Silent, connect, family
+from kelpcourse.wire.stream import Broken, Silent, connect, family
 from kelpcourse.wire.worker import in_thread
 from kelpcourse.zones.answer import rrset_of
 from kelpcourse.zones.belief import Contradiction, Verdict, Version
@@ -48,7 +48,7 @@
         self.counters = counters
         self.log = log
 
-    def ask(self, query: dns.message.Message, peer: Primary) -> Act[dns.message.Message]:
+    def ask(self, query: dns.message.Message, peer: Primary) -> Coroutine[dns.message.Message]:
         """The answer over UDP, or over TCP where UDP brings none. Raises Broken or BadZone."""
         for _ in range(ASK_TRIES):
             message = yield from self.ask_udp(query, peer)
@@ -63,7 +63,9 @@
         finally:
             session.close()
 
-    def ask_udp(self, query: dns.message.Message, peer: Primary) -> Act[dns.message.Message | None]:
+    def ask_udp(
+        self, query: dns.message.Message, peer: Primary
+    ) -> Coroutine[dns.message.Message | None]:
         """None: no answer came. The port is fresh, and a connected socket hears its peer alone; what comes from
         there with another id, question or signature is somebody's guess, and the true answer is waited for."""
         try:
@@ -74,7 +76,7 @@
             sock.connect(peer.address)
             sock.send(query.to_wire())
             until_us = self.loop.clock() + self.limits.soa_query_timeout_us
-            while (yield Wait(until_us, sock.fileno(), READ)) is not Woken.LATE:
+            while (yield Wait(until_us, sock.fileno(), READ)) is not WakeReason.TIMED_OUT:
                 message = self._believed(sock.recv(65_535), query, peer)
                 if message is not None:
                     return message
@@ -132,7 +134,7 @@
         self._stream: Any = None
         self._context: Any = None
 
-    def open(self) -> Act[None]:
+    def open(self) -> Coroutine[None]:
         clock, limits = self._asker.loop.clock, self._asker.limits
         self._stream = yield from connect(self._peer.address, clock() + limits.soa_query_timeout_us)
         wire = self._query.to_wire()
@@ -140,7 +142,7 @@
             len(wire).to_bytes(2, "big") + wire, clock() + limits.send_timeout_us
         )
 
-    def next(self) -> Act[tuple[bytes, dns.message.Message]]:
+    def next(self) -> Coroutine[tuple[bytes, dns.message.Message]]:
         """Raises Broken or BadZone."""
         limits = self._asker.limits
         until_us = self._asker.loop.clock() + limits.transfer_silence_us
@@ -203,9 +205,9 @@
 
     def notified(self) -> None:
         self._refresh.notified(self._asker.loop.clock())
-        self._notified.raise_()
+        self._notified.set()
 
-    def run(self) -> Routine:
+    def run(self) -> Coroutine[None]:
         clock = self._asker.loop.clock
         while True:
             self._check_expiry()
@@ -218,7 +220,7 @@
                     ),
                     signal=self._notified,
                 )
-                self._notified.lower()
+                self._notified.clear()
                 continue
             yield from self._round(self._primaries[name])
 
@@ -230,7 +232,7 @@
             )  # whatever its primaries have is news now
             self._expired(self._held)
 
-    def _round(self, peer: Primary) -> Act[None]:
+    def _round(self, peer: Primary) -> Coroutine[None]:
         log, clock = self._asker.log, self._asker.loop.clock
         try:
             verdict = yield from self._follow(peer)
@@ -253,7 +255,7 @@
         self._refresh.answered(clock(), True)
         self._confirmed(self._held)
 
-    def _follow(self, peer: Primary) -> Act[Verdict]:
+    def _follow(self, peer: Primary) -> Coroutine[Verdict]:
         """Asks for the SOA; fetches the zone if that is newer. What it makes of the version."""
         self._asker.counters.add("zone_soa_queries")
         query = question(self._held.origin, dns.rdatatype.SOA, peer)
@@ -267,7 +269,7 @@
             return (yield from self._fetch(peer))
         return verdict
 
-    def _fetch(self, peer: Primary) -> Act[Verdict]:
+    def _fetch(self, peer: Primary) -> Coroutine[Verdict]:
         held = self._held
         if held.zone.exists and not held.belief.expired:
             try:
@@ -279,7 +281,7 @@
                 )
         return (yield from self._transfer(peer, AXFR))
 
-    def _transfer(self, peer: Primary, rdtype: dns.rdatatype.RdataType) -> Act[Verdict]:
+    def _transfer(self, peer: Primary, rdtype: dns.rdatatype.RdataType) -> Coroutine[Verdict]:
         held, clock, limits = self._held, self._asker.loop.clock, self._asker.limits
         query = question(held.origin, rdtype, peer)
         if rdtype == IXFR:
@@ -348,15 +350,15 @@
         self._changed = Signal()
 
     def changed(self) -> None:
-        self._changed.raise_()
+        self._changed.set()
 
-    def run(self) -> Routine:
+    def run(self) -> Coroutine[None]:
         while True:
             yield Wait(signal=self._changed)
-            self._changed.lower()
+            self._changed.clear()
             yield from self._tell()
 
-    def _tell(self) -> Act[None]:
+    def _tell(self) -> Coroutine[None]:
         wait_us = self._asker.limits.notify_retry_us
         for _ in range(self._asker.limits.max_notify_attempts):
             query = question(self._held.origin, dns.rdatatype.SOA, self._peer)
@@ -370,7 +372,7 @@
             except Broken:
                 pass
             woken = yield Wait(self._asker.loop.clock() + wait_us, signal=self._changed)
-            if woken is Woken.SIGNALLED:
+            if woken is WakeReason.SIGNALLED:
                 return
             wait_us *= 2
         self._asker.log.event(
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -135,10 +135,10 @@
             )
         )
         while zones.settling:
-            loop.turn(None)
+            loop.run_once(None)
         zones.restore(command, answers.append)
         while not answers and not failed:
-            loop.turn(None)
+            loop.run_once(None)
     finally:
         loop.close()
         zones.close()
--- a/kelpcourse/zones/server.py
+++ b/kelpcourse/zones/server.py
@@ -11,9 +11,9 @@
 from kelpcourse.memory.counters import Counters
 from kelpcourse.wire.buffers import Buffer, TooLong
 from kelpcourse.wire.listener import listen
-from kelpcourse.wire.loop import READ, Loop, Routine, Signal, Task, Wait, Woken
+from kelpcourse.wire.loop import READ, Coroutine, Loop, Signal, Task, Wait, WakeReason
 from kelpcourse.wire.runtime import EventLog
-from kelpcourse.wire.stream import Act, Address, Broken, Stream, family
+from kelpcourse.wire.stream import Address, Broken, Stream, family
 from kelpcourse.zones.desk import HEAD, Desk
 
 MESSAGE = 2 + 65_535  # with its length, over TCP
@@ -60,7 +60,7 @@
 
     def reply(self, wires: Iterable[bytes]) -> None:
         self.out.append(iter(wires))
-        self.more.raise_()
+        self.more.set()
 
     def until_us(self, limits: Limits) -> int:
         """When it is let go: it asks nothing, or a message of its does not become whole. Slow drips don't
@@ -95,9 +95,9 @@
 
     # UDP
 
-    def run_udp(self) -> Routine:
+    def run_udp(self) -> Coroutine[None]:
         while True:
-            yield Wait(fd=self._udp.fileno(), mask=READ)
+            yield Wait(fd=self._udp.fileno(), event_mask=READ)
             for _ in range(
                 self._limits.max_dns_datagrams_per_read
             ):  # the rest in the next round: others want their turn
@@ -114,9 +114,9 @@
 
     # TCP
 
-    def run_tcp(self) -> Routine:
+    def run_tcp(self) -> Coroutine[None]:
         while True:
-            yield Wait(fd=self._tcp.fileno(), mask=READ)
+            yield Wait(fd=self._tcp.fileno(), event_mask=READ)
             try:
                 connection, peer = self._tcp.accept()
             except BlockingIOError:
@@ -149,7 +149,7 @@
         if quietest.task is not None:
             self._loop.stop(quietest.task)
 
-    def _serve(self, client: Client) -> Routine:
+    def _serve(self, client: Client) -> Coroutine[None]:
         try:
             while True:
                 yield from self._send_all(client)
@@ -165,15 +165,15 @@
             del self._clients[client]
             client.stream.close()
 
-    def _hear(self, client: Client) -> Act[bool]:
+    def _hear(self, client: Client) -> Coroutine[bool]:
         """Waits for more of its messages or for an answer to one; false: it has ended, or its time is over."""
         limits = self._limits
         until_us = client.until_us(limits) if not client.waits else None
         woken = yield Wait(until_us, client.stream.sock.fileno(), READ, client.more)
-        client.more.lower()
-        if woken is Woken.LATE:
+        client.more.clear()
+        if woken is WakeReason.TIMED_OUT:
             return False
-        if woken is not Woken.READY:
+        if woken is not WakeReason.READY:
             return True
         count = yield from client.stream.recv_into(
             client.buffer.space(), self._loop.clock() + limits.dns_partial_message_timeout_us
@@ -197,7 +197,7 @@
     def _replies_to(self, client: Client) -> _Replies:
         return _Replies(client)
 
-    def _send_all(self, client: Client) -> Act[None]:
+    def _send_all(self, client: Client) -> Coroutine[None]:
         while client.out:
             wires = client.out[0]
             for wire in wires:
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -18,10 +18,9 @@
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.journal import Journal
 from kelpcourse.store.spool import commands, write_whole
-from kelpcourse.wire.loop import Loop, Routine, Signal, Wait
+from kelpcourse.wire.loop import Coroutine, Loop, Signal, Wait
 from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.storage import Thread, Writer
-from kelpcourse.wire.stream import Act
 from kelpcourse.wire.worker import in_thread
 from kelpcourse.zones.belief import Verdict, Version
 from kelpcourse.zones.book import (
@@ -63,7 +62,7 @@
     limits: Limits
     counters: Counters
     log: EventLog
-    keep: Callable[[str, Callable[[], Routine]], None]  # runs a routine that may not end
+    keep: Callable[[str, Callable[[], Coroutine[None]]], None]  # runs a routine that may not end
 
 
 class Zones:
@@ -162,7 +161,7 @@
         if self.settings.listen is not None:
             self._serve()
 
-    def start_store(self, keep: Callable[[str, Callable[[], Routine]], object]) -> None:
+    def start_store(self, keep: Callable[[str, Callable[[], Coroutine[None]]], object]) -> None:
         if self._writer is not None:
             keep("store", self._writer.run)
 
@@ -384,17 +383,17 @@
     def reread(self) -> None:
         """Files are looked at now, changed or not: an operator asked for it."""
         self._files.clear()
-        self._look.raise_()
+        self._look.set()
 
-    def _run_files(self) -> Routine:
+    def _run_files(self) -> Coroutine[None]:
         while True:
             yield Wait(self.clock() + self._around.limits.zone_file_poll_us, signal=self._look)
-            self._look.lower()
+            self._look.clear()
             for zone in self._by_origin.values():
                 if zone.file is not None:
                     yield from self._reread_file(zone, zone.file)
 
-    def _reread_file(self, zone: ZoneSettings, path: Path) -> Act[None]:
+    def _reread_file(self, zone: ZoneSettings, path: Path) -> Coroutine[None]:
         if not self._moved(zone, path):
             return
         read = partial(read_file, path, zone.origin, self._around.limits)
@@ -454,7 +453,7 @@
 
     # Commands
 
-    def _run_commands(self) -> Routine:
+    def _run_commands(self) -> Coroutine[None]:
         """Orders of somebody who may write into the folder of the state, which is its owner's alone."""
         assert self.settings.state is not None
         while True:
--- a/kelpcourse/zones/source.py
+++ b/kelpcourse/zones/source.py
@@ -6,7 +6,7 @@
 
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.settings import Settings
-from kelpcourse.wire.loop import Routine
+from kelpcourse.wire.loop import Coroutine
 from kelpcourse.wire.runtime import Runtime
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.grants import HostClass
@@ -23,7 +23,7 @@
         parts: Runtime,
         settings: Settings,
         zones: ZonesSettings,
-        keep: Callable[[str, Callable[[], Routine]], None],
+        keep: Callable[[str, Callable[[], Coroutine[None]]], None],
     ) -> None:
         self._parts = parts
         classes = tuple(
--- a/tests/relays.py
+++ b/tests/relays.py
@@ -6,8 +6,7 @@
 
 from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.orders import BindProxy, Checkpoint, Order, SetWeight
-from kelpcourse.wire.loop import Wait
-from kelpcourse.wire.stream import Act
+from kelpcourse.wire.loop import Coroutine, Wait
 from tests.standins import MS, QUICK, Bench, Caller, StandIn
 
 SET = SetWeight(0, "h1", 1.5)
@@ -31,7 +30,7 @@
         self.hang_up = False  # ends the first connection that sees it
         self.stand_in = StandIn(bench.loop, self._serve)
 
-    def _serve(self, caller: Caller) -> Act[None]:
+    def _serve(self, caller: Caller) -> Coroutine[None]:
         call = yield from caller.request()
         assert call == ("/v3/kv/events", b"")
         yield from caller.open_body()
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -111,7 +111,7 @@
         )
 
     def turn(self) -> None:
-        if not self.loop.turn(self.clock.now + MS):
+        if not self.loop.run_once(self.clock.now + MS):
             self.clock.now += MS
         self.facade.tick(self.clock.now)
 
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -17,8 +17,7 @@
 import orjson
 import pytest
 
-from kelpcourse.wire.loop import Loop, Wait
-from kelpcourse.wire.stream import Act
+from kelpcourse.wire.loop import Coroutine, Loop, Wait
 from tests.relays import joined
 from tests.standins import Caller, StandIn, entry, listed
 from tests.test_config import ROOT
@@ -82,7 +81,7 @@
         while not what():
             assert time.monotonic() < end, (self.orders[-5:], self.defects)
             assert self.process is None or self.process.poll() is None, self.process.communicate()
-            self.loop.turn(now_us() + 5000)
+            self.loop.run_once(now_us() + 5000)
 
     def ping(self) -> bool:
         try:
@@ -92,7 +91,7 @@
         except OSError:
             return False
 
-    def _serve_relay(self, caller: Caller) -> Act[None]:
+    def _serve_relay(self, caller: Caller) -> Coroutine[None]:
         while (call := (yield from caller.request())) is not None:
             if call[0] == "/v3/kv/events":
                 yield from self._feed(caller, self.news)
@@ -104,11 +103,11 @@
                 return
             yield from caller.answer(200, b'{"ok_count":%d}' % len(orders))
 
-    def _serve_discovery(self, caller: Caller) -> Act[None]:
+    def _serve_discovery(self, caller: Caller) -> Coroutine[None]:
         yield from caller.request()
         yield from self._feed(caller, self.lists)
 
-    def _feed(self, caller: Caller, source: list[bytes]) -> Act[None]:
+    def _feed(self, caller: Caller, source: list[bytes]) -> Coroutine[None]:
         """What there is already, then whatever the test adds, with signs of life between."""
         yield from caller.open_body()
         told = 0
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -11,29 +11,30 @@
 from kelpcourse.policy.events import EndpointList, EndpointListKind, EndpointStatus
 from kelpcourse.wire.discovery import Discovery, read_list
 from kelpcourse.wire.fields import BadMessage
-from kelpcourse.wire.loop import Wait
+from kelpcourse.wire.loop import Coroutine, Wait
 from kelpcourse.wire.runtime import Backoff
-from kelpcourse.wire.stream import Act
 from tests.standins import MS, QUICK, Bench, Caller, StandIn, entry, listed
 
 
 class Service:
     """Answers each connection by the next act of a script."""
 
-    def __init__(self, bench: Bench, *script: Callable[[Caller], Act[None]]) -> None:
+    def __init__(self, bench: Bench, *script: Callable[[Caller], Coroutine[None]]) -> None:
         self.targets: list[str] = []
         self._script = list(script)
         self.stand_in = StandIn(bench.loop, self._serve)
 
-    def _serve(self, caller: Caller) -> Act[None]:
+    def _serve(self, caller: Caller) -> Coroutine[None]:
         call = yield from caller.request()
         assert call is not None
         self.targets.append(call[0])
         yield from self._script.pop(0)(caller)
 
 
-def stream(bench: Bench, *lines: bytes, then_silent: bool = True) -> Callable[[Caller], Act[None]]:
-    def act(caller: Caller) -> Act[None]:
+def stream(
+    bench: Bench, *lines: bytes, then_silent: bool = True
+) -> Callable[[Caller], Coroutine[None]]:
+    def act(caller: Caller) -> Coroutine[None]:
         yield from caller.open_body()
         for line in lines:
             yield from caller.line(line)
@@ -45,27 +46,27 @@
     return act
 
 
-def body(text: bytes) -> Callable[[Caller], Act[None]]:
-    def act(caller: Caller) -> Act[None]:
+def body(text: bytes) -> Callable[[Caller], Coroutine[None]]:
+    def act(caller: Caller) -> Coroutine[None]:
         yield from caller.answer(200, text)
 
     return act
 
 
-def refuse(caller: Caller) -> Act[None]:
+def refuse(caller: Caller) -> Coroutine[None]:
     yield from caller.answer(503, b"")
 
 
-def reset(caller: Caller) -> Act[None]:
+def reset(caller: Caller) -> Coroutine[None]:
     caller.reset()
     yield from ()
 
 
-def silent(caller: Caller) -> Act[None]:
+def silent(caller: Caller) -> Coroutine[None]:
     yield from caller.silence()
 
 
-def broken_line(caller: Caller) -> Act[None]:
+def broken_line(caller: Caller) -> Coroutine[None]:
     yield from caller.open_body()
     yield from caller.line(b'{"revision":4')
 
@@ -115,7 +116,7 @@
 
 @pytest.mark.parametrize("trouble", [refuse, reset, silent, broken_line])
 def test_a_failed_watch_or_fetch_is_answered_once_as_unavailable(
-    bench: Bench, trouble: Callable[[Caller], Act[None]]
+    bench: Bench, trouble: Callable[[Caller], Coroutine[None]]
 ) -> None:
     service = Service(bench, trouble, trouble)
     discovery = start(bench, service)
@@ -148,7 +149,7 @@
 
 
 def test_empty_lines_are_no_answer_to_a_watch(bench: Bench) -> None:
-    def only_alive(caller: Caller) -> Act[None]:
+    def only_alive(caller: Caller) -> Coroutine[None]:
         yield from caller.open_body()
         while True:
             yield from caller.line(b"")
@@ -245,7 +246,7 @@
 
 
 def moved(
-    bench: Bench, old: Service, *new: Callable[[Caller], Act[None]]
+    bench: Bench, old: Service, *new: Callable[[Caller], Coroutine[None]]
 ) -> tuple[Discovery, Service]:
     discovery = start(bench, old)
     discovery.watch(True)
@@ -393,7 +394,7 @@
     """The watch's next line was taken for a gap, as the fetch had moved the version on."""
     go_on: list[bytes] = []
 
-    def watched(caller: Caller) -> Act[None]:
+    def watched(caller: Caller) -> Coroutine[None]:
         yield from caller.open_body()
         yield from caller.line(listed(42, entry("a"), whole=False))
         while True:
@@ -421,7 +422,7 @@
     """Both counted by one version: what the former told in between made the new one's first line look like a gap."""
     go_on: list[bytes] = []
 
-    def former(caller: Caller) -> Act[None]:
+    def former(caller: Caller) -> Coroutine[None]:
         yield from caller.open_body()
         yield from caller.line(listed(42, entry("a"), whole=False))
         while not go_on:
@@ -429,7 +430,7 @@
         yield from caller.line(go_on.pop(0))
         yield from caller.silence()
 
-    def moved(caller: Caller) -> Act[None]:
+    def moved(caller: Caller) -> Coroutine[None]:
         yield from caller.open_body()
         go_on.append(listed(43, entry("a", "draining"), whole=False))
         while len(lists(bench)) < 2:
--- a/tests/test_end_result.py
+++ b/tests/test_end_result.py
@@ -19,10 +19,9 @@
     SetWeight,
     WithdrawEndpoint,
 )
-from kelpcourse.wire.loop import Signal
+from kelpcourse.wire.loop import Coroutine, Signal
 from kelpcourse.wire.relay_calls import RelayCalls
 from kelpcourse.wire.relay_codec import encode_order
-from kelpcourse.wire.stream import Act
 from tests.standins import MS, QUICK, Bench, Caller, StandIn
 
 Orders = list[dict[str, Any]]
@@ -96,7 +95,7 @@
         self.calls = 0
         self.stand_in = StandIn(bench.loop, self._serve)
 
-    def _serve(self, caller: Caller) -> Act[None]:
+    def _serve(self, caller: Caller) -> Coroutine[None]:
         while (call := (yield from caller.request())) is not None:
             trouble = self.troubles[self.calls % len(self.troubles)]
             self.calls += 1
@@ -107,37 +106,37 @@
             self.standing.apply(order)
 
 
-def sound(relay: Relay, caller: Caller, orders: Orders) -> Act[None]:
+def sound(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
     relay.carry_out(orders)
     yield from caller.answer(200, b'{"ok_count":%d}' % len(orders))
 
 
-def lost(_relay: Relay, caller: Caller, _orders: Orders) -> Act[None]:
+def lost(_relay: Relay, caller: Caller, _orders: Orders) -> Coroutine[None]:
     caller.reset()
     yield from ()
 
 
-def answer_lost(relay: Relay, caller: Caller, orders: Orders) -> Act[None]:
+def answer_lost(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
     relay.carry_out(orders)
     caller.reset()
     yield from ()
 
 
-def answer_unreadable(relay: Relay, caller: Caller, orders: Orders) -> Act[None]:
+def answer_unreadable(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
     relay.carry_out(orders)
     yield from caller.answer(200, b"\xff\x00")
 
 
-def silent(relay: Relay, caller: Caller, orders: Orders) -> Act[None]:
+def silent(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
     relay.carry_out(orders)
     yield from caller.silence()
 
 
-def throttled(_relay: Relay, caller: Caller, _orders: Orders) -> Act[None]:
+def throttled(_relay: Relay, caller: Caller, _orders: Orders) -> Coroutine[None]:
     yield from caller.answer(429, b'{"error":"Throttling"}')
 
 
-Trouble = Callable[[Relay, Caller, Orders], Act[None]]
+Trouble = Callable[[Relay, Caller, Orders], Coroutine[None]]
 
 
 @pytest.mark.parametrize(
@@ -167,7 +166,7 @@
     )
     for number in range(STEPS):
         outbox.add(step(number))
-        waiting.raise_()
+        waiting.set()
         bench.pass_us(pace_ms * MS)
     bench.until(lambda: not outbox.batches)
     assert relay.standing == wanted()
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -17,9 +17,8 @@
 from kelpcourse.policy.delivery import Channel
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.policy.settings import Settings
-from kelpcourse.wire.loop import Signal
+from kelpcourse.wire.loop import Coroutine, Signal
 from kelpcourse.wire.relay_calls import RelayCalls
-from kelpcourse.wire.stream import Act
 from tests.fleet import SECOND, SETTINGS, LongTables, changes, full, host
 from tests.massworld import Broken, MassWorld, ModuleDay, Order
 from tests.standins import MS, Bench, Caller, StandIn, member
@@ -153,7 +152,7 @@
         self.facade.report_known(list(self.members.values()), 1)
         self.facade.start(self.bench.clock.now)
 
-    def _serve(self, caller: Caller) -> Act[None]:
+    def _serve(self, caller: Caller) -> Coroutine[None]:
         while (call := (yield from caller.request())) is not None:
             orders = orjson.loads(call[1])["orders"]
             self.world.order(self.bench.clock.now, [of_wire(order) for order in orders])
@@ -169,7 +168,7 @@
             work = self.facade.pick()
             if work.orders:
                 assert self.outbox.add(work.orders) == 0
-                self.waiting.raise_()
+                self.waiting.set()
             now = self.bench.clock.now
             if now % (10 * MS) == 0:
                 for proxy, stamp in self.world.advance(now):
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -8,8 +8,8 @@
 import pytest
 
 from kelpcourse.policy.events import HealthCheckCompleted, HealthCheckStatus
+from kelpcourse.wire.loop import Coroutine
 from kelpcourse.wire.probes import Probes, read_load
-from kelpcourse.wire.stream import Act
 from tests.standins import QUICK, Bench, Caller, StandIn, member
 
 
@@ -21,8 +21,8 @@
     made.close()
 
 
-def answering(status: int, text: bytes) -> Callable[[Caller], Act[None]]:
-    def serve(caller: Caller) -> Act[None]:
+def answering(status: int, text: bytes) -> Callable[[Caller], Coroutine[None]]:
+    def serve(caller: Caller) -> Coroutine[None]:
         call = yield from caller.request()
         assert call == ("/metrics/load", b"")
         yield from caller.answer(status, text)
@@ -30,11 +30,11 @@
     return serve
 
 
-def silent(caller: Caller) -> Act[None]:
+def silent(caller: Caller) -> Coroutine[None]:
     yield from caller.silence()
 
 
-def reset(caller: Caller) -> Act[None]:
+def reset(caller: Caller) -> Coroutine[None]:
     yield from caller.request()
     caller.reset()
 
@@ -62,7 +62,7 @@
 )
 def test_what_came_of_a_probe(
     bench: Bench,
-    serve: Callable[[Caller], Act[None]],
+    serve: Callable[[Caller], Coroutine[None]],
     status: HealthCheckStatus,
     load: tuple[tuple[str, float], ...],
 ) -> None:
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -11,11 +11,10 @@
 from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.orders import Checkpoint, Order, RestoreEndpoint, SetWeight, WithdrawEndpoint
 from kelpcourse.policy.events import OrdersAccepted, OrdersOutcomeUnknown
-from kelpcourse.wire.loop import Signal, Wait
+from kelpcourse.wire.loop import Coroutine, Signal, Wait
 from kelpcourse.wire.relay_calls import RelayCalls
 from kelpcourse.wire.relay_codec import encode_order
 from kelpcourse.wire.relay_events import EventStreams
-from kelpcourse.wire.stream import Act
 from tests.relays import MARK, SET, USE, Broadcaster, outbox_of
 from tests.standins import MS, QUICK, Bench, Caller, StandIn
 
@@ -23,13 +22,13 @@
 class Relay:
     """Answers calls by a script; once that is used up it takes everything."""
 
-    def __init__(self, bench: Bench, *script: Callable[[Caller, int], Act[None]]) -> None:
+    def __init__(self, bench: Bench, *script: Callable[[Caller, int], Coroutine[None]]) -> None:
         self.calls: list[list[dict[str, object]]] = []
         self.script = list(script)
         self.ended = 0  # connections that the director closed
         self.stand_in = StandIn(bench.loop, self._serve)
 
-    def _serve(self, caller: Caller) -> Act[None]:
+    def _serve(self, caller: Caller) -> Coroutine[None]:
         while (call := (yield from caller.request())) is not None:
             target, body = call
             assert target == "/v3/kv/orders"
@@ -43,55 +42,55 @@
         return [[order["verb"] for order in call] for call in self.calls]
 
 
-def take_all(caller: Caller, count: int) -> Act[None]:
+def take_all(caller: Caller, count: int) -> Coroutine[None]:
     yield from caller.answer(200, b'{"ok_count":%d}' % count)
 
 
-def take_two(caller: Caller, _: int) -> Act[None]:
+def take_two(caller: Caller, _: int) -> Coroutine[None]:
     yield from caller.answer(200, b'{"ok_count":2}')
 
 
-def take_none(caller: Caller, _: int) -> Act[None]:
+def take_none(caller: Caller, _: int) -> Coroutine[None]:
     yield from caller.answer(200, b'{"ok_count":0}')
 
 
-def throttle(caller: Caller, _: int) -> Act[None]:
+def throttle(caller: Caller, _: int) -> Coroutine[None]:
     yield from caller.answer(429, b'{"error":"Throttling"}')
 
 
-def throttle_and_close(caller: Caller, count: int) -> Act[None]:
+def throttle_and_close(caller: Caller, count: int) -> Coroutine[None]:
     yield from throttle(caller, count)
     caller.stream.close()
 
 
-def invalid(caller: Caller, _: int) -> Act[None]:
+def invalid(caller: Caller, _: int) -> Coroutine[None]:
     yield from caller.answer(400, b'{"error":"ValidationError"}')
 
 
-def say_nothing(caller: Caller, _: int) -> Act[None]:
+def say_nothing(caller: Caller, _: int) -> Coroutine[None]:
     yield from caller.silence()
 
 
-def break_off(caller: Caller, _: int) -> Act[None]:
+def break_off(caller: Caller, _: int) -> Coroutine[None]:
     caller.reset()
     yield from ()
 
 
-def half_an_answer(caller: Caller, _: int) -> Act[None]:
+def half_an_answer(caller: Caller, _: int) -> Coroutine[None]:
     yield from caller.stream.send(b'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{"ok_c', 1 << 60)
     caller.stream.close()
 
 
-def not_http(caller: Caller, _: int) -> Act[None]:
+def not_http(caller: Caller, _: int) -> Coroutine[None]:
     yield from caller.stream.send(b"\0\1\2 what\r\n\r\n", 1 << 60)
     yield from caller.silence()
 
 
-def not_json(caller: Caller, _: int) -> Act[None]:
+def not_json(caller: Caller, _: int) -> Coroutine[None]:
     yield from caller.answer(200, b"<html>")
 
 
-def close_when_idle(caller: Caller, count: int) -> Act[None]:
+def close_when_idle(caller: Caller, count: int) -> Coroutine[None]:
     yield from take_all(caller, count)
     caller.stream.close()
 
@@ -109,7 +108,7 @@
     waiting = start_calls(bench, relay, outbox)
     bench.until(lambda: not outbox.batches)
     outbox.add([WithdrawEndpoint("h1"), Checkpoint(6, True)])
-    waiting.raise_()
+    waiting.set()
     bench.until(lambda: not outbox.batches)
     assert relay.verbs() == [["SET", "USE", "SYNC"], ["OUT", "SYNC"]]
     assert relay.stand_in.connections == 1
@@ -155,7 +154,7 @@
     waiting = start_calls(bench, relay, outbox)
     bench.until(lambda: not outbox.batches)
     outbox.add([USE])
-    waiting.raise_()
+    waiting.set()
     bench.until(lambda: not outbox.batches)
     assert relay.verbs() == [["SET", "SYNC"]] * times + [["USE"]]
     assert bench.log.named("relay_call_rejected")[-1]["dropped"] is True
@@ -179,7 +178,7 @@
 def test_a_spoilt_answer_proves_nothing_and_the_call_goes_again(
     bench: Bench, answer: bytes
 ) -> None:
-    def spoil(caller: Caller, _: int) -> Act[None]:
+    def spoil(caller: Caller, _: int) -> Coroutine[None]:
         yield from caller.answer(200, answer)
 
     relay, outbox = Relay(bench, spoil), outbox_of(SET, MARK)
@@ -191,7 +190,7 @@
 
 @pytest.mark.parametrize("trouble", [say_nothing, break_off, half_an_answer, not_http, not_json])
 def test_a_call_that_may_have_been_carried_out_goes_again_in_order(
-    bench: Bench, trouble: Callable[[Caller, int], Act[None]]
+    bench: Bench, trouble: Callable[[Caller, int], Coroutine[None]]
 ) -> None:
     relay, outbox = Relay(bench, trouble), outbox_of(SET, MARK)
     start_calls(bench, relay, outbox)
@@ -210,7 +209,9 @@
     ]
 
 
-def in_doubt(bench: Bench, trouble: Callable[[Caller, int], Act[None]]) -> tuple[Relay, OrderQueue]:
+def in_doubt(
+    bench: Bench, trouble: Callable[[Caller, int], Coroutine[None]]
+) -> tuple[Relay, OrderQueue]:
     """The first call breaks, and the module does not let it go again yet."""
     bench.module.repeats = False
     relay, outbox = Relay(bench, trouble), outbox_of(SET, MARK)
@@ -220,7 +221,7 @@
 
 @pytest.mark.parametrize("trouble", [say_nothing, break_off, half_an_answer, not_http, not_json])
 def test_a_call_in_doubt_waits_until_the_module_lets_it_go_again(
-    bench: Bench, trouble: Callable[[Caller, int], Act[None]]
+    bench: Bench, trouble: Callable[[Caller, int], Coroutine[None]]
 ) -> None:
     """6,416 lines waited where 5,800 may: an answer was lost, and the call went again beside its first copy."""
     relay, outbox = in_doubt(bench, trouble)
@@ -237,7 +238,7 @@
 
 @pytest.mark.parametrize("trouble", [say_nothing, break_off, half_an_answer, not_http, not_json])
 def test_a_call_in_doubt_whose_mark_is_answered_does_not_go_again(
-    bench: Bench, trouble: Callable[[Caller, int], Act[None]]
+    bench: Bench, trouble: Callable[[Caller, int], Coroutine[None]]
 ) -> None:
     relay, outbox = in_doubt(bench, trouble)
     bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.module.events))
@@ -259,7 +260,7 @@
     bench.until(lambda: not outbox.batches)
     bench.pass_us(10 * MS)
     outbox.add([USE])
-    waiting.raise_()
+    waiting.set()
     bench.until(lambda: not outbox.batches)
     assert relay.verbs() == [["SET", "SYNC"], ["USE"]]
     assert bench.counters["relay_calls_failed"] == 0
@@ -280,7 +281,7 @@
     bench.until(lambda: not outbox.batches)
     bench.pass_us(2 * QUICK.idle_connection_us)
     outbox.add([USE])
-    waiting.raise_()
+    waiting.set()
     bench.until(lambda: not outbox.batches)
     assert relay.stand_in.connections == 2
 
@@ -318,7 +319,7 @@
     calls.move(new.stand_in.address)
     bench.until(lambda: old.ended)
     outbox.add([USE])
-    waiting.raise_()
+    waiting.set()
     bench.until(lambda: not outbox.batches)
     assert (old.verbs(), new.verbs()) == ([["SET", "SYNC"]], [["USE"]])
 
@@ -344,7 +345,7 @@
     waiting = start_calls(bench, relay, outbox)
     for stamp in range(6, 206):
         outbox.add([SetWeight(0, "h1", stamp), Checkpoint(stamp, False)])
-        waiting.raise_()
+        waiting.set()
         bench.pass_us(MS)
     assert 10 < bench.counters["relay_calls_failed"] <= 10 + 200 * MS // QUICK.max_backoff_us
 
@@ -355,7 +356,7 @@
     long = "h" * 2_000
     orders: list[Order] = [SetWeight(0, f"{long}{k}", 1.0) for k in range(10_000)]
 
-    def takes_nothing(_: Caller) -> Act[None]:
+    def takes_nothing(_: Caller) -> Coroutine[None]:
         while True:
             yield Wait(bench.clock() + MS)
 
--- a/tests/test_shared_members.py
+++ b/tests/test_shared_members.py
@@ -179,7 +179,7 @@
         ends = time.monotonic() + 60
         while not what():
             assert time.monotonic() < ends, (self.defects, self.log.lines[-6:])
-            self.loop.turn(time.monotonic_ns() // 1000 + 5 * MS)
+            self.loop.run_once(time.monotonic_ns() // 1000 + 5 * MS)
             assert not self.defects, self.defects
 
     def leader(self) -> FleetMember | None:
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -20,7 +20,7 @@
 from kelpcourse.shared.raft import Refused, Timing
 from kelpcourse.shared.steering import Around, Steering
 from kelpcourse.wire.http import dial
-from kelpcourse.wire.loop import Routine, Task
+from kelpcourse.wire.loop import Coroutine, Task
 from kelpcourse.wire.storage import Thread
 from kelpcourse.zones.settings import shown
 from tests.standins import Records
@@ -194,7 +194,7 @@
     fleet.until("another orders it", lambda: (group, epoch + 1) in fleet.lab.calls)
     before, answers = len(fleet.lab.orders), list[int]()
 
-    def wake() -> Routine:
+    def wake() -> Coroutine[None]:
         client = yield from dial(fleet.lab.relay.address, Limits(), now_us() + 1_000 * MS)
         body = b'{"orders":[{"verb":"OUT","host":"s-0"},{"verb":"OUT","host":"s-2"}]}'
         yield from client.request("POST", f"/v3/kv/groups/{group}/orders?epoch={epoch}", body)
--- a/tests/zoneprimary.py
+++ b/tests/zoneprimary.py
@@ -9,8 +9,8 @@
 import dns.rdatatype
 
 from kelpcourse.wire.buffers import Buffer
-from kelpcourse.wire.loop import READ, Loop, Routine, Wait
-from kelpcourse.wire.stream import Act, Address, Broken, Stream
+from kelpcourse.wire.loop import READ, Coroutine, Loop, Wait
+from kelpcourse.wire.stream import Address, Broken, Stream
 from kelpcourse.zones.answer import rrset_of
 from kelpcourse.zones.content import SOA, Record, Zone
 from kelpcourse.zones.server import pair
@@ -45,9 +45,9 @@
         self.asked.append(dns.rdatatype.to_text(query.question[0].rdtype))
         return query
 
-    def _run_udp(self) -> Routine:
+    def _run_udp(self) -> Coroutine[None]:
         while True:
-            yield Wait(fd=self._udp.fileno(), mask=READ)
+            yield Wait(fd=self._udp.fileno(), event_mask=READ)
             wire, peer = self._udp.recvfrom(65_535)
             query = self._read(wire)
             for forged in self.before_udp(query):
@@ -61,13 +61,13 @@
         response.answer.append(rrset_of(zone.origin, SOA, 60, (zone.soa_data,)))
         return response
 
-    def _run_tcp(self) -> Routine:
+    def _run_tcp(self) -> Coroutine[None]:
         while True:
-            yield Wait(fd=self._tcp.fileno(), mask=READ)
+            yield Wait(fd=self._tcp.fileno(), event_mask=READ)
             connection, _ = self._tcp.accept()
             self.loop.start("primary client", self._guarded(Stream(connection)))
 
-    def _guarded(self, stream: Stream) -> Routine:
+    def _guarded(self, stream: Stream) -> Coroutine[None]:
         try:
             yield from self._serve(stream)
         except Broken:
@@ -75,7 +75,7 @@
         finally:
             stream.close()
 
-    def _serve(self, stream: Stream) -> Act[None]:
+    def _serve(self, stream: Stream) -> Coroutine[None]:
         buffer = Buffer(512, 70_000)
         while True:
             for wire in buffer.prefixed():
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -21,7 +21,7 @@
 from kelpcourse.memory.counters import Counters
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.wire.loop import Loop, Routine
+from kelpcourse.wire.loop import Coroutine, Loop
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.content import Zone
 from kelpcourse.zones.grants import HostClass
@@ -101,7 +101,7 @@
         waits = any(part.waits for part in self.parts) or any(
             t.name == "work" for t in threading.enumerate()
         )
-        if not self.loop.turn(self.clock.now + MS * waits) and not waits:
+        if not self.loop.run_once(self.clock.now + MS * waits) and not waits:
             self.clock.now += MS
 
     def pass_us(self, span_us: int) -> None:
@@ -178,7 +178,7 @@
         self.zones = Zones(settings, around, self, classes, 2 * SECOND)
         self.zones.start()
 
-    def _keep(self, name: str, make: Callable[[], Routine]) -> None:
+    def _keep(self, name: str, make: Callable[[], Coroutine[None]]) -> None:
         self._tasks.append(self.world.loop.start(name, make()))
 
     def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
