--- a/kelpcourse/lab/http.py
+++ b/kelpcourse/lab/http.py
@@ -7,8 +7,9 @@
 
 import h11
 
+from kelpcourse.wire.errors import StreamError
 from kelpcourse.wire.loop import READ, Coroutine, Loop, Wait
-from kelpcourse.wire.stream import Address, Broken, Stream
+from kelpcourse.wire.stream import Address, Stream
 
 
 class Caller:
@@ -96,7 +97,7 @@
     def _guarded(self, caller: Caller) -> Coroutine[None]:
         try:
             yield from self._serve(caller)
-        except (Broken, h11.RemoteProtocolError):
+        except (StreamError, h11.RemoteProtocolError):
             pass
         finally:
             caller.stream.close()
--- a/kelpcourse/service/config.py
+++ b/kelpcourse/service/config.py
@@ -12,7 +12,8 @@
 from kelpcourse.policy.settings import Settings
 from kelpcourse.settings import read_settings
 from kelpcourse.wire.discovery import HostsList, read_list
-from kelpcourse.wire.fields import BadMessage, address
+from kelpcourse.wire.errors import InvalidMessageError
+from kelpcourse.wire.fields import parse_address
 from kelpcourse.wire.stream import Address
 
 HOLDS = {"NODE_NAME": "name", "NODE_LISTEN": "listen", "NODE_DISCOVERY": "discovery"}
@@ -65,9 +66,9 @@
     try:
         return Config(
             name=_text(root, "name"),
-            listen=address(_text(root, "listen"), "listen"),
-            discovery=address(_text(root, "discovery"), "discovery"),
-            relay=address(
+            listen=parse_address(_text(root, "listen"), "listen"),
+            discovery=parse_address(_text(root, "discovery"), "discovery"),
+            relay=parse_address(
                 _text(_object(root, "registry"), "address", "registry."), "registry.address"
             ),
             seed=_seed(_text(root, "seed")),
@@ -76,7 +77,7 @@
             sockets=_limit(root, "sockets", SOCKETS),
             memory_mb=_limit(root, "memory_mb", MEMORY_MB),
         )
-    except BadMessage as error:
+    except InvalidMessageError as error:
         raise BadConfig(str(error)) from None
 
 
@@ -133,7 +134,7 @@
     return value
 
 
-def _refuse(error: BadMessage) -> None:
+def _refuse(error: InvalidMessageError) -> None:
     raise error
 
 
--- a/kelpcourse/service/director.py
+++ b/kelpcourse/service/director.py
@@ -33,13 +33,13 @@
 from kelpcourse.service.process import kept
 from kelpcourse.service.signals import Signals
 from kelpcourse.wire.discovery import Discovery
-from kelpcourse.wire.listener import Listener, listen
+from kelpcourse.wire.listener import Listener
 from kelpcourse.wire.loop import Coroutine, Loop, Signal, Task, Wait
 from kelpcourse.wire.probes import Probes
 from kelpcourse.wire.relay_calls import RelayCalls
 from kelpcourse.wire.relay_events import EventStreams
 from kelpcourse.wire.runtime import Runtime
-from kelpcourse.wire.stream import Address
+from kelpcourse.wire.stream import Address, listen
 
 BAD_CONFIG = 2
 Keep = Callable[[str, Callable[[], Coroutine[None]]], None]
--- a/kelpcourse/shared/peers.py
+++ b/kelpcourse/shared/peers.py
@@ -15,10 +15,10 @@
 from kelpcourse.memory.counters import Counters
 from kelpcourse.shared.codec import BadPeerMessage, Hello, Letter, Unknown, decode, encode
 from kelpcourse.shared.controller import PeerMessage
-from kelpcourse.wire.listener import listen
+from kelpcourse.wire.errors import StreamError, StreamTimeoutError
 from kelpcourse.wire.loop import READ, Coroutine, Loop, Signal, Task, Wait, WakeReason
 from kelpcourse.wire.runtime import Backoff, EventLog
-from kelpcourse.wire.stream import Address, Broken, Silent, Stream, connect
+from kelpcourse.wire.stream import Address, Stream, connect, listen
 from kelpcourse.wire.tls import TlsStream
 
 HEAD = 4  # bytes of a length
@@ -103,7 +103,7 @@
         while True:
             try:
                 yield from self._speak_once(line, backoff)
-            except Broken as error:
+            except StreamError as error:
                 self._counters.add("peer_connections_broken")
                 self._log.event("peer_unreachable", peer=line.name, reason=str(error))
             yield Wait(self._loop.clock() + backoff.next_us())
@@ -140,10 +140,10 @@
     def _still_open(self, stream: Stream) -> Coroutine[None]:
         try:
             count = yield from stream.recv_into(memoryview(bytearray(512)), self._loop.clock())
-        except Silent:  # TLS has taken what came for itself
+        except StreamTimeoutError:  # TLS has taken what came for itself
             return
         if not count:
-            raise Broken("closed")
+            raise StreamError("closed")
 
     def _put(self, stream: Stream, data: bytes) -> Coroutine[None]:
         yield from stream.send(
@@ -192,7 +192,7 @@
                     (yield from reader.next(clock() + self._limits.peer_silence_timeout_us))
                 )
                 self._take(letter, hello.sender)
-        except (Broken, BadPeerMessage) as error:
+        except (StreamError, BadPeerMessage) as error:
             self._counters.add("peer_connections_closed")
             self._log.event("peer_connection_closed", reason=str(error))
         finally:
@@ -247,5 +247,5 @@
                     return data
             count = yield from self._stream.recv_into(self._room, until_us)
             if not count:
-                raise Broken("closed")
+                raise StreamError("closed")
             self._held += self._room[:count]
--- a/kelpcourse/shared/settings.py
+++ b/kelpcourse/shared/settings.py
@@ -25,7 +25,7 @@
 from kelpcourse.shared.leases import Terms
 from kelpcourse.shared.peers import Tls
 from kelpcourse.shared.raft import Timing
-from kelpcourse.wire.fields import BadMessage
+from kelpcourse.wire.errors import InvalidMessageError
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.settings import read_address
 
@@ -105,7 +105,7 @@
     for member in block.member:
         try:
             addresses[member.name] = read_address(member.address, "address")
-        except BadMessage:
+        except InvalidMessageError:
             mistakes.append(
                 Mistake(
                     str(path),
--- a/kelpcourse/wire/buffers.py
+++ b/kelpcourse/wire/buffers.py
@@ -1,96 +1,124 @@
-"""The buffer that bytes are read into. Messages are slices of it and are valid until the next read."""
+"""The buffer that a connection is read into; messages are slices of it, valid until the next read."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
+from kelpcourse.wire.errors import MessageTooLongError
 
-class TooLong(Exception):
-    """A message is longer than its limit."""
+LENGTH_PREFIX_BYTES = 2
+CARRIAGE_RETURN = 0x0D
 
 
-class Buffer:
-    """Bytes in arrival order; grows up to what one message may hold and shrinks again when it is empty."""
+class ReadBuffer:
+    """Bytes in order of arrival.
 
-    def __init__(self, least: int, most: int) -> None:
-        self._least = least
-        self._most = most
-        self._bytes = bytearray(least)
+    Grows up to what one message may hold, and shrinks again when it is empty.
+    """
+
+    def __init__(self, min_bytes: int, max_bytes: int) -> None:
+        """Create an empty buffer of `min_bytes` that may grow to `max_bytes`."""
+        self._min_bytes = min_bytes
+        self._max_bytes = max_bytes
+        self._bytes = bytearray(min_bytes)
         self._start = 0
         self._end = 0
-        self._searched = 0  # no line end stands before this place
+        self._searched = 0  # no line end stands before this index
 
-    def widen(self, least: int, most: int) -> None:
-        """More room from the next read on: whoever sends here is trusted with it now."""
-        self._least, self._most = least, most
+    def set_limits(self, min_bytes: int, max_bytes: int) -> None:
+        """Change both limits from the next read on, as for a client that has identified itself."""
+        self._min_bytes = min_bytes
+        self._max_bytes = max_bytes
 
     @property
-    def held(self) -> int:
+    def pending_bytes(self) -> int:
+        """The number of bytes that were received and not yet consumed."""
         return self._end - self._start
 
     @property
-    def size(self) -> int:
+    def capacity_bytes(self) -> int:
+        """The memory that the buffer takes."""
         return len(self._bytes)
 
-    def space(self) -> memoryview:
-        """Room for the next read; slices handed out before are no longer valid."""
+    def writable(self) -> memoryview:
+        """Give the space for the next read; slices handed out before are no longer valid.
+
+        Raises:
+            MessageTooLongError: The buffer is full and may not grow.
+        """
         if self._start == self._end:
-            self._start = self._end = self._searched = 0
-            if len(self._bytes) != self._least:
-                self._bytes = bytearray(self._least)
+            self._start = 0
+            self._end = 0
+            self._searched = 0
+            if len(self._bytes) != self._min_bytes:
+                self._bytes = bytearray(self._min_bytes)
         elif self._end == len(self._bytes):
-            self._make_room()
+            self._make_space()
         return memoryview(self._bytes)[self._end :]
 
-    def _make_room(self) -> None:
-        held = self.held
+    def _make_space(self) -> None:
+        pending = self.pending_bytes
         size = len(self._bytes)
-        if held * 2 > size:
-            if size >= self._most:
-                raise TooLong
-            size = min(max(size * 2, self._least), self._most)
-        fresh = bytearray(size)  # slices may still point into the old one, so it is left as it is
-        fresh[:held] = memoryview(self._bytes)[self._start : self._end]
-        self._bytes = fresh
+        if pending * 2 > size:
+            if size >= self._max_bytes:
+                raise MessageTooLongError(self._max_bytes)
+            size = min(max(size * 2, self._min_bytes), self._max_bytes)
+        # Slices may still point into the old array, so it is left as it is.
+        resized = bytearray(size)
+        resized[:pending] = memoryview(self._bytes)[self._start : self._end]
+        self._bytes = resized
         self._searched -= self._start
-        self._start, self._end = 0, held
+        self._start = 0
+        self._end = pending
 
-    def rest(self) -> memoryview:
-        """What is held of a line that is not whole yet."""
+    def partial_message(self) -> memoryview:
+        """Give what was received of a message that is not complete."""
         return memoryview(self._bytes)[self._start : self._end]
 
-    def filled(self, count: int) -> None:
+    def commit(self, count: int) -> None:
+        """Take over `count` bytes that were read into `writable()`."""
         self._end += count
 
-    def put(self, data: bytes | bytearray | memoryview) -> None:
-        """Takes in bytes that another parser has read."""
+    def append(self, data: bytes | bytearray | memoryview) -> None:
+        """Copy in bytes that another parser has read.
+
+        Raises:
+            MessageTooLongError: The buffer is full and may not grow.
+        """
         rest = memoryview(data)
         while rest:
-            room = self.space()
-            part = min(len(room), len(rest))
-            room[:part] = rest[:part]
-            self.filled(part)
-            rest = rest[part:]
-
-    def prefixed(self) -> Iterator[memoryview]:
-        """The whole messages held that stand behind their length in two bytes (RFC 1035, section 4.2.2)."""
-        while self.held >= 2:
+            space = self.writable()
+            count = min(len(space), len(rest))
+            space[:count] = rest[:count]
+            self.commit(count)
+            rest = rest[count:]
+
+    def length_prefixed_messages(self) -> Iterator[memoryview]:
+        """Consume the complete messages that follow a length of two bytes (RFC 1035, section 4.2.2)."""
+        while self.pending_bytes >= LENGTH_PREFIX_BYTES:
             size = self._bytes[self._start] << 8 | self._bytes[self._start + 1]
-            if self.held < 2 + size:
+            if self.pending_bytes < LENGTH_PREFIX_BYTES + size:
                 return
-            start, self._start = self._start + 2, self._start + 2 + size
+            start = self._start + LENGTH_PREFIX_BYTES
+            self._start = start + size
             yield memoryview(self._bytes)[start : self._start]
 
     def lines(self) -> Iterator[memoryview]:
-        """The whole lines held, without their ends."""
+        """Consume the complete lines, given without their ends (LF or CRLF).
+
+        Raises:
+            MessageTooLongError: The rest is no complete line and as long as the buffer may be.
+        """
         while True:
-            at = self._bytes.find(b"\n", max(self._start, self._searched), self._end)
-            if at < 0:
+            line_end = self._bytes.find(b"\n", max(self._start, self._searched), self._end)
+            if line_end < 0:
                 self._searched = self._end
-                if self.held >= self._most:
-                    raise TooLong
+                if self.pending_bytes >= self._max_bytes:
+                    raise MessageTooLongError(self._max_bytes)
                 return
-            start, self._start = self._start, at + 1
+            start = self._start
+            self._start = line_end + 1
             self._searched = self._start
-            stop = at - 1 if at > start and self._bytes[at - 1] == 0x0D else at
+            has_carriage_return = line_end > start and self._bytes[line_end - 1] == CARRIAGE_RETURN
+            stop = line_end - 1 if has_carriage_return else line_end
             yield memoryview(self._bytes)[start:stop]
--- a/kelpcourse/wire/discovery.py
+++ b/kelpcourse/wire/discovery.py
@@ -8,11 +8,19 @@
 from kelpcourse.facade import InvalidReportError
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.wire.fields import BadMessage, address, flag, json_object, number, text, whole
-from kelpcourse.wire.http import HttpClient, dial
+from kelpcourse.wire.errors import InvalidMessageError, StreamError
+from kelpcourse.wire.fields import (
+    parse_address,
+    parse_json_object,
+    require_count,
+    require_flag,
+    require_number,
+    require_text,
+)
+from kelpcourse.wire.http import HttpClient, connect_http
 from kelpcourse.wire.loop import Coroutine, Task, Wait
 from kelpcourse.wire.runtime import Backoff, Runtime
-from kelpcourse.wire.stream import Address, Broken
+from kelpcourse.wire.stream import Address
 
 HOSTS = "/discovery/hosts"
 TIME_MOST_MS = 1e15  # that the module's clock holds
@@ -30,37 +38,43 @@
     members: tuple[ListedEndpoint, ...]
 
 
-def read_list(fields: Mapping[str, object], on_bad: Callable[[BadMessage], None]) -> HostsList:
+def read_list(
+    fields: Mapping[str, object], on_bad: Callable[[InvalidMessageError], None]
+) -> HostsList:
     """A list without the entries that can't be used: one of them must not hold up news of all the others."""
     entries = fields.get("members")
     if not isinstance(entries, list):
-        raise BadMessage("field 'members' is not a list")
+        raise InvalidMessageError("field 'members' is not a list")
     members = []
     for entry in entries:
         try:
             members.append(_member(entry))
-        except BadMessage as error:
+        except InvalidMessageError as error:
             on_bad(error)
-    return HostsList(whole(fields, "revision"), flag(fields, "complete"), tuple(members))
+    return HostsList(
+        require_count(fields, "revision"), require_flag(fields, "complete"), tuple(members)
+    )
 
 
 def _member(entry: object) -> ListedEndpoint:
     if not isinstance(entry, dict):
-        raise BadMessage("an entry of 'members' is not an object")
-    phase = text(entry, "phase")
+        raise InvalidMessageError("an entry of 'members' is not an object")
+    phase = require_text(entry, "phase")
     if phase not in PHASES:
-        raise BadMessage(f"field 'phase' has no such value: {phase!r:.60}")
-    up_since_ms = number(entry, "up_since_ms") if entry.get("up_since_ms") is not None else 0.0
+        raise InvalidMessageError(f"field 'phase' has no such value: {phase!r:.60}")
+    up_since_ms = (
+        require_number(entry, "up_since_ms") if entry.get("up_since_ms") is not None else 0.0
+    )
     if up_since_ms >= TIME_MOST_MS:
-        raise BadMessage(f"field 'up_since_ms' is no time: {up_since_ms}")
+        raise InvalidMessageError(f"field 'up_since_ms' is no time: {up_since_ms}")
     return ListedEndpoint(
-        text(entry, "id"),
-        address(text(entry, "host_port"), "host_port"),
-        text(entry, "locality"),
-        text(entry, "flavor"),
-        whole(entry, "cell"),
+        require_text(entry, "id"),
+        parse_address(require_text(entry, "host_port"), "host_port"),
+        require_text(entry, "locality"),
+        require_text(entry, "flavor"),
+        require_count(entry, "cell"),
         PHASES[phase],
-        number(entry, "size"),
+        require_number(entry, "size"),
         up_since_ms,
     )
 
@@ -143,7 +157,7 @@
     def _until_lost(self, watch: Watch) -> Coroutine[str]:
         try:
             yield from self._follow(watch)
-        except (Broken, BadMessage, InvalidReportError) as error:
+        except (StreamError, InvalidMessageError, InvalidReportError) as error:
             return str(error)
         except Exception:  # the module must not wait for a watch that is no more
             self._watch = self._watch if self._watch is not watch else None
@@ -155,7 +169,7 @@
     def _run_fetch(self) -> Coroutine[None]:
         try:
             yield from self._fetch_once()
-        except (Broken, BadMessage, InvalidReportError) as error:
+        except (StreamError, InvalidMessageError, InvalidReportError) as error:
             self._lost("fetch", str(error))
         except Exception:
             self._lost("fetch", "a defect")
@@ -175,12 +189,12 @@
         try:
             told = False
             while True:
-                lines = yield from client.some_lines(until_us)
+                lines = yield from client.read_lines(until_us)
                 if lines is None:
                     return
                 for line in lines:
                     if line:
-                        self._hear(watch, read_list(json_object(line), self._bad_entry))
+                        self._hear(watch, read_list(parse_json_object(line), self._bad_entry))
                         told = True
                         if watch is self._watch:
                             self._end_former()
@@ -193,32 +207,32 @@
         until_us = self._parts.clock() + self._parts.limits.list_timeout_us
         client = yield from self._ask(self._address, HOSTS, until_us)
         try:
-            body = yield from client.whole_body(until_us)
-            self._take(read_list(json_object(body), self._bad_entry))
+            body = yield from client.read_body(until_us)
+            self._take(read_list(parse_json_object(body), self._bad_entry))
         finally:
             client.close()
 
     def _ask(self, address: Address, target: str, until_us: int) -> Coroutine[HttpClient]:
         self._parts.counters.add("discovery_calls")
         connect_us = self._parts.clock() + self._parts.limits.connect_timeout_us
-        client = yield from dial(address, self._parts.limits, connect_us)
+        client = yield from connect_http(address, self._parts.limits, connect_us)
         try:
-            yield from client.request("GET", target, None)
-            status = yield from client.status(until_us)
+            yield from client.send_request("GET", target, None)
+            status = yield from client.read_status(until_us)
             if status != 200:
-                raise Broken(f"answered {status}")
+                raise StreamError(f"answered {status}")
         except BaseException:
             client.close()
             raise
         return client
 
-    def _bad_entry(self, error: BadMessage) -> None:
+    def _bad_entry(self, error: InvalidMessageError) -> None:
         self._parts.bad_message("discovery", error)
 
     def _hear(self, watch: Watch, told: HostsList) -> None:
         """Changes come in order on each watch. What a fetch or the other watch has told already is passed over."""
         if told.version < watch.version and not told.whole:
-            raise BadMessage(
+            raise InvalidMessageError(
                 f"changes of version {told.version} after {watch.version}"
             )  # some are missing
         first, watch.version = watch.version < 0, told.version
@@ -234,7 +248,9 @@
             if self._older >= self._parts.limits.max_stale_lists:
                 self._older = self._version = 0
             if self._version or not told.whole:
-                raise BadMessage(f"a list of version {told.version} where {known} is known")
+                raise InvalidMessageError(
+                    f"a list of version {told.version} where {known} is known"
+                )
         self._version = told.version
         self._parts.counters.add("discovery_lists")
         self._parts.log.event(
--- a/kelpcourse/wire/fields.py
+++ b/kelpcourse/wire/fields.py
@@ -1,4 +1,7 @@
-"""Fields of messages that cannot be trusted to be there, of their type or in range."""
+"""Reads fields of JSON messages whose presence, type and range can't be trusted.
+
+All functions raise InvalidMessageError, which names the field.
+"""
 
 from __future__ import annotations
 
@@ -7,60 +10,65 @@
 
 import orjson
 
+from kelpcourse.wire.errors import InvalidMessageError, NotJsonError
+
+MAX_TEXT_LENGTH = 256
+MAX_PORT = 65_535
 
-class BadMessage(ValueError):
-    """A message that can't be used; the text names the field."""
 
+def parse_json_object(data: memoryview) -> Mapping[str, object]:
+    """Decode a JSON object.
 
-def json_object(data: memoryview) -> Mapping[str, object]:
+    Raises:
+        NotJsonError: The data is something else.
+    """
     try:
         value = orjson.loads(data)
     except orjson.JSONDecodeError as error:
-        raise NotJson(f"not JSON: {error}") from None
+        raise NotJsonError(f"not JSON: {error}") from error
     if not isinstance(value, dict):
-        raise NotJson("not a JSON object")
+        raise NotJsonError("not a JSON object")
     return value
 
 
-class NotJson(BadMessage):
-    """What came has no shape at all, so what it should have told is lost."""
-
-
-def text(fields: Mapping[str, object], name: str) -> str:
+def require_text(fields: Mapping[str, object], name: str) -> str:
+    """Give a field that is a string, neither empty nor too long."""
     value = fields.get(name)
-    if not isinstance(value, str) or not value or len(value) > 256:
-        raise BadMessage(f"field '{name}' is not a name: {value!r:.60}")
+    if not isinstance(value, str) or not value or len(value) > MAX_TEXT_LENGTH:
+        raise InvalidMessageError(f"field '{name}' is not a name: {value!r:.60}")
     return value
 
 
-def whole(fields: Mapping[str, object], name: str) -> int:
+def require_count(fields: Mapping[str, object], name: str) -> int:
+    """Give a field that is an integer of at least 0."""
     value = fields.get(name)
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
-        raise BadMessage(f"field '{name}' is not a count: {value!r:.60}")
+        raise InvalidMessageError(f"field '{name}' is not a count: {value!r:.60}")
     return value
 
 
-def number(fields: Mapping[str, object], name: str) -> float:
+def require_number(fields: Mapping[str, object], name: str) -> float:
+    """Give a field that is a finite number of at least 0."""
     value = fields.get(name)
-    if (
-        isinstance(value, bool)
-        or not isinstance(value, int | float)
-        or not math.isfinite(value)
-        or value < 0
-    ):
-        raise BadMessage(f"field '{name}' is not a number from 0 up: {value!r:.60}")
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        raise InvalidMessageError(f"field '{name}' is not a number from 0 up: {value!r:.60}")
+    if not math.isfinite(value) or value < 0:
+        raise InvalidMessageError(f"field '{name}' is not a number from 0 up: {value!r:.60}")
     return float(value)
 
 
-def flag(fields: Mapping[str, object], name: str) -> bool:
+def require_flag(fields: Mapping[str, object], name: str) -> bool:
+    """Give a field that is a boolean, or 1 or 0."""
     value = fields.get(name)
     if value not in (True, False, 0, 1):
-        raise BadMessage(f"field '{name}' is neither yes nor no: {value!r:.60}")
+        raise InvalidMessageError(f"field '{name}' is neither yes nor no: {value!r:.60}")
     return bool(value)
 
 
-def address(value: str, name: str) -> tuple[str, int]:
-    host, sep, port = value.rpartition(":")
-    if not sep or not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
-        raise BadMessage(f"field '{name}' is not host:port: {value!r:.60}")
+def parse_address(value: str, name: str) -> tuple[str, int]:
+    """Parse `host:port`; `name` is the field that it stands in, for the error."""
+    host, separator, port = value.rpartition(":")
+    is_number = port.isascii() and port.isdigit()
+    if not separator or not host or not is_number or not 0 < int(port) <= MAX_PORT:
+        raise InvalidMessageError(f"field '{name}' is not host:port: {value!r:.60}")
     return host, int(port)
--- a/kelpcourse/wire/listener.py
+++ b/kelpcourse/wire/listener.py
@@ -9,11 +9,18 @@
 
 from kelpcourse.facade import InvalidReportError
 from kelpcourse.limits import Limits
-from kelpcourse.wire.buffers import Buffer, TooLong
-from kelpcourse.wire.fields import BadMessage
+from kelpcourse.wire.buffers import ReadBuffer
+from kelpcourse.wire.errors import (
+    InvalidMessageError,
+    MalformedLineError,
+    MessageTooLongError,
+    ProtocolViolationError,
+    StreamError,
+    StreamTimeoutError,
+)
 from kelpcourse.wire.loop import READ, Coroutine, Task, Wait
 from kelpcourse.wire.runtime import Runtime
-from kelpcourse.wire.stream import Address, Broken, Silent, Stream, family
+from kelpcourse.wire.stream import Address, Stream, listen
 from kelpcourse.wire.text import (
     PONG,
     REFUSED,
@@ -21,7 +28,6 @@
     Heard,
     Message,
     Ping,
-    Unreadable,
     Usage,
     check_beginning,
     parse,
@@ -31,7 +37,7 @@
 class Guest:
     """A connection that came in."""
 
-    def __init__(self, stream: Stream, buffer: Buffer, now_us: int) -> None:
+    def __init__(self, stream: Stream, buffer: ReadBuffer, now_us: int) -> None:
         self.stream = stream
         self.buffer = buffer
         self.zone = ""  # of a collector; empty: a stranger so far
@@ -53,22 +59,6 @@
         return self.heard_us + limits.ping_client_idle_us
 
 
-class Stranger(Broken):
-    """Someone who did not join and has no business here: told so, and let go."""
-
-
-def listen(address: Address, queue: int) -> socket.socket:
-    sock = socket.socket(family(address), socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-    try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.bind(address)
-        sock.listen(queue)
-    except OSError:
-        sock.close()
-        raise
-    return sock
-
-
 class Listener:
     def __init__(self, parts: Runtime, address: Address, sock: socket.socket | None = None) -> None:
         """`sock`: listens there already."""
@@ -144,7 +134,7 @@
             stream.sock.setsockopt(
                 socket.SOL_SOCKET, socket.SO_SNDBUF, limits.max_unauthenticated_bytes
             )
-        buffer = Buffer(limits.max_unauthenticated_bytes, limits.max_unauthenticated_bytes)
+        buffer = ReadBuffer(limits.max_unauthenticated_bytes, limits.max_unauthenticated_bytes)
         guest = Guest(stream, buffer, self._parts.clock())
         self._guests[guest] = None
         self._parts.counters.add("connections")
@@ -167,20 +157,25 @@
     def _serve(self, guest: Guest) -> Coroutine[None]:
         try:
             while True:
-                room = guest.buffer.space()
+                room = guest.buffer.writable()
                 count = yield from guest.stream.recv_into(room, guest.until_us(self._parts.limits))
                 if not count:
                     return
                 self._parts.counters.add("bytes_in", count)
-                guest.buffer.filled(count)
+                guest.buffer.commit(count)
                 self._take_lines(guest)
                 if self._over_memory(guest):
-                    raise Broken("read buffers are over their limit together")
+                    raise StreamError("read buffers are over their limit together")
                 if count == len(room):
                     yield Wait(0)  # one that sends without end must not keep the others waiting
-        except (Stranger, Unreadable, TooLong, Silent) as error:
+        except (
+            ProtocolViolationError,
+            MalformedLineError,
+            MessageTooLongError,
+            StreamTimeoutError,
+        ) as error:
             self._turn_away(guest, error)
-        except Broken as error:
+        except StreamError as error:
             self._parts.counters.add("connections_broken")
             self._parts.log.event("connection_broken", zone=guest.zone, reason=str(error))
         finally:
@@ -189,7 +184,7 @@
     def _take_lines(self, guest: Guest) -> None:
         for line in guest.buffer.lines():
             self._take(guest, line)
-        rest = guest.buffer.rest()
+        rest = guest.buffer.partial_message()
         check_beginning(rest)
         if guest.zone:
             return
@@ -198,7 +193,7 @@
         if now_us > guest.until_us(
             self._parts.limits
         ):  # bytes that keep coming hide the time limit
-            raise Stranger("its time is over")
+            raise ProtocolViolationError("its time is over")
 
     def _turn_away(self, guest: Guest, error: Exception) -> None:
         """A stranger hears that it is refused. A collector does not: nothing is ever written to it, and once
@@ -216,11 +211,11 @@
     def _over_memory(self, guest: Guest) -> bool:
         """Half lines of up to a limit each are fine on a few connections, not on hundreds: whoever grows a
         buffer past what all may hold together is shed."""
-        held = sum(other.buffer.size for other in self._guests)
+        held = sum(other.buffer.capacity_bytes for other in self._guests)
         self._parts.counters.most("max_read_buffer_bytes", held)
         return (
             held > self._parts.limits.max_read_buffers_bytes
-            and guest.buffer.size > self._parts.limits.initial_read_buffer_bytes
+            and guest.buffer.capacity_bytes > self._parts.limits.initial_read_buffer_bytes
         )
 
     def _end(self, guest: Guest) -> None:
@@ -237,11 +232,11 @@
             else:
                 self._meet(guest, message)
             guest.heard_us = self._parts.clock()
-        except Unreadable:
+        except MalformedLineError:
             raise
-        except (BadMessage, InvalidReportError) as error:
+        except (InvalidMessageError, InvalidReportError) as error:
             if not guest.zone:
-                raise Stranger(str(error)) from None
+                raise ProtocolViolationError(str(error)) from None
             self._parts.bad_message("collector", error)
 
     def _meet(self, guest: Guest, message: Message | None) -> None:
@@ -251,20 +246,20 @@
                 self._pong(guest)
             case Collector(zone) if self._parts.facade.is_zone(zone):
                 guest.zone = zone
-                guest.buffer.widen(
+                guest.buffer.set_limits(
                     self._parts.limits.initial_read_buffer_bytes, self._parts.limits.max_line_bytes
                 )
                 self._parts.log.event("collector_connected", zone=zone)
             case Collector(zone):
-                raise Stranger(f"no zone {zone!r:.60}")
+                raise ProtocolViolationError(f"no zone {zone!r:.60}")
             case _:
-                raise Stranger("a message before a joining")
+                raise ProtocolViolationError("a message before a joining")
 
     def _report(self, guest: Guest, message: Message | None) -> None:
         match message:
             case Heard(zone, host, tries, failed, mean_ms, window_ms, load):
                 if zone != guest.zone:
-                    raise BadMessage(
+                    raise InvalidMessageError(
                         f"zone {zone!r:.60} through the collector of {guest.zone!r:.60}"
                     )
                 self._parts.counters.add("endpoint_reports")
@@ -273,7 +268,9 @@
                 self._parts.counters.add("demand_reports")
                 self._parts.facade.report_usage(proxy, kind, arrived, unanswered, window_ms)
             case Collector(zone) if zone != guest.zone:
-                raise BadMessage(f"the collector of {guest.zone!r:.60} is not that of {zone!r:.60}")
+                raise InvalidMessageError(
+                    f"the collector of {guest.zone!r:.60} is not that of {zone!r:.60}"
+                )
             case Ping():
                 self._pong(guest)
 
--- a/kelpcourse/wire/probes.py
+++ b/kelpcourse/wire/probes.py
@@ -5,11 +5,17 @@
 from collections import deque
 
 from kelpcourse.facade import InvalidReportError
-from kelpcourse.wire.fields import BadMessage, json_object, number
-from kelpcourse.wire.http import dial
+from kelpcourse.wire.errors import (
+    ConnectError,
+    InvalidMessageError,
+    StreamError,
+    StreamTimeoutError,
+)
+from kelpcourse.wire.fields import parse_json_object, require_number
+from kelpcourse.wire.http import connect_http
 from kelpcourse.wire.loop import Coroutine
 from kelpcourse.wire.runtime import Runtime
-from kelpcourse.wire.stream import Address, Broken, Refused, Silent
+from kelpcourse.wire.stream import Address
 
 LOAD = "/metrics/load"
 OUTCOMES = {200: "ok", 503: "full"}  # any other status is an error
@@ -20,12 +26,12 @@
     """A load report; figures that are none are left out."""
     if not body:  # the deployment has no reports
         return ()
-    fields = json_object(body)
+    fields = parse_json_object(body)
     pairs = []
     for name in fields:
         try:
-            pairs.append((name, number(fields, name)))
-        except BadMessage:
+            pairs.append((name, require_number(fields, name)))
+        except InvalidMessageError:
             continue
     return tuple(pairs)
 
@@ -70,19 +76,19 @@
     def _ask(self, address: Address, until_us: int) -> Coroutine[tuple[str, Load]]:
         self._parts.counters.add("health_checks")
         try:
-            client = yield from dial(address, self._parts.limits, until_us)
-        except Refused:
+            client = yield from connect_http(address, self._parts.limits, until_us)
+        except ConnectError:
             return "connect_failed", ()
         try:
-            yield from client.request("GET", LOAD, None)
-            status = yield from client.status(until_us)
-            body = yield from client.whole_body(until_us)
+            yield from client.send_request("GET", LOAD, None)
+            status = yield from client.read_status(until_us)
+            body = yield from client.read_body(until_us)
             return OUTCOMES.get(status, "error"), read_load(body)
-        except Silent:
+        except StreamTimeoutError:
             return "timeout", ()
-        except Broken:
+        except StreamError:
             return "reset", ()
-        except BadMessage as error:
+        except InvalidMessageError as error:
             self._parts.bad_message("health_check", error)
             return "error", ()
         finally:
--- a/kelpcourse/wire/relay_calls.py
+++ b/kelpcourse/wire/relay_calls.py
@@ -6,19 +6,17 @@
 
 from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.orders import Order
-from kelpcourse.wire.fields import BadMessage
-from kelpcourse.wire.http import HttpClient, dial
-from kelpcourse.wire.loop import READ, Coroutine, Signal, Wait, WakeReason
-from kelpcourse.wire.relay_codec import (
-    ORDERS_PATH,
-    InvalidCall,
-    Throttled,
-    call_body,
-    encode_order,
-    read_answer,
+from kelpcourse.wire.errors import (
+    InvalidCallError,
+    InvalidMessageError,
+    StreamError,
+    ThrottledError,
 )
+from kelpcourse.wire.http import HttpClient, connect_http
+from kelpcourse.wire.loop import READ, Coroutine, Signal, Wait, WakeReason
+from kelpcourse.wire.relay_codec import ORDERS_PATH, call_body, encode_order, read_answer
 from kelpcourse.wire.runtime import Backoff, Runtime
-from kelpcourse.wire.stream import Address, Broken
+from kelpcourse.wire.stream import Address
 
 
 class RelayCalls:
@@ -87,13 +85,13 @@
             self._backoff.reset()
             self._invalid = 0
             return 0
-        except Throttled:
+        except ThrottledError:
             self._outbox.again()
             self._parts.counters.add("relay_calls_throttled")
             self._parts.log.event("relay_calls_throttled", queued_orders=len(self._outbox))
             return self._parts.limits.throttled_retry_us
         except (
-            InvalidCall
+            InvalidCallError
         ) as error:  # said again and again it holds: all later orders must not wait for ever
             self._invalid += 1
             given_up = self._invalid >= self._parts.limits.max_invalid_responses
@@ -108,7 +106,7 @@
                 self._outbox.again()
             self._close()
             return self._backoff.next_us()
-        except (Broken, BadMessage) as error:
+        except (StreamError, InvalidMessageError) as error:
             self._parts.counters.add("relay_calls_failed")
             self._parts.log.event(
                 "relay_call_failed", reason=str(error), queued_orders=len(self._outbox)
@@ -121,7 +119,7 @@
         client = yield from self._connected()
         target = self._target()
         if target is None:
-            raise Throttled
+            raise ThrottledError("no call may be made now")
         orders = self._outbox.begin()
         if not orders:  # all of them were bindings of proxies that have left meanwhile
             self._outbox.taken(0)
@@ -129,14 +127,14 @@
         body = call_body(orders, self._parts.limits.max_call_bytes)
         self._parts.counters.add("relay_calls")
         self._parts.counters.add("relay_call_bytes", len(body.data))
-        yield from client.request("POST", target, body.data)
+        yield from client.send_request("POST", target, body.data)
         self._sent = (
             body.order_count
         )  # a call that breaks before its last byte is never carried out
         until_us = self._parts.clock() + self._parts.limits.call_timeout_us
-        yield from client.status(until_us)
-        answer = yield from client.whole_body(until_us)
-        if not client.reusable:
+        yield from client.read_status(until_us)
+        answer = yield from client.read_body(until_us)
+        if not client.is_reusable:
             self._close()
         taken = read_answer(answer, body.sent_count)
         self._settle(min(taken, body.order_count), body.order_count)
@@ -177,12 +175,12 @@
         self._parts.log.event("order_rejected", order=encode_order(order).decode())
 
     def _connected(self) -> Coroutine[HttpClient]:
-        if self._client is not None and self._client.gone():
+        if self._client is not None and self._client.is_stale():
             self._close()
         if self._client is None or self._peer != self._address:
             yield from self._connect()
         if self._client is None:
-            raise Broken("not connected")
+            raise StreamError("not connected")
         return self._client
 
     def _connect(self) -> Coroutine[None]:
@@ -190,8 +188,8 @@
         address = self._address
         until_us = self._parts.clock() + self._parts.limits.connect_timeout_us
         try:
-            client = yield from dial(address, self._parts.limits, until_us)
-        except Broken:
+            client = yield from connect_http(address, self._parts.limits, until_us)
+        except StreamError:
             if self._client is None:
                 raise
             return
--- a/kelpcourse/wire/relay_codec.py
+++ b/kelpcourse/wire/relay_codec.py
@@ -18,7 +18,14 @@
     WithdrawEndpoint,
 )
 from kelpcourse.memory.proxies import Applied, Joined, Left, News
-from kelpcourse.wire.fields import BadMessage, flag, json_object, number, text, whole
+from kelpcourse.wire.errors import InvalidCallError, InvalidMessageError, ThrottledError
+from kelpcourse.wire.fields import (
+    parse_json_object,
+    require_count,
+    require_flag,
+    require_number,
+    require_text,
+)
 
 ORDERS_PATH = "/v3/kv/orders"
 EVENTS_PATH = "/v3/kv/events"
@@ -27,14 +34,6 @@
 ENVELOPE_BYTES = 16  # what stands around the orders of a call
 
 
-class Throttled(Exception):
-    """The relay turned the call away, as it does before the run begins."""
-
-
-class InvalidCall(Exception):
-    """The relay takes the request for no call at all: it will never carry it out."""
-
-
 @dataclass(frozen=True)
 class CallBody:
     """The body of one call and what it carries."""
@@ -101,35 +100,42 @@
 
 
 def read_answer(body: memoryview, sent: int) -> int:
-    """How many orders were taken. Raises Throttled, InvalidCall or BadMessage."""
-    fields = json_object(body)
+    """How many orders were taken. Raises ThrottledError, InvalidCallError or BadMessage."""
+    fields = parse_json_object(body)
     if "ok_count" in fields:
-        taken = whole(fields, "ok_count")
+        taken = require_count(fields, "ok_count")
         if taken > sent:
-            raise BadMessage(f"field 'ok_count' is above the orders sent: {taken}")
+            raise InvalidMessageError(f"field 'ok_count' is above the orders sent: {taken}")
         return taken
     said = orjson.dumps(fields).decode()  # the page names the errors, not the field that holds them
     if THROTTLED in said:
-        raise Throttled
+        raise ThrottledError(said[:200])
     if INVALID in said:
-        raise InvalidCall(said[:200])
-    raise BadMessage(f"an answer without 'ok_count': {said:.100}")
+        raise InvalidCallError(said[:200])
+    raise InvalidMessageError(f"an answer without 'ok_count': {said:.100}")
 
 
 def read_event(line: memoryview) -> News | None:
     """What a line of the event stream tells; None: a heartbeat. Raises BadMessage."""
-    fields = json_object(line)
+    fields = parse_json_object(line)
     if not fields:
         return None
     kind, body = fields.get("type"), fields.get("object")
     if not isinstance(body, dict):
-        raise BadMessage("field 'object' is not an object")
+        raise InvalidMessageError("field 'object' is not an object")
     if kind == "joined":
         return Joined(
-            whole(body, "sidecar"), text(body, "az"), number(body, "share"), flag(body, "standing")
+            require_count(body, "sidecar"),
+            require_text(body, "az"),
+            require_number(body, "share"),
+            require_flag(body, "standing"),
         )
     if kind == "left":
-        return Left(whole(body, "sidecar"))
+        return Left(require_count(body, "sidecar"))
     if kind == "applied":
-        return Applied(whole(body, "sidecar"), whole(body, "version"), number(body, "lag_ms"))
-    raise BadMessage(f"unknown type {kind!r:.60}")
+        return Applied(
+            require_count(body, "sidecar"),
+            require_count(body, "version"),
+            require_number(body, "lag_ms"),
+        )
+    raise InvalidMessageError(f"unknown type {kind!r:.60}")
--- a/kelpcourse/wire/relay_events.py
+++ b/kelpcourse/wire/relay_events.py
@@ -7,12 +7,12 @@
 from kelpcourse.facade import InvalidReportError
 from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.proxies import Applied, Joined, Left, News, Proxies
-from kelpcourse.wire.fields import BadMessage, NotJson
-from kelpcourse.wire.http import dial
+from kelpcourse.wire.errors import InvalidMessageError, NotJsonError, StreamError
+from kelpcourse.wire.http import connect_http
 from kelpcourse.wire.loop import Coroutine, Signal, Wait
 from kelpcourse.wire.relay_codec import EVENTS_PATH, read_event
 from kelpcourse.wire.runtime import Backoff, Runtime
-from kelpcourse.wire.stream import Address, Broken
+from kelpcourse.wire.stream import Address
 
 
 class EventStreams:
@@ -53,7 +53,7 @@
             try:
                 yield from self._follow(stream, address, backoff)
                 reason = "ended"
-            except (Broken, NotJson) as error:
+            except (StreamError, NotJsonError) as error:
                 reason = str(error)
             finally:
                 self._report(self._proxies.lost(stream))
@@ -72,12 +72,16 @@
 
     def _follow(self, stream: int, address: Address, backoff: Backoff) -> Coroutine[None]:
         limits = self._parts.limits
-        client = yield from dial(address, limits, self._parts.clock() + limits.connect_timeout_us)
+        client = yield from connect_http(
+            address, limits, self._parts.clock() + limits.connect_timeout_us
+        )
         try:
-            yield from client.request("GET", self._target, None)
-            status = yield from client.status(self._parts.clock() + limits.event_stream_silence_us)
+            yield from client.send_request("GET", self._target, None)
+            status = yield from client.read_status(
+                self._parts.clock() + limits.event_stream_silence_us
+            )
             if status != 200:
-                raise Broken(f"answered {status}")
+                raise StreamError(f"answered {status}")
             now_us = self._parts.clock()
             self._proxies.opened(stream, now_us, now_us + limits.event_snapshot_timeout_us)
             self._parts.counters.add("event_streams_opened")
@@ -85,7 +89,7 @@
             self._reachable.set()
             heard_us = self._parts.clock()
             while True:
-                lines = yield from client.some_lines(heard_us + limits.event_stream_silence_us)
+                lines = yield from client.read_lines(heard_us + limits.event_stream_silence_us)
                 if lines is None:
                     return
                 for line in lines:
@@ -93,7 +97,7 @@
                     heard_us = self._parts.clock()
                     backoff.reset()
                 if self._replaced(stream):
-                    raise Broken("moved")
+                    raise StreamError("moved")
         finally:
             client.close()
 
@@ -102,9 +106,9 @@
             return
         try:
             self._report(self._proxies.told(stream, read_event(line), self._parts.clock()))
-        except NotJson:
+        except NotJsonError:
             raise  # what it should have told is lost: only a fresh snapshot mends that
-        except BadMessage as error:
+        except InvalidMessageError as error:
             self._parts.bad_message("relay", error)
 
     def _report(self, changes: Iterable[News]) -> None:
--- a/kelpcourse/wire/text.py
+++ b/kelpcourse/wire/text.py
@@ -4,17 +4,13 @@
 
 from dataclasses import dataclass
 
-from kelpcourse.wire.fields import BadMessage
+from kelpcourse.wire.errors import InvalidMessageError, MalformedLineError
 
 PONG = b"pong\r\n"
 REFUSED = b"refused\r\n"
 KIND_LONGEST = 32
 
 
-class Unreadable(BadMessage):
-    """No message at all: where one of these stands, what follows can't be trusted to begin a message."""
-
-
 @dataclass(frozen=True)
 class Ping:
     pass
@@ -53,14 +49,14 @@
     try:
         text = str(line, "utf-8")
     except UnicodeDecodeError:
-        raise Unreadable("not UTF-8") from None
+        raise MalformedLineError("not UTF-8") from None
     if not text.isprintable():
-        raise Unreadable("not text")
+        raise MalformedLineError("not text")
     kind, *parts = text.split() or [""]
     if not kind:
         return None
     if not is_kind(kind):
-        raise Unreadable(f"no kind {kind!r:.60}")
+        raise MalformedLineError(f"no kind {kind!r:.60}")
     words = _words(parts)
     match kind:
         case "heard":
@@ -71,7 +67,7 @@
             return Ping()
         case "collector":
             return Collector(_word(words, "az"))
-    raise BadMessage(f"unknown kind {kind!r:.60}")
+    raise InvalidMessageError(f"unknown kind {kind!r:.60}")
 
 
 def is_kind(word: str) -> bool:
@@ -89,12 +85,12 @@
     kind, space, _ = bytes(rest[: KIND_LONGEST + 1]).partition(b" ")
     word = kind if space else kind.rstrip(b"\r")
     if word and not is_kind(word.decode("latin-1")):
-        raise Unreadable(f"no kind {word.decode('latin-1')!r:.60}")
+        raise MalformedLineError(f"no kind {word.decode('latin-1')!r:.60}")
     try:
         str(rest, "utf-8")
     except UnicodeDecodeError as error:
         if error.reason != "unexpected end of data":
-            raise Unreadable("not UTF-8") from None
+            raise MalformedLineError("not UTF-8") from None
 
 
 def _heard(words: dict[str, str]) -> Heard:
@@ -124,9 +120,9 @@
     for part in parts:
         name, sep, value = part.partition("=")
         if not sep or not name:
-            raise BadMessage(f"word {part!r:.60} is not name=value")
+            raise InvalidMessageError(f"word {part!r:.60} is not name=value")
         if name in words:
-            raise BadMessage(f"word '{name:.60}' stands twice")
+            raise InvalidMessageError(f"word '{name:.60}' stands twice")
         words[name] = value
     return words
 
@@ -134,14 +130,14 @@
 def _word(words: dict[str, str], name: str) -> str:
     value = words.get(name, "")
     if not value or len(value) > 256:
-        raise BadMessage(f"word '{name}' is not a name: {value!r:.60}")
+        raise InvalidMessageError(f"word '{name}' is not a name: {value!r:.60}")
     return value
 
 
 def _count(words: dict[str, str], name: str) -> int:
     value = words.get(name, "")
     if not (value.isascii() and value.isdigit()) or len(value) > 15:
-        raise BadMessage(f"word '{name}' is not a count: {value!r:.60}")
+        raise InvalidMessageError(f"word '{name}' is not a count: {value!r:.60}")
     return int(value)
 
 
@@ -155,7 +151,7 @@
     except ValueError:
         figure = -1.0
     if not 0 <= figure < 1e15:  # not a number fails this too
-        raise BadMessage(f"word '{name}' is not a number from 0 up: {value!r:.60}")
+        raise InvalidMessageError(f"word '{name}' is not a number from 0 up: {value!r:.60}")
     return figure
 
 
@@ -164,6 +160,6 @@
     for pair in value.split(",") if value else ():
         name, sep, figure = pair.partition(":")
         if not sep or not name:
-            raise BadMessage(f"word 'report' holds {pair!r:.60}")
+            raise InvalidMessageError(f"word 'report' holds {pair!r:.60}")
         pairs.append((name, _float(figure, "report")))
     return tuple(pairs)
--- a/kelpcourse/wire/worker.py
+++ b/kelpcourse/wire/worker.py
@@ -1,7 +1,7 @@
-"""Work that takes long, off the loop: it runs in a thread, and the routine that wants it waits.
+"""Runs long work in a thread while the coroutine that wants its result waits.
 
-For pure work alone, on what nobody else touches meanwhile. The interpreter lets the loop's thread go on every few
-milliseconds, so orders are late by so much at most.
+For pure work only, on data that nothing else touches meanwhile. The interpreter switches back to the
+loop's thread every few milliseconds, which bounds the latency that the work adds.
 """
 
 from __future__ import annotations
@@ -16,8 +16,12 @@
 T = TypeVar("T")
 
 
-class _Job(Generic[T]):
-    """The descriptor is closed by whoever is done last: the routine may be stopped while the work goes on."""
+class _ThreadJob(Generic[T]):
+    """Work in a thread, its result, and an eventfd that tells of its end.
+
+    The coroutine may be stopped while the work goes on, so whichever side is done last closes the
+    descriptor.
+    """
 
     def __init__(self, work: Callable[[], T]) -> None:
         self.fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
@@ -25,7 +29,7 @@
         self.error: Exception | None = None
         self._work = work
         self._lock = threading.Lock()
-        self._holders = 2
+        self._references = 2  # the thread and the coroutine
 
     def run(self) -> None:
         try:
@@ -33,23 +37,23 @@
         except Exception as error:  # raised again where it is waited for
             self.error = error
         os.eventfd_write(self.fd, 1)
-        self.let_go()
+        self.release()
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         with self._lock:
-            self._holders -= 1
-            if not self._holders:
+            self._references -= 1
+            if not self._references:
                 os.close(self.fd)
 
 
-def in_thread(work: Callable[[], T]) -> Coroutine[T]:
-    """What `work` returns or raises."""
-    job = _Job(work)
+def run_in_thread(work: Callable[[], T]) -> Coroutine[T]:
+    """Call `work` in a thread of its own and return or raise what it does."""
+    job = _ThreadJob(work)
     threading.Thread(target=job.run, name="work", daemon=True).start()
     try:
         yield Wait(fd=job.fd, event_mask=READ)
     finally:
-        job.let_go()
+        job.release()
     if job.error is not None:
         raise job.error
-    return job.result  # type: ignore[return-value]  # a T, as no error came
+    return job.result  # type: ignore[return-value]  # a T, as there was no error
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -18,11 +18,12 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.wire.buffers import Buffer, TooLong
+from kelpcourse.wire.buffers import ReadBuffer
+from kelpcourse.wire.errors import MessageTooLongError, StreamError, StreamTimeoutError
 from kelpcourse.wire.loop import READ, Coroutine, Loop, Signal, Wait, WakeReason
 from kelpcourse.wire.runtime import EventLog
-from kelpcourse.wire.stream import Broken, Silent, connect, family
-from kelpcourse.wire.worker import in_thread
+from kelpcourse.wire.stream import address_family, connect
+from kelpcourse.wire.worker import run_in_thread
 from kelpcourse.zones.answer import rrset_of
 from kelpcourse.zones.belief import Contradiction, Verdict, Version
 from kelpcourse.zones.content import SOA, Difference, Zone
@@ -69,9 +70,11 @@
         """None: no answer came. The port is fresh, and a connected socket hears its peer alone; what comes from
         there with another id, question or signature is somebody's guess, and the true answer is waited for."""
         try:
-            sock = socket.socket(family(peer.address), socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
+            sock = socket.socket(
+                address_family(peer.address), socket.SOCK_DGRAM | socket.SOCK_NONBLOCK
+            )
         except OSError as error:
-            raise Broken(f"no socket: {error.strerror}") from None
+            raise StreamError(f"no socket: {error.strerror}") from None
         try:
             sock.connect(peer.address)
             sock.send(query.to_wire())
@@ -130,7 +133,7 @@
         self._asker = asker
         self._peer = peer
         self._query = query
-        self._buffer = Buffer(READ_LEAST, MESSAGE)
+        self._buffer = ReadBuffer(READ_LEAST, MESSAGE)
         self._stream: Any = None
         self._context: Any = None
 
@@ -147,19 +150,19 @@
         limits = self._asker.limits
         until_us = self._asker.loop.clock() + limits.transfer_silence_us
         while True:
-            for slice_ in self._buffer.prefixed():
+            for slice_ in self._buffer.length_prefixed_messages():
                 wire = bytes(slice_)
                 if len(wire) <= limits.max_inline_zone_bytes:
                     return self._read(wire)
-                return (yield from in_thread(partial(self._read, wire)))
+                return (yield from run_in_thread(partial(self._read, wire)))
             try:
-                room = self._buffer.space()
-            except TooLong:
-                raise Broken("a message over its limit") from None
+                room = self._buffer.writable()
+            except MessageTooLongError:
+                raise StreamError("a message over its limit") from None
             count = yield from self._stream.recv_into(room, until_us)
             if not count:
-                raise Broken("closed before the end")
-            self._buffer.filled(count)
+                raise StreamError("closed before the end")
+            self._buffer.commit(count)
 
     def _read(self, wire: bytes) -> tuple[bytes, dns.message.Message]:
         multi = self._query.question[0].rdtype in (AXFR, IXFR)
@@ -236,9 +239,11 @@
         log, clock = self._asker.log, self._asker.loop.clock
         try:
             verdict = yield from self._follow(peer)
-        except (Broken, BadZone, dns.xfr.UseTCP) as error:
+        except (StreamError, BadZone, dns.xfr.UseTCP) as error:
             self._asker.counters.add("zone_soa_queries_failed")
-            self._tell(self._held.belief.forget(str(peer)) if isinstance(error, Silent) else [])
+            self._tell(
+                self._held.belief.forget(str(peer)) if isinstance(error, StreamTimeoutError) else []
+            )
             log.event(
                 "zone_soa_query_failed",
                 zone=self._held.origin,
@@ -274,7 +279,7 @@
         if held.zone.exists and not held.belief.expired:
             try:
                 return (yield from self._transfer(peer, IXFR))
-            except (Unfit, BadZone, Broken) as error:
+            except (Unfit, BadZone, StreamError) as error:
                 self._asker.counters.add("zone_ixfr_failed")
                 self._asker.log.event(
                     "zone_ixfr_failed", zone=held.origin, primary=str(peer), reason=str(error)
@@ -298,10 +303,10 @@
                 whole = (
                     incoming.take(wire, message)
                     if len(wire) <= limits.max_inline_zone_bytes
-                    else (yield from in_thread(partial(incoming.take, wire, message)))
+                    else (yield from run_in_thread(partial(incoming.take, wire, message)))
                 )
                 if clock() > until_us:
-                    raise Silent("the transfer took too long")
+                    raise StreamTimeoutError("the transfer took too long")
         finally:
             session.close()
         return self._take(peer, incoming)
@@ -369,7 +374,7 @@
             try:
                 if (yield from self._asker.ask_udp(query, self._peer)) is not None:
                     return
-            except Broken:
+            except StreamError:
                 pass
             woken = yield Wait(self._asker.loop.clock() + wait_us, signal=self._changed)
             if woken is WakeReason.SIGNALLED:
--- a/kelpcourse/zones/server.py
+++ b/kelpcourse/zones/server.py
@@ -9,11 +9,11 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.wire.buffers import Buffer, TooLong
-from kelpcourse.wire.listener import listen
+from kelpcourse.wire.buffers import ReadBuffer
+from kelpcourse.wire.errors import MessageTooLongError, StreamError
 from kelpcourse.wire.loop import READ, Coroutine, Loop, Signal, Task, Wait, WakeReason
 from kelpcourse.wire.runtime import EventLog
-from kelpcourse.wire.stream import Address, Broken, Stream, family
+from kelpcourse.wire.stream import Address, Stream, address_family, listen
 from kelpcourse.zones.desk import HEAD, Desk
 
 MESSAGE = 2 + 65_535  # with its length, over TCP
@@ -22,7 +22,7 @@
 
 def bound(address: Address) -> socket.socket:
     """A socket for datagrams at an address of ours. Raises OSError."""
-    sock = socket.socket(family(address), socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
+    sock = socket.socket(address_family(address), socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
     try:
         sock.bind(address)
     except OSError:
@@ -50,7 +50,7 @@
     def __init__(self, stream: Stream, peer: Address, now_us: int) -> None:
         self.stream = stream
         self.peer = peer
-        self.buffer = Buffer(READ_LEAST, MESSAGE)
+        self.buffer = ReadBuffer(READ_LEAST, MESSAGE)
         self.heard_us = now_us  # when a message was last whole
         self.half_us: int | None = None  # since when one is not
         self.out: deque[Iterator[bytes]] = deque()
@@ -155,7 +155,7 @@
                 yield from self._send_all(client)
                 if not (yield from self._hear(client)):
                     return
-        except (Broken, TooLong) as error:
+        except (StreamError, MessageTooLongError) as error:
             self._counters.add("dns_connections_broken")
             self._log.event("dns_connection_broken", reason=str(error))
         finally:
@@ -176,19 +176,19 @@
         if woken is not WakeReason.READY:
             return True
         count = yield from client.stream.recv_into(
-            client.buffer.space(), self._loop.clock() + limits.dns_partial_message_timeout_us
+            client.buffer.writable(), self._loop.clock() + limits.dns_partial_message_timeout_us
         )
         if not count:
             return False
-        client.buffer.filled(count)
-        for message in client.buffer.prefixed():
+        client.buffer.commit(count)
+        for message in client.buffer.length_prefixed_messages():
             if len(message) < HEAD:
-                raise Broken("no message")
+                raise StreamError("no message")
             client.heard_us, client.half_us = self._loop.clock(), None
             client.waits += 1
             self._desk.handle(bytes(message), client.peer, True, self._replies_to(client))
             yield from self._send_all(client)  # it reads its answers before more is read from it
-        if client.buffer.held:
+        if client.buffer.pending_bytes:
             client.half_us = client.half_us if client.half_us is not None else self._loop.clock()
         if self._loop.clock() >= client.until_us(limits):
             return bool(client.waits)
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -21,7 +21,7 @@
 from kelpcourse.wire.loop import Coroutine, Loop, Signal, Wait
 from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.storage import Thread, Writer
-from kelpcourse.wire.worker import in_thread
+from kelpcourse.wire.worker import run_in_thread
 from kelpcourse.zones.belief import Verdict, Version
 from kelpcourse.zones.book import (
     Changed,
@@ -398,7 +398,7 @@
             return
         read = partial(read_file, path, zone.origin, self._around.limits)
         try:
-            new = yield from in_thread(read)
+            new = yield from run_in_thread(read)
         except BadZone as error:
             self._bad_file(zone, error)
             return
--- a/kelpcourse/zones/settings.py
+++ b/kelpcourse/zones/settings.py
@@ -15,7 +15,8 @@
 import msgspec
 
 from kelpcourse.kdl import BadSettings, Block, Mistake, load
-from kelpcourse.wire.fields import BadMessage, address
+from kelpcourse.wire.errors import InvalidMessageError
+from kelpcourse.wire.fields import parse_address
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.errors import BadZone
 from kelpcourse.zones.grants import Grant, read_grant
@@ -133,7 +134,7 @@
 
 def read_address(text: str, field: str) -> Address:
     """host:port or [host]:port. Raises BadMessage."""
-    host, port = address(text, field)
+    host, port = parse_address(text, field)
     return (host[1:-1] if host.startswith("[") and host.endswith("]") else host), port
 
 
@@ -146,7 +147,7 @@
     settings = _Resolver(path, block.zones, mistakes).run()
     try:
         at = read_address(listen, "--listen") if listen else settings.listen
-    except BadMessage as error:
+    except InvalidMessageError as error:
         raise BadSettings([Mistake(str(path), 0, "--listen", str(error))]) from None
     return replace(settings, listen=at, state=state or settings.state)
 
@@ -195,7 +196,7 @@
     def _address(self, block: Block, text: str, field: str) -> Address:
         try:
             return read_address(text, field)
-        except BadMessage:
+        except InvalidMessageError:
             self._note(block, field, f"is not host:port: {text!r:.60}")
             return "", 0
 
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -10,7 +10,7 @@
 from kelpcourse.policy.actions import CheckHealth, WatchEndpoints
 from kelpcourse.policy.events import EndpointList, EndpointListKind, EndpointStatus
 from kelpcourse.wire.discovery import Discovery, read_list
-from kelpcourse.wire.fields import BadMessage
+from kelpcourse.wire.errors import InvalidMessageError
 from kelpcourse.wire.loop import Coroutine, Wait
 from kelpcourse.wire.runtime import Backoff
 from tests.standins import MS, QUICK, Bench, Caller, StandIn, entry, listed
@@ -188,7 +188,7 @@
 
 
 def test_entries_are_read_and_checked() -> None:
-    bad: list[BadMessage] = []
+    bad: list[InvalidMessageError] = []
     told = read_list(
         {"revision": 1, "complete": True, "members": [entry("a", since=1500.5)]}, bad.append
     )
@@ -214,7 +214,7 @@
         {"revision": "1", "complete": True, "members": []},
         {"revision": 1, "complete": "so", "members": []},
     ):
-        with pytest.raises(BadMessage):
+        with pytest.raises(InvalidMessageError):
             read_list(wrong, bad.append)
 
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -12,7 +12,7 @@
 from kelpcourse.memory.proxies import Applied, Joined, Left, News, Proxies
 from kelpcourse.policy.controller import FORGET_US
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.wire.buffers import Buffer
+from kelpcourse.wire.buffers import ReadBuffer
 from kelpcourse.wire.text import Heard, Usage, parse
 from tests.fleet import SECOND, SETTINGS
 from tests.standins import QUICK, member
@@ -30,7 +30,7 @@
         self.facade = Facade(settings, 7, QUICK)
         self.outbox = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
         self.proxies = Proxies(QUICK.max_buffered_events, QUICK.event_stream_overlap_us)
-        self.buffer = Buffer(QUICK.initial_read_buffer_bytes, QUICK.max_line_bytes)
+        self.buffer = ReadBuffer(QUICK.initial_read_buffer_bytes, QUICK.max_line_bytes)
         self.now = 50 * SECOND
         self.second = 0
         self.version = 1
@@ -79,7 +79,7 @@
         if self.second % 3 == 0:
             self.news(Left(again))
             self.news(Joined(again, "east", 10.0, False))
-        self.buffer.put(self.lines())
+        self.buffer.append(self.lines())
         for line in self.buffer.lines():
             self.take(line)
         self.facade.tick(self.now - QUICK.step_batching_us)
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -8,8 +8,9 @@
 
 import pytest
 
+from kelpcourse.wire.errors import StreamError, StreamTimeoutError
 from kelpcourse.wire.loop import READ, Coroutine, Loop, Signal, Task, Wait, WakeReason
-from kelpcourse.wire.stream import Broken, Silent, Stream
+from kelpcourse.wire.stream import Stream
 from tests.standins import FakeClock
 
 Pair = tuple[socket.socket, socket.socket]
@@ -131,7 +132,7 @@
         rig.told.append((yield from stream.recv_into(room, rig.clock.now + 10)))
         try:
             yield from stream.recv_into(room, rig.clock.now + 10)
-        except Silent as error:
+        except StreamTimeoutError as error:
             rig.told.append(str(error))
         rig.told.append((yield from stream.recv_into(room, rig.clock.now + 10)))
 
@@ -141,9 +142,9 @@
     rig.loop.run_once(rig.clock.now)
     rig.clock.now += 10
     rig.loop.run_once(rig.clock.now)
-    assert not stream.gone()
+    assert not stream.is_stale()
     pair[1].close()
-    assert stream.gone()
+    assert stream.is_stale()
     rig.loop.run_once(rig.clock.now)
     assert rig.told == [3, "nothing came in time", 0]
 
@@ -154,7 +155,7 @@
     def talk() -> Coroutine[None]:
         try:
             yield from Stream(pair[0]).send(b"x" * (8 << 20), rig.clock.now + 10)
-        except Broken as error:
+        except StreamError as error:
             rig.told.append(str(error))
 
     rig.loop.start("talk", talk())
--- a/tests/test_relay_codec.py
+++ b/tests/test_relay_codec.py
@@ -16,15 +16,13 @@
     WithdrawEndpoint,
 )
 from kelpcourse.memory.proxies import Applied, Joined, Left
-from kelpcourse.wire.fields import BadMessage, NotJson
-from kelpcourse.wire.relay_codec import (
-    InvalidCall,
-    Throttled,
-    call_body,
-    encode_order,
-    read_answer,
-    read_event,
+from kelpcourse.wire.errors import (
+    InvalidCallError,
+    InvalidMessageError,
+    NotJsonError,
+    ThrottledError,
 )
+from kelpcourse.wire.relay_codec import call_body, encode_order, read_answer, read_event
 from tests.relays import MARK, SET
 
 
@@ -71,9 +69,9 @@
 
 def test_answers() -> None:
     assert read_answer(view(b'{"ok_count":2}'), 2) == 2
-    with pytest.raises(Throttled):
+    with pytest.raises(ThrottledError):
         read_answer(view(b'{"error":"Throttling"}'), 2)
-    with pytest.raises(InvalidCall):
+    with pytest.raises(InvalidCallError):
         read_answer(view(b'{"error":{"type":"ValidationError"}}'), 2)
     for text in (
         b'{"ok_count":3}',
@@ -84,7 +82,7 @@
         b"\xff",
         b"",
     ):
-        with pytest.raises(BadMessage):
+        with pytest.raises(InvalidMessageError):
             read_answer(view(text), 2)
 
 
@@ -102,7 +100,7 @@
         b'{"type":"left","object":{"sidecar":-1}}',
         b'{"type":"joined","object":{"sidecar":1,"az":"a","share":1e999,"standing":true}}',
     ):
-        with pytest.raises(BadMessage):
+        with pytest.raises(InvalidMessageError):
             read_event(view(text))
-    with pytest.raises(NotJson):
+    with pytest.raises(NotJsonError):
         read_event(view(b'{"type":"le'))
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -19,7 +19,7 @@
 from kelpcourse.shared.member import FleetMember, Place
 from kelpcourse.shared.raft import Refused, Timing
 from kelpcourse.shared.steering import Around, Steering
-from kelpcourse.wire.http import dial
+from kelpcourse.wire.http import connect_http
 from kelpcourse.wire.loop import Coroutine, Task
 from kelpcourse.wire.storage import Thread
 from kelpcourse.zones.settings import shown
@@ -195,10 +195,10 @@
     before, answers = len(fleet.lab.orders), list[int]()
 
     def wake() -> Coroutine[None]:
-        client = yield from dial(fleet.lab.relay.address, Limits(), now_us() + 1_000 * MS)
+        client = yield from connect_http(fleet.lab.relay.address, Limits(), now_us() + 1_000 * MS)
         body = b'{"orders":[{"verb":"OUT","host":"s-0"},{"verb":"OUT","host":"s-2"}]}'
-        yield from client.request("POST", f"/v3/kv/groups/{group}/orders?epoch={epoch}", body)
-        answers.append((yield from client.status(now_us() + 1_000 * MS)))
+        yield from client.send_request("POST", f"/v3/kv/groups/{group}/orders?epoch={epoch}", body)
+        answers.append((yield from client.read_status(now_us() + 1_000 * MS)))
         client.close()
 
     fleet.lab.loop.start("a late holder", wake())
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -44,14 +44,14 @@
     ProxyLeft,
 )
 from kelpcourse.wire.discovery import Discovery, read_list
-from kelpcourse.wire.fields import BadMessage
+from kelpcourse.wire.errors import InvalidMessageError, MalformedLineError
 from kelpcourse.wire.listener import Listener
 from kelpcourse.wire.loop import Signal
 from kelpcourse.wire.probes import Probes
 from kelpcourse.wire.relay_calls import RelayCalls
 from kelpcourse.wire.relay_codec import call_body, encode_order, read_answer, read_event
 from kelpcourse.wire.relay_events import EventStreams
-from kelpcourse.wire.text import Collector, Heard, Ping, Unreadable, Usage, parse
+from kelpcourse.wire.text import Collector, Heard, Ping, Usage, parse
 from tests.standins import QUICK, Bench, member
 from tests.zonerig import KEY, Client, Part, World, host_added, update_of
 from tests.zoning import ORIGIN, SERVICE, host, rooms, zone
@@ -374,7 +374,7 @@
 @pytest.mark.parametrize("complete", [True, False])
 def test_a_list_read_from_bytes(complete: bool) -> None:
     wire = LISTED if complete else LISTED.replace(b'"complete":true', b'"complete":false')
-    errors: list[BadMessage] = []
+    errors: list[InvalidMessageError] = []
     read = read_list(json_object_of(wire), errors.append)
     assert tuple(vars(read).values()) == (LISTED_PART[0], complete, LISTED_PART[2])
     assert errors == []
@@ -413,14 +413,14 @@
 
 @pytest.mark.parametrize("line", BAD_LINES)
 def test_lines_that_can_not_be_used(line: bytes) -> None:
-    with pytest.raises(BadMessage) as caught:
+    with pytest.raises(InvalidMessageError) as caught:
         parse(memoryview(line))
-    assert not isinstance(caught.value, Unreadable)
+    assert not isinstance(caught.value, MalformedLineError)
 
 
 @pytest.mark.parametrize("line", NO_MESSAGES)
 def test_lines_that_are_no_message(line: bytes) -> None:
-    with pytest.raises(Unreadable):
+    with pytest.raises(MalformedLineError):
         parse(memoryview(line))
 
 
--- a/tests/zoneprimary.py
+++ b/tests/zoneprimary.py
@@ -8,9 +8,10 @@
 import dns.message
 import dns.rdatatype
 
-from kelpcourse.wire.buffers import Buffer
+from kelpcourse.wire.buffers import ReadBuffer
+from kelpcourse.wire.errors import StreamError
 from kelpcourse.wire.loop import READ, Coroutine, Loop, Wait
-from kelpcourse.wire.stream import Address, Broken, Stream
+from kelpcourse.wire.stream import Address, Stream
 from kelpcourse.zones.answer import rrset_of
 from kelpcourse.zones.content import SOA, Record, Zone
 from kelpcourse.zones.server import pair
@@ -70,15 +71,15 @@
     def _guarded(self, stream: Stream) -> Coroutine[None]:
         try:
             yield from self._serve(stream)
-        except Broken:
+        except StreamError:
             pass
         finally:
             stream.close()
 
     def _serve(self, stream: Stream) -> Coroutine[None]:
-        buffer = Buffer(512, 70_000)
+        buffer = ReadBuffer(512, 70_000)
         while True:
-            for wire in buffer.prefixed():
+            for wire in buffer.length_prefixed_messages():
                 query = self._read(bytes(wire))
                 if self.silent:
                     continue
@@ -86,10 +87,10 @@
                     if count >= self.cut_after:
                         return
                     yield from stream.send(len(answer).to_bytes(2, "big") + answer, FAR_US)
-            count = yield from stream.recv_into(buffer.space(), FAR_US)
+            count = yield from stream.recv_into(buffer.writable(), FAR_US)
             if not count:
                 return
-            buffer.filled(count)
+            buffer.commit(count)
 
     def _answers(self, query: dns.message.Message) -> list[bytes]:
         rdtype = query.question[0].rdtype
