--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -23,7 +23,7 @@
 from kelpcourse.shared.placement import jump, moved, place, ring
 from kelpcourse.shared.raft import Refused
 from kelpcourse.wire.loop import Loop, Task
-from kelpcourse.wire.storage import Thread
+from kelpcourse.wire.storage import StorageThread
 
 GROUPS = 240
 LEASE_MS = 1_200
@@ -92,7 +92,7 @@
             Silent(),
             place_,
             Shape(24, terms=Terms(LEASE_MS * 1000, 0.05, LEASE_MS * 250, LEASE_MS * 750)),
-            Thread(),
+            StorageThread(),
             lambda _: None,
         )
         self.tasks[name] = []
--- a/kelpcourse/shared/disk.py
+++ b/kelpcourse/shared/disk.py
@@ -28,7 +28,7 @@
 from kelpcourse.store.journal import Journal
 from kelpcourse.store.recovery import Remark
 from kelpcourse.wire.loop import Coroutine, Loop
-from kelpcourse.wire.storage import Runner, Writer
+from kelpcourse.wire.storage import DurableWriter, JobRunner
 
 TOKEN_BYTES = 6
 
@@ -47,7 +47,7 @@
         begins: bool,
         loop: Loop,
         limits: Limits,
-        runner: Runner,
+        runner: JobRunner,
         written: Callable[[int], None],
         failed: Callable[[str], None],
     ) -> None:
@@ -72,7 +72,7 @@
         self._journal_failed = failed
         self._written = written
         self._halted = False
-        self._writer: Writer[Write] = Writer(
+        self._writer: DurableWriter[Write] = DurableWriter(
             loop, limits, journal, found, runner, self._snapshot, self._settled, self._job_failed
         )
 
--- a/kelpcourse/shared/member.py
+++ b/kelpcourse/shared/member.py
@@ -17,7 +17,7 @@
 from kelpcourse.shared.raft import Refused, Role
 from kelpcourse.wire.loop import Coroutine, Loop, Signal, Wait
 from kelpcourse.wire.runtime import EventLog
-from kelpcourse.wire.storage import Runner
+from kelpcourse.wire.storage import JobRunner
 from kelpcourse.wire.stream import Address
 
 Keep = Callable[[str, Callable[[], Coroutine[None]]], None]
@@ -44,7 +44,7 @@
         log: EventLog,
         place: Place,
         shape: Shape,
-        runner: Runner,
+        runner: JobRunner,
         on_event: Callable[[Event], None],
     ) -> None:
         self._loop = loop
--- a/kelpcourse/shared/standalone.py
+++ b/kelpcourse/shared/standalone.py
@@ -19,7 +19,7 @@
 from kelpcourse.shared.settings import WARN_DAYS, SharedSettings, read_settings
 from kelpcourse.store.spool import ask, commands, write_whole
 from kelpcourse.wire.loop import Coroutine, Wait
-from kelpcourse.wire.storage import Thread
+from kelpcourse.wire.storage import StorageThread
 
 DAY_US = 86_400_000_000
 
@@ -49,7 +49,7 @@
             self.log,
             place,
             settings.shape,
-            Thread(),
+            StorageThread(),
             lambda _: None,
         )
 
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -20,7 +20,7 @@
 from kelpcourse.store.spool import commands, write_whole
 from kelpcourse.wire.loop import Coroutine, Loop, Signal, Wait
 from kelpcourse.wire.runtime import EventLog
-from kelpcourse.wire.storage import Thread, Writer
+from kelpcourse.wire.storage import DurableWriter, StorageThread
 from kelpcourse.wire.worker import run_in_thread
 from kelpcourse.zones.belief import Verdict, Version
 from kelpcourse.zones.book import (
@@ -82,7 +82,7 @@
         self._around = around
         self._sink = sink
         self._by_origin = {zone.origin: zone for zone in settings.zones}
-        self._writer: Writer[Ticket | Saved] | None = None
+        self._writer: DurableWriter[Ticket | Saved] | None = None
         replay = self._open_store()
         self.held = replay.zones
         self._others = replay.others()
@@ -125,12 +125,12 @@
             changes=len(found.records),
             took_ms=round((time.monotonic() - began) * 1e3),
         )
-        self._writer = Writer(
+        self._writer = DurableWriter(
             around.loop,
             around.limits,
             journal,
             found,
-            Thread(),
+            StorageThread(),
             self._snapshot,
             self._settled,
             self._store_failed,
--- a/tests/test_shared_members.py
+++ b/tests/test_shared_members.py
@@ -47,7 +47,7 @@
 from kelpcourse.shared.raft import Refused, Timing
 from kelpcourse.shared.recovery import applied, decode, encode, nothing, replay
 from kelpcourse.wire.loop import Loop
-from kelpcourse.wire.storage import Thread
+from kelpcourse.wire.storage import StorageThread
 from tests.standins import Records
 
 MS = 1000
@@ -163,7 +163,7 @@
         )
         shape = Shape(6, Timing(20 * MS, 150 * MS), Terms(400 * MS, 0.05, 60 * MS, 250 * MS, 4))
         made = FleetMember(
-            self.loop, Limits(), Counters(), self.log, place, shape, Thread(), lambda _: None
+            self.loop, Limits(), Counters(), self.log, place, shape, StorageThread(), lambda _: None
         )
         self.tasks[name] = []
         made.start(lambda what, make: self.tasks[name].append(self.loop.start(what, make())))
@@ -274,7 +274,9 @@
     loop = Loop(lambda: 0, lambda *_: None)
 
     def made(path: Path) -> Disk:
-        return Disk(path, "n0", True, loop, Limits(), Thread(), lambda _: None, lambda _: None)
+        return Disk(
+            path, "n0", True, loop, Limits(), StorageThread(), lambda _: None, lambda _: None
+        )
 
     rig = Rig(tmp_path, 1, False)
     first = rig.start("n0")
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -21,7 +21,7 @@
 from kelpcourse.shared.steering import Around, Steering
 from kelpcourse.wire.http import connect_http
 from kelpcourse.wire.loop import Coroutine, Task
-from kelpcourse.wire.storage import Thread
+from kelpcourse.wire.storage import StorageThread
 from kelpcourse.zones.settings import shown
 from tests.standins import Records
 
@@ -81,7 +81,7 @@
             self.log,
             place,
             shape,
-            Thread(),
+            StorageThread(),
             lambda event: steerings[name].on_event(event) if name in steerings else None,
         )
         around = Around(
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -24,7 +24,7 @@
 )
 from kelpcourse.store.journal import Journal
 from kelpcourse.store.recovery import file_name, from_bytes, obsolete, recover
-from kelpcourse.wire.storage import Done, Thread, Writer
+from kelpcourse.wire.storage import DurableWriter, JobResult, StorageThread
 from tests.standins import Bench
 
 PAYLOADS = [b"one", b"", b"three" * 9, bytes(range(256))]
@@ -337,7 +337,7 @@
         self.fd = os.eventfd(0, os.EFD_NONBLOCK)
         self.job: object = None
         self.ran = 0
-        self._done: list[Done] = []
+        self._done: list[JobResult] = []
 
     def start(self, work: object) -> None:
         self.job = work
@@ -349,7 +349,7 @@
         self.ran += 1
         os.eventfd_write(self.fd, 1)
 
-    def take(self) -> Done | None:
+    def take_result(self) -> JobResult | None:
         if not self._done:
             return None
         os.eventfd_read(self.fd)
@@ -364,7 +364,7 @@
 ) -> None:
     journal, hand = Journal(Folder(tmp_path)), ByHand()
     told: list[str] = []
-    writer: Writer[str] = Writer(
+    writer: DurableWriter[str] = DurableWriter(
         bench.loop,
         Limits(),
         journal,
@@ -388,14 +388,16 @@
 
 
 def test_a_thread_that_meets_a_defect_tells_it_as_a_failure(bench: Bench, tmp_path: Path) -> None:
-    thread = Thread()
-    thread.start(lambda: (Outcome.DONE, 1 // 0, ""))
-    done: list[Done] = []
+    thread = StorageThread()
+    thread.start(lambda: JobResult(Outcome.DONE, 1 // 0, ""))
+    done: list[JobResult] = []
 
     def took() -> bool:
-        done.extend(filter(None, [thread.take()]))
+        done.extend(filter(None, [thread.take_result()]))
         return bool(done)
 
     bench.until(took, 1_000_000)
     thread.close()
-    assert done[0] == (Outcome.UNSURE, 0, "ZeroDivisionError('integer division or modulo by zero')")
+    assert done[0] == JobResult(
+        Outcome.UNSURE, 0, "ZeroDivisionError('integer division or modulo by zero')"
+    )
