--- a/kelpcourse/service/config.py
+++ b/kelpcourse/service/config.py
@@ -11,8 +11,9 @@
 from kelpcourse.fields import Fields, InputError
 from kelpcourse.policy.settings import Settings
 from kelpcourse.settings import read_settings
-from kelpcourse.wire.discovery import HostsList, read_list
-from kelpcourse.wire.fields import BadMessage, address
+from kelpcourse.wire.discovery_codec import EndpointListMessage, decode_endpoint_list
+from kelpcourse.wire.errors import InvalidMessageError
+from kelpcourse.wire.fields import parse_address
 from kelpcourse.wire.stream import Address
 
 # Variables that must agree with a field of the file where they are set.
@@ -45,7 +46,7 @@
     discovery: Address
     relay: Address
     seed: int
-    known: HostsList
+    known: EndpointListMessage
     settings: Settings
     sockets: int
     memory_mb: int
@@ -72,7 +73,7 @@
     _check_variables(environment, root)
     try:
         return _config(root)
-    except BadMessage as error:
+    except InvalidMessageError as error:
         raise ConfigError(str(error)) from error
 
 
@@ -89,11 +90,11 @@
     relay = _text(_object(root, "registry"), "address", "registry.")
     return Config(
         name=_text(root, "name"),
-        listen=address(_text(root, "listen"), "listen"),
-        discovery=address(_text(root, "discovery"), "discovery"),
-        relay=address(relay, "registry.address"),
+        listen=parse_address(_text(root, "listen"), "listen"),
+        discovery=parse_address(_text(root, "discovery"), "discovery"),
+        relay=parse_address(relay, "registry.address"),
         seed=_seed(_text(root, "seed")),
-        known=read_list(_object(root, "known"), _raise),
+        known=decode_endpoint_list(_object(root, "known"), _raise),
         settings=_settings(root),
         sockets=_limit(root, "sockets", DEFAULT_SOCKETS),
         memory_mb=_limit(root, "memory_mb", DEFAULT_MEMORY_MB),
@@ -153,7 +154,7 @@
     return value
 
 
-def _raise(error: BadMessage) -> None:
+def _raise(error: InvalidMessageError) -> None:
     raise error
 
 
--- a/kelpcourse/service/controller.py
+++ b/kelpcourse/service/controller.py
@@ -26,14 +26,14 @@
 from kelpcourse.service.reload import ConfigReloader
 from kelpcourse.service.signals import Signals
 from kelpcourse.service.source import EndpointSourceFactory
-from kelpcourse.wire.discovery import Discovery
-from kelpcourse.wire.listener import Listener, listen
+from kelpcourse.wire.discovery import DiscoveryClient
+from kelpcourse.wire.health_checks import HealthChecker
+from kelpcourse.wire.listener import Listener
 from kelpcourse.wire.loop import Signal
-from kelpcourse.wire.probes import Probes
 from kelpcourse.wire.relay_calls import RelayCalls
-from kelpcourse.wire.relay_events import EventStreams
+from kelpcourse.wire.relay_events import RelayEventStreams
 from kelpcourse.wire.runtime import Runtime
-from kelpcourse.wire.stream import Address
+from kelpcourse.wire.stream import Address, listen
 
 EXIT_BAD_CONFIG = 2
 SEED_SPREAD = 1_024  # controllers that poll discovery at times of their own
@@ -75,15 +75,15 @@
         self._source = None
         if source_factory is not None:
             self._source = source_factory(runtime, config.settings, self._process.supervise)
-        self._discovery = self._source or Discovery(
+        self._discovery = self._source or DiscoveryClient(
             runtime,
             config.discovery,
             config.known.version,
             config.seed % SEED_SPREAD / SEED_SPREAD,
         )
-        self._probes = Probes(runtime)
+        self._probes = HealthChecker(runtime)
         self._calls = RelayCalls(runtime, config.relay, self._queue, self._orders_queued)
-        self._events = EventStreams(runtime, config.relay, self._queue, self._calls.reachable)
+        self._events = RelayEventStreams(runtime, config.relay, self._queue, self._calls.reachable)
         self._reloader = ConfigReloader(
             runtime, environment, self._reread_source, self._apply_config
         )
@@ -91,8 +91,8 @@
     def run(self) -> int:
         """Runs until a signal ends it and returns the exit status."""
         config = self._config
-        self._process.log_started(len(config.known.members), config.settings.proxy_count)
-        self._facade.report_cached_list(config.known.members, config.known.version)
+        self._process.log_started(len(config.known.endpoints), config.settings.proxy_count)
+        self._facade.report_cached_list(config.known.endpoints, config.known.version)
         if self._source is not None:
             self._source.start()
         self._process.handle_signals(self._reloader.reload)
@@ -102,7 +102,7 @@
         listener = Listener(self._runtime, config.listen, self._listener_socket)
         self._process.supervise("listener", listener.run)
         while not self._process.stopping:
-            self._loop.turn(self._facade.next_due_us())
+            self._loop.run_once(self._facade.next_due_us())
             self._step(self._facade.tick)
         if self._source is not None:
             self._source.close()
@@ -128,11 +128,11 @@
             "configuration_reloaded", changed=changed, requires_restart=requires_restart
         )
         if "relay" in changed:
-            self._calls.move(config.relay)
-            self._events.move(config.relay)
+            self._calls.reconnect_to(config.relay)
+            self._events.reconnect_to(config.relay)
             self._start_event_streams()
         if "discovery" in changed:
-            self._discovery.move(config.discovery)
+            self._discovery.reconnect_to(config.discovery)
 
     def _step(self, act: Callable[[int], object]) -> None:
         """Lets the policy act; after an error the tables in force stay, and the next step goes on."""
@@ -151,7 +151,7 @@
         for _ in range(work.fetches):
             self._discovery.fetch()
         for check in work.health_checks:
-            self._probes.probe(check.endpoint, check.address)
+            self._probes.check(check.endpoint, check.address)
         for text in work.log_messages:
             self._log.event("policy_message", text=text)
         if work.undeliverable:
@@ -165,7 +165,7 @@
             self._counters.add("orders_dropped", dropped)
             self._log.event("orders_dropped", count=dropped)
         self._counters.most("max_queued_orders", len(self._queue))
-        self._orders_queued.raise_()
+        self._orders_queued.set()
 
 
 def main(
--- a/kelpcourse/service/reload.py
+++ b/kelpcourse/service/reload.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 
 from kelpcourse.service.config import Config, ConfigError, reread_config
-from kelpcourse.wire.loop import Routine, Task, Wait
+from kelpcourse.wire.loop import Coroutine, Task, Wait
 from kelpcourse.wire.runtime import Runtime
 
 
@@ -36,7 +36,7 @@
             loop.stop(self._task)
         self._task = loop.start("reload", self._run())
 
-    def _run(self) -> Routine:
+    def _run(self) -> Coroutine[None]:
         self._reread_source()
         limits, clock = self._runtime.limits, self._runtime.clock
         deadline_us = clock() + limits.reload_retry_us
--- a/kelpcourse/service/signals.py
+++ b/kelpcourse/service/signals.py
@@ -7,7 +7,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from kelpcourse.wire.loop import READ, Routine, Wait
+from kelpcourse.wire.loop import READ, Coroutine, Wait
 
 CAUGHT = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 READ_BYTES = 64  # one byte for each signal
@@ -30,7 +30,7 @@
         for number in CAUGHT:
             signal.signal(number, lambda *_: None)
 
-    def read(self, on_signal: Callable[[int], None]) -> Routine:
+    def read(self, on_signal: Callable[[int], None]) -> Coroutine[None]:
         """Delivers signals in order, while no other coroutine runs.
 
         If `on_signal` raises, those that came with its signal are delivered by the next reader.
@@ -38,7 +38,7 @@
         while True:
             while self._pending:
                 on_signal(self._pending.popleft())
-            yield Wait(fd=self._read_end.fileno(), mask=READ)
+            yield Wait(fd=self._read_end.fileno(), event_mask=READ)
             self._pending.extend(self._read_end.recv(READ_BYTES))
 
     def close(self) -> None:
--- a/kelpcourse/service/source.py
+++ b/kelpcourse/service/source.py
@@ -36,7 +36,7 @@
         """Reports the complete list once more."""
         ...
 
-    def move(self, address: Address) -> None:
+    def reconnect_to(self, address: Address) -> None:
         """Follows discovery to a new address."""
         ...
 
