--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -23,7 +23,7 @@
 from kelpcourse.shared.placement import jump, moved, place, ring
 from kelpcourse.shared.raft import Refused
 from kelpcourse.wire.loop import Loop, Task
-from kelpcourse.wire.storage import Thread
+from kelpcourse.wire.storage import StorageThread
 
 GROUPS = 240
 LEASE_MS = 1_200
@@ -92,7 +92,7 @@
             Silent(),
             place_,
             Shape(24, terms=Terms(LEASE_MS * 1000, 0.05, LEASE_MS * 250, LEASE_MS * 750)),
-            Thread(),
+            StorageThread(),
             lambda _: None,
         )
         self.tasks[name] = []
@@ -124,7 +124,7 @@
         while not what():
             if time.monotonic() > ends:
                 sys.exit("it does not come about")
-            self.loop.turn(time.monotonic_ns() // 1000 + 2_000)
+            self.loop.run_once(time.monotonic_ns() // 1000 + 2_000)
 
     def close(self) -> None:
         self.loop.close()
--- a/kelpcourse/service/process.py
+++ b/kelpcourse/service/process.py
@@ -12,10 +12,10 @@
 from kelpcourse.service.clock import Clock
 from kelpcourse.service.logs import Log
 from kelpcourse.service.signals import Signals
-from kelpcourse.wire.loop import Loop, Routine, Wait
+from kelpcourse.wire.loop import Coroutine, Loop, Wait
 
 MAX_TRACEBACK_CHARACTERS = 3000  # the last ones are logged
-CoroutineFactory = Callable[[], Routine]
+CoroutineFactory = Callable[[], Coroutine[None]]
 
 
 class Process:
@@ -54,7 +54,7 @@
         self.handle_signals(reload)
         start()
         while not self.stopping:
-            self.loop.turn(None)
+            self.loop.run_once(None)
         close()
         self.finish()
         return 0
@@ -108,7 +108,7 @@
     name: str,
     factory: CoroutineFactory,
     on_error: Callable[[str, Exception], None],
-) -> Routine:
+) -> Coroutine[None]:
     """A coroutine that restarts another, after a wait, each time that one ends by an error."""
     while True:
         try:
--- a/kelpcourse/zones/server.py
+++ b/kelpcourse/zones/server.py
@@ -9,11 +9,11 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.wire.buffers import Buffer, TooLong
-from kelpcourse.wire.listener import listen
-from kelpcourse.wire.loop import READ, Loop, Routine, Signal, Task, Wait, Woken
+from kelpcourse.wire.buffers import ReadBuffer
+from kelpcourse.wire.errors import MessageTooLongError, StreamError
+from kelpcourse.wire.loop import READ, Coroutine, Loop, Signal, Task, Wait, WakeReason
 from kelpcourse.wire.runtime import EventLog
-from kelpcourse.wire.stream import Act, Address, Broken, Stream, family
+from kelpcourse.wire.stream import Address, Stream, address_family, listen
 from kelpcourse.zones.desk import HEAD, Desk
 
 MESSAGE = 2 + 65_535  # with its length, over TCP
@@ -22,7 +22,7 @@
 
 def bound(address: Address) -> socket.socket:
     """A socket for datagrams at an address of ours. Raises OSError."""
-    sock = socket.socket(family(address), socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
+    sock = socket.socket(address_family(address), socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
     try:
         sock.bind(address)
     except OSError:
@@ -50,7 +50,7 @@
     def __init__(self, stream: Stream, peer: Address, now_us: int) -> None:
         self.stream = stream
         self.peer = peer
-        self.buffer = Buffer(READ_LEAST, MESSAGE)
+        self.buffer = ReadBuffer(READ_LEAST, MESSAGE)
         self.heard_us = now_us  # when a message was last whole
         self.half_us: int | None = None  # since when one is not
         self.out: deque[Iterator[bytes]] = deque()
@@ -60,7 +60,7 @@
 
     def reply(self, wires: Iterable[bytes]) -> None:
         self.out.append(iter(wires))
-        self.more.raise_()
+        self.more.set()
 
     def until_us(self, limits: Limits) -> int:
         """When it is let go: it asks nothing, or a message of its does not become whole. Slow drips don't
@@ -95,9 +95,9 @@
 
     # UDP
 
-    def run_udp(self) -> Routine:
+    def run_udp(self) -> Coroutine[None]:
         while True:
-            yield Wait(fd=self._udp.fileno(), mask=READ)
+            yield Wait(fd=self._udp.fileno(), event_mask=READ)
             for _ in range(
                 self._limits.max_dns_datagrams_per_read
             ):  # the rest in the next round: others want their turn
@@ -114,9 +114,9 @@
 
     # TCP
 
-    def run_tcp(self) -> Routine:
+    def run_tcp(self) -> Coroutine[None]:
         while True:
-            yield Wait(fd=self._tcp.fileno(), mask=READ)
+            yield Wait(fd=self._tcp.fileno(), event_mask=READ)
             try:
                 connection, peer = self._tcp.accept()
             except BlockingIOError:
@@ -149,13 +149,13 @@
         if quietest.task is not None:
             self._loop.stop(quietest.task)
 
-    def _serve(self, client: Client) -> Routine:
+    def _serve(self, client: Client) -> Coroutine[None]:
         try:
             while True:
                 yield from self._send_all(client)
                 if not (yield from self._hear(client)):
                     return
-        except (Broken, TooLong) as error:
+        except (StreamError, MessageTooLongError) as error:
             self._counters.add("dns_connections_broken")
             self._log.event("dns_connection_broken", reason=str(error))
         finally:
@@ -165,30 +165,30 @@
             del self._clients[client]
             client.stream.close()
 
-    def _hear(self, client: Client) -> Act[bool]:
+    def _hear(self, client: Client) -> Coroutine[bool]:
         """Waits for more of its messages or for an answer to one; false: it has ended, or its time is over."""
         limits = self._limits
         until_us = client.until_us(limits) if not client.waits else None
         woken = yield Wait(until_us, client.stream.sock.fileno(), READ, client.more)
-        client.more.lower()
-        if woken is Woken.LATE:
+        client.more.clear()
+        if woken is WakeReason.TIMED_OUT:
             return False
-        if woken is not Woken.READY:
+        if woken is not WakeReason.READY:
             return True
         count = yield from client.stream.recv_into(
-            client.buffer.space(), self._loop.clock() + limits.dns_partial_message_timeout_us
+            client.buffer.writable(), self._loop.clock() + limits.dns_partial_message_timeout_us
         )
         if not count:
             return False
-        client.buffer.filled(count)
-        for message in client.buffer.prefixed():
+        client.buffer.commit(count)
+        for message in client.buffer.length_prefixed_messages():
             if len(message) < HEAD:
-                raise Broken("no message")
+                raise StreamError("no message")
             client.heard_us, client.half_us = self._loop.clock(), None
             client.waits += 1
             self._desk.handle(bytes(message), client.peer, True, self._replies_to(client))
             yield from self._send_all(client)  # it reads its answers before more is read from it
-        if client.buffer.held:
+        if client.buffer.pending_bytes:
             client.half_us = client.half_us if client.half_us is not None else self._loop.clock()
         if self._loop.clock() >= client.until_us(limits):
             return bool(client.waits)
@@ -197,7 +197,7 @@
     def _replies_to(self, client: Client) -> _Replies:
         return _Replies(client)
 
-    def _send_all(self, client: Client) -> Act[None]:
+    def _send_all(self, client: Client) -> Coroutine[None]:
         while client.out:
             wires = client.out[0]
             for wire in wires:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -12,8 +12,8 @@
 from kelpcourse.memory.proxies import Applied, Joined, Left, ProxyEvent, ProxyRegistry
 from kelpcourse.policy.draining import FORGET_AFTER_US
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.wire.buffers import Buffer
-from kelpcourse.wire.text import Heard, Usage, parse
+from kelpcourse.wire.buffers import ReadBuffer
+from kelpcourse.wire.report_codec import DemandReportMessage, EndpointReportMessage, decode_line
 from tests.fleet import SECOND, SETTINGS
 from tests.standins import QUICK, member
 from tests.test_work import steps
@@ -30,7 +30,7 @@
         self.facade = Facade(settings, 7, QUICK)
         self.outbox = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
         self.proxies = ProxyRegistry(QUICK.max_buffered_events, QUICK.event_stream_overlap_us)
-        self.buffer = Buffer(QUICK.initial_read_buffer_bytes, QUICK.max_line_bytes)
+        self.buffer = ReadBuffer(QUICK.initial_read_buffer_bytes, QUICK.max_line_bytes)
         self.now = 50 * SECOND
         self.second = 0
         self.version = 1
@@ -79,7 +79,7 @@
         if self.second % 3 == 0:
             self.news(Left(again))
             self.news(Joined(again, "east", 10.0, False))
-        self.buffer.put(self.lines())
+        self.buffer.append(self.lines())
         for line in self.buffer.lines():
             self.take(line)
         self.facade.tick(self.now - QUICK.step_batching_us)
@@ -100,10 +100,10 @@
                     self.news(Applied(proxy, stamp, 100.0))
 
     def take(self, line: memoryview) -> None:
-        match parse(line):
-            case Heard(zone, host, tries, failed, mean_ms, window_ms, load):
+        match decode_line(line):
+            case EndpointReportMessage(zone, host, tries, failed, mean_ms, window_ms, load):
                 self.facade.report_attempts(host, zone, tries, failed, window_ms, mean_ms, load)
-            case Usage(proxy, kind, arrived, unanswered, window_ms):
+            case DemandReportMessage(proxy, kind, arrived, unanswered, window_ms):
                 self.facade.report_demand(proxy, kind, arrived, unanswered, window_ms)
 
     def spell(self, seconds: int) -> tuple[int, int]:
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -19,9 +19,9 @@
 from kelpcourse.shared.member import FleetMember, Place
 from kelpcourse.shared.raft import Refused, Timing
 from kelpcourse.shared.steering import Around, Steering
-from kelpcourse.wire.http import dial
-from kelpcourse.wire.loop import Routine, Task
-from kelpcourse.wire.storage import Thread
+from kelpcourse.wire.http import connect_http
+from kelpcourse.wire.loop import Coroutine, Task
+from kelpcourse.wire.storage import StorageThread
 from kelpcourse.zones.settings import shown
 from tests.standins import Records
 
@@ -81,7 +81,7 @@
             self.log,
             place,
             shape,
-            Thread(),
+            StorageThread(),
             lambda event: steerings[name].on_event(event) if name in steerings else None,
         )
         around = Around(
@@ -194,11 +194,11 @@
     fleet.until("another orders it", lambda: (group, epoch + 1) in fleet.lab.calls)
     before, answers = len(fleet.lab.orders), list[int]()
 
-    def wake() -> Routine:
-        client = yield from dial(fleet.lab.relay.address, Limits(), now_us() + 1_000 * MS)
+    def wake() -> Coroutine[None]:
+        client = yield from connect_http(fleet.lab.relay.address, Limits(), now_us() + 1_000 * MS)
         body = b'{"orders":[{"verb":"OUT","host":"s-0"},{"verb":"OUT","host":"s-2"}]}'
-        yield from client.request("POST", f"/v3/kv/groups/{group}/orders?epoch={epoch}", body)
-        answers.append((yield from client.status(now_us() + 1_000 * MS)))
+        yield from client.send_request("POST", f"/v3/kv/groups/{group}/orders?epoch={epoch}", body)
+        answers.append((yield from client.read_status(now_us() + 1_000 * MS)))
         client.close()
 
     fleet.lab.loop.start("a late holder", wake())
