--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,10 +3,15 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
+from pathlib import Path
 
 import pytest
 
-from tests.standins import Bench
+from kelpcourse.facade import Facade
+from kelpcourse.policy.events import EndpointStatus
+from tests.deployment import Deployment
+from tests.fleet import SETTINGS
+from tests.standins import QUICK, Bench, Script, member
 
 
 @pytest.fixture
@@ -15,3 +20,27 @@
     made = Bench()
     yield made
     made.close()
+
+
+@pytest.fixture
+def deployment(tmp_path: Path) -> Iterator[Deployment]:
+    """A relay, discovery and the configuration of a controller that runs as a process of its own."""
+    made = Deployment(tmp_path)
+    made.config()
+    yield made
+    made.close()
+
+
+@pytest.fixture
+def policy() -> Script:
+    """A policy that follows a script."""
+    return Script(SETTINGS)
+
+
+@pytest.fixture
+def facade(policy: Script) -> Facade:
+    """A facade that has taken its first step, with a cached list of two endpoints."""
+    made = Facade(SETTINGS, 7, QUICK, lambda _: policy)
+    made.report_cached_list([member("h1"), member("h2", EndpointStatus.DRAINING)], 41)
+    made.start(1000)
+    return made
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: what the wire says reaches the module, what the module says reaches the wire."""
+"""Adapter: lines of the simulator reach the policy as events, its actions become lines."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 
 class Recorder:
-    """Stands in for the module: keeps what it was told, answers as it is asked to."""
+    """Stands in for the policy: keeps the events, and answers as it is told to."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -129,7 +129,7 @@
     assert made[0].seen[0][0] == 8412250
 
 
-def test_start_and_list_reach_the_module_in_order() -> None:
+def test_start_and_list_reach_the_policy_in_order() -> None:
     play(batch(1, *START))
     started, listed = made[0].seen[0][1]
     assert started == Started(1167071214265485)
@@ -309,7 +309,7 @@
     assert [len(e.endpoints) for e in seen if isinstance(e, EndpointList)] == [2, 0]
 
 
-def test_an_exception_in_the_module_becomes_bail_out(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_exception_in_the_policy_becomes_bail_out(capsys: pytest.CaptureFixture[str]) -> None:
     class Broken:
         def step(self, now_us: int, events: Sequence[Event]) -> list[Action]:
             raise KeyError("no such thing")
@@ -390,7 +390,7 @@
         assert actions_of((number,), "7")[number] == together[number]
 
 
-def test_the_module_is_what_the_adapter_hosts() -> None:
+def test_the_adapter_hosts_the_routing_policy() -> None:
     replies = list(Adapter(io.StringIO(day_lines((3,))), RoutingPolicy).replies())
     text = "".join(replies)
     for word in ("point", "upsert", "throttle", "bench", "checkpoint", "listen", "notify_me"):
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -198,8 +198,10 @@
     assert "\n" not in str(told.value)
 
 
-def test_a_configuration_of_5000_proxies_and_2000_hosts_is_read_and_served(tmp_path: Path) -> None:
-    """All proxies join at once: whatever is ordered has room, and nothing is given up."""
+def test_a_configuration_of_5000_proxies_and_2000_endpoints_is_read_and_served(
+    tmp_path: Path,
+) -> None:
+    """All proxies join at once: the queue has space for every order, and none is dropped."""
     listed = [{**entry(f"s-{k}"), "locality": f"room-{'ab'[k % 2]}"} for k in range(2_000)]
     root = changed("known.members", listed)
     root["settings"]["family_info"] |= {
@@ -232,7 +234,7 @@
         facade.report_proxy_joined(5_000, "room-a", 1.0, False)
 
 
-def test_files_that_can_not_be_read_are_told(tmp_path: Path) -> None:
+def test_an_unreadable_file_is_a_configuration_error(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match="NODE_CONFIG is missing"):
         read_config({})
     with pytest.raises(ConfigError, match="No such file"):
@@ -243,12 +245,14 @@
 
 
 @pytest.mark.parametrize("variable", ["NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY"])
-def test_variables_that_contradict_the_file_are_told(tmp_path: Path, variable: str) -> None:
+def test_variables_that_contradict_the_file_are_a_configuration_error(
+    tmp_path: Path, variable: str
+) -> None:
     with pytest.raises(ConfigError, match=variable):
         read_config(environment(tmp_path, ROOT, **{variable: "127.0.0.9:1"}))
 
 
-def test_limits_follow_what_the_machine_grants() -> None:
+def test_the_limits_of_the_machine_are_read() -> None:
     small = Limits().for_machine(64, 16)
     assert small.max_connections + small.max_concurrent_health_checks < 64
     assert small.max_read_buffers_bytes == 4 << 20
@@ -305,7 +309,7 @@
 
 @pytest.mark.parametrize("name", CUSTOMERS)
 def test_settings_of_any_customer_are_served(tmp_path: Path, name: str) -> None:
-    """Proxies are bound, reports taken in, an overload met and a host withdrawn; no step ends by an error."""
+    """Proxies are bound, reports accepted, an overload handled and an endpoint withdrawn; no step ends by an error."""
     root = copy.deepcopy(ROOT)
     for path, value in CUSTOMERS[name].items():
         *folders, last = path.split(".")
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -1,4 +1,4 @@
-"""The door to the module: plain terms in, events to it; its actions out as plain work."""
+"""Facade: reports become events of the policy, its actions become work."""
 
 from __future__ import annotations
 
@@ -9,7 +9,6 @@
 
 from kelpcourse.facade import Facade, HealthCheckRequest, InvalidReportError
 from kelpcourse.memory import orders
-from kelpcourse.memory.endpoints import EndpointRegistry
 from kelpcourse.policy.actions import (
     Action,
     BindProxy,
@@ -41,21 +40,13 @@
     TimerFired,
 )
 from kelpcourse.policy.settings import RetryPolicy
-from tests.fleet import SECOND, SETTINGS
-from tests.standins import MS, QUICK, Script, member
+from tests.fleet import SECOND
+from tests.standins import MS, QUICK, Script
 
 
-class Door:
-    def __init__(self) -> None:
-        self.module = Script(SETTINGS)
-        self.facade = Facade(SETTINGS, 7, QUICK, lambda _: self.module)
-        self.facade.report_cached_list([member("h1"), member("h2", EndpointStatus.DRAINING)], 41)
-        self.facade.start(1000)
-
-
-def test_the_first_step_holds_the_start_and_the_restored_list() -> None:
-    door = Door()
-    (step,) = door.module.steps
+@pytest.mark.usefixtures("facade")
+def test_the_first_step_has_the_start_and_the_cached_list(policy: Script) -> None:
+    (step,) = policy.steps
     assert step[0] == Started(7)
     assert isinstance(step[1], EndpointList)
     assert (step[1].kind, step[1].version) == (EndpointListKind.RESTORED, 41)
@@ -65,10 +56,8 @@
     ]
 
 
-def test_reports_become_events_in_order_and_one_step() -> None:
-    door = Door()
-    facade = door.facade
-    door.module.ready.append([Checkpoint(905, False)])
+def test_reports_become_events_of_one_step_in_order(facade: Facade, policy: Script) -> None:
+    policy.ready.append([Checkpoint(905, False)])
     facade.start(2000)
     facade.report_proxy_joined(1, "east", 21.5, True)
     facade.report_attempts("h1", "west", 10, 1, 1000.0, 41.7, [("inflight", 7.0)])
@@ -80,7 +69,7 @@
     assert not facade.tick(5000)
     assert facade.next_due_us() == 5000 + QUICK.step_batching_us
     assert facade.tick(5000 + QUICK.step_batching_us)
-    assert door.module.steps[2] == [
+    assert policy.steps[2] == [
         ProxyJoined(1, "east", 21.5, True),
         EndpointReport(1, "west", 10, 1, SECOND, 41_700, (("inflight", 7.0),)),
         DemandReport(1, 1, 19, 2, 2 * SECOND),
@@ -91,29 +80,26 @@
     ]
 
 
-def test_nothing_heard_and_no_timer_due_is_no_step() -> None:
-    door = Door()
-    assert door.facade.next_due_us() is None
-    assert not door.facade.tick(10 * SECOND)
-    assert len(door.module.steps) == 1
+def test_there_is_no_step_without_a_report_or_a_due_timer(facade: Facade, policy: Script) -> None:
+    assert facade.next_due_us() is None
+    assert not facade.tick(10 * SECOND)
+    assert len(policy.steps) == 1
 
 
-def test_timers_fire_once_at_their_time_and_in_order() -> None:
-    door = Door()
-    door.module.ready = [[SetTimer("late", 9000), SetTimer("soon", 8000)]]
-    door.facade.report_proxy_left(0)
-    door.facade.tick(2000)
-    door.facade.tick(5000)
-    assert door.facade.next_due_us() == 8000
-    assert not door.facade.tick(7999)
-    door.facade.tick(8000)
-    door.facade.tick(20_000)
-    assert door.module.steps[2:] == [[TimerFired("soon")], [TimerFired("late")]]
+def test_timers_fire_once_at_their_time_and_in_order(facade: Facade, policy: Script) -> None:
+    policy.ready = [[SetTimer("late", 9000), SetTimer("soon", 8000)]]
+    facade.report_proxy_left(0)
+    facade.tick(2000)
+    facade.tick(5000)
+    assert facade.next_due_us() == 8000
+    assert not facade.tick(7999)
+    facade.tick(8000)
+    facade.tick(20_000)
+    assert policy.steps[2:] == [[TimerFired("soon")], [TimerFired("late")]]
 
 
-def test_actions_become_plain_work() -> None:
-    door = Door()
-    door.module.ready = [
+def test_actions_become_work_by_endpoint_name(facade: Facade, policy: Script) -> None:
+    policy.ready = [
         [
             SetWeight(0, 1, 1 / 3),
             ClearTable(2),
@@ -129,10 +115,10 @@
             SetWeight(0, 99, 1.0),
         ]
     ]
-    door.facade.report_proxy_left(0)
-    door.facade.tick(2000)
-    door.facade.tick(5000)
-    work = door.facade.pick()
+    facade.report_proxy_left(0)
+    facade.tick(2000)
+    facade.tick(5000)
+    work = facade.pick()
     assert work.orders == [
         orders.SetWeight(0, "h1", 0.333333),
         orders.ClearTable(2),
@@ -147,117 +133,78 @@
     assert (
         work.undeliverable == 2
     )  # a peer, for whom there is no word here, and a host never listed
-    assert door.facade.pick().orders == []
+    assert facade.pick().orders == []
 
 
 @pytest.mark.parametrize(
     "report",
     [
-        lambda f: f.report_proxy_joined(4, "east", 1.0, True),
-        lambda f: f.report_proxy_joined(-1, "east", 1.0, True),
-        lambda f: f.report_proxy_joined(0, "north", 1.0, True),
-        lambda f: f.report_proxy_joined(0, "east", math.inf, True),
-        lambda f: f.report_proxy_left(4),
-        lambda f: f.report_acknowledged(0, -1, 1.0),
-        lambda f: f.report_acknowledged(0, 1, math.nan),
-        lambda f: f.report_attempts("h9", "east", 1, 0, 1.0, 1.0, ()),
-        lambda f: f.report_attempts("h1", "east", 1, 2, 1.0, 1.0, ()),
-        lambda f: f.report_attempts("h1", "east", 1 << 60, 0, 1.0, 1.0, ()),
-        lambda f: f.report_attempts("h1", "east", 1, 0, 1e30, 1.0, ()),
-        lambda f: f.report_attempts("h1", "east", 1, 0, 1.0, -1.0, ()),
-        lambda f: f.report_attempts("h1", "east", 1, 0, 1.0, 1.0, [("util", math.nan)]),
-        lambda f: f.report_demand(0, "sing", 1, 0, 1.0),
-        lambda f: f.report_demand(9, "read", 1, 0, 1.0),
+        lambda facade: facade.report_proxy_joined(4, "east", 1.0, True),
+        lambda facade: facade.report_proxy_joined(-1, "east", 1.0, True),
+        lambda facade: facade.report_proxy_joined(0, "north", 1.0, True),
+        lambda facade: facade.report_proxy_joined(0, "east", math.inf, True),
+        lambda facade: facade.report_proxy_left(4),
+        lambda facade: facade.report_acknowledged(0, -1, 1.0),
+        lambda facade: facade.report_acknowledged(0, 1, math.nan),
+        lambda facade: facade.report_attempts("h9", "east", 1, 0, 1.0, 1.0, ()),
+        lambda facade: facade.report_attempts("h1", "east", 1, 2, 1.0, 1.0, ()),
+        lambda facade: facade.report_attempts("h1", "east", 1 << 60, 0, 1.0, 1.0, ()),
+        lambda facade: facade.report_attempts("h1", "east", 1, 0, 1e30, 1.0, ()),
+        lambda facade: facade.report_attempts("h1", "east", 1, 0, 1.0, -1.0, ()),
+        lambda facade: facade.report_attempts("h1", "east", 1, 0, 1.0, 1.0, [("util", math.nan)]),
+        lambda facade: facade.report_demand(0, "sing", 1, 0, 1.0),
+        lambda facade: facade.report_demand(9, "read", 1, 0, 1.0),
     ],
 )
-def test_what_is_unknown_or_out_of_range_does_not_reach_the_module(
-    report: Callable[[Facade], None],
+def test_a_report_that_is_unknown_or_out_of_range_does_not_reach_the_policy(
+    facade: Facade, report: Callable[[Facade], None]
 ) -> None:
-    door = Door()
     with pytest.raises(InvalidReportError):
-        report(door.facade)
-    assert not door.facade.tick(10 * SECOND)
+        report(facade)
+    assert not facade.tick(10 * SECOND)
 
 
-def test_a_failed_step_is_told_and_does_not_stop_the_module() -> None:
-    door = Door()
-    door.module.ready = [[SetTimer("tick", 9000)]]
-    door.facade.report_proxy_left(0)
-    door.facade.tick(2000)
-    door.facade.tick(5000)
-    sound, failing = door.module.step, [True]
+def test_a_failed_step_raises_and_does_not_stop_the_policy(facade: Facade, policy: Script) -> None:
+    policy.ready = [[SetTimer("tick", 9000)]]
+    facade.report_proxy_left(0)
+    facade.tick(2000)
+    facade.tick(5000)
+    unpatched_step = policy.step
+    failing = [True]
 
     def step(now_us: int, events: list[Event]) -> list[Action]:
         if failing.pop():
             raise ZeroDivisionError
-        return sound(now_us, events)
+        return unpatched_step(now_us, events)
 
-    door.module.step = step  # type: ignore[method-assign, assignment]
+    policy.step = step  # type: ignore[method-assign, assignment]
     with pytest.raises(ZeroDivisionError):
-        door.facade.tick(9000)
+        facade.tick(9000)
     failing.append(False)
-    assert door.facade.next_due_us() == 9000 + QUICK.coroutine_restart_us
-    assert door.facade.tick(9000 + QUICK.coroutine_restart_us)
-    assert door.module.steps[-1] == [TimerFired("tick")]
+    assert facade.next_due_us() == 9000 + QUICK.coroutine_restart_us
+    assert facade.tick(9000 + QUICK.coroutine_restart_us)
+    assert policy.steps[-1] == [TimerFired("tick")]
 
 
-def test_timers_are_bounded() -> None:
-    door = Door()
-    door.module.ready = [[SetTimer("t", 10**9 + k) for k in range(QUICK.max_timers + 5)]]
-    door.facade.report_proxy_left(0)
-    door.facade.tick(2000)
-    door.facade.tick(2000 + 10 * MS)
-    assert door.facade.pick().undeliverable == 5
+def test_timers_are_bounded(facade: Facade, policy: Script) -> None:
+    policy.ready = [[SetTimer("t", 10**9 + k) for k in range(QUICK.max_timers + 5)]]
+    facade.report_proxy_left(0)
+    facade.tick(2000)
+    facade.tick(2000 + 10 * MS)
+    assert facade.pick().undeliverable == 5
 
 
-def test_time_never_goes_back_for_the_module() -> None:
-    door = Door()
+def test_time_never_goes_back_for_the_policy(facade: Facade, policy: Script) -> None:
     times: list[int] = []
-    sound = door.module.step
+    unpatched_step = policy.step
 
     def step(now_us: int, events: list[Event]) -> list[Action]:
         times.append(now_us)
-        return sound(now_us, events)
+        return unpatched_step(now_us, events)
 
-    door.module.step = step  # type: ignore[method-assign, assignment]
+    policy.step = step  # type: ignore[method-assign, assignment]
     for now in (50_000, 60_000, 40_000, 80_000):
-        door.facade.report_proxy_left(0)
-        door.facade.tick(now)
+        facade.report_proxy_left(0)
+        facade.tick(now)
     assert times == sorted(times)
     assert len(times) > 1
-
-
-# Memory behind the door
-
-
-def test_endpoints_keep_their_number_while_gone_and_are_forgotten_beyond_the_limit() -> None:
-    endpoints = EndpointRegistry(3)
-    endpoints.update([member("a"), member("b"), member("c")], True)
-    number = endpoints.number_of("a")
-    endpoints.update([member("a", EndpointStatus.GONE)], False)
-    assert endpoints.address_of("a") is None
-    assert endpoints.number_of("a") == number
-    endpoints.update([member("a")], False)
-    assert endpoints.number_of("a") == number
-    endpoints.update([member("b", EndpointStatus.GONE)], False)
-    endpoints.update([member("c", EndpointStatus.GONE), member("d")], False)
-    assert endpoints.number_of("b") is None
-    assert len(endpoints) == 3
-
-
-def test_names_do_not_grow_with_endpoints_that_come_and_go() -> None:
-    endpoints = EndpointRegistry(50)
-    for version in range(1000):
-        endpoints.update(
-            [member(f"h{version}"), member(f"h{version - 20}", EndpointStatus.GONE)], False
-        )
-    assert len(endpoints) <= 50
-    assert endpoints.number_of("h999") is not None
-
-
-def test_a_full_list_names_all_there_are() -> None:
-    endpoints = EndpointRegistry(10)
-    endpoints.update([member("a"), member("b")], True)
-    endpoints.update([member("b")], True)
-    assert endpoints.address_of("a") is None
-    assert endpoints.address_of("b") is not None
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits grow with the fleet that the settings tell of and shrink with what the machine grants."""
+"""Limits grow with the fleet in the settings and shrink with what the machine grants."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
 
 
 @pytest.mark.parametrize("name", LISTS)
-def test_no_list_of_hosts_proxies_or_directors_is_capped_below_a_thousand(name: str) -> None:
+def test_no_list_of_endpoints_proxies_or_controllers_is_capped_below_a_thousand(name: str) -> None:
     assert getattr(Limits(), name) >= 1_024
 
 
-def test_what_waits_grows_with_the_proxies_that_may_come() -> None:
-    """With 5,000 proxies two streams of news may be a mass join, as many answers and as many leavings apart."""
+def test_queues_grow_with_the_proxies_that_may_join() -> None:
+    """With 5,000 proxies two event streams may be a reconnect storm, as many acknowledgements and leaves apart."""
     limits = Limits().for_fleet(5_000)
     assert limits.max_buffered_events >= 3 * 5_000
     assert limits.max_queued_orders >= 5_000 + 5_000
     assert Limits().for_fleet(60) == Limits()
 
 
-def test_limits_of_reports_follow_how_often_they_come() -> None:
-    """A customer whose reports tell of two minutes each had them all refused, and its collectors ended in between."""
+def test_limits_of_reports_follow_the_report_period() -> None:
+    """With a report period of two minutes all reports were rejected, and collectors closed in between."""
     assert Limits().for_fleet(60, 2_000_000) == Limits()
     patient = Limits().for_fleet(60, 120_000_000)
     assert min(patient.max_report_window_us, patient.collector_idle_us) == 480_000_000
 
 
-def test_descriptors_and_memory_granted_bound_what_is_open_and_held() -> None:
+def test_descriptors_and_memory_of_the_machine_bound_connections_and_buffers() -> None:
     limits = Limits().for_machine(256, 32)
     assert limits.max_connections == 128
     assert limits.max_concurrent_health_checks == 16
@@ -49,7 +49,7 @@
     assert Limits().for_machine(65_536, 8_192).max_connections == 1_024
 
 
-def test_endpoints_that_are_listed_are_remembered_whatever_the_limit() -> None:
+def test_listed_endpoints_are_remembered_whatever_the_limit() -> None:
     endpoints = EndpointRegistry(10)
     endpoints.update(
         [
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event, bounded for each event, and never in the director's way."""
+"""Log: one JSON line an event, at a bounded rate for each event, and never in the controller's way."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     ]
 
 
-def test_events_that_come_often_are_bounded_and_counted(pipe: Pipe) -> None:
+def test_frequent_events_are_suppressed_and_counted(pipe: Pipe) -> None:
     for _ in range(1000):
         pipe.log.event("message_rejected")
     pipe.log.event("other")
@@ -58,7 +58,7 @@
     assert len(str(line["cut"])) <= QUICK.max_log_line_bytes
 
 
-def test_whoever_reads_the_log_slowly_or_not_at_all_does_not_stop_the_director(pipe: Pipe) -> None:
+def test_a_slow_or_absent_reader_of_the_log_does_not_stop_the_controller(pipe: Pipe) -> None:
     for _ in range(2000):
         pipe.log.always("counters", text="x" * 3000)
     assert pipe.counters["log_lines_lost"] > 0
--- /dev/null
+++ b/tests/test_reload.py
@@ -0,0 +1,114 @@
+"""SIGHUP: the running program follows its configuration file, and lives on with one that it can't read."""
+
+from __future__ import annotations
+
+import signal
+from functools import partial
+
+from tests.deployment import (
+    ENDPOINTS,
+    Deployment,
+)
+from tests.relays import joined
+from tests.standins import StandIn, listed
+
+
+def test_a_reload_reconnects_to_new_addresses_and_rebinds_no_proxy(
+    deployment: Deployment,
+) -> None:
+    deployment.start()
+    deployment.until(deployment.ping)
+    deployment.events += [joined(0).replace(b"east", b"room-a")]
+    deployment.until(lambda: deployment.ordered(verb="USE", sidecar=0))
+    for version in (42, 43):
+        old = (deployment.relay, deployment.discovery)
+        deployment.move()
+        deployment.until(
+            lambda: deployment.relay.connections >= 2 and deployment.discovery.connections
+        )
+        for stand_in in old:
+            stand_in.close()
+        drains = ENDPOINTS[version - 41]
+        deployment.lists.append(listed(version, {**drains, "phase": "draining"}, whole=False))
+        deployment.until(partial(deployment.ordered, verb="OUT", host=drains["id"]))
+    deployment.events += [joined(1).replace(b"east", b"room-b")]
+    deployment.until(lambda: deployment.ordered(verb="USE", sidecar=1))
+    bound = [o["cluster"] for o in deployment.orders if o["verb"] == "USE" and o["sidecar"] == 0]
+    assert len(bound) == len(set(bound))
+    assert deployment.ping()
+
+
+def test_a_reload_of_an_unusable_file_changes_nothing(deployment: Deployment) -> None:
+    deployment.start()
+    deployment.until(deployment.ping)
+    unusable: list[tuple[dict[str, object], str]] = [
+        ({"seed": "xyz"}, "field 'seed' is not hex digits: 'xyz'"),
+        ({"registry": {}}, "field 'registry.address' is missing or not a text"),
+    ]
+    for changes, reason in unusable:
+        deployment.config(**changes)
+        deployment.reload()
+        while (
+            deployment.logged("configuration_reload_failed")["reason"] != reason
+        ):  # the one before is still being retried
+            pass
+    deployment.path.write_bytes(b'{"name": ')
+    deployment.reload()
+    while "not JSON" not in deployment.logged("configuration_reload_failed")["reason"]:
+        pass
+    deployment.events += [joined(0).replace(b"east", b"room-a")]
+    deployment.until(lambda: deployment.ordered(verb="USE", sidecar=0))
+
+
+def test_a_reload_names_what_requires_a_restart(deployment: Deployment) -> None:
+    deployment.start()
+    deployment.until(deployment.ping)
+    deployment.config(limits={"memory_mb": 33, "sockets": 512})
+    deployment.reload()
+    line = deployment.logged("configuration_reloaded")
+    assert (line["changed"], line["requires_restart"]) == ([], ["sockets", "memory_mb"])
+    deployment.move()
+    assert deployment.logged("configuration_reloaded")["changed"] == ["discovery", "relay"]
+
+
+FAILING = """
+import os, sys
+from kelpcourse.service.controller import main
+class Source:
+    def start(self): pass
+    def close(self): pass
+    def reread(self): raise KeyError("unforeseen")
+    def watch(self, on): pass
+    def fetch(self): pass
+    def move(self, address): pass
+sys.exit(main(os.environ, lambda parts, settings, keep: Source()))
+"""
+
+
+def test_an_unexpected_error_in_a_reload_does_not_stop_signal_handling(
+    deployment: Deployment,
+) -> None:
+    """It ended the coroutine that handles signals: no later SIGTERM was handled."""
+    deployment.start(program=FAILING)
+    deployment.until(deployment.ping)
+    deployment.reload()
+    assert "unforeseen" in deployment.logged("unexpected_error")["error"]
+    deployment.reload()
+    assert "unforeseen" in deployment.logged("unexpected_error")["error"]
+    deployment.signal(signal.SIGTERM)
+    assert deployment.ended()[-1]["event"] == "stopped"
+
+
+def test_a_configuration_that_is_being_replaced_is_read_once_it_is_complete(
+    deployment: Deployment,
+) -> None:
+    """A controller that read half of it stayed at addresses that were about to close."""
+    deployment.start()
+    deployment.until(deployment.ping)
+    deployment.path.write_bytes(deployment.path.read_bytes()[:200])
+    deployment.reload()
+    assert deployment.logged("configuration_reload_failed")["will_retry"] is True
+    deployment.discovery = StandIn(deployment.loop, deployment._serve_discovery)
+    deployment.config()
+    assert deployment.logged("configuration_reloaded")["changed"] == ["discovery"]
+    deployment.until(lambda: deployment.discovery.connections)
--- /dev/null
+++ b/tests/test_signals.py
@@ -0,0 +1,76 @@
+"""Signals at any time: before the start, together, and while something is pending."""
+
+from __future__ import annotations
+
+import os
+import signal
+import socket
+
+import pytest
+
+from tests.deployment import (
+    Deployment,
+)
+from tests.relays import joined
+
+
+@pytest.mark.parametrize("early", [signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM])
+def test_a_signal_before_the_configuration_is_read_is_handled(
+    deployment: Deployment, early: signal.Signals
+) -> None:
+    """Handlers were set when the loop began: a SIGHUP before that ended the process."""
+    complete = deployment.path.read_bytes()
+    deployment.path.unlink()
+    os.mkfifo(deployment.path)
+    deployment.start()
+    with deployment.path.open(
+        "wb"
+    ) as pipe:  # opens once it reads there, and has caught signals by then
+        deployment.signal(early)
+        deployment.path.unlink()
+        deployment.path.write_bytes(complete)  # for the reload
+        pipe.write(complete)
+    if early == signal.SIGTERM:
+        assert deployment.ended()[-1]["event"] == "stopped"
+        return
+    assert deployment.logged("configuration_reloaded" if early == signal.SIGHUP else "counters")
+    deployment.until(deployment.ping)
+
+
+def test_signals_that_come_together_are_all_handled_and_a_repeated_one_once(
+    deployment: Deployment,
+) -> None:
+    deployment.start()
+    deployment.until(deployment.ping)
+    deployment.signal(
+        signal.SIGSTOP,
+        signal.SIGTERM,
+        signal.SIGUSR1,
+        signal.SIGHUP,
+        signal.SIGTERM,
+        signal.SIGCONT,
+    )
+    events = [line["event"] for line in deployment.ended()]
+    assert {"configuration_reloaded", "counters", "stopped"} <= set(events)
+    assert events.count("stopped") == 1
+
+
+def test_it_ends_immediately_while_a_call_is_unanswered(deployment: Deployment) -> None:
+    """What the order queue holds is lost: from SIGTERM on proxies go to another controller, which binds them."""
+    deployment.relay_is_silent = True
+    deployment.start()
+    deployment.until(deployment.ping)
+    deployment.events += [joined(0).replace(b"east", b"room-a")]
+    deployment.until(lambda: deployment.orders)
+    deployment.signal(signal.SIGTERM)
+    assert deployment.ended()[-1]["counters"].get("relay_orders_accepted", 0) == 0
+
+
+def test_it_ends_immediately_while_its_address_is_still_in_use(
+    deployment: Deployment,
+) -> None:
+    with socket.create_server(deployment.listen):
+        deployment.start()
+        assert deployment.logged("address_in_use")
+        deployment.signal(signal.SIGTERM)
+        assert deployment.ended()[-1]["event"] == "stopped"
