--- /dev/null
+++ b/tests/test_stored_controller.py
@@ -0,0 +1,194 @@
+"""A shared controller's disk, as an earlier release wrote it: it opens, and damage to it is named.
+
+The folder under `golden/shared-disk` was written by revision 5b4a458. It holds a snapshot (of a disk with a Raft
+snapshot, configurations and log entries) and a journal of the writes after it: a vote, a new term, every command, a
+no-op, a configuration, and entries that replace others. What it means is recorded beside it in plain JSON.
+"""
+
+from __future__ import annotations
+
+import json
+import shutil
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+from kelpcourse.limits import Limits
+from kelpcourse.shared.disk import Disk, Forgotten
+from kelpcourse.shared.ledger import decode, encode, restored
+from kelpcourse.shared.messages import Config, Stored
+from kelpcourse.store.frames import Kind, Record, frame, header, read
+from kelpcourse.wire.loop import Loop
+from kelpcourse.wire.storage import Thread
+
+GOLDEN = Path(__file__).parent / "golden" / "shared-disk"
+RECORDED: dict[str, Any] = json.loads((GOLDEN.parent / "shared-disk.json").read_text())
+JOURNAL, SNAPSHOT = max(GOLDEN.glob("journal-*")).name, max(GOLDEN.glob("snapshot-*")).name
+LAST_RECORD_BYTES = RECORDED["last_record_bytes"]
+HEADER_BYTES = 24
+FRAME_BYTES = 18
+
+
+class Opener:
+    """Opens folders, and closes them at the end of a test."""
+
+    def __init__(self) -> None:
+        self._loop = Loop(lambda: 0, lambda *_: None)
+        self._opened: list[Disk] = []
+
+    def open(self, folder: Path) -> Disk:
+        disk = Disk(
+            folder,
+            "n0",
+            False,
+            self._loop,
+            Limits(),
+            Thread(),
+            lambda _: None,
+            lambda _: None,
+        )
+        self._opened.append(disk)
+        return disk
+
+    def close(self) -> None:
+        for disk in self._opened:
+            disk.close()
+        self._loop.close()
+
+
+@pytest.fixture
+def folder(tmp_path: Path) -> Path:
+    """A copy of the golden folder."""
+    return shutil.copytree(GOLDEN, tmp_path / "state")
+
+
+@pytest.fixture
+def opener() -> Iterator[Opener]:
+    made = Opener()
+    yield made
+    made.close()
+
+
+def plain_config(config: Config | None) -> list[list[str]] | None:
+    return None if config is None else [sorted(config.voters), sorted(config.learners)]
+
+
+def plain_ledger(snapshot: bytes, commands: list[bytes]) -> dict[str, Any]:
+    """The replicated state after a snapshot and commands that follow it; one that can't be read is passed over."""
+    ledger = restored(snapshot)
+    for command in commands:
+        ledger.take(decode(command))
+    leases, withdrawn, drained = msgspec.msgpack.decode(ledger.snapshot())
+    return {
+        "leases": {str(group): lease for group, lease in leases.items()},
+        "withdrawn": withdrawn,
+        "drained": drained,
+    }
+
+
+def plain(stored: Stored) -> dict[str, Any]:
+    """What a disk holds, without names of classes."""
+    snapshot, entries = stored.snapshot, stored.entries
+    commands = [entry.data for entry in entries if entry.kind.value == "data"]
+    return {
+        "term": stored.term,
+        "vote": stored.vote,
+        "snapshot": {
+            "index": snapshot.index,
+            "term": snapshot.term,
+            "config": plain_config(snapshot.config),
+            "ledger": plain_ledger(snapshot.data, []),
+        },
+        "entries": [
+            [e.index, e.term, e.kind.value, e.data.hex(), plain_config(e.config)] for e in entries
+        ],
+        "ledger": plain_ledger(snapshot.data, commands),
+    }
+
+
+def test_a_disk_of_an_earlier_release_is_read_as_it_was_written(
+    folder: Path, opener: Opener
+) -> None:
+    disk = opener.open(folder)
+    assert plain(disk.stored) == RECORDED["whole"]
+    assert disk.member == RECORDED["member"]
+    assert disk.remarks == []
+
+
+@pytest.mark.parametrize("cut_bytes", [1, FRAME_BYTES, LAST_RECORD_BYTES - 1])
+def test_a_torn_last_write_is_named_and_every_write_before_it_is_kept(
+    folder: Path, opener: Opener, cut_bytes: int
+) -> None:
+    data = (folder / JOURNAL).read_bytes()
+    (folder / JOURNAL).write_bytes(data[:-cut_bytes])
+    disk = opener.open(folder)
+    assert plain(disk.stored) == RECORDED["without_last_write"]
+    assert [(r.file, r.what, r.lost_bytes, r.alarming) for r in disk.remarks] == [
+        (JOURNAL, "the last write is torn", LAST_RECORD_BYTES - cut_bytes, False)
+    ]
+
+
+def test_a_damaged_last_write_is_named_and_every_write_before_it_is_kept(
+    folder: Path, opener: Opener
+) -> None:
+    data = bytearray((folder / JOURNAL).read_bytes())
+    data[-1] ^= 1
+    (folder / JOURNAL).write_bytes(data)
+    disk = opener.open(folder)
+    assert plain(disk.stored) == RECORDED["without_last_write"]
+    assert [(r.file, r.what, r.lost_bytes) for r in disk.remarks] == [
+        (JOURNAL, "the last write is torn", LAST_RECORD_BYTES)
+    ]
+
+
+def test_damage_inside_a_journal_is_named_and_the_file_is_kept(
+    folder: Path, opener: Opener
+) -> None:
+    """Acknowledged writes are gone: the member must not go on as if it had never made them."""
+    data = bytearray((folder / JOURNAL).read_bytes())
+    data[HEADER_BYTES + FRAME_BYTES] ^= 1
+    (folder / JOURNAL).write_bytes(data)
+    with pytest.raises(Forgotten, match=r"state is damaged: damaged inside"):
+        opener.open(folder)
+    assert (folder / f"{JOURNAL}.damaged").read_bytes() == data
+    assert (folder / SNAPSHOT).read_bytes() == (GOLDEN / SNAPSHOT).read_bytes()
+
+
+def test_a_cut_snapshot_is_named_and_its_files_are_kept(folder: Path, opener: Opener) -> None:
+    data = (folder / SNAPSHOT).read_bytes()[:-3]
+    (folder / SNAPSHOT).write_bytes(data)
+    with pytest.raises(Forgotten, match=r"state is damaged: the snapshot is not whole"):
+        opener.open(folder)
+    kept = [path.read_bytes() for path in sorted(folder.glob(f"{SNAPSHOT}*"))]
+    assert kept == [data]
+    assert (folder / JOURNAL).exists()
+
+
+def test_an_unknown_kind_of_entry_is_named(folder: Path, opener: Opener) -> None:
+    """Written with a valid checksum: by a later release."""
+    contents = read(Kind.JOURNAL, (folder / JOURNAL).read_bytes())
+    records = [
+        Record(r.number, r.payload.replace(b"nothing", b"nonsens")) for r in contents.records
+    ]
+    (folder / JOURNAL).write_bytes(
+        header(Kind.JOURNAL, contents.generation, contents.first) + b"".join(map(frame, records))
+    )
+    with pytest.raises(Forgotten, match=r"an entry can't be read: .*nonsens"):
+        opener.open(folder)
+
+
+@pytest.mark.parametrize("command", sorted(RECORDED["commands"]))
+def test_each_command_is_read_as_it_was_written(command: str) -> None:
+    data = bytes.fromhex(RECORDED["commands"][command])
+    fields = msgspec.msgpack.decode(data)
+    assert fields[0] == command
+    assert msgspec.json.decode(msgspec.json.encode(decode(data))) == fields
+    assert encode(decode(data)) == data
+
+
+def test_an_unknown_tag_of_a_command_is_named() -> None:
+    with pytest.raises(msgspec.DecodeError, match="nonsense"):
+        decode(msgspec.msgpack.encode(["nonsense", 1]))
