--- a/kelpcourse/shared/group_controller.py
+++ b/kelpcourse/shared/group_controller.py
@@ -12,20 +12,21 @@
 from functools import partial
 
 from kelpcourse.facade import Facade, Work
-from kelpcourse.interface import Settings
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.memory.hosts import Member, Phase
-from kelpcourse.memory.orders import ShutOut
-from kelpcourse.memory.outbox import Outbox
+from kelpcourse.memory.endpoints import ListedEndpoint
+from kelpcourse.memory.order_queue import OrderQueue
+from kelpcourse.memory.orders import WithdrawEndpoint
+from kelpcourse.policy.events import EndpointStatus
+from kelpcourse.policy.settings import Settings
 from kelpcourse.shared.commands import Command, CompleteDrain, StartDrain
 from kelpcourse.shared.controller_events import ControllerEvent, LeaseAcquired, LeaseLost
 from kelpcourse.shared.placement import GroupId
 from kelpcourse.wire.discovery import Discovery
 from kelpcourse.wire.loop import Loop, Routine, Signal, Task, Wait
-from kelpcourse.wire.parts import LogLike, Parts
 from kelpcourse.wire.relay_calls import RelayCalls
 from kelpcourse.wire.relay_events import EventStreams
+from kelpcourse.wire.runtime import EventLog, Runtime
 from kelpcourse.wire.stream import Address
 
 DRAIN_COMPLETE_US = (
@@ -42,7 +43,7 @@
     loop: Loop
     limits: Limits
     counters: Counters
-    log: LogLike
+    log: EventLog
     settings: Settings
     relay: Address
     discovery: Address
@@ -52,18 +53,24 @@
     submit: Callable[[Command], None]
 
 
-class ObservedEndpointLists:
-    """Stands in for the facade's `report_list`, and shows each list to an observer first."""
+class ObservedFacade(Facade):
+    """A facade that shows each endpoint list to an observer before it takes it."""
 
-    def __init__(self, facade: Facade, observer: Callable[[Sequence[Member]], None]) -> None:
-        """Wraps the facade's present `report_list`."""
-        self._report_list = facade.report_list
+    def __init__(
+        self,
+        settings: Settings,
+        seed: int,
+        limits: Limits,
+        observer: Callable[[Sequence[ListedEndpoint]], None],
+    ) -> None:
+        """Takes what `Facade` does, and the observer."""
+        super().__init__(settings, seed, limits)
         self._observer = observer
 
-    def __call__(self, members: Sequence[Member], version: int, whole: bool) -> None:
-        """Takes a list as `Facade.report_list` does."""
+    def report_list(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
+        """Takes an endpoint list."""
         self._observer(members)
-        self._report_list(members, version, whole)
+        super().report_list(members, version, whole)
 
 
 class GroupController:
@@ -74,19 +81,22 @@
         self.group = lease.group
         self._runtime = runtime
         limits = runtime.limits
-        self._facade = Facade(runtime.settings, runtime.seed + lease.epoch, limits)
-        self._facade.report_list = ObservedEndpointLists(  # type: ignore[method-assign]
-            self._facade, self._on_endpoint_list
+        self._facade = ObservedFacade(
+            runtime.settings, runtime.seed + lease.epoch, limits, self._on_endpoint_list
         )
-        parts = Parts(self._facade, limits, runtime.counters, runtime.log, runtime.loop)
-        self._order_queue = Outbox(limits.orders, limits.marks)
+        group_runtime = Runtime(self._facade, limits, runtime.counters, runtime.log, runtime.loop)
+        self._order_queue = OrderQueue(limits.max_queued_orders, limits.max_superseded_checkpoints)
         self._orders_queued = Signal()
-        self._discovery = Discovery(parts, runtime.discovery, 0)
+        self._discovery = Discovery(group_runtime, runtime.discovery, 0)
         self._calls = RelayCalls(
-            parts, runtime.relay, self._order_queue, self._orders_queued, self._orders_target
+            group_runtime,
+            runtime.relay,
+            self._order_queue,
+            self._orders_queued,
+            self._orders_target,
         )
         self._events = EventStreams(
-            parts,
+            group_runtime,
             runtime.relay,
             self._order_queue,
             self._calls.reachable,
@@ -95,7 +105,7 @@
         self._tasks: list[Task] = []
         self._draining_since: dict[str, int] = dict(lease.pending_drains)  # Unix ms, by endpoint
         # First what the previous holder had begun, whatever tables the proxies hold.
-        self._order_queue.add([ShutOut(endpoint, True) for endpoint in lease.pending_drains])
+        self._order_queue.add([WithdrawEndpoint(endpoint) for endpoint in lease.pending_drains])
 
     @property
     def facade(self) -> Facade:
@@ -128,7 +138,7 @@
     def _run_decisions(self) -> Routine:
         """Calls the facade when something is due, and at least once in each batching interval."""
         clock = self._runtime.loop.clock
-        interval_us = self._runtime.limits.gather_us
+        interval_us = self._runtime.limits.step_batching_us
         self._facade.start(clock())
         while True:
             self._process(self._facade.pick())
@@ -146,21 +156,21 @@
         for _ in range(work.fetches):
             self._discovery.fetch()
         for note in work.notes:
-            self._runtime.log.event("module", text=f"group {self.group}: {note}")
+            self._runtime.log.event("policy_message", text=f"group {self.group}: {note}")
 
     # Drains
 
-    def _on_endpoint_list(self, members: Sequence[Member]) -> None:
+    def _on_endpoint_list(self, endpoints: Sequence[ListedEndpoint]) -> None:
         """Makes drains known to all controllers before any order on them, so that a next holder completes them."""
-        for member in members:
-            is_ready = member.phase is Phase.READY
-            is_draining = member.name in self._draining_since
+        for endpoint in endpoints:
+            is_ready = endpoint.status is EndpointStatus.READY
+            is_draining = endpoint.name in self._draining_since
             if not is_ready and not is_draining:
                 since_unix_ms = self._runtime.unix_ms()
-                self._draining_since[member.name] = since_unix_ms
-                self._runtime.submit(StartDrain(member.name, since_unix_ms))
+                self._draining_since[endpoint.name] = since_unix_ms
+                self._runtime.submit(StartDrain(endpoint.name, since_unix_ms))
             elif is_ready and is_draining:
-                self._complete_drain(member.name)
+                self._complete_drain(endpoint.name)
 
     def _complete_drain(self, endpoint: str) -> None:
         since_unix_ms = self._draining_since.pop(endpoint)
--- a/kelpcourse/shared/member.py
+++ b/kelpcourse/shared/member.py
@@ -27,7 +27,7 @@
 from kelpcourse.shared.status import controller_status
 from kelpcourse.shared.storage import MemberStorage
 from kelpcourse.wire.loop import Loop, Routine, Signal, Wait
-from kelpcourse.wire.parts import LogLike
+from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.storage import Runner
 from kelpcourse.wire.stream import Address
 
@@ -56,7 +56,7 @@
         loop: Loop,
         limits: Limits,
         counters: Counters,
-        log: LogLike,
+        log: EventLog,
         settings: MemberSettings,
         options: ControllerOptions,
         runner: Runner,
@@ -105,9 +105,9 @@
         """Starts the coroutines; `keep` restarts one that fails."""
         for remark in self._storage.remarks:
             self._log.always(
-                "store_remark",
+                "store_warning",
                 file=remark.file,
-                what=remark.what,
+                problem=remark.what,
                 lost_bytes=remark.lost_bytes,
                 alarming=remark.alarming,
             )
@@ -136,7 +136,7 @@
             self._loop.clock(),
         )
         self._log.always(
-            "shared_start",
+            "member_started",
             member=self.member_id,
             term=self.controller.raft.term,
             entries=len(self.controller.raft.log),
@@ -163,8 +163,8 @@
         """Ends this member's part in the cluster: its leases expire, and others take over."""
         self.halt_reason = reason
         self.controller = None
-        self._counters.add("shared_halts")
-        self._log.always("shared_halted", reason=reason)
+        self._counters.add("member_halts")
+        self._log.always("member_halted", reason=reason)
 
     def submit(self, command: Command) -> None:
         """Submits a command for the replicated state."""
@@ -268,12 +268,15 @@
         match event:
             case LeaseAcquired(group, epoch, pending_drains):
                 self._log.event(
-                    "group_gained", group=group, epoch=epoch, shut_out_first=sorted(pending_drains)
+                    "proxy_group_lease_acquired",
+                    group=group,
+                    epoch=epoch,
+                    withdrawn_first=sorted(pending_drains),
                 )
             case LeaseLost(group):
-                self._log.event("group_lost", group=group)
+                self._log.event("proxy_group_lease_lost", group=group)
             case LeadershipChanged(leader, term):
-                self._log.event("shared_leader", leader=leader, term=term)
+                self._log.event("leader_changed", leader=leader, term=term)
         self._on_event(event)
 
     def status(self) -> dict[str, object]:
--- a/kelpcourse/shared/peers.py
+++ b/kelpcourse/shared/peers.py
@@ -25,7 +25,7 @@
 from kelpcourse.shared.raft.messages import MemberId
 from kelpcourse.wire.listener import listen
 from kelpcourse.wire.loop import READ, Loop, Routine, Signal, Task, Wait, Woken
-from kelpcourse.wire.parts import Backoff, LogLike
+from kelpcourse.wire.runtime import Backoff, EventLog
 from kelpcourse.wire.stream import Act, Address, Broken, Silent, Stream, connect
 from kelpcourse.wire.tls import TlsStream
 
@@ -73,7 +73,7 @@
         loop: Loop,
         limits: Limits,
         counters: Counters,
-        log: LogLike,
+        log: EventLog,
         member_id: MemberId,
         address: Address,
         peer_addresses: Mapping[str, Address],
@@ -104,11 +104,11 @@
         self._tls = tls
         self._on_message = on_message
         self._queues = {
-            name: OutboundQueue(name, peer_address, limits.peer_waiting)
+            name: OutboundQueue(name, peer_address, limits.max_queued_peer_messages)
             for name, peer_address in peer_addresses.items()
         }
         self.members: dict[str, MemberId] = {}  # by name: who last said Hello under it
-        self._socket = listen(address, limits.listen_queue)
+        self._socket = listen(address, limits.listen_backlog)
         self._connection_count = 0
         self._incoming: list[Task] = []
         self.address: Address = self._socket.getsockname()[:2]
@@ -142,22 +142,22 @@
             try:
                 yield from self._send_on_connection(queue, backoff)
             except Broken as error:
-                self._counters.add("peer_lines_broken")
-                self._log.event("peer_away", peer=queue.name, reason=str(error))
+                self._counters.add("peer_connections_broken")
+                self._log.event("peer_unreachable", peer=queue.name, reason=str(error))
             yield Wait(self._loop.clock() + backoff.next_us())
 
     def _send_on_connection(self, queue: OutboundQueue, backoff: Backoff) -> Act[None]:
         clock = self._loop.clock
-        stream = yield from connect(queue.address, clock() + self._limits.connect_us)
+        stream = yield from connect(queue.address, clock() + self._limits.connect_timeout_us)
         try:
             tls = self._tls()
             if tls is not None:
                 stream = TlsStream(stream, tls.client, False, queue.name)
-                yield from stream.handshake(clock() + self._limits.peer_handshake_us)
+                yield from stream.handshake(clock() + self._limits.peer_handshake_timeout_us)
             queue.messages.clear()  # what waited while the peer was away is obsolete
             yield from self._send_hello(stream)
             backoff.reset()
-            self._log.event("peer_open", peer=queue.name)
+            self._log.event("peer_connected", peer=queue.name)
             yield from self._send_queued(stream, queue)
         finally:
             stream.close()
@@ -170,7 +170,10 @@
                 yield from self._send_message(stream, queue.messages.popleft())
             # The peer sends nothing here: what can be read is the connection's end, or TLS's own.
             woken = yield Wait(
-                clock() + self._limits.peer_sign_us, stream.sock.fileno(), READ, queue.not_empty
+                clock() + self._limits.peer_heartbeat_us,
+                stream.sock.fileno(),
+                READ,
+                queue.not_empty,
             )
             if woken is Woken.READY:
                 yield from self._check_open(stream)
@@ -193,7 +196,7 @@
 
     def _send_message(self, stream: Stream, data: bytes) -> Act[None]:
         prefix = len(data).to_bytes(LENGTH_PREFIX_BYTES, "big")
-        yield from stream.send(prefix + data, self._loop.clock() + self._limits.send_us)
+        yield from stream.send(prefix + data, self._loop.clock() + self._limits.send_timeout_us)
         self._counters.add("peer_bytes_out", LENGTH_PREFIX_BYTES + len(data))
 
     # Incoming connections
@@ -207,11 +210,11 @@
                 continue
             except OSError as error:
                 self._log.event(
-                    "descriptors_used_up", reason=str(error), connections=self._connection_count
+                    "descriptors_exhausted", reason=str(error), connections=self._connection_count
                 )
-                yield Wait(self._loop.clock() + self._limits.accept_wait_us)
+                yield Wait(self._loop.clock() + self._limits.accept_retry_us)
                 continue
-            if self._connection_count >= self._limits.peer_connections:
+            if self._connection_count >= self._limits.max_peer_connections:
                 connection.close()
                 continue
             self._incoming = [task for task in self._incoming if task.wait is not None]
@@ -221,7 +224,7 @@
     def _receive_all(self, stream: Stream) -> Routine:
         self._connection_count += 1
         clock = self._loop.clock
-        deadline_us = clock() + self._limits.peer_handshake_us
+        deadline_us = clock() + self._limits.peer_handshake_timeout_us
         try:
             tls = self._tls()
             certified_name = None
@@ -233,12 +236,12 @@
             hello = self._decode((yield from reader.next(deadline_us)))
             self._check_hello(hello, certified_name)
             while True:
-                silence_us = clock() + self._limits.peer_silence_us
+                silence_us = clock() + self._limits.peer_silence_timeout_us
                 message = self._decode((yield from reader.next(silence_us)))
                 self._handle(message, hello.sender)
         except (Broken, PeerMessageError) as error:
-            self._counters.add("peer_lines_ended")
-            self._log.event("peer_line_ended", reason=str(error))
+            self._counters.add("peer_connections_closed")
+            self._log.event("peer_connection_closed", reason=str(error))
         finally:
             self._connection_count -= 1
             stream.close()
@@ -266,7 +269,7 @@
             self._counters.add("peer_messages_unknown")
         elif message.recipient != self._member_id:
             # For this name with another disk, which is another member.
-            self._counters.add("peer_messages_misled")
+            self._counters.add("peer_messages_misrouted")
         else:
             self._on_message(connected, message.body)
 
@@ -277,9 +280,9 @@
     def __init__(self, stream: Stream, limits: Limits) -> None:
         """Reads from a connected stream."""
         self._stream = stream
-        self._max_message_bytes = limits.peer_message_bytes
+        self._max_message_bytes = limits.max_peer_message_bytes
         self._received = bytearray()
-        self._buffer = memoryview(bytearray(limits.read_bytes))
+        self._buffer = memoryview(bytearray(limits.initial_read_buffer_bytes))
 
     def next(self, deadline_us: int) -> Act[bytes]:
         """Reads one message. Raises Broken, or PeerMessageError if the message is too long."""
--- a/kelpcourse/shared/standalone.py
+++ b/kelpcourse/shared/standalone.py
@@ -71,20 +71,20 @@
         try:
             self._settings = read_settings(self._path)
         except BadSettings as error:
-            self._log.always("reload_failed", reason=str(error))
+            self._log.always("configuration_reload_failed", reason=str(error))
             return
-        self._log.always("reload", moved=["tls"], wait_for_restart=[])
+        self._log.always("configuration_reloaded", changed=["tls"], requires_restart=[])
 
     def _watch_certificate(self) -> Routine:
         while True:
             days_left = self._settings.certificate_days_left
             if days_left is not None and days_left < EXPIRY_WARNING_DAYS:
-                self._log.always("certificate_ends", days=round(days_left, 1))
+                self._log.always("certificate_expiring", days=round(days_left, 1))
             yield Wait(self._loop.clock() + US_PER_DAY)
 
     def _run_commands(self) -> Routine:
         while True:
-            yield Wait(self._loop.clock() + self._limits.zone_command_us)
+            yield Wait(self._loop.clock() + self._limits.zone_command_poll_us)
             for path, data in commands(self._settings.state_folder):
                 write_whole(path, orjson.dumps(self._run_command(data)))
 
@@ -108,7 +108,7 @@
             return {"error": str(error)}
         except (orjson.JSONDecodeError, KeyError, TypeError) as error:
             return {"error": f"a command that can't be read: {error!r}"}
-        self._log.always("shared_command", command=command_name, done=done)
+        self._log.always("member_command_completed", command=command_name, succeeded=done)
         return {"done": done}
 
 
--- a/kelpcourse/wire/relay_events.py
+++ b/kelpcourse/wire/relay_events.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Iterable
 
-from kelpcourse.facade import Unknown
-from kelpcourse.memory.outbox import Outbox
+from kelpcourse.facade import InvalidReportError
+from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.proxies import Applied, Joined, Left, News, Proxies
 from kelpcourse.wire.fields import BadMessage, NotJson
 from kelpcourse.wire.http import dial
 from kelpcourse.wire.loop import Routine, Signal, Wait
-from kelpcourse.wire.parts import Backoff, Parts
 from kelpcourse.wire.relay_codec import EVENTS_PATH, read_event
+from kelpcourse.wire.runtime import Backoff, Runtime
 from kelpcourse.wire.stream import Act, Address, Broken
 
 
@@ -21,9 +21,9 @@
 
     def __init__(
         self,
-        parts: Parts,
+        parts: Runtime,
         address: Address,
-        outbox: Outbox,
+        outbox: OrderQueue,
         reachable: Signal,
         target: str = EVENTS_PATH,
     ) -> None:
@@ -33,15 +33,17 @@
         self._outbox = outbox
         self._reachable = reachable
         self._target = target
-        self._proxies = Proxies(parts.limits.news_ahead, parts.limits.news_cover_us)
+        self._proxies = Proxies(
+            parts.limits.max_buffered_events, parts.limits.event_stream_overlap_us
+        )
         self._first = 0  # stream at the address of now; those before it are on their way out
 
     def streams(self) -> range:
-        return range(self._first, self._first + self._parts.limits.news_streams)
+        return range(self._first, self._first + self._parts.limits.event_streams)
 
     def move(self, address: Address) -> None:
         """Streams are to run at another address. Those that are open tell on until one there is in step."""
-        self._first += self._parts.limits.news_streams
+        self._first += self._parts.limits.event_streams
         self._address = address
 
     def run(self, stream: int) -> Routine:
@@ -55,13 +57,13 @@
                 reason = str(error)
             finally:
                 self._report(self._proxies.lost(stream))
-            self._parts.counters.add("relay_news_lost")
+            self._parts.counters.add("event_streams_lost")
             self._parts.log.event(
-                "news_lost",
+                "event_stream_lost",
                 stream=stream,
                 reason=reason,
-                steady=self._proxies.steady,
-                joined=len(self._proxies),
+                synchronised=self._proxies.steady,
+                joined_proxies=len(self._proxies),
             )
             yield Wait(self._parts.clock() + backoff.next_us())
 
@@ -70,20 +72,20 @@
 
     def _follow(self, stream: int, address: Address, backoff: Backoff) -> Act[None]:
         limits = self._parts.limits
-        client = yield from dial(address, limits, self._parts.clock() + limits.connect_us)
+        client = yield from dial(address, limits, self._parts.clock() + limits.connect_timeout_us)
         try:
             yield from client.request("GET", self._target, None)
-            status = yield from client.status(self._parts.clock() + limits.news_silence_us)
+            status = yield from client.status(self._parts.clock() + limits.event_stream_silence_us)
             if status != 200:
                 raise Broken(f"answered {status}")
             now_us = self._parts.clock()
-            self._proxies.opened(stream, now_us, now_us + limits.news_settle_us)
-            self._parts.counters.add("relay_news_streams")
-            self._parts.log.event("news_open", stream=stream)
+            self._proxies.opened(stream, now_us, now_us + limits.event_snapshot_timeout_us)
+            self._parts.counters.add("event_streams_opened")
+            self._parts.log.event("event_stream_opened", stream=stream)
             self._reachable.raise_()
             heard_us = self._parts.clock()
             while True:
-                lines = yield from client.some_lines(heard_us + limits.news_silence_us)
+                lines = yield from client.some_lines(heard_us + limits.event_stream_silence_us)
                 if lines is None:
                     return
                 for line in lines:
@@ -109,21 +111,21 @@
         for event in changes:
             try:
                 self._report_one(event)
-            except Unknown as error:
+            except InvalidReportError as error:
                 self._parts.bad_message("relay", error)
 
     def _report_one(self, event: News) -> None:
         facade, counters = self._parts.facade, self._parts.counters
         match event:
             case Joined(proxy, zone, share, standing):
-                counters.add("relay_joined")
+                counters.add("relay_proxies_joined")
                 facade.report_joined(proxy, zone, share, standing)
             case Left(proxy):
-                counters.add("relay_left")
+                counters.add("relay_proxies_left")
                 self._outbox.forget_proxy(proxy)
                 facade.report_left(proxy)
             case Applied(proxy, stamp, lag_ms):
-                counters.add("relay_applied")
+                counters.add("relay_acknowledgements")
                 self._outbox.answered(stamp)
                 for answered in self._outbox.stamps(stamp):
                     facade.report_applied(proxy, answered, lag_ms)
--- a/kelpcourse/wire/parts.py
+++ b/kelpcourse/wire/runtime.py
@@ -7,23 +7,23 @@
 from typing import Protocol
 
 from kelpcourse.facade import Facade
-from kelpcourse.memory.counters import Counters
 from kelpcourse.limits import Limits
+from kelpcourse.memory.counters import Counters
 from kelpcourse.wire.loop import Loop
 
 
-class LogLike(Protocol):
+class EventLog(Protocol):
     def event(self, name: str, **fields: object) -> None: ...
 
     def always(self, name: str, **fields: object) -> None: ...
 
 
 @dataclass(frozen=True)
-class Parts:
+class Runtime:
     facade: Facade
     limits: Limits
     counters: Counters
-    log: LogLike
+    log: EventLog
     loop: Loop
 
     @property
@@ -32,8 +32,8 @@
 
     def bad_message(self, source: str, error: Exception) -> None:
         """A message that can't be used is counted, logged at a bounded rate and skipped."""
-        self.counters.add(f"{source}_bad_messages")
-        self.log.event("bad_message", source=source, reason=str(error))
+        self.counters.add(f"{source}_messages_rejected")
+        self.log.event("message_rejected", source=source, reason=str(error))
 
 
 class Backoff:
@@ -42,13 +42,13 @@
 
     def __init__(self, limits: Limits, most_us: int = 0, spread: float = 0.0) -> None:
         self._limits = limits
-        self._most_us = most_us or limits.backoff_most_us
+        self._most_us = most_us or limits.max_backoff_us
         self._spread = spread
-        self._next_us = limits.backoff_least_us
+        self._next_us = limits.min_backoff_us
 
     def next_us(self) -> int:
         wait, self._next_us = self._next_us, min(self._next_us * 2, self._most_us)
         return round(wait * (1 + self._spread))
 
     def reset(self) -> None:
-        self._next_us = self._limits.backoff_least_us
+        self._next_us = self._limits.min_backoff_us
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -20,7 +20,7 @@
 from kelpcourse.memory.counters import Counters
 from kelpcourse.wire.buffers import Buffer, TooLong
 from kelpcourse.wire.loop import READ, Loop, Routine, Signal, Wait, Woken
-from kelpcourse.wire.parts import LogLike
+from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.stream import Act, Broken, Silent, connect, family
 from kelpcourse.wire.worker import in_thread
 from kelpcourse.zones.answer import rrset_of
@@ -42,7 +42,7 @@
 class Asker:
     """Questions to other servers."""
 
-    def __init__(self, loop: Loop, limits: Limits, counters: Counters, log: LogLike) -> None:
+    def __init__(self, loop: Loop, limits: Limits, counters: Counters, log: EventLog) -> None:
         self.loop = loop
         self.limits = limits
         self.counters = counters
@@ -73,12 +73,12 @@
         try:
             sock.connect(peer.address)
             sock.send(query.to_wire())
-            until_us = self.loop.clock() + self.limits.zone_ask_us
+            until_us = self.loop.clock() + self.limits.soa_query_timeout_us
             while (yield Wait(until_us, sock.fileno(), READ)) is not Woken.LATE:
                 message = self._believed(sock.recv(65_535), query, peer)
                 if message is not None:
                     return message
-                self.counters.add("zone_answers_forged")
+                self.counters.add("zone_answers_unverified")
             return None
         except OSError:  # nobody listens there
             return None
@@ -134,18 +134,20 @@
 
     def open(self) -> Act[None]:
         clock, limits = self._asker.loop.clock, self._asker.limits
-        self._stream = yield from connect(self._peer.address, clock() + limits.zone_ask_us)
+        self._stream = yield from connect(self._peer.address, clock() + limits.soa_query_timeout_us)
         wire = self._query.to_wire()
-        yield from self._stream.send(len(wire).to_bytes(2, "big") + wire, clock() + limits.send_us)
+        yield from self._stream.send(
+            len(wire).to_bytes(2, "big") + wire, clock() + limits.send_timeout_us
+        )
 
     def next(self) -> Act[tuple[bytes, dns.message.Message]]:
         """Raises Broken or BadZone."""
         limits = self._asker.limits
-        until_us = self._asker.loop.clock() + limits.zone_silence_us
+        until_us = self._asker.loop.clock() + limits.transfer_silence_us
         while True:
             for slice_ in self._buffer.prefixed():
                 wire = bytes(slice_)
-                if len(wire) <= limits.zone_inline_bytes:
+                if len(wire) <= limits.max_inline_zone_bytes:
                     return self._read(wire)
                 return (yield from in_thread(partial(self._read, wire)))
             try:
@@ -233,10 +235,13 @@
         try:
             verdict = yield from self._follow(peer)
         except (Broken, BadZone, dns.xfr.UseTCP) as error:
-            self._asker.counters.add("zone_asks_failed")
+            self._asker.counters.add("zone_soa_queries_failed")
             self._tell(self._held.belief.forget(str(peer)) if isinstance(error, Silent) else [])
             log.event(
-                "zone_ask_failed", zone=self._held.origin, primary=str(peer), reason=str(error)
+                "zone_soa_query_failed",
+                zone=self._held.origin,
+                primary=str(peer),
+                reason=str(error),
             )
             self._refresh.failed(clock())
             return
@@ -250,7 +255,7 @@
 
     def _follow(self, peer: Primary) -> Act[Verdict]:
         """Asks for the SOA; fetches the zone if that is newer. What it makes of the version."""
-        self._asker.counters.add("zone_asks")
+        self._asker.counters.add("zone_soa_queries")
         query = question(self._held.origin, dns.rdatatype.SOA, peer)
         message = yield from self._asker.ask(query, peer)
         told = serial_of(message, self._held.origin)
@@ -281,7 +286,7 @@
             query.authority.append(rrset_of(held.origin, SOA, 0, (held.zone.soa_data,)))
         incoming = Incoming(held.zone, query, rdtype, False, limits)
         session = Session(self._asker, peer, query)
-        until_us = clock() + limits.zone_transfer_us
+        until_us = clock() + limits.incoming_transfer_timeout_us
         try:
             yield from session.open()
             whole = False
@@ -290,7 +295,7 @@
                 # The zone held is read meanwhile and not changed: this routine alone changes it.
                 whole = (
                     incoming.take(wire, message)
-                    if len(wire) <= limits.zone_inline_bytes
+                    if len(wire) <= limits.max_inline_zone_bytes
                     else (yield from in_thread(partial(incoming.take, wire, message)))
                 )
                 if clock() > until_us:
@@ -322,14 +327,14 @@
 
     def _tell(self, contradictions: list[Contradiction]) -> None:
         for c in contradictions:
-            self._asker.counters.add("zone_contradictions", int(c.begins))
+            self._asker.counters.add("zone_version_inconsistencies", int(c.begins))
             self._asker.log.always(
-                "zone_contradicted" if c.begins else "zone_contradiction_over",
+                "zone_versions_inconsistent" if c.begins else "zone_versions_consistent",
                 zone=self._held.origin,
                 primary=c.source,
                 verdict=c.verdict.value,
-                held=c.held,
-                offered=c.offered,
+                current=c.held,
+                received=c.offered,
             )
 
 
@@ -352,13 +357,13 @@
             yield from self._tell()
 
     def _tell(self) -> Act[None]:
-        wait_us = self._asker.limits.zone_notify_wait_us
-        for _ in range(self._asker.limits.zone_notify_tries):
+        wait_us = self._asker.limits.notify_retry_us
+        for _ in range(self._asker.limits.max_notify_attempts):
             query = question(self._held.origin, dns.rdatatype.SOA, self._peer)
             query.set_opcode(dns.opcode.NOTIFY)
             query.flags |= dns.flags.AA
             query.answer.append(rrset_of(self._held.origin, SOA, 0, (self._held.zone.soa_data,)))
-            self._asker.counters.add("zone_notifies")
+            self._asker.counters.add("zone_notifies_sent")
             try:
                 if (yield from self._asker.ask_udp(query, self._peer)) is not None:
                     return
