--- a/kelpcourse/lab/story.py
+++ b/kelpcourse/lab/story.py
@@ -83,12 +83,12 @@
             self._say(f"order  {order['verb']:<3} {order['host']}")
 
     def _logged(self, line: Mapping[str, Any]) -> None:
-        if line["event"] == "zone_classes_bare":
+        if line["event"] == "zone_classes_without_endpoints":
             self.summary.alarms.append(line["classes"])
             self._say(f"alarm  no ready host for: {', '.join(line['classes']) or 'none'}")
-        elif line["event"] == "zone_version":
+        elif line["event"] == "zone_updated":
             self._say(f"zone   {line['zone']} serial {line['serial']}, {line['hosts']} hosts")
-        elif line["event"] == "defect":
+        elif line["event"] == "unexpected_error":
             self.summary.failed = f"a defect in the director: {line['error']}"
 
     def run(self) -> Summary:
