--- a/kelpcourse/shared/controller.py
+++ b/kelpcourse/shared/controller.py
@@ -14,7 +14,6 @@
     Command,
     SetGroupCount,
     SetMemberDrained,
-    command_key,
     decode_command,
     encode_command,
 )
@@ -31,6 +30,7 @@
 from kelpcourse.shared.lease_holder import LeaseHolder
 from kelpcourse.shared.lease_manager import LeaseManager
 from kelpcourse.shared.lease_timing import LeaseReply, LeaseRequest
+from kelpcourse.shared.pending_commands import PendingCommands
 from kelpcourse.shared.placement import GroupId
 from kelpcourse.shared.raft.messages import (
     Configuration,
@@ -40,8 +40,9 @@
     Snapshot,
 )
 from kelpcourse.shared.raft.node import ProposalId, Raft
-from kelpcourse.shared.raft.options import RaftOutput, Role
+from kelpcourse.shared.raft.output import OutgoingMessage, RaftOutput
 from kelpcourse.shared.raft.persistent import PersistentState
+from kelpcourse.shared.raft.role import Role
 from kelpcourse.shared.replicated_state import ReplicatedState
 
 
@@ -82,8 +83,12 @@
         self._manager_factory = manager_factory
         self._manager_term = 0
         self._proposed: dict[ProposalId, Command] = {}
-        self._pending: dict[tuple[object, ...], Command] = {}  # by `command_key`
-        self._next_forward_us = now_us
+        self._pending = PendingCommands(
+            options.max_pending_commands,
+            options.raft.max_entries_per_message,
+            options.lease.renewal_interval_us,
+            now_us,
+        )
         self._known_leadership = LeadershipChanged(None, 0)
         self._output = ControllerOutput()
 
@@ -115,12 +120,7 @@
 
         Beyond `max_pending_commands` the oldest is dropped: what still holds is submitted again by whoever knows it.
         """
-        key = command_key(command)
-        self._pending.pop(key, None)
-        self._pending[key] = command
-        while len(self._pending) > self.options.max_pending_commands:
-            del self._pending[next(iter(self._pending))]
-        self._next_forward_us = min(self._next_forward_us, now_us)
+        self._pending.add(command, now_us)
         self._process(now_us)
 
     def change_membership(self, now_us: int, config: Configuration) -> None:
@@ -156,7 +156,7 @@
         if recipient == self.member_id:
             self.receive(now_us, self.member_id, message)
         else:
-            self._output.messages.append((recipient, message))
+            self._output.messages.append(OutgoingMessage(recipient, message))
 
     def _on_lease_reply(self, reply: LeaseReply) -> None:
         for group in self.lease_holder.on_reply(reply):
@@ -201,17 +201,13 @@
 
     def _forward_pending(self, now_us: int) -> None:
         """Sends commands whose effect is not replicated yet to the current leader."""
-        self._pending = {
-            key: command
-            for key, command in self._pending.items()
-            if not self.state.is_settled(command)
-        }
+        self._pending.discard_settled(self.state)
         leader = self.raft.leader_id
-        if now_us < self._next_forward_us or not self._pending or leader is None:
+        if leader is None:
             return
-        self._next_forward_us = now_us + self.options.lease.renewal_interval_us
-        batch = list(self._pending.values())[: self.options.raft.max_entries_per_message]
-        self._send(now_us, leader, ForwardedCommands(tuple(map(encode_command, batch))))
+        commands = self._pending.next_batch(now_us)
+        if commands:
+            self._send(now_us, leader, ForwardedCommands(commands))
 
     # After each input
 
--- a/kelpcourse/shared/controller_events.py
+++ b/kelpcourse/shared/controller_events.py
@@ -8,6 +8,7 @@
 from kelpcourse.shared.placement import GroupId
 from kelpcourse.shared.raft.messages import MemberId, RaftMessage
 from kelpcourse.shared.raft.options import RaftOptions
+from kelpcourse.shared.raft.output import OutgoingMessage
 from kelpcourse.shared.raft.persistent import StateWrite
 
 
@@ -56,7 +57,7 @@
 class ControllerOutput:
     """What the caller is to do, in this order: writes, messages, and handling events."""
 
-    messages: list[tuple[MemberId, PeerMessage]] = field(default_factory=list)
+    messages: list[OutgoingMessage[PeerMessage]] = field(default_factory=list)
     writes: list[StateWrite] = field(default_factory=list)
     events: list[ControllerEvent] = field(default_factory=list)
 
--- a/kelpcourse/shared/group_controller.py
+++ b/kelpcourse/shared/group_controller.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True)
-class GroupRuntime:
+class GroupContext:
     """What every group controller is handed."""
 
     loop: Loop
@@ -76,28 +76,28 @@
 class GroupController:
     """Controls the proxies of one group, from the acquisition of its lease to its loss."""
 
-    def __init__(self, runtime: GroupRuntime, lease: LeaseAcquired) -> None:
+    def __init__(self, context: GroupContext, lease: LeaseAcquired) -> None:
         """Prepares the group's parts; `start` starts them."""
         self.group = lease.group
-        self._runtime = runtime
-        limits = runtime.limits
+        self._context = context
+        limits = context.limits
         self._facade = ObservedFacade(
-            runtime.settings, runtime.seed + lease.epoch, limits, self._on_endpoint_list
+            context.settings, context.seed + lease.epoch, limits, self._on_endpoint_list
         )
-        group_runtime = Runtime(self._facade, limits, runtime.counters, runtime.log, runtime.loop)
+        runtime = Runtime(self._facade, limits, context.counters, context.log, context.loop)
         self._order_queue = OrderQueue(limits.max_queued_orders, limits.max_superseded_checkpoints)
         self._orders_queued = Signal()
-        self._discovery = Discovery(group_runtime, runtime.discovery, 0)
+        self._discovery = Discovery(runtime, context.discovery, 0)
         self._calls = RelayCalls(
-            group_runtime,
-            runtime.relay,
+            runtime,
+            context.relay,
             self._order_queue,
             self._orders_queued,
             self._orders_target,
         )
         self._events = EventStreams(
-            group_runtime,
-            runtime.relay,
+            runtime,
+            context.relay,
             self._order_queue,
             self._calls.reachable,
             f"/v3/kv/groups/{self.group}/events",
@@ -113,7 +113,7 @@
         return self._facade
 
     def _orders_target(self) -> str | None:
-        epoch = self._runtime.epoch(self.group)
+        epoch = self._context.epoch(self.group)
         if epoch is None:
             return None
         return f"/v3/kv/groups/{self.group}/orders?epoch={epoch}"
@@ -126,19 +126,19 @@
             self._run_decisions(),
             self._run_drain_checks(),
         ]
-        loop = self._runtime.loop
+        loop = self._context.loop
         self._tasks = [loop.start(f"group {self.group}", coroutine) for coroutine in coroutines]
 
     def stop(self) -> None:
         """Stops immediately: the group is another controller's, whatever is queued."""
         for task in self._tasks:
-            self._runtime.loop.stop(task)
+            self._context.loop.stop(task)
         self._discovery.watch(False)
 
     def _run_decisions(self) -> Routine:
         """Calls the facade when something is due, and at least once in each batching interval."""
-        clock = self._runtime.loop.clock
-        interval_us = self._runtime.limits.step_batching_us
+        clock = self._context.loop.clock
+        interval_us = self._context.limits.step_batching_us
         self._facade.start(clock())
         while True:
             self._process(self._facade.pick())
@@ -156,7 +156,7 @@
         for _ in range(work.fetches):
             self._discovery.fetch()
         for note in work.notes:
-            self._runtime.log.event("policy_message", text=f"group {self.group}: {note}")
+            self._context.log.event("policy_message", text=f"group {self.group}: {note}")
 
     # Drains
 
@@ -166,20 +166,20 @@
             is_ready = endpoint.status is EndpointStatus.READY
             is_draining = endpoint.name in self._draining_since
             if not is_ready and not is_draining:
-                since_unix_ms = self._runtime.unix_ms()
+                since_unix_ms = self._context.unix_ms()
                 self._draining_since[endpoint.name] = since_unix_ms
-                self._runtime.submit(StartDrain(endpoint.name, since_unix_ms))
+                self._context.submit(StartDrain(endpoint.name, since_unix_ms))
             elif is_ready and is_draining:
                 self._complete_drain(endpoint.name)
 
     def _complete_drain(self, endpoint: str) -> None:
         since_unix_ms = self._draining_since.pop(endpoint)
-        self._runtime.submit(CompleteDrain(endpoint, self.group, since_unix_ms))
+        self._context.submit(CompleteDrain(endpoint, self.group, since_unix_ms))
 
     def _run_drain_checks(self) -> Routine:
         while True:
-            yield Wait(self._runtime.loop.clock() + DRAIN_CHECK_INTERVAL_US)
-            oldest_ms = self._runtime.unix_ms() - DRAIN_COMPLETE_US // US_PER_MS
+            yield Wait(self._context.loop.clock() + DRAIN_CHECK_INTERVAL_US)
+            oldest_ms = self._context.unix_ms() - DRAIN_COMPLETE_US // US_PER_MS
             complete = [
                 endpoint for endpoint, since in self._draining_since.items() if since < oldest_ms
             ]
@@ -190,9 +190,9 @@
 class GroupControllers:
     """The group controllers of all groups that this controller holds."""
 
-    def __init__(self, runtime: GroupRuntime) -> None:
+    def __init__(self, context: GroupContext) -> None:
         """Starts without a group."""
-        self._runtime = runtime
+        self._context = context
         self.groups: dict[GroupId, GroupController] = {}
 
     def on_event(self, event: ControllerEvent) -> None:
@@ -200,10 +200,10 @@
         match event:
             case LeaseAcquired():
                 action = partial(self._on_acquired, event)
-                self._runtime.loop.start("gain", self._run_later(action))
+                self._context.loop.start("gain", self._run_later(action))
             case LeaseLost(group):
                 action = partial(self._stop_lost, group)
-                self._runtime.loop.start("lose", self._run_later(action))
+                self._context.loop.start("lose", self._run_later(action))
 
     def _run_later(self, action: Callable[[], None]) -> Routine:
         yield Wait(0)
@@ -211,13 +211,13 @@
 
     def _on_acquired(self, lease: LeaseAcquired) -> None:
         self._stop_lost(lease.group)
-        if self._runtime.epoch(lease.group) == lease.epoch:
-            controller = GroupController(self._runtime, lease)
+        if self._context.epoch(lease.group) == lease.epoch:
+            controller = GroupController(self._context, lease)
             self.groups[lease.group] = controller
             controller.start()
 
     def _stop_lost(self, group: GroupId) -> None:
-        if group in self.groups and self._runtime.epoch(group) is None:
+        if group in self.groups and self._context.epoch(group) is None:
             self.groups.pop(group).stop()
 
     def close(self) -> None:
--- a/kelpcourse/shared/member.py
+++ b/kelpcourse/shared/member.py
@@ -23,7 +23,7 @@
 from kelpcourse.shared.peers import Peers, TlsContexts, member_name
 from kelpcourse.shared.placement import GroupId
 from kelpcourse.shared.raft.messages import Configuration, MemberId
-from kelpcourse.shared.raft.options import Role
+from kelpcourse.shared.raft.role import Role
 from kelpcourse.shared.status import controller_status
 from kelpcourse.shared.storage import MemberStorage
 from kelpcourse.wire.loop import Loop, Routine, Signal, Wait
--- /dev/null
+++ b/kelpcourse/shared/peer_framing.py
@@ -0,0 +1,50 @@
+"""Length-prefixed messages on a stream: four bytes of length, big-endian, then the message."""
+
+from __future__ import annotations
+
+from kelpcourse.limits import Limits
+from kelpcourse.shared.errors import PeerMessageError
+from kelpcourse.wire.stream import Act, Broken, Stream
+
+LENGTH_PREFIX_BYTES = 4
+
+
+def with_length_prefix(message: bytes) -> bytes:
+    """Returns a message as it is sent."""
+    return len(message).to_bytes(LENGTH_PREFIX_BYTES, "big") + message
+
+
+class MessageReader:
+    """Reads length-prefixed messages from a stream."""
+
+    def __init__(self, stream: Stream, limits: Limits) -> None:
+        """Reads from a connected stream."""
+        self._stream = stream
+        self._max_message_bytes = limits.max_peer_message_bytes
+        self._received = bytearray()
+        self._buffer = memoryview(bytearray(limits.initial_read_buffer_bytes))
+
+    def next(self, deadline_us: int) -> Act[bytes]:
+        """Reads one message. Raises Broken, or PeerMessageError if the message is too long."""
+        while True:
+            data = self._take_message()
+            if data is not None:
+                return data
+            count = yield from self._stream.recv_into(self._buffer, deadline_us)
+            if not count:
+                raise Broken("closed")
+            self._received += self._buffer[:count]
+
+    def _take_message(self) -> bytes | None:
+        """A message that has arrived completely."""
+        if len(self._received) < LENGTH_PREFIX_BYTES:
+            return None
+        size = int.from_bytes(self._received[:LENGTH_PREFIX_BYTES], "big")
+        if size > self._max_message_bytes:
+            raise PeerMessageError(f"a message of {size} bytes, {self._max_message_bytes} at most")
+        end = LENGTH_PREFIX_BYTES + size
+        if len(self._received) < end:
+            return None
+        data = bytes(self._received[LENGTH_PREFIX_BYTES:end])
+        del self._received[:end]
+        return data
--- a/kelpcourse/shared/peers.py
+++ b/kelpcourse/shared/peers.py
@@ -22,6 +22,7 @@
     decode,
     encode,
 )
+from kelpcourse.shared.peer_framing import MessageReader, with_length_prefix
 from kelpcourse.shared.raft.messages import MemberId
 from kelpcourse.wire.listener import listen
 from kelpcourse.wire.loop import READ, Loop, Routine, Signal, Task, Wait, Woken
@@ -29,7 +30,6 @@
 from kelpcourse.wire.stream import Act, Address, Broken, Silent, Stream, connect
 from kelpcourse.wire.tls import TlsStream
 
-LENGTH_PREFIX_BYTES = 4
 UNEXPECTED_READ_BYTES = 512  # nothing but the connection's end is expected
 MEMBER_TOKEN_SEPARATOR = "@"
 
@@ -195,9 +195,9 @@
         yield from self._send_message(stream, hello)
 
     def _send_message(self, stream: Stream, data: bytes) -> Act[None]:
-        prefix = len(data).to_bytes(LENGTH_PREFIX_BYTES, "big")
-        yield from stream.send(prefix + data, self._loop.clock() + self._limits.send_timeout_us)
-        self._counters.add("peer_bytes_out", LENGTH_PREFIX_BYTES + len(data))
+        frame = with_length_prefix(data)
+        yield from stream.send(frame, self._loop.clock() + self._limits.send_timeout_us)
+        self._counters.add("peer_bytes_out", len(frame))
 
     # Incoming connections
 
@@ -253,7 +253,7 @@
     def _check_hello(self, message: AddressedMessage, certified_name: str | None) -> None:
         name = member_name(message.sender)
         if not isinstance(message.body, Hello) or message.body.member != message.sender:
-            raise PeerMessageError("a line that does not begin with its member")
+            raise PeerMessageError("a connection that does not begin with its member")
         if name not in self._queues:
             raise PeerMessageError(f"{name!r:.60} is no member in the settings")
         if certified_name is not None and certified_name != name:
@@ -263,7 +263,7 @@
     def _handle(self, message: AddressedMessage, connected: MemberId) -> None:
         if message.sender != connected:
             raise PeerMessageError(
-                f"a message of {message.sender!r:.60} on the line of {connected!r:.60}"
+                f"a message of {message.sender!r:.60} on the connection of {connected!r:.60}"
             )
         if isinstance(message.body, UnsupportedMessage | Hello):
             self._counters.add("peer_messages_unknown")
@@ -272,39 +272,3 @@
             self._counters.add("peer_messages_misrouted")
         else:
             self._on_message(connected, message.body)
-
-
-class MessageReader:
-    """Reads length-prefixed messages from a stream."""
-
-    def __init__(self, stream: Stream, limits: Limits) -> None:
-        """Reads from a connected stream."""
-        self._stream = stream
-        self._max_message_bytes = limits.max_peer_message_bytes
-        self._received = bytearray()
-        self._buffer = memoryview(bytearray(limits.initial_read_buffer_bytes))
-
-    def next(self, deadline_us: int) -> Act[bytes]:
-        """Reads one message. Raises Broken, or PeerMessageError if the message is too long."""
-        while True:
-            data = self._take_message()
-            if data is not None:
-                return data
-            count = yield from self._stream.recv_into(self._buffer, deadline_us)
-            if not count:
-                raise Broken("closed")
-            self._received += self._buffer[:count]
-
-    def _take_message(self) -> bytes | None:
-        """A message that has arrived completely."""
-        if len(self._received) < LENGTH_PREFIX_BYTES:
-            return None
-        size = int.from_bytes(self._received[:LENGTH_PREFIX_BYTES], "big")
-        if size > self._max_message_bytes:
-            raise PeerMessageError(f"a message of {size} bytes, {self._max_message_bytes} at most")
-        end = LENGTH_PREFIX_BYTES + size
-        if len(self._received) < end:
-            return None
-        data = bytes(self._received[LENGTH_PREFIX_BYTES:end])
-        del self._received[:end]
-        return data
--- a/kelpcourse/shared/raft/base.py
+++ b/kelpcourse/shared/raft/base.py
@@ -15,9 +15,11 @@
     RequestVoteReply,
     Snapshot,
 )
-from kelpcourse.shared.raft.options import RaftOptions, RaftOutput, Role
+from kelpcourse.shared.raft.options import RaftOptions
+from kelpcourse.shared.raft.output import OutgoingMessage, RaftOutput
 from kelpcourse.shared.raft.persistent import PersistentState, StateWrite
 from kelpcourse.shared.raft.progress import Progress
+from kelpcourse.shared.raft.role import Role
 
 
 @dataclass(frozen=True)
@@ -161,7 +163,7 @@
             self._send_after(blocked.write_number, blocked.recipient, blocked.message)
 
     def _send(self, recipient: MemberId, message: RaftMessage) -> None:
-        self._output.messages.append((recipient, message))
+        self._output.messages.append(OutgoingMessage(recipient, message))
 
     def _send_after(self, write_number: int, recipient: MemberId, message: RaftMessage) -> None:
         """Sends once the write is durable, and not at all if the term has changed by then."""
--- a/kelpcourse/shared/raft/election.py
+++ b/kelpcourse/shared/raft/election.py
@@ -4,7 +4,7 @@
 
 from kelpcourse.shared.raft.base import RaftBase
 from kelpcourse.shared.raft.messages import MemberId, RequestVote, RequestVoteReply
-from kelpcourse.shared.raft.options import Role
+from kelpcourse.shared.raft.role import Role
 
 
 class ElectionRole(RaftBase):
--- a/kelpcourse/shared/raft/follower.py
+++ b/kelpcourse/shared/raft/follower.py
@@ -16,7 +16,7 @@
     MemberId,
     Snapshot,
 )
-from kelpcourse.shared.raft.options import Role
+from kelpcourse.shared.raft.role import Role
 
 
 @dataclass
--- a/kelpcourse/shared/raft/leader.py
+++ b/kelpcourse/shared/raft/leader.py
@@ -15,8 +15,8 @@
     MemberId,
     TimeoutNow,
 )
-from kelpcourse.shared.raft.options import Role
 from kelpcourse.shared.raft.progress import Progress
+from kelpcourse.shared.raft.role import Role
 
 FOREVER_US = 1 << 62  # a member is always in contact with itself
 
--- a/kelpcourse/shared/raft/node.py
+++ b/kelpcourse/shared/raft/node.py
@@ -28,7 +28,7 @@
     Snapshot,
     TimeoutNow,
 )
-from kelpcourse.shared.raft.options import Role
+from kelpcourse.shared.raft.role import Role
 
 
 @dataclass(frozen=True)
--- a/kelpcourse/shared/settings.py
+++ b/kelpcourse/shared/settings.py
@@ -84,18 +84,20 @@
         """Yields fields that contradict each other, and why."""
         names = [member.name for member in self.member]
         for name in sorted({name for name in names if names.count(name) > 1}):
-            yield "member", f"{name} stands twice"
+            yield "member", f"{name} is listed twice"
         if self.me not in names:
             yield "me", f"{self.me} is not among the members"
         if self.election_ms < MIN_HEARTBEATS_PER_ELECTION * self.beat_ms:
             yield (
                 "election-ms",
-                f"{self.election_ms} is under three beats of {self.beat_ms}: one lost beat unseats",
+                f"{self.election_ms} is under three heartbeats of {self.beat_ms}: "
+                "one lost heartbeat would unseat the leader",
             )
         if self.lease_ms < self.election_ms:
             yield (
                 "lease-ms",
-                f"{self.lease_ms} is under an election of {self.election_ms}: leases run out by each",
+                f"{self.lease_ms} is under an election of {self.election_ms}: "
+                "leases would expire in each election",
             )
 
 
@@ -189,7 +191,7 @@
     key = folder / block.key
     days_left = days_until_expiry(certificate)
     if days_left <= 0:
-        raise CertificateError(f"{certificate}: ended {-days_left:.0f} days ago")
+        raise CertificateError(f"{certificate}: expired {-days_left:.0f} days ago")
     server = tls_context(True, authority, certificate, key)
     client = tls_context(False, authority, certificate, key)
     return TlsContexts(server, client), days_left
--- a/kelpcourse/shared/storage.py
+++ b/kelpcourse/shared/storage.py
@@ -119,7 +119,7 @@
         """Starts to make writes durable; `on_written` is called later."""
         for write in writes:
             if not self._halted and not self._writer.stage(encode_write(write), write):
-                self._halt("a write was turned away")
+                self._halt("a write was rejected")
 
     def run(self) -> Routine:
         """The writer's coroutine."""
@@ -156,7 +156,7 @@
     is_empty = found.snapshot is None
     if is_empty and (token_path.exists() or alarming):
         raise StateLostError(
-            f"{path} has lost what {name} promised; remove the folder and add the member anew"
+            f"{path} has lost what {name} promised; remove the folder and add the member again"
         )
     if alarming:
         raise StateLostError(f"{path} is damaged: {'; '.join(r.what for r in alarming)}")
--- a/tests/raftmutants.py
+++ b/tests/raftmutants.py
@@ -14,7 +14,7 @@
     RequestVoteReply,
 )
 from kelpcourse.shared.raft.node import Raft
-from kelpcourse.shared.raft.options import Role
+from kelpcourse.shared.raft.role import Role
 from tests.raftworld import MS, TIMING, Node, World
 
 
--- a/tests/raftworld.py
+++ b/tests/raftworld.py
@@ -11,8 +11,9 @@
 from kelpcourse.shared.errors import RequestRejectedError
 from kelpcourse.shared.raft.messages import Configuration, EntryKind, LogEntry, MemberId, Snapshot
 from kelpcourse.shared.raft.node import Raft
-from kelpcourse.shared.raft.options import RaftOptions, Role
+from kelpcourse.shared.raft.options import RaftOptions
 from kelpcourse.shared.raft.persistent import PersistentState, StateWrite, apply_write
+from kelpcourse.shared.raft.role import Role
 
 MS = 1000
 TIMING = RaftOptions(
--- a/tests/test_group_controller.py
+++ b/tests/test_group_controller.py
@@ -16,7 +16,7 @@
 from kelpcourse.settings import read_settings
 from kelpcourse.shared.controller_events import ControllerOptions
 from kelpcourse.shared.errors import RequestRejectedError
-from kelpcourse.shared.group_controller import GroupControllers, GroupRuntime
+from kelpcourse.shared.group_controller import GroupContext, GroupControllers
 from kelpcourse.shared.lease_timing import LeaseTiming
 from kelpcourse.shared.member import FleetMember, MemberSettings
 from kelpcourse.shared.raft.options import RaftOptions
@@ -89,7 +89,7 @@
                 group_controllers[name].on_event(event) if name in group_controllers else None
             ),
         )
-        runtime = GroupRuntime(
+        context = GroupContext(
             self.lab.loop,
             Limits(),
             Counters(),
@@ -102,7 +102,7 @@
             member.epoch,
             member.submit,
         )
-        group_controllers[name] = GroupControllers(runtime)
+        group_controllers[name] = GroupControllers(context)
         self.tasks[name] = []
         member.start(lambda _, make: self.tasks[name].append(self.lab.loop.start(name, make())))
         self.members[name] = member
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -7,7 +7,7 @@
 import pytest
 
 from kelpcourse.shared.errors import RequestRejectedError
-from kelpcourse.shared.raft.options import Role
+from kelpcourse.shared.raft.role import Role
 from tests.raftworld import MS, TIMING, World, storm
 
 SEEDS = range(60)
--- a/tests/test_raft_model.py
+++ b/tests/test_raft_model.py
@@ -22,10 +22,12 @@
     Snapshot,
 )
 from kelpcourse.shared.raft.node import Raft
-from kelpcourse.shared.raft.options import RaftOptions, RaftOutput, Role
+from kelpcourse.shared.raft.options import RaftOptions
+from kelpcourse.shared.raft.output import RaftOutput
 from kelpcourse.shared.raft.persistent import PersistentState, apply_write
-from tests.raftworld import Broken
+from kelpcourse.shared.raft.role import Role
 from tests.raftmutants import CountsHalf, LeadsWithoutAMajority, VotesTwice
+from tests.raftworld import Broken
 
 NAMES = ("a", "b", "c")
 FAR_US = 10_000_000  # between two steps: nobody is bound by having heard of a leader
