--- a/kelpcourse/lab/story.py
+++ b/kelpcourse/lab/story.py
@@ -89,7 +89,7 @@
         elif line["event"] == "zone_updated":
             self._say(f"zone   {line['zone']} serial {line['serial']}, {line['hosts']} hosts")
         elif line["event"] == "unexpected_error":
-            self.summary.failed = f"an unexpected error in the controller: {line['error']}"
+            self.summary.failed = f"a defect in the director: {line['error']}"
 
     def run(self) -> Summary:
         try:
--- a/kelpcourse/shared/peers.py
+++ b/kelpcourse/shared/peers.py
@@ -1,7 +1,7 @@
-"""Connections among controllers: each dials every other and speaks on its own line; what comes in is heard on theirs.
+"""Connections among controllers: each dials every other one and sends on that connection only.
 
-A line begins with Hello and carries length-prefixed envelopes. With TLS the name in a certificate must be the name of
-the member that speaks. Messages are not kept for a peer that is away: agreement asks again by itself.
+A connection begins with `Hello` and carries length-prefixed messages. With TLS the name in a certificate must be the
+name of the member that speaks. Messages are not kept for a peer that is away: Raft sends again by itself.
 """
 
 from __future__ import annotations
@@ -13,239 +13,262 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.shared.codec import BadPeerMessage, Hello, Letter, Unknown, decode, encode
-from kelpcourse.shared.controller import PeerMessage
+from kelpcourse.shared.controller_events import PeerMessage
+from kelpcourse.shared.errors import PeerMessageError
+from kelpcourse.shared.peer_codec import (
+    AddressedMessage,
+    Hello,
+    UnsupportedMessage,
+    decode,
+    encode,
+)
+from kelpcourse.shared.peer_framing import MessageReader, with_length_prefix
+from kelpcourse.shared.raft.messages import MemberId
 from kelpcourse.wire.errors import StreamError, StreamTimeoutError
 from kelpcourse.wire.loop import READ, Coroutine, Loop, Signal, Task, Wait, WakeReason
 from kelpcourse.wire.runtime import Backoff, EventLog
 from kelpcourse.wire.stream import Address, Stream, connect, listen
 from kelpcourse.wire.tls import TlsStream
 
-HEAD = 4  # bytes of a length
+UNEXPECTED_READ_BYTES = 512  # nothing but the connection's end is expected
+MEMBER_TOKEN_SEPARATOR = "@"
 
 
 @dataclass(frozen=True)
-class Tls:
-    """Contexts, made anew when certificates are renewed: connections that stand go on."""
+class TlsContexts:
+    """Contexts for connections of both directions; replaced when certificates are renewed."""
 
     server: ssl.SSLContext
     client: ssl.SSLContext
 
 
-def name_of(member: str) -> str:
-    return member.partition("@")[0]
+def member_name(member: MemberId) -> str:
+    """Returns a member's name without the token of its disk."""
+    return member.partition(MEMBER_TOKEN_SEPARATOR)[0]
 
 
-class Line:
-    """Messages on their way to one peer; the oldest go when too many wait."""
+class OutboundQueue:
+    """Messages to one peer; the oldest are dropped when too many wait."""
 
-    def __init__(self, name: str, address: Address, most: int) -> None:
+    def __init__(self, name: str, address: Address, max_messages: int) -> None:
+        """Starts empty."""
         self.name = name
         self.address = address
-        self.waiting: deque[bytes] = deque(maxlen=most)
-        self.more = Signal()
+        self.messages: deque[bytes] = deque(maxlen=max_messages)
+        self.not_empty = Signal()
+
+    def put(self, message: bytes) -> bool:
+        """Adds a message; false: an older one was dropped for it."""
+        is_full = len(self.messages) == self.messages.maxlen
+        self.messages.append(message)
+        self.not_empty.set()
+        return not is_full
 
 
 class Peers:
+    """All connections of one member."""
+
     def __init__(
         self,
         loop: Loop,
         limits: Limits,
         counters: Counters,
         log: EventLog,
-        me: str,
+        member_id: MemberId,
         address: Address,
-        others: Mapping[str, Address],
-        tls: Callable[[], Tls | None],
-        heard: Callable[[str, PeerMessage], None],
+        peer_addresses: Mapping[str, Address],
+        tls: Callable[[], TlsContexts | None],
+        on_message: Callable[[MemberId, PeerMessage], None],
     ) -> None:
-        """`me`: our member; `others`: addresses by name."""
+        """Listens at `address`; `start` starts the coroutines.
+
+        Args:
+            loop: Runs the coroutines.
+            limits: Of connections and messages.
+            counters: Of the process.
+            log: Of the process.
+            member_id: This member.
+            address: Where to listen.
+            peer_addresses: The other controllers, by name.
+            tls: Returns the current contexts, or None for plain connections.
+            on_message: Called with the sender and its message.
+
+        Raises:
+            OSError: The address can't be listened at.
+        """
         self._loop = loop
         self._limits = limits
         self._counters = counters
         self._log = log
-        self._me = me
+        self._member_id = member_id
         self._tls = tls
-        self._heard = heard
-        self._lines = {
-            name: Line(name, at, limits.max_queued_peer_messages) for name, at in others.items()
+        self._on_message = on_message
+        self._queues = {
+            name: OutboundQueue(name, peer_address, limits.max_queued_peer_messages)
+            for name, peer_address in peer_addresses.items()
         }
-        self.members: dict[str, str] = {}  # by name: who last said Hello under it
-        self._sock = listen(address, limits.listen_backlog)
-        self._connections = 0
+        self.members: dict[str, MemberId] = {}  # by name: who last said Hello under it
+        self._socket = listen(address, limits.listen_backlog)
+        self._connection_count = 0
         self._incoming: list[Task] = []
-        self.address: Address = self._sock.getsockname()[:2]
+        self.address: Address = self._socket.getsockname()[:2]
 
     def start(self, keep: Callable[[str, Callable[[], Coroutine[None]]], None]) -> None:
+        """Starts the coroutines; `keep` restarts one that fails."""
         keep("peers in", self._accept)
-        for line in self._lines.values():
-            keep("peer out", lambda line=line: self._speak(line))  # type: ignore[misc]
+        for queue in self._queues.values():
+            keep("peer out", lambda queue=queue: self._send_all(queue))  # type: ignore[misc]
 
     def close(self) -> None:
+        """Stops what comes in."""
         for task in self._incoming:
             self._loop.stop(task)
-        self._sock.close()
+        self._socket.close()
 
-    def send(self, to: str, message: PeerMessage) -> None:
-        line = self._lines.get(name_of(to))
-        if line is None:
+    def send(self, recipient: MemberId, message: PeerMessage) -> None:
+        """Queues a message, if the recipient is in the settings."""
+        queue = self._queues.get(member_name(recipient))
+        if queue is None:
             self._counters.add("peer_messages_lost")
             return
-        if len(line.waiting) == line.waiting.maxlen:
+        if not queue.put(encode(self._member_id, recipient, message)):
             self._counters.add("peer_messages_lost")
-        line.waiting.append(encode(self._me, to, message))
-        line.more.set()
 
-    # Out
+    # Outgoing connections
 
-    def _speak(self, line: Line) -> Coroutine[None]:
+    def _send_all(self, queue: OutboundQueue) -> Coroutine[None]:
         backoff = Backoff(self._limits)
         while True:
             try:
-                yield from self._speak_once(line, backoff)
+                yield from self._send_on_connection(queue, backoff)
             except StreamError as error:
                 self._counters.add("peer_connections_broken")
-                self._log.event("peer_unreachable", peer=line.name, reason=str(error))
+                self._log.event("peer_unreachable", peer=queue.name, reason=str(error))
             yield Wait(self._loop.clock() + backoff.next_us())
 
-    def _speak_once(self, line: Line, backoff: Backoff) -> Coroutine[None]:
+    def _send_on_connection(self, queue: OutboundQueue, backoff: Backoff) -> Coroutine[None]:
         clock = self._loop.clock
-        stream = yield from connect(line.address, clock() + self._limits.connect_timeout_us)
+        stream = yield from connect(queue.address, clock() + self._limits.connect_timeout_us)
         try:
             tls = self._tls()
             if tls is not None:
-                stream = TlsStream(stream, tls.client, False, line.name)
+                stream = TlsStream(stream, tls.client, False, queue.name)
                 yield from stream.handshake(clock() + self._limits.peer_handshake_timeout_us)
-            line.waiting.clear()  # what waited while it was away is old
-            yield from self._put(stream, encode(self._me, "", Hello(self._me)))
+            queue.messages.clear()  # what waited while the peer was away is obsolete
+            yield from self._send_hello(stream)
             backoff.reset()
-            self._log.event("peer_connected", peer=line.name)
-            while True:
-                line.more.clear()
-                while line.waiting:
-                    yield from self._put(stream, line.waiting.popleft())
-                # Nothing is ever said on this line but by us: what can be read is its end, or TLS's own.
-                woken = yield Wait(
-                    clock() + self._limits.peer_heartbeat_us, stream.sock.fileno(), READ, line.more
-                )
-                if woken is WakeReason.READY:
-                    yield from self._still_open(stream)
-                elif (
-                    woken is WakeReason.TIMED_OUT
-                ):  # a sign of life: two followers have nothing to say to each other
-                    yield from self._put(stream, encode(self._me, "", Hello(self._me)))
+            self._log.event("peer_connected", peer=queue.name)
+            yield from self._send_queued(stream, queue)
         finally:
             stream.close()
 
-    def _still_open(self, stream: Stream) -> Coroutine[None]:
+    def _send_queued(self, stream: Stream, queue: OutboundQueue) -> Coroutine[None]:
+        clock = self._loop.clock
+        while True:
+            queue.not_empty.clear()
+            while queue.messages:
+                yield from self._send_message(stream, queue.messages.popleft())
+            # The peer sends nothing here: what can be read is the connection's end, or TLS's own.
+            woken = yield Wait(
+                clock() + self._limits.peer_heartbeat_us,
+                stream.sock.fileno(),
+                READ,
+                queue.not_empty,
+            )
+            if woken is WakeReason.READY:
+                yield from self._check_open(stream)
+            elif woken is WakeReason.TIMED_OUT:
+                # A heartbeat: two followers have nothing else to say to each other.
+                yield from self._send_hello(stream)
+
+    def _check_open(self, stream: Stream) -> Coroutine[None]:
+        buffer = memoryview(bytearray(UNEXPECTED_READ_BYTES))
         try:
-            count = yield from stream.recv_into(memoryview(bytearray(512)), self._loop.clock())
+            count = yield from stream.recv_into(buffer, self._loop.clock())
         except StreamTimeoutError:  # TLS has taken what came for itself
             return
         if not count:
             raise StreamError("closed")
 
-    def _put(self, stream: Stream, data: bytes) -> Coroutine[None]:
-        yield from stream.send(
-            len(data).to_bytes(HEAD, "big") + data,
-            self._loop.clock() + self._limits.send_timeout_us,
-        )
-        self._counters.add("peer_bytes_out", HEAD + len(data))
+    def _send_hello(self, stream: Stream) -> Coroutine[None]:
+        hello = encode(self._member_id, "", Hello(self._member_id))
+        yield from self._send_message(stream, hello)
 
-    # In
+    def _send_message(self, stream: Stream, data: bytes) -> Coroutine[None]:
+        frame = with_length_prefix(data)
+        yield from stream.send(frame, self._loop.clock() + self._limits.send_timeout_us)
+        self._counters.add("peer_bytes_out", len(frame))
+
+    # Incoming connections
 
     def _accept(self) -> Coroutine[None]:
         while True:
-            yield Wait(fd=self._sock.fileno(), event_mask=READ)
+            yield Wait(fd=self._socket.fileno(), event_mask=READ)
             try:
-                connection, _ = self._sock.accept()
+                connection, _ = self._socket.accept()
             except (BlockingIOError, ConnectionAbortedError):
                 continue
             except OSError as error:
                 self._log.event(
-                    "descriptors_exhausted", reason=str(error), connections=self._connections
+                    "descriptors_exhausted", reason=str(error), connections=self._connection_count
                 )
                 yield Wait(self._loop.clock() + self._limits.accept_retry_us)
                 continue
-            if self._connections >= self._limits.max_peer_connections:
+            if self._connection_count >= self._limits.max_peer_connections:
                 connection.close()
                 continue
             self._incoming = [task for task in self._incoming if task.wait is not None]
-            self._incoming.append(self._loop.start("peer in", self._listen(Stream(connection))))
+            task = self._loop.start("peer in", self._receive_all(Stream(connection)))
+            self._incoming.append(task)
 
-    def _listen(self, stream: Stream) -> Coroutine[None]:
-        self._connections += 1
+    def _receive_all(self, stream: Stream) -> Coroutine[None]:
+        self._connection_count += 1
         clock = self._loop.clock
-        until_us = clock() + self._limits.peer_handshake_timeout_us
+        deadline_us = clock() + self._limits.peer_handshake_timeout_us
         try:
             tls = self._tls()
-            name = None
+            certified_name = None
             if tls is not None:
                 stream = TlsStream(stream, tls.server, True)
-                yield from stream.handshake(until_us)
-                name = stream.peer_name()
-            reader = Reader(stream, self._limits)
-            hello = self._read((yield from reader.next(until_us)))
-            self._welcome(hello, name)
+                yield from stream.handshake(deadline_us)
+                certified_name = stream.peer_name()
+            reader = MessageReader(stream, self._limits)
+            hello = self._decode((yield from reader.next(deadline_us)))
+            self._check_hello(hello, certified_name)
             while True:
-                letter = self._read(
-                    (yield from reader.next(clock() + self._limits.peer_silence_timeout_us))
-                )
-                self._take(letter, hello.sender)
-        except (StreamError, BadPeerMessage) as error:
+                silence_us = clock() + self._limits.peer_silence_timeout_us
+                message = self._decode((yield from reader.next(silence_us)))
+                self._handle(message, hello.sender)
+        except (StreamError, PeerMessageError) as error:
             self._counters.add("peer_connections_closed")
             self._log.event("peer_connection_closed", reason=str(error))
         finally:
-            self._connections -= 1
+            self._connection_count -= 1
             stream.close()
 
-    def _read(self, data: bytes) -> Letter:
+    def _decode(self, data: bytes) -> AddressedMessage:
         self._counters.add("peer_messages_in")
         return decode(data)
 
-    def _welcome(self, letter: Letter, certified: str | None) -> None:
-        name = name_of(letter.sender)
-        if not isinstance(letter.body, Hello) or letter.body.member != letter.sender:
-            raise BadPeerMessage("a line that does not begin with its member")
-        if name not in self._lines:
-            raise BadPeerMessage(f"{name!r:.60} is no member in the settings")
-        if certified is not None and certified != name:
-            raise BadPeerMessage(f"{name!r:.60} with the certificate of {certified!r:.60}")
-        self.members[name] = letter.sender
-
-    def _take(self, letter: Letter, sender: str) -> None:
-        if letter.sender != sender:
-            raise BadPeerMessage(
-                f"a message of {letter.sender!r:.60} on the line of {sender!r:.60}"
+    def _check_hello(self, message: AddressedMessage, certified_name: str | None) -> None:
+        name = member_name(message.sender)
+        if not isinstance(message.body, Hello) or message.body.member != message.sender:
+            raise PeerMessageError("a connection that does not begin with its member")
+        if name not in self._queues:
+            raise PeerMessageError(f"{name!r:.60} is no member in the settings")
+        if certified_name is not None and certified_name != name:
+            raise PeerMessageError(f"{name!r:.60} with the certificate of {certified_name!r:.60}")
+        self.members[name] = message.sender
+
+    def _handle(self, message: AddressedMessage, connected: MemberId) -> None:
+        if message.sender != connected:
+            raise PeerMessageError(
+                f"a message of {message.sender!r:.60} on the connection of {connected!r:.60}"
             )
-        if isinstance(letter.body, Unknown | Hello):
+        if isinstance(message.body, UnsupportedMessage | Hello):
             self._counters.add("peer_messages_unknown")
-        elif letter.to != self._me:  # meant for this name with another disk, which is not us
+        elif message.recipient != self._member_id:
+            # For this name with another disk, which is another member.
             self._counters.add("peer_messages_misrouted")
         else:
-            self._heard(sender, letter.body)
-
-
-class Reader:
-    """Length-prefixed messages out of a stream."""
-
-    def __init__(self, stream: Stream, limits: Limits) -> None:
-        self._stream = stream
-        self._most = limits.max_peer_message_bytes
-        self._held = bytearray()
-        self._room = memoryview(bytearray(limits.initial_read_buffer_bytes))
-
-    def next(self, until_us: int) -> Coroutine[bytes]:
-        while True:
-            if len(self._held) >= HEAD:
-                size = int.from_bytes(self._held[:HEAD], "big")
-                if size > self._most:
-                    raise BadPeerMessage(f"a message of {size} bytes, {self._most} at most")
-                if len(self._held) >= HEAD + size:
-                    data = bytes(self._held[HEAD : HEAD + size])
-                    del self._held[: HEAD + size]
-                    return data
-            count = yield from self._stream.recv_into(self._room, until_us)
-            if not count:
-                raise StreamError("closed")
-            self._held += self._room[:count]
+            self._on_message(connected, message.body)
