--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import ast
+import dataclasses
 import importlib.util
 import re
 from collections.abc import Iterator
@@ -10,6 +11,8 @@
 
 import pytest
 
+from kelpcourse.limits import Limits
+
 ROOT = Path(__file__).parent.parent
 DOCS = ROOT / "docs"
 SOURCES = {
@@ -49,16 +52,20 @@
 # Names in the code
 
 
-def calls() -> Iterator[tuple[str, str, ast.Call]]:
+def calls_in(tree: ast.AST) -> Iterator[tuple[str, str, ast.Call]]:
     """Every call of a method: the last name of its receiver, the method's name, the call."""
+    for node in ast.walk(tree):
+        if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute):
+            receiver = node.func.value
+            if isinstance(receiver, ast.Attribute):
+                yield receiver.attr, node.func.attr, node
+            elif isinstance(receiver, ast.Name):
+                yield receiver.id, node.func.attr, node
+
+
+def calls() -> Iterator[tuple[str, str, ast.Call]]:
     for tree in SOURCES.values():
-        for node in ast.walk(tree):
-            if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute):
-                receiver = node.func.value
-                if isinstance(receiver, ast.Attribute):
-                    yield receiver.attr, node.func.attr, node
-                elif isinstance(receiver, ast.Name):
-                    yield receiver.id, node.func.attr, node
+        yield from calls_in(tree)
 
 
 def first_names(call: ast.Call) -> Iterator[str]:
@@ -87,13 +94,35 @@
     return fields
 
 
+def counting_functions() -> dict[str, str]:
+    """Functions that count under a name made of their first argument, each with that name."""
+    functions: dict[str, str] = {}
+    for tree in SOURCES.values():
+        for node in ast.walk(tree):
+            if isinstance(node, ast.FunctionDef):
+                arguments = [argument.arg for argument in node.args.args if argument.arg != "self"]
+                for pattern in counted_by(node, set(arguments[:1])):
+                    functions[node.name] = pattern
+    return functions
+
+
+def counted_by(function: ast.FunctionDef, arguments: set[str]) -> Iterator[str]:
+    for receiver, _, call in calls_in(function):
+        for value in call.args[:1]:
+            filled_in = {node.id for node in ast.walk(value) if isinstance(node, ast.Name)}
+            is_counter = receiver.endswith("counters") and isinstance(value, ast.JoinedStr)
+            if is_counter and filled_in == arguments:
+                yield from first_names(call)
+
+
 def counter_names() -> set[str]:
     names: set[str] = set()
+    functions = counting_functions()
     for receiver, method, call in calls():
         if receiver.endswith("counters"):
             names |= set(first_names(call))
-        elif method == "bad_message":
-            names |= {f"{source}_messages_rejected" for source in first_names(call)}
+        elif method in functions:
+            names |= {functions[method].replace("*", source) for source in first_names(call)}
     return names
 
 
@@ -191,6 +220,41 @@
     assert [name for name in names if f'"{name}"' not in source] == []
 
 
+def renamed() -> list[list[list[str]]]:
+    """The tables of old and new names: log events, fields by their event's new name, counters."""
+    blocks = section(DOCS / "on-call.md", RENAMED).split("\n\n")
+    tables = [rows(block) for block in blocks if block.lstrip().startswith("|")]
+    return [[CODE.findall(" ".join(row)) for row in table] for table in tables]
+
+
+def test_renamed_log_events_are_written_under_their_new_names_alone() -> None:
+    events, _, _ = renamed()
+    assert len(events) > 40
+    assert [new for _, new in events if new not in EVENTS] == []
+    assert [old for old, _ in events if old in EVENTS] == []
+
+
+def test_renamed_fields_are_written_under_their_new_names_alone() -> None:
+    _, fields, _ = renamed()
+    assert len(fields) > 15
+    assert [(event, new) for event, _, new in fields if new not in EVENTS.get(event, ())] == []
+    assert [(event, old) for event, old, _ in fields if old in EVENTS.get(event, ())] == []
+
+
+def test_renamed_counters_are_written_under_their_new_names_alone() -> None:
+    _, _, counters = renamed()
+    assert len(counters) > 40
+    assert [new for _, new in counters if not written(new, COUNTERS)] == []
+    assert [old for old, _ in counters if old in COUNTERS] == []
+
+
+def test_no_name_is_renamed_twice() -> None:
+    for table in renamed():
+        for kept in (slice(0, -1), slice(-1, None)):
+            names = [tuple(row[:-2] + row[-2:][kept]) for row in table]
+            assert len(names) == len(set(names))
+
+
 # Links and names
 
 
@@ -222,6 +286,13 @@
     return CODE.findall("\n".join(lines))
 
 
+@pytest.mark.parametrize("page", CURRENT_PAGES, ids=name_of)
+def test_every_file_that_is_named_exists(page: Path) -> None:
+    paths = re.compile(r"(?:kelpcourse|tests|docs|deploy|benchmarks|journal)/[\w./-]*")
+    named_paths = [name for name in backticked(page) if paths.fullmatch(name)]
+    assert [name for name in named_paths if not (ROOT / name).exists()] == []
+
+
 @pytest.mark.parametrize("page", CURRENT_PAGES, ids=name_of)
 def test_every_module_that_is_named_can_be_found(page: Path) -> None:
     modules = [name for name in backticked(page) if re.fullmatch(r"kelpcourse(\.\w+)+", name)]
@@ -235,3 +306,18 @@
     named_tests = [(page, name) for page, name in names if re.fullmatch(r"test_\w+", name)]
     assert len(named_tests) > 30
     assert [(page, name) for page, name in named_tests if name not in defined] == []
+
+
+@pytest.mark.parametrize("page", CURRENT_PAGES, ids=name_of)
+def test_every_class_and_member_that_is_named_is_in_the_code(page: Path) -> None:
+    words = {word for path in SOURCES for word in re.findall(r"\w+", text_of(path))}
+    names = [name for name in backticked(page) if re.fullmatch(r"[A-Z]\w*[a-z]\w*(\.\w+)?", name)]
+    parts = [(name, part) for name in names for part in name.split(".")]
+    assert [name for name, part in parts if part not in words] == []
+
+
+def test_every_limit_that_is_explained_is_a_field() -> None:
+    names = [name for row in rows(text_of(DOCS / "limits.md")) for name in CODE.findall(row[0])]
+    fields = {field.name for field in dataclasses.fields(Limits)}
+    assert len(names) > 15
+    assert [name for name in names if name not in fields] == []
