--- a/kelpcourse/shared/peer_codec.py
+++ b/kelpcourse/shared/peer_codec.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from typing import Any, TypeAlias
 
@@ -78,95 +79,128 @@
     "Renewed": LeaseReply,
     "Tell": ForwardedCommands,
 }
-_SCHEMA_NAMES = {message_type: name for name, message_type in MESSAGE_TYPES.items()}
-_BODY_NAMES = {body_field_name(name): name for name in MESSAGE_TYPES}
 
 
-def encode(sender: MemberId, recipient: MemberId, body: PeerMessage | Hello) -> bytes:
-    """Returns the bytes of a message."""
-    envelope = Envelope(version=VERSION, sender=sender, to=recipient)
-    name = _SCHEMA_NAMES[type(body)]
-    target = getattr(envelope, body_field_name(name))
-    target.SetInParent()
-    for field in MESSAGES[name]:
-        _write_field(target, field, getattr(body, field.attribute_name))
-    return bytes(envelope.SerializeToString())
+@dataclass(frozen=True)
+class _FieldCodec:
+    """How one field is written and read; chosen once, as the tables are fixed."""
 
+    name: str
+    attribute: str
+    write: Callable[[ProtoMessage, str, FieldValue], None]
+    read: Callable[[ProtoMessage, str], FieldValue]
 
-def decode(data: bytes) -> AddressedMessage:
-    """Reads a message. Raises PeerMessageError."""
-    try:
-        envelope = Envelope.FromString(data)
-        body = _read_body(envelope)
-    except (DecodeError, ValueError) as error:
-        raise PeerMessageError(str(error)) from error
-    return AddressedMessage(envelope.sender, envelope.to, body)
 
+@dataclass(frozen=True)
+class _BodyCodec:
+    """How one kind of message is written and read."""
 
-def _read_body(envelope: ProtoMessage) -> PeerMessage | Hello | UnsupportedMessage:
-    field_name = envelope.WhichOneof("body")
-    if field_name is None:
-        return UnsupportedMessage(envelope.version)
-    name = _BODY_NAMES[field_name]
-    source = getattr(envelope, field_name)
-    values = {field.attribute_name: _read_field(source, field) for field in MESSAGES[name]}
-    return MESSAGE_TYPES[name](**values)
+    envelope_field: str
+    message_type: type[PeerMessage | Hello]
+    fields: tuple[_FieldCodec, ...]
 
 
-def _write_field(target: ProtoMessage, field: Field, value: FieldValue) -> None:
-    match field.type:
-        case Part.MEMBERS:
-            _write_configuration(getattr(target, field.name), value)
-        case Part.LOG_ENTRY:
-            _write_entries(getattr(target, field.name), value)
-        case Part.HELD:
-            held = getattr(target, field.name)
-            for group, epoch in value.items():
-                held.add(group=group, epoch=epoch)
-        case _ if field.is_repeated:
-            getattr(target, field.name).extend(value)
-        case _:
-            setattr(target, field.name, value)
+def _write_repeated(target: ProtoMessage, name: str, values: FieldValue) -> None:
+    getattr(target, name).extend(values)
 
 
-def _read_field(source: ProtoMessage, field: Field) -> FieldValue:
-    value = getattr(source, field.name)
-    match field.type:
-        case Part.MEMBERS:
-            return _read_configuration(value)
-        case Part.LOG_ENTRY:
-            return tuple(map(_read_entry, value))
-        case Part.HELD:
-            return _read_epochs(value)
-        case _ if field.is_repeated:
-            return tuple(value)
-        case _:
-            return value
+def _read_repeated(source: ProtoMessage, name: str) -> tuple[FieldValue, ...]:
+    return tuple(getattr(source, name))
 
 
-def _write_configuration(target: ProtoMessage, config: Configuration) -> None:
-    target.SetInParent()
-    target.voters.extend(sorted(config.voters))
-    target.learners.extend(sorted(config.learners))
+def _write_configuration(target: ProtoMessage, name: str, config: Configuration) -> None:
+    members = getattr(target, name)
+    members.SetInParent()
+    members.voters.extend(sorted(config.voters))
+    members.learners.extend(sorted(config.learners))
 
 
-def _read_configuration(source: ProtoMessage) -> Configuration:
-    return Configuration(frozenset(source.voters), frozenset(source.learners))
+def _read_configuration(source: ProtoMessage, name: str) -> Configuration:
+    members = getattr(source, name)
+    return Configuration(frozenset(members.voters), frozenset(members.learners))
 
 
-def _write_entries(target: ProtoMessage, entries: tuple[LogEntry, ...]) -> None:
+def _write_entries(target: ProtoMessage, name: str, entries: tuple[LogEntry, ...]) -> None:
+    stored = getattr(target, name)
     for entry in entries:
-        added = target.add(
+        added = stored.add(
             index=entry.index, term=entry.term, kind=entry.kind.value, data=entry.data
         )
         if entry.config is not None:
-            _write_configuration(added.members, entry.config)
+            _write_configuration(added, "members", entry.config)
+
+
+def _read_entries(source: ProtoMessage, name: str) -> tuple[LogEntry, ...]:
+    return tuple(map(_read_entry, getattr(source, name)))
 
 
 def _read_entry(source: ProtoMessage) -> LogEntry:
-    config = _read_configuration(source.members) if source.HasField("members") else None
+    config = _read_configuration(source, "members") if source.HasField("members") else None
     return LogEntry(source.index, source.term, EntryKind(source.kind), source.data, config)
 
 
-def _read_epochs(source: ProtoMessage) -> dict[GroupId, int]:
-    return {held.group: held.epoch for held in source}
+def _write_epochs(target: ProtoMessage, name: str, epochs: Mapping[GroupId, int]) -> None:
+    held = getattr(target, name)
+    for group, epoch in epochs.items():
+        held.add(group=group, epoch=epoch)
+
+
+def _read_epochs(source: ProtoMessage, name: str) -> dict[GroupId, int]:
+    return {held.group: held.epoch for held in getattr(source, name)}
+
+
+def _field_codec(field: Field) -> _FieldCodec:
+    name = field.name
+    attribute = field.attribute_name
+    match field.type:
+        case Part.MEMBERS:
+            return _FieldCodec(name, attribute, _write_configuration, _read_configuration)
+        case Part.LOG_ENTRY:
+            return _FieldCodec(name, attribute, _write_entries, _read_entries)
+        case Part.HELD:
+            return _FieldCodec(name, attribute, _write_epochs, _read_epochs)
+        case _ if field.is_repeated:
+            return _FieldCodec(name, attribute, _write_repeated, _read_repeated)
+        case _:
+            return _FieldCodec(name, attribute, setattr, getattr)
+
+
+def _body_codec(name: str, message_type: type[PeerMessage | Hello]) -> _BodyCodec:
+    fields = tuple(map(_field_codec, MESSAGES[name]))
+    return _BodyCodec(body_field_name(name), message_type, fields)
+
+
+_CODECS = [_body_codec(name, message_type) for name, message_type in MESSAGE_TYPES.items()]
+_BY_TYPE = {codec.message_type: codec for codec in _CODECS}
+_BY_ENVELOPE_FIELD = {codec.envelope_field: codec for codec in _CODECS}
+
+
+def encode(sender: MemberId, recipient: MemberId, body: PeerMessage | Hello) -> bytes:
+    """Returns the bytes of a message."""
+    envelope = Envelope(version=VERSION, sender=sender, to=recipient)
+    codec = _BY_TYPE[type(body)]
+    target = getattr(envelope, codec.envelope_field)
+    target.SetInParent()
+    for field in codec.fields:
+        field.write(target, field.name, getattr(body, field.attribute))
+    return bytes(envelope.SerializeToString())
+
+
+def decode(data: bytes) -> AddressedMessage:
+    """Reads a message. Raises PeerMessageError."""
+    try:
+        envelope = Envelope.FromString(data)
+        body = _read_body(envelope)
+    except (DecodeError, ValueError) as error:
+        raise PeerMessageError(str(error)) from error
+    return AddressedMessage(envelope.sender, envelope.to, body)
+
+
+def _read_body(envelope: ProtoMessage) -> PeerMessage | Hello | UnsupportedMessage:
+    field_name = envelope.WhichOneof("body")
+    if field_name is None:
+        return UnsupportedMessage(envelope.version)
+    codec = _BY_ENVELOPE_FIELD[field_name]
+    source = getattr(envelope, field_name)
+    values = {field.attribute: field.read(source, field.name) for field in codec.fields}
+    return codec.message_type(**values)
