--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -146,7 +146,8 @@
 def test_the_names_that_the_source_shows_are_found() -> None:
     assert named(r'log\.(?:event|always)\("([a-z_]+)"') <= set(EVENTS)
     assert named(r'counters\.(?:add|most)\("([a-z_]+)"') <= COUNTERS
-    sources = named(r'bad_message\("([a-z_]+)"')
+    sources = named(r'reject_message\("([a-z_]+)"')
+    assert "relay" in sources
     assert {f"{source}_messages_rejected" for source in sources} <= COUNTERS
 
 
