--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -148,6 +148,7 @@
     assert named(r'counters\.(?:add|record_max)\(\s*"([a-z_]+)"') <= COUNTERS
     sources = named(r'reject_message\(\s*"([a-z_]+)"')
     assert len(sources) == 4
+    assert "relay" in sources
     assert {f"{source}_messages_rejected" for source in sources} <= COUNTERS
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -84,8 +84,11 @@
 
 
 def test_a_director_on_a_zone_takes_a_room_out_and_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Primary, director, relay and forwarders, all over sockets. The real director is a process of its own; what
-    is measured in time is left to the benchmarks, so the checker's limits are wide here."""
+    """Primary, director, relay and forwarders, all over sockets.
+
+    The real director is a process of its own; what is measured in time is left to the benchmarks,
+    so the checker's limits are wide here.
+    """
     lines: list[str] = []
     monkeypatch.setattr(Lab.__init__, "__defaults__", (1, 1 << 40, 1 << 40))
     summary = story.play(lines.append, forwarders=4, hosts=4, calm_s=0.3)
--- a/tests/test_order_queue.py
+++ b/tests/test_order_queue.py
@@ -144,8 +144,12 @@
 
 
 def test_hosts_shut_out_ahead_of_their_mark_count_with_it() -> None:
-    """They are the largest calls. Without a mark of its own after a merge, nobody answered theirs who was not concerned
-    by what followed: 12,000 lines stood in the books of an empty channel, and nothing was withdrawn for 12 s."""
+    """They are the largest calls.
+
+    Without a mark of its own after a merge, nobody answered theirs who was not concerned by what
+    followed: 12,000 lines stood in the books of an empty channel, and nothing was withdrawn for
+    12 s.
+    """
     outbox = OrderQueue(100, 8)
     outbox.add([WithdrawEndpoint("a"), Checkpoint(1, False)])
     outbox.add([SetWeight(0, "b", 1.0), Checkpoint(2, False)])
@@ -283,8 +287,8 @@
 
 
 def test_no_host_shut_out_is_given_up_for_room() -> None:
-    """On a fleet of 1,600 proxies what waits for a relay that is away was cut from its oldest end, where the
-    withdrawals are."""
+    # On a fleet of 1,600 proxies what waits for a relay that is away was cut from its oldest end,
+    # where the withdrawals are.
     outbox = OrderQueue(10, 8)
     assert (
         outbox.add(
