--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -43,8 +43,11 @@
 
 
 def test_what_was_ordered_behind_a_message_that_waits_is_taken_to_wait_too() -> None:
-    """Four in five streams broke; what was ordered for those that came back was answered in 1.2 s, long before
-    older messages to the rest, and the channel held all of it until those were through: 38,944 of 38,800."""
+    """Four in five streams broke.
+
+    What was ordered for those that came back was answered in 1.2 s, long before older messages to
+    the rest, and the channel held all of it until those were through: 38,944 of 38,800.
+    """
     channel = booked({1: 10.0}, {2: 20.0}, {3: 40.0})
     channel.acknowledged(3, 3)
     assert channel.backlog_entries(SECOND) == 70
@@ -201,8 +204,8 @@
 
 
 def test_bindings_leave_room_for_hosts_to_be_withdrawn() -> None:
-    """On a fleet day bindings took each place that came free in a full channel, and hosts announced as leaving
-    waited 17 s for theirs."""
+    # On a fleet day bindings took each place that came free in a full channel, and hosts
+    # announced as leaving waited 17 s for theirs.
     settings = replace(
         SETTINGS, proxy_count=70, max_backlog_entries=4000.0, delivery_entries_per_s=2000.0
     )
@@ -268,8 +271,10 @@
 def test_lines_of_which_no_answer_tells_leave_as_those_beside_them_or_at_the_channels_pace() -> (
     None
 ):
-    """18,000 lines to proxies not bound yet were held until the last was through, 9 s later: for 7 s the next hosts
-    that leave waited for room that there was."""
+    """18,000 lines to proxies not bound yet were held until the last was through, 9 s later.
+
+    For 7 s the next hosts that leave waited for room that there was.
+    """
     channel = DeliveryTracker(LONGEST, PACE)
     channel.record_sent(1, 0, {1: 50.0, 2: 50.0}, 400.0)  # five seconds' worth
     assert channel.backlog_entries(4 * SECOND) == 500  # a slow channel: nothing is answered
@@ -297,8 +302,11 @@
 
 
 def test_a_message_counts_from_when_the_relay_took_it() -> None:
-    """A step of 466 orders was under way for 40 ms and one of 12 for 10: by the steps' times thirteen messages were
-    10 s apart where the last was written 9.99 s after the first."""
+    """A step of 466 orders was under way for 40 ms and one of 12 for 10.
+
+    By the steps' times thirteen messages were 10 s apart where the last was written 9.99 s after
+    the first.
+    """
     channel = counted(0, 1, 2, 3)
     assert not channel.within_message_budget(1.0, 10 * SECOND - 1)
     channel.accepted(1, 40_000)
--- a/tests/test_order_queue.py
+++ b/tests/test_order_queue.py
@@ -144,8 +144,12 @@
 
 
 def test_withdrawals_that_go_ahead_end_in_the_checkpoint_too() -> None:
-    """They are the largest calls. Without a checkpoint of their own, proxies that the rest did not concern never
-    acknowledged them: 12,000 entries stayed in the tracker of an empty queue, and nothing was withdrawn for 12 s."""
+    """They are the largest calls.
+
+    Without a checkpoint of their own, proxies that the rest did not concern never acknowledged
+    them: 12,000 entries stayed in the tracker of an empty queue, and nothing was withdrawn for
+    12 s.
+    """
     queue = OrderQueue(100, 8)
     queue.add([WithdrawEndpoint("a"), Checkpoint(1, False)])
     queue.add([SetWeight(0, "b", 1.0), Checkpoint(2, False)])
@@ -283,8 +287,8 @@
 
 
 def test_no_withdrawal_is_dropped() -> None:
-    """On a fleet of 1,600 proxies the backlog for a relay that was away was cut from its oldest end, where the
-    withdrawals are."""
+    # On a fleet of 1,600 proxies the backlog for a relay that was away was cut from its oldest end,
+    # where the withdrawals are.
     queue = OrderQueue(10, 8)
     assert (
         queue.add(
