--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 from kelpcourse.policy.events import EndpointStatus
 from tests.deployment import Deployment
 from tests.fleet import SETTINGS
-from tests.standins import QUICK, Bench, Script, member
+from tests.standins import QUICK, Bench, ScriptedPolicy, member
 
 
 @pytest.fixture
@@ -32,13 +32,13 @@
 
 
 @pytest.fixture
-def policy() -> Script:
+def policy() -> ScriptedPolicy:
     """A policy that follows a script."""
-    return Script(SETTINGS)
+    return ScriptedPolicy(SETTINGS)
 
 
 @pytest.fixture
-def facade(policy: Script) -> Facade:
+def facade(policy: ScriptedPolicy) -> Facade:
     """A facade that has taken its first step, with a cached list of two endpoints."""
     made = Facade(SETTINGS, 7, QUICK, lambda _: policy)
     made.report_cached_list([member("h1"), member("h2", EndpointStatus.DRAINING)], 41)
--- a/tests/memberrig.py
+++ b/tests/memberrig.py
@@ -20,7 +20,7 @@
 from kelpcourse.shared.raft.options import RaftOptions
 from kelpcourse.wire.loop import Loop
 from kelpcourse.wire.storage import StorageThread
-from tests.standins import Records
+from tests.standins import RecordingLog
 
 MS = 1000
 
@@ -34,7 +34,7 @@
         self.loop = Loop(
             lambda: time.monotonic_ns() // 1000, lambda _, error: self.defects.append(error)
         )
-        self.log = Records()
+        self.log = RecordingLog()
         self.names = [f"n{k}" for k in range(count)]
         self.addresses = {name: free_address(LISTEN_HOST) for name in self.names}
         self.members: dict[str, FleetMember] = {}
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Sequence
 from dataclasses import replace
 
 import orjson
@@ -53,7 +53,7 @@
         return self.now
 
 
-class Records:
+class RecordingLog:
     """A log that keeps its lines."""
 
     def __init__(self) -> None:
@@ -65,23 +65,24 @@
     always = event
 
     def named(self, name: str) -> list[dict[str, object]]:
-        return [fields for at, fields in self.lines if at == name]
+        return [fields for event, fields in self.lines if event == name]
 
 
-class Script:
-    """Stands in for the module: keeps the events of each step, answers with what is laid ready."""
+class ScriptedPolicy:
+    """A policy that keeps the events of each step and answers with the actions laid ready."""
 
     def __init__(self, _: Settings) -> None:
         self.steps: list[list[Event]] = []
         self.ready: list[list[Action]] = []
-        self.repeats = True  # orders in doubt may go again at once
+        self.resends = True  # orders of unknown outcome may be resent immediately
 
-    def step(self, _now_us: int, events: Iterable[Event]) -> list[Action]:
+    def step(self, _now_us: int, events: Sequence[Event]) -> list[Action]:
         self.steps.append(list(events))
-        doubted = [
-            ResendOrders() for event in self.steps[-1] if isinstance(event, OrdersOutcomeUnknown)
-        ]
-        return [*(self.ready.pop(0) if self.ready else []), *(doubted if self.repeats else [])]
+        actions = self.ready.pop(0) if self.ready else []
+        if not self.resends:
+            return list(actions)
+        unknown = [event for event in events if isinstance(event, OrdersOutcomeUnknown)]
+        return [*actions, *(ResendOrders() for _ in unknown)]
 
     @property
     def events(self) -> list[Event]:
@@ -89,25 +90,25 @@
 
 
 class Bench:
-    """The parts of a director on a fake clock: time passes only while no byte is under way."""
+    """The runtime of a controller on a fake clock: time passes only while no byte is in transit."""
 
     def __init__(self, limits: Limits = QUICK, settings: Settings = SETTINGS) -> None:
         self.clock = FakeClock()
-        self.log = Records()
-        self.defects: list[Exception] = []
-        self.loop = Loop(self.clock, lambda _, error: self.defects.append(error))
-        self.module = Script(settings)
-        self.facade = Facade(settings, 7, limits, lambda _: self.module)
+        self.log = RecordingLog()
+        self.unexpected_errors: list[Exception] = []
+        self.loop = Loop(self.clock, lambda _, error: self.unexpected_errors.append(error))
+        self.policy = ScriptedPolicy(settings)
+        self.facade = Facade(settings, 7, limits, lambda _: self.policy)
         self.counters = Counters()
-        self.parts = Runtime(self.facade, limits, self.counters, self.log, self.loop)
+        self.runtime = Runtime(self.facade, limits, self.counters, self.log, self.loop)
 
-    def until(self, what: Callable[[], object], most: int = 4000) -> None:
-        for _ in range(most):
-            if what():
+    def until(self, condition: Callable[[], object], max_turns: int = 4000) -> None:
+        for _ in range(max_turns):
+            if condition():
                 return
             self.turn()
         raise AssertionError(
-            f"did not come about; log: {self.log.lines[-5:]}, defects: {self.defects}"
+            f"did not come about; log: {self.log.lines[-5:]}, unexpected errors: {self.unexpected_errors}"
         )
 
     def turn(self) -> None:
@@ -119,16 +120,16 @@
         until_us = self.clock.now + span_us
         self.until(lambda: self.clock.now >= until_us)
 
-    def asked(self, *stamps: int) -> None:
-        """The module has ordered these marks."""
-        self.module.ready.append([Checkpoint(stamp, False) for stamp in stamps])
+    def order_checkpoints(self, *checkpoint_ids: int) -> None:
+        """Lets the policy order these checkpoints."""
+        self.policy.ready.append([Checkpoint(each, False) for each in checkpoint_ids])
         self.facade.start(self.clock.now)
         self.facade.pick()
 
     def close(self) -> None:
         self.loop.close()
-        if self.defects:
-            raise self.defects[0]
+        if self.unexpected_errors:
+            raise self.unexpected_errors[0]
 
 
 def member(
@@ -163,8 +164,8 @@
     "Bench",
     "Caller",
     "FakeClock",
-    "Records",
-    "Script",
+    "RecordingLog",
+    "ScriptedPolicy",
     "StandIn",
     "entry",
     "listed",
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -74,11 +74,11 @@
 
 
 def lists(bench: Bench) -> list[EndpointList]:
-    return [event for event in bench.module.events if isinstance(event, EndpointList)]
+    return [event for event in bench.policy.events if isinstance(event, EndpointList)]
 
 
 def start(bench: Bench, service: Service, version: int = 41) -> DiscoveryClient:
-    return DiscoveryClient(bench.parts, service.stand_in.address, version)
+    return DiscoveryClient(bench.runtime, service.stand_in.address, version)
 
 
 def test_a_watch_asks_for_what_changed_and_reports_each_object(bench: Bench) -> None:
@@ -239,7 +239,7 @@
     start(bench, service).watch(True)
     bench.until(lambda: lists(bench))
     host = lists(bench)[0].endpoints[0].id
-    bench.module.ready = [[CheckHealth(host), WatchEndpoints(False)]]
+    bench.policy.ready = [[CheckHealth(host), WatchEndpoints(False)]]
     bench.facade.report_list_unavailable()
     bench.pass_us(5 * MS)
     work = bench.facade.pick()
@@ -485,12 +485,12 @@
 @pytest.mark.parametrize("call", ["watch", "fetch"])
 def test_a_defect_in_a_call_is_answered_to_the_module(bench: Bench, call: str) -> None:
     service = Service(bench, silent)
-    discovery = DiscoveryClient(bench.parts, ("127.0.0.1", 99_999), 41)
+    discovery = DiscoveryClient(bench.runtime, ("127.0.0.1", 99_999), 41)
     discovery.watch(True) if call == "watch" else discovery.fetch()
     bench.until(lambda: lists(bench))
     assert [told.kind for told in lists(bench)] == [EndpointListKind.UNAVAILABLE]
-    assert [type(error) for error in bench.defects] == [OverflowError]
-    bench.defects.clear()
+    assert [type(error) for error in bench.unexpected_errors] == [OverflowError]
+    bench.unexpected_errors.clear()
     discovery.reconnect_to(service.stand_in.address)
     discovery.watch(True)
     bench.until(lambda: service.targets)
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -41,11 +41,11 @@
 )
 from kelpcourse.policy.settings import RetryPolicy
 from tests.fleet import SECOND
-from tests.standins import MS, QUICK, Script
+from tests.standins import MS, QUICK, ScriptedPolicy
 
 
 @pytest.mark.usefixtures("facade")
-def test_the_first_step_has_the_start_and_the_cached_list(policy: Script) -> None:
+def test_the_first_step_has_the_start_and_the_cached_list(policy: ScriptedPolicy) -> None:
     (step,) = policy.steps
     assert step[0] == Started(7)
     assert isinstance(step[1], EndpointList)
@@ -56,7 +56,7 @@
     ]
 
 
-def test_reports_become_events_of_one_step_in_order(facade: Facade, policy: Script) -> None:
+def test_reports_become_events_of_one_step_in_order(facade: Facade, policy: ScriptedPolicy) -> None:
     policy.ready.append([Checkpoint(905, False)])
     facade.start(2000)
     facade.report_proxy_joined(1, "east", 21.5, True)
@@ -80,13 +80,17 @@
     ]
 
 
-def test_there_is_no_step_without_a_report_or_a_due_timer(facade: Facade, policy: Script) -> None:
+def test_there_is_no_step_without_a_report_or_a_due_timer(
+    facade: Facade, policy: ScriptedPolicy
+) -> None:
     assert facade.next_due_us() is None
     assert not facade.tick(10 * SECOND)
     assert len(policy.steps) == 1
 
 
-def test_timers_fire_once_at_their_time_and_in_order(facade: Facade, policy: Script) -> None:
+def test_timers_fire_once_at_their_time_and_in_order(
+    facade: Facade, policy: ScriptedPolicy
+) -> None:
     policy.ready = [[SetTimer("late", 9000), SetTimer("soon", 8000)]]
     facade.report_proxy_left(0)
     facade.tick(2000)
@@ -98,7 +102,7 @@
     assert policy.steps[2:] == [[TimerFired("soon")], [TimerFired("late")]]
 
 
-def test_actions_become_work_by_endpoint_name(facade: Facade, policy: Script) -> None:
+def test_actions_become_work_by_endpoint_name(facade: Facade, policy: ScriptedPolicy) -> None:
     policy.ready = [
         [
             SetWeight(0, 1, 1 / 3),
@@ -164,7 +168,9 @@
     assert not facade.tick(10 * SECOND)
 
 
-def test_a_failed_step_raises_and_does_not_stop_the_policy(facade: Facade, policy: Script) -> None:
+def test_a_failed_step_raises_and_does_not_stop_the_policy(
+    facade: Facade, policy: ScriptedPolicy
+) -> None:
     policy.ready = [[SetTimer("tick", 9000)]]
     facade.report_proxy_left(0)
     facade.tick(2000)
@@ -186,7 +192,7 @@
     assert policy.steps[-1] == [TimerFired("tick")]
 
 
-def test_timers_are_bounded(facade: Facade, policy: Script) -> None:
+def test_timers_are_bounded(facade: Facade, policy: ScriptedPolicy) -> None:
     policy.ready = [[SetTimer("t", 10**9 + k) for k in range(QUICK.max_timers + 5)]]
     facade.report_proxy_left(0)
     facade.tick(2000)
@@ -194,7 +200,7 @@
     assert facade.pick().undeliverable == 5
 
 
-def test_time_never_goes_back_for_the_policy(facade: Facade, policy: Script) -> None:
+def test_time_never_goes_back_for_the_policy(facade: Facade, policy: ScriptedPolicy) -> None:
     times: list[int] = []
     unpatched_step = policy.step
 
--- a/tests/test_group_controller.py
+++ b/tests/test_group_controller.py
@@ -24,7 +24,7 @@
 from kelpcourse.wire.loop import Coroutine, Task
 from kelpcourse.wire.storage import StorageThread
 from kelpcourse.zones.settings import shown
-from tests.standins import Records
+from tests.standins import RecordingLog
 
 MS = 1000
 GROUPS, FORWARDERS = 6, 6
@@ -37,7 +37,7 @@
         self.lab = Lab(folder, FORWARDERS, grace_us=1 << 40, bare_us=1 << 40)
         self.lab.groups = GROUPS
         self.folder = folder
-        self.log = Records()
+        self.log = RecordingLog()
         self.addresses = {f"n{k}": free_address(LISTEN_HOST) for k in range(3)}
         self.members: dict[str, FleetMember] = {}
         self.group_controllers: dict[str, GroupControllers] = {}
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -28,7 +28,7 @@
         probe = socket.create_server(("127.0.0.1", 0))
         self.address = probe.getsockname()
         probe.close()
-        self.listener = Listener(bench.parts, self.address)
+        self.listener = Listener(bench.runtime, self.address)
         self.task = bench.loop.start("listener", self.listener.run())
         self.peers: list[socket.socket] = []
 
@@ -47,7 +47,7 @@
         return peer
 
     def reports(self) -> list[object]:
-        return [e for e in self.bench.module.events if isinstance(e, EndpointReport | DemandReport)]
+        return [e for e in self.bench.policy.events if isinstance(e, EndpointReport | DemandReport)]
 
     def close(self) -> None:
         for peer in self.peers:
@@ -112,11 +112,11 @@
 def test_what_arrives_together_is_one_step(front: Front) -> None:
     one, other = front.collector(), front.collector()
     front.bench.pass_us(5 * MS)
-    steps = len(front.bench.module.steps)
+    steps = len(front.bench.policy.steps)
     one.sendall(HEARD * 40)
     other.sendall(USAGE * 40)
     front.bench.until(lambda: len(front.reports()) == 80)
-    assert len(front.bench.module.steps) == steps + 1
+    assert len(front.bench.policy.steps) == steps + 1
 
 
 def test_a_message_in_pieces_is_one_message(front: Front) -> None:
@@ -239,7 +239,7 @@
 
 
 def test_a_line_over_the_limit_ends_its_connection_alone(bench: Bench) -> None:
-    bench.parts = replace(bench.parts, limits=replace(QUICK, max_line_bytes=64 << 10))
+    bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_line_bytes=64 << 10))
     front = Front(bench)
     endless, sound = front.collector(), front.collector()
     assert any(ended_after(bench, endless, b"heard" + b" x=" * 1400) for _ in range(2000))
@@ -312,7 +312,7 @@
 
 def test_one_that_just_came_is_not_shed_for_those_behind_it(bench: Bench) -> None:
     """A collector in the midst of a crowd, whose first line is still on its way."""
-    bench.parts = replace(bench.parts, limits=replace(QUICK, max_connections=8))
+    bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_connections=8))
     front = Front(bench)
     for _ in range(20):
         front.connect()
@@ -328,7 +328,7 @@
 
 
 def test_hundreds_of_connections_are_shed_before_collectors(bench: Bench) -> None:
-    bench.parts = replace(bench.parts, limits=replace(QUICK, max_connections=8))
+    bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_connections=8))
     front = Front(bench)
     collector = front.collector()
     for _ in range(100):
@@ -383,7 +383,7 @@
 
 
 def test_read_buffers_are_bounded_together(bench: Bench) -> None:
-    bench.parts = replace(bench.parts, limits=replace(QUICK, max_read_buffers_bytes=256 << 10))
+    bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_read_buffers_bytes=256 << 10))
     front = Front(bench)
     peers = [front.collector() for _ in range(12)]
     for _ in range(20):
@@ -413,7 +413,7 @@
     assert sock is not None
     early = front.connect()
     early.sendall(b"ping\r\n")
-    bench.loop.start("listener", Listener(bench.parts, front.address, sock).run())
+    bench.loop.start("listener", Listener(bench.runtime, front.address, sock).run())
     bench.until(lambda: heard_back(early) == b"pong\r\n")
     front.close()
 
@@ -430,7 +430,7 @@
 def test_an_address_still_in_use_passes(bench: Bench) -> None:
     before = socket.create_server(("127.0.0.1", 0))
     address = before.getsockname()
-    bench.loop.start("listener", Listener(bench.parts, address).run())
+    bench.loop.start("listener", Listener(bench.runtime, address).run())
     bench.until(lambda: len(bench.log.named("address_in_use")) >= 2)
     before.close()
     bench.until(lambda: bench.log.named("ready"))
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -98,7 +98,7 @@
 def start_calls(bench: Bench, relay: Relay, outbox: OrderQueue) -> Signal:
     waiting = Signal()
     bench.loop.start(
-        "calls", RelayCalls(bench.parts, relay.stand_in.address, outbox, waiting).run()
+        "calls", RelayCalls(bench.runtime, relay.stand_in.address, outbox, waiting).run()
     )
     return waiting
 
@@ -204,7 +204,7 @@
     )
     assert bench.counters["relay_calls_failed"] == 1
     # the channel may hold the step twice: 36,000 lines ordered again uncounted would be more than it may
-    assert [event for event in bench.module.events if isinstance(event, OrdersOutcomeUnknown)] == [
+    assert [event for event in bench.policy.events if isinstance(event, OrdersOutcomeUnknown)] == [
         OrdersOutcomeUnknown((5,))
     ]
 
@@ -213,7 +213,7 @@
     bench: Bench, trouble: Callable[[Caller, int], Coroutine[None]]
 ) -> tuple[Relay, OrderQueue]:
     """The first call breaks, and the module does not let it go again yet."""
-    bench.module.repeats = False
+    bench.policy.resends = False
     relay, outbox = Relay(bench, trouble), outbox_of(SET, MARK)
     start_calls(bench, relay, outbox)
     return relay, outbox
@@ -226,12 +226,12 @@
     """6,416 lines waited where 5,800 may: an answer was lost, and the call went again beside its first copy."""
     relay, outbox = in_doubt(bench, trouble)
     bench.until(
-        lambda: len([e for e in bench.module.events if isinstance(e, OrdersOutcomeUnknown)]) > 3
+        lambda: len([e for e in bench.policy.events if isinstance(e, OrdersOutcomeUnknown)]) > 3
     )
     outbox.add([SetWeight(0, "h1", 2.0), Checkpoint(6, False)])
     bench.pass_us(50 * MS)
     assert len(relay.calls) == 1
-    bench.module.repeats = True
+    bench.policy.resends = True
     bench.until(lambda: not outbox.batch_count)
     assert relay.verbs() == [["SET", "SYNC"], ["SET", "SYNC"]]
 
@@ -241,14 +241,14 @@
     bench: Bench, trouble: Callable[[Caller, int], Coroutine[None]]
 ) -> None:
     relay, outbox = in_doubt(bench, trouble)
-    bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.module.events))
+    bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.policy.events))
     outbox.add([USE, Checkpoint(6, False)])
     outbox.acknowledge(5)
     bench.until(lambda: not outbox.batch_count)
     assert relay.verbs() == [["SET", "SYNC"], ["USE", "SYNC"]]
     assert bench.counters["relay_calls_confirmed"] == 1
-    bench.until(lambda: OrdersAccepted(6) in bench.module.events)
-    assert [e for e in bench.module.events if isinstance(e, OrdersAccepted)] == [
+    bench.until(lambda: OrdersAccepted(6) in bench.policy.events)
+    assert [e for e in bench.policy.events if isinstance(e, OrdersAccepted)] == [
         OrdersAccepted(5),
         OrdersAccepted(6),
     ]
@@ -293,7 +293,7 @@
     bench.until(lambda: bench.counters["relay_calls_failed"] >= 3)
     assert not relay.calls
     back = Relay(bench)
-    calls = RelayCalls(bench.parts, back.stand_in.address, outbox, Signal())
+    calls = RelayCalls(bench.runtime, back.stand_in.address, outbox, Signal())
     bench.loop.start("calls", calls.run())
     bench.until(lambda: not outbox.batch_count)
     assert back.verbs() == [["SET", "SYNC"]]
@@ -301,7 +301,7 @@
 
 def test_calls_follow_the_relay_and_the_one_under_way_goes_again_there(bench: Bench) -> None:
     old, new, outbox = Relay(bench, say_nothing), Relay(bench), outbox_of(SET, MARK)
-    calls = RelayCalls(bench.parts, old.stand_in.address, outbox, Signal())
+    calls = RelayCalls(bench.runtime, old.stand_in.address, outbox, Signal())
     bench.loop.start("calls", calls.run())
     bench.until(lambda: old.calls)
     calls.reconnect_to(new.stand_in.address)
@@ -310,10 +310,10 @@
 
 
 def test_an_idle_connection_to_the_old_address_is_let_go(bench: Bench) -> None:
-    bench.parts = replace(bench.parts, limits=replace(QUICK, idle_connection_us=3_600_000_000))
+    bench.runtime = replace(bench.runtime, limits=replace(QUICK, idle_connection_us=3_600_000_000))
     old, new, outbox = Relay(bench), Relay(bench), outbox_of(SET, MARK)
     waiting = Signal()
-    calls = RelayCalls(bench.parts, old.stand_in.address, outbox, waiting)
+    calls = RelayCalls(bench.runtime, old.stand_in.address, outbox, waiting)
     bench.loop.start("calls", calls.run())
     bench.until(lambda: not outbox.batch_count)
     calls.reconnect_to(new.stand_in.address)
@@ -327,7 +327,7 @@
 def test_while_the_new_address_does_not_answer_the_old_connection_serves(bench: Bench) -> None:
     old, down, outbox = Relay(bench, throttle), Relay(bench), outbox_of(SET, MARK)
     down.stand_in.close()
-    calls = RelayCalls(bench.parts, old.stand_in.address, outbox, Signal())
+    calls = RelayCalls(bench.runtime, old.stand_in.address, outbox, Signal())
     bench.loop.start("calls", calls.run())
     bench.until(lambda: old.calls)
     calls.reconnect_to(down.stand_in.address)
@@ -352,7 +352,7 @@
 
 def test_a_call_that_breaks_before_its_last_byte_is_not_in_doubt(bench: Bench) -> None:
     """The relay takes no more of it than the system holds. It was never carried out, and goes again at once."""
-    bench.parts = replace(bench.parts, limits=replace(QUICK, max_call_bytes=1 << 30))
+    bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_call_bytes=1 << 30))
     long = "h" * 2_000
     orders: list[Order] = [SetWeight(0, f"{long}{k}", 1.0) for k in range(10_000)]
 
@@ -360,28 +360,28 @@
         while True:
             yield Wait(bench.clock() + MS)
 
-    bench.module.repeats = False
+    bench.policy.resends = False
     stalled, outbox = StandIn(bench.loop, takes_nothing), outbox_of(*orders, MARK)
-    bench.loop.start("calls", RelayCalls(bench.parts, stalled.address, outbox, Signal()).run())
+    bench.loop.start("calls", RelayCalls(bench.runtime, stalled.address, outbox, Signal()).run())
     bench.until(lambda: bench.counters["relay_calls_failed"] == 3)
     assert bench.log.named("relay_call_failed")[0]["reason"] == "nothing was taken in time"
     assert stalled.connections >= 2
-    assert not [e for e in bench.module.events if isinstance(e, OrdersOutcomeUnknown)]
+    assert not [e for e in bench.policy.events if isinstance(e, OrdersOutcomeUnknown)]
 
 
 def test_a_call_unanswered_at_the_old_address_waits_for_the_module_at_the_new_one_too(
     bench: Bench,
 ) -> None:
-    bench.module.repeats = False
+    bench.policy.resends = False
     old, new, outbox = Relay(bench, say_nothing), Relay(bench), outbox_of(SET, MARK)
-    calls = RelayCalls(bench.parts, old.stand_in.address, outbox, Signal())
+    calls = RelayCalls(bench.runtime, old.stand_in.address, outbox, Signal())
     bench.loop.start("calls", calls.run())
     bench.until(lambda: old.calls)
     calls.reconnect_to(new.stand_in.address)
     bench.pass_us(4 * QUICK.call_timeout_us)
     assert not new.calls
     calls.reconnect_to(old.stand_in.address)  # and back, before the first move was through
-    bench.module.repeats = True
+    bench.policy.resends = True
     bench.until(lambda: not outbox.batch_count)
     assert (old.verbs(), new.verbs()) == ([["SET", "SYNC"]] * 2, [])
 
@@ -389,27 +389,27 @@
 def test_a_withdrawal_ordered_while_a_call_is_in_doubt_goes_out_with_it(bench: Bench) -> None:
     """Behind it, not ahead: the call may let the same host back."""
     relay, outbox = Relay(bench, say_nothing), outbox_of(RestoreEndpoint("h1"), MARK)
-    bench.module.repeats = False
+    bench.policy.resends = False
     start_calls(bench, relay, outbox)
-    bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.module.events))
+    bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.policy.events))
     outbox.add([WithdrawEndpoint("h1"), Checkpoint(6, False)])
-    bench.module.repeats = True
+    bench.policy.resends = True
     bench.until(lambda: not outbox.batch_count)
     assert relay.verbs() == [["IN", "SYNC"], ["OUT", "SYNC"]]
 
 
 def test_news_that_opens_sends_what_waits_for_the_relay(bench: Bench) -> None:
-    bench.parts = replace(bench.parts, limits=replace(QUICK, throttled_retry_us=3_600_000_000))
+    bench.runtime = replace(bench.runtime, limits=replace(QUICK, throttled_retry_us=3_600_000_000))
     relay, outbox = Relay(bench, throttle), outbox_of(SET, MARK)
     source = Broadcaster(bench, [b"{}"])
-    calls = RelayCalls(bench.parts, relay.stand_in.address, outbox, Signal())
+    calls = RelayCalls(bench.runtime, relay.stand_in.address, outbox, Signal())
     bench.loop.start("calls", calls.run())
     bench.until(lambda: len(relay.calls) == 1)
     bench.pass_us(20 * MS)
     assert len(relay.calls) == 1
     bench.loop.start(
         "news",
-        RelayEventStreams(bench.parts, source.stand_in.address, outbox, calls.reachable).run(0),
+        RelayEventStreams(bench.runtime, source.stand_in.address, outbox, calls.reachable).run(0),
     )
     bench.until(lambda: not outbox.batch_count)
 
@@ -423,5 +423,5 @@
     sent = [order["host"] for call in relay.calls for order in call if order["verb"] == "SET"]
     assert sent == [f"h{k}" for k in range(2000)]
     assert all(call[-1]["verb"] == "SYNC" for call in relay.calls)
-    bench.until(lambda: OrdersAccepted(5) in bench.module.events)
-    assert bench.module.events.count(OrdersAccepted(5)) == 1  # with its last part
+    bench.until(lambda: OrdersAccepted(5) in bench.policy.events)
+    assert bench.policy.events.count(OrdersAccepted(5)) == 1  # with its last part
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -181,36 +181,36 @@
 def run_calls(bench: Bench, server: RawServer, orders: list[Order]) -> None:
     queue = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
     queue.add(orders)
-    bench.loop.start("calls", RelayCalls(bench.parts, server.address, queue, Signal()).run())
+    bench.loop.start("calls", RelayCalls(bench.runtime, server.address, queue, Signal()).run())
 
 
 def run_events(bench: Bench, server: RawServer) -> None:
     queue = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
-    streams = RelayEventStreams(bench.parts, server.address, queue, Signal())
+    streams = RelayEventStreams(bench.runtime, server.address, queue, Signal())
     bench.loop.start("events", streams.run(0))
 
 
 def run_watch(bench: Bench, server: RawServer) -> None:
-    DiscoveryClient(bench.parts, server.address, 41).watch(True)
+    DiscoveryClient(bench.runtime, server.address, 41).watch(True)
 
 
 def run_fetch(bench: Bench, server: RawServer) -> None:
-    DiscoveryClient(bench.parts, server.address, 41).fetch()
+    DiscoveryClient(bench.runtime, server.address, 41).fetch()
 
 
 def run_probe(bench: Bench, server: RawServer) -> None:
     bench.facade.report_cached_list([member("h1")], 1)
-    HealthChecker(bench.parts).check("h1", server.address)
+    HealthChecker(bench.runtime).check("h1", server.address)
 
 
 def run_listener(bench: Bench, address: tuple[str, int]) -> None:
     bench.facade.report_cached_list([member("h1")], 1)
-    bench.loop.start("listener", Listener(bench.parts, address).run())
+    bench.loop.start("listener", Listener(bench.runtime, address).run())
 
 
 def reported(bench: Bench) -> list[Event]:
     """What reached the decisions, without the first event, which tells of the start."""
-    return bench.module.events[1:]
+    return bench.policy.events[1:]
 
 
 # Both ends of a connection, as sockets alone
@@ -340,7 +340,7 @@
             b'{"type":"left","object":{"sidecar":2}}',
         )
     )
-    bench.asked(905)
+    bench.order_checkpoints(905)
     run_events(bench, relay)
     request_of(bench, relay)
     bench.until(lambda: len(reported(bench)) >= 4)
@@ -368,7 +368,7 @@
         b"Host: 127.0.0.1:PORT\r\n"
         b"Accept: application/json\r\n\r\n"
     )
-    bench.until(lambda: any(isinstance(event, EndpointList) for event in bench.module.events))
+    bench.until(lambda: any(isinstance(event, EndpointList) for event in bench.policy.events))
 
 
 def test_request_bytes_of_a_fetch(bench: Bench, server: Callable[[bytes], RawServer]) -> None:
@@ -377,7 +377,7 @@
     assert request_of(bench, discovery) == (
         b"GET /discovery/hosts HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\nAccept: application/json\r\n\r\n"
     )
-    bench.until(lambda: any(isinstance(event, EndpointList) for event in bench.module.events))
+    bench.until(lambda: any(isinstance(event, EndpointList) for event in bench.policy.events))
 
 
 @pytest.mark.parametrize("complete", [True, False])
@@ -405,9 +405,9 @@
         b"GET /metrics/load HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\nAccept: application/json\r\n\r\n"
     )
     bench.until(
-        lambda: any(isinstance(event, HealthCheckCompleted) for event in bench.module.events)
+        lambda: any(isinstance(event, HealthCheckCompleted) for event in bench.policy.events)
     )
-    answered = bench.module.events[-1]
+    answered = bench.policy.events[-1]
     assert isinstance(answered, HealthCheckCompleted)
     assert answered.load == (("inflight", 7.0), ("queue", 2.0), ("util", 0.61))
 
@@ -478,9 +478,9 @@
             b"heard az=east host=h1 n=4 bad=4 window=250\r\n"
             b"usage sidecar=2 kind=write n=19 bad=5 window=1000.0\r\n"
         )
-        bench.until(lambda: any(isinstance(event, DemandReport) for event in bench.module.events))
+        bench.until(lambda: any(isinstance(event, DemandReport) for event in bench.policy.events))
     load = (("inflight", 7.0), ("util", 0.61))
-    assert bench.module.events[-3:] == [
+    assert bench.policy.events[-3:] == [
         EndpointReport(1, "east", 212, 3, 1_000_500, 41_700, load),
         EndpointReport(1, "east", 4, 4, 250_000, 0, ()),
         DemandReport(2, 1, 19, 5, 1_000_000),
--- a/tests/test_zone_server.py
+++ b/tests/test_zone_server.py
@@ -25,7 +25,7 @@
 from kelpcourse.zones.desk import Desk
 from kelpcourse.zones.grants import HostClass
 from kelpcourse.zones.service import Restored
-from tests.standins import Records
+from tests.standins import RecordingLog
 from tests.zonerig import (
     KEY,
     MS,
@@ -534,7 +534,7 @@
 ) -> None:
     start = held(zone(1, rooms()))
     said: list[bytes] = []
-    desk = Desk({ORIGIN: start}, {}, {"k": OTHER}, LIMITS, Counters(), Records(), Nobody())
+    desk = Desk({ORIGIN: start}, {}, {"k": OTHER}, LIMITS, Counters(), RecordingLog(), Nobody())
     desk.handle(wire, ("127.0.0.1", 9), tcp, lambda wires: said.extend(wires))
     assert len(said) <= 1
     assert all(answer[:2] == wire[:2] and answer[2] & 0x80 for answer in said)
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -28,7 +28,7 @@
 from kelpcourse.zones.service import Around, Zones
 from kelpcourse.zones.settings import read_settings, shown
 from kelpcourse.zones.zonefile import write_text
-from tests.standins import FakeClock, Records
+from tests.standins import FakeClock, RecordingLog
 from tests.zoning import ORIGIN
 
 MS = 1000
@@ -164,7 +164,7 @@
     ) -> None:
         self.world = world
         self.path = path
-        self.log = Records()
+        self.log = RecordingLog()
         self.counters = Counters()
         self.list: dict[str, EndpointStatus] = {}
         self.told: list[tuple[dict[str, str], bool]] = []
