--- a/kelpcourse/facade/facade.py
+++ b/kelpcourse/facade/facade.py
@@ -238,7 +238,7 @@
         self.tick(now_us)
 
     def tick(self, now_us: int) -> bool:
-        """Runs a step if one is due, and tells whether it did. What arrives together goes into one step.
+        """Runs a step if one is due, and returns whether it did. What arrives together goes into one step.
 
         Raises whatever the policy raises; its timers are set again then, or the policy would stop.
         """
--- a/kelpcourse/facade/validation.py
+++ b/kelpcourse/facade/validation.py
@@ -83,7 +83,7 @@
 def rate(value: float) -> float:
     """A rate from 0 up."""
     if not math.isfinite(value) or value < 0:
-        raise InvalidReportError(f"figure {value}", "is out of range")
+        raise InvalidReportError(f"rate {value}", "is out of range")
     return value
 
 
--- a/kelpcourse/memory/orders.py
+++ b/kelpcourse/memory/orders.py
@@ -1,6 +1,6 @@
 """Orders to the relay, by endpoint name.
 
-Each order states an end result; its key tells which earlier orders it supersedes.
+Each order states an end result; its key says which earlier orders it supersedes.
 """
 
 from __future__ import annotations
@@ -82,7 +82,7 @@
 
     table: int | None  # None: all
     classes: tuple[str, ...]  # empty: all
-    limit: float  # a ratio or requests per second, as the settings tell
+    limit: float  # a ratio or requests per second, by `Settings.admission_mode`
     retry_policy: int  # the value of a `RetryPolicy`
 
     @property
--- a/kelpcourse/memory/proxies.py
+++ b/kelpcourse/memory/proxies.py
@@ -39,12 +39,12 @@
 
 @dataclass
 class StreamState:
-    """What one event stream has told: a snapshot of the joined proxies, then each change."""
+    """What one event stream has reported: a snapshot of the joined proxies, then each change."""
 
     opened_us: int
     snapshot_deadline_us: int  # the snapshot counts as complete from then on at the latest
-    ahead: deque[ProxyEvent]  # told by synchronised streams, not yet by this one or in its snapshot
-    buffered: deque[ProxyEvent]  # told since its snapshot, and by no synchronised stream yet
+    ahead: deque[ProxyEvent]  # reported by synchronised streams, not yet by this one
+    buffered: deque[ProxyEvent]  # reported since its snapshot, by no synchronised stream yet
     joined: dict[int, Joined] = field(default_factory=dict)
     snapshot_complete: bool = False
     overlaps: bool = False  # it repeated an event of another: nothing in `ahead` is of its snapshot
@@ -65,11 +65,11 @@
 
         Args:
             max_ahead: Events by which one stream may be ahead of another.
-            overlap_us: Time by which a stream must outlive another's snapshot to have told all before it.
+            overlap_us: Time by which a stream must outlive another's snapshot to have reported all before it.
         """
         self._max_ahead = max_ahead
         self._overlap_us = overlap_us
-        self._last_told_us = 0  # by a synchronised stream
+        self._last_reported_us = 0  # by a synchronised stream
         self._joined: set[int] = set()
         self._streams: dict[int, StreamState] = {}
 
@@ -109,15 +109,15 @@
             if stream.synchronised:
                 reported += self._leave_missing(stream)
         if stream.synchronised:
-            self._last_told_us = now_us
+            self._last_reported_us = now_us
         if event is None:
             return reported + self._count_heartbeat(stream)
         _update(stream.joined, event)
         if stream.synchronised:
-            if not self._told_before(stream, event):
+            if not self._reported_before(stream, event):
                 self._pass_on(stream, event)
                 reported += self._apply(event)
-        elif stream.snapshot_complete and not self._told_before(stream, event):
+        elif stream.snapshot_complete and not self._reported_before(stream, event):
             stream.buffered.append(event)
         return reported
 
@@ -131,7 +131,7 @@
         if self.synchronised or not self._streams:
             return []
         successor = min(self._streams.values(), key=lambda stream: stream.opened_us)
-        without_gap = self._last_told_us - successor.opened_us >= self._overlap_us
+        without_gap = self._last_reported_us - successor.opened_us >= self._overlap_us
         if not without_gap:
             successor.buffered.clear()
         reported = self._synchronise(successor)
@@ -143,7 +143,7 @@
         return reported
 
     def _synchronise(self, stream: StreamState) -> list[ProxyEvent]:
-        """Lets a stream count as one that misses nothing, and reports what it alone has told."""
+        """Lets a stream count as one that misses nothing, and reports what it has buffered."""
         if not stream.overlaps:
             stream.ahead.clear()
         buffered = stream.buffered
@@ -155,8 +155,8 @@
             reported += self._apply(event)
         return reported
 
-    def _told_before(self, stream: StreamState, event: ProxyEvent) -> bool:
-        """Whether others have told this first; what they told before it was in this stream's snapshot."""
+    def _reported_before(self, stream: StreamState, event: ProxyEvent) -> bool:
+        """Whether others reported this first; what they reported before it is in this stream's snapshot."""
         if event not in stream.ahead:
             return False
         _drop_through(stream.ahead, event)
@@ -164,7 +164,7 @@
         return True
 
     def _pass_on(self, stream: StreamState, event: ProxyEvent) -> None:
-        """Expects an event from all other streams, unless they have told it already."""
+        """Expects an event from all other streams, unless they have reported it already."""
         for other in self._others(stream):
             if event in other.buffered:
                 _drop_through(other.buffered, event)
@@ -172,7 +172,7 @@
                 other.ahead.append(event)
 
     def _count_heartbeat(self, stream: StreamState) -> list[ProxyEvent]:
-        """Synchronises streams opened beside this one once it has told all from before their snapshot."""
+        """Synchronises streams opened beside this one once it has reported all before their snapshot."""
         reported: list[ProxyEvent] = []
         if not stream.synchronised:
             return reported
--- a/kelpcourse/service/config.py
+++ b/kelpcourse/service/config.py
@@ -127,7 +127,7 @@
 def _check_names(value: object, path: str = "settings") -> None:
     """Refuses texts with a space or a comma.
 
-    Settings are read as the simulator's wire tells them, which has `_` for both: zones and classes would have names
+    Settings are read as on the simulator's wire, which has `_` for both: zones and classes would have names
     here that nobody else knows.
     """
     if isinstance(value, str) and (" " in value or "," in value):
--- a/kelpcourse/service/controller.py
+++ b/kelpcourse/service/controller.py
@@ -139,7 +139,7 @@
         try:
             act(self._loop.clock())
         except Exception as error:
-            self._process.report_unexpected_error("module", error)
+            self._process.report_unexpected_error("policy", error)
         self._carry_out(self._facade.pick())
 
     def _carry_out(self, work: Work) -> None:
--- a/kelpcourse/service/process.py
+++ b/kelpcourse/service/process.py
@@ -30,7 +30,7 @@
         """Starts nothing yet.
 
         Args:
-            name: Stands in each log line.
+            name: Written in each log line.
             limits: Times and sizes.
             fd: Where the log is written.
             signals: Those caught since an earlier moment; by default they are caught from `run` on.
@@ -114,6 +114,6 @@
         try:
             yield from factory()
             return
-        except Exception as error:  # whatever it is, it is told in full and the process lives on
+        except Exception as error:  # whatever it is, it is logged in full and the process lives on
             on_error(name, error)
         yield Wait(loop.clock() + limits.coroutine_restart_us)
