--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,21 +1,26 @@
-"""What the decision module's steps cost as the fleet grows, beside earlier versions: `python -m benchmarks.fleet`.
+"""What the policy's steps cost as the fleet grows, beside the version before: `python -m benchmarks.fleet`.
 
-All versions are stepped by turns with the same events. Figures are processor time, medians of the rounds; the ratio is
-before over now, so above 1 is faster now. The first version orders one table of all hosts, later ones a part of them to
-each proxy. Memory is the peak that Python's allocator holds after a mass join, measured apart from the times.
+Both versions are stepped in turn with the same events, each in a process of its own. Figures are processor time,
+medians of the rounds; the ratio is before over now, so above 1 is faster now. Memory is the peak that Python's
+allocator holds after a mass join, measured apart from the times.
 """
 
 from __future__ import annotations
 
 import gc
+import os
 import statistics
+import subprocess
+import sys
 import time
 import tracemalloc
 from collections.abc import Callable, Sequence
 from dataclasses import replace
+from pathlib import Path
 from typing import Any
 
-from benchmarks.before import module_at
+from benchmarks.before import ROOT, tree_at
+from benchmarks.fleet_worker import MEMORY
 from kelpcourse.policy.actions import Checkpoint
 from kelpcourse.policy.controller import RoutingPolicy
 from kelpcourse.policy.events import (
@@ -30,8 +35,8 @@
 from kelpcourse.policy.settings import Settings
 from tests.fleet import SECOND, SETTINGS, changes, full, host
 
-ONE_TABLE = "abbb568"  # the last version with one table of all hosts
-BEFORE = "37acbe9"  # the version before tables followed a drain's grace
+BEFORE = "5b4a458"  # the version before the policy was split into modules
+POLICY_BEFORE = "Director"  # its name there
 SIZES = [(400, 30), (640, 120), (1_600, 200), (1_600, 1_024), (3_200, 1_024)]  # proxies, hosts
 ROUNDS = 3
 
@@ -134,35 +139,66 @@
     return peak_bytes / 1e6
 
 
-def main() -> None:
-    makers = [
-        module_at(revision, "kelpcourse/decide.py").Director for revision in (ONE_TABLE, BEFORE)
-    ]
-    makers.append(RoutingPolicy)
-    print(
-        "| | proxies | hosts | one table, ms | before, ms | now, ms | one table over now | before over now |"
-    )
-    print("| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: |")
-    for kind in (a_second, a_mass_join, a_report, a_withdrawal, a_whole_list):
-        for proxies, hosts in SIZES:
+class Worker:
+    """A process that measures one version."""
+
+    def __init__(self, tree: Path, policy: str) -> None:
+        """Starts it on a tree that imports the policy under this name."""
+        self._process = subprocess.Popen(
+            [sys.executable, str(ROOT / "benchmarks" / "fleet_worker.py"), policy],
+            cwd=tree,
+            env={**os.environ, "PYTHONPATH": str(tree)},
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            text=True,
+        )
+
+    def measure(self, scenario: str, proxies: int, endpoints: int) -> float:
+        """Returns one figure: milliseconds of processor time, or megabytes."""
+        if self._process.stdin is None or self._process.stdout is None:
+            raise RuntimeError("the worker has no pipes")
+        print(scenario, proxies, endpoints, file=self._process.stdin, flush=True)
+        return float(self._process.stdout.readline())
+
+    def close(self) -> None:
+        """Ends the process."""
+        if self._process.stdin is not None:
+            self._process.stdin.close()
+        self._process.wait()
+
+
+def compare(before: Worker, now: Worker) -> None:
+    """Prints a table with both versions, measured in turn."""
+    print("| | proxies | endpoints | before | now | before over now |")
+    print("| --- | ---: | ---: | ---: | ---: | ---: |")
+    scenarios = [a_second, a_mass_join, a_report, a_withdrawal, a_whole_list]
+    names = [*(scenario.__name__ for scenario in scenarios), MEMORY]
+    for name in names:
+        unit = "MB" if name == MEMORY else "ms"
+        for proxies, endpoints in SIZES:
             rounds = [
-                [cost_ms(kind, make, proxies, hosts) for make in makers] for _ in range(ROUNDS)
+                (before.measure(name, proxies, endpoints), now.measure(name, proxies, endpoints))
+                for _ in range(ROUNDS)
             ]
-            first, old, new = (
-                statistics.median(costs[k] for costs in rounds) for k in range(len(makers))
-            )
+            old = statistics.median(first for first, _ in rounds)
+            new = statistics.median(second for _, second in rounds)
             print(
-                f"| {kind.__name__.replace('_', ' ')} | {proxies:,} | {hosts:,} | {first:.1f} | {old:.1f}"
-                f" | {new:.1f} | {first / new:.2f} | {old / new:.2f} |",
+                f"| {name.replace('_', ' ')}, {unit} | {proxies:,} | {endpoints:,} | {old:.1f}"
+                f" | {new:.1f} | {old / new:.2f} |",
                 flush=True,
             )
-    for proxies, hosts in SIZES:
-        held = [memory_mb(make, proxies, hosts) for make in makers]
-        print(
-            f"| memory, MB | {proxies:,} | {hosts:,} | {held[0]:.1f} | {held[1]:.1f} | {held[2]:.1f}"
-            f" | {held[0] / held[2]:.2f} | {held[1] / held[2]:.2f} |",
-            flush=True,
-        )
+
+
+def main() -> None:
+    """Compares today's policy with the version before."""
+    with tree_at(BEFORE, "kelpcourse", "benchmarks", "tests") as tree:
+        before = Worker(tree, POLICY_BEFORE)
+        now = Worker(ROOT, RoutingPolicy.__name__)
+        try:
+            compare(before, now)
+        finally:
+            before.close()
+            now.close()
 
 
 if __name__ == "__main__":
--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -10,17 +10,15 @@
 import statistics
 import subprocess
 import sys
-import tarfile
 import tempfile
-from io import BytesIO
 from pathlib import Path
 
-from benchmarks.before import ROOT
+from benchmarks.before import ROOT, tree_at
 from kelpcourse.lab.config import READ, node_config
 from kelpcourse.lab.world import Lab
 from kelpcourse.zones.settings import shown
 
-BEFORE = "8251981"
+BEFORE = "5b4a458"
 SECONDS = 8.0
 ROUNDS = 3
 
@@ -75,13 +73,8 @@
 
 
 def main() -> None:
-    shown_ = subprocess.run(
-        ["git", "-C", str(ROOT), "archive", BEFORE, "kelpcourse"], capture_output=True, check=True
-    )
-    with tempfile.TemporaryDirectory() as name:
-        with tarfile.open(fileobj=BytesIO(shown_.stdout)) as archive:
-            archive.extractall(name, filter="data")
-        rounds = [(played(Path(name)), played(ROOT)) for _ in range(ROUNDS)]
+    with tree_at(BEFORE, "kelpcourse") as tree:
+        rounds = [(played(tree), played(ROOT)) for _ in range(ROUNDS)]
     print("| | before | now |\n| --- | ---: | ---: |")
     for at, what in ((0, "processor seconds a second"), (1, "resident memory, MB")):
         old, new = (statistics.median(r[k][at] for r in rounds) for k in (0, 1))
--- a/kelpcourse/policy/admission.py
+++ b/kelpcourse/policy/admission.py
@@ -1,4 +1,4 @@
-"""AdmissionMode ratios: which part of each request class proxies admit."""
+"""Admission ratios: which part of each request class proxies admit."""
 
 from __future__ import annotations
 
