--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from tests.standins import Bench
+from tests.listening import ListenerRig
+from tests.standins import HASTY, Bench
 
 
 @pytest.fixture
@@ -15,3 +16,19 @@
     made = Bench()
     yield made
     made.close()
+
+
+@pytest.fixture
+def front(bench: Bench) -> Iterator[ListenerRig]:
+    made = ListenerRig(bench)
+    yield made
+    made.close()
+
+
+@pytest.fixture
+def impatient_front() -> Iterator[ListenerRig]:
+    bench = Bench(HASTY)
+    made = ListenerRig(bench)
+    yield made
+    made.close()
+    bench.close()
--- /dev/null
+++ b/tests/relay_service.py
@@ -0,0 +1,97 @@
+"""A scripted relay on the test's loop that accepts, refuses, breaks off or stays silent."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import orjson
+
+from kelpcourse.memory.order_queue import OrderQueue
+from kelpcourse.wire.loop import Coroutine, Signal
+from kelpcourse.wire.relay_calls import RelayCalls
+from tests.standins import Bench, Caller, StandIn
+
+
+class Relay:
+    """Answers calls by a script; once that is used up it takes everything."""
+
+    def __init__(self, bench: Bench, *script: Callable[[Caller, int], Coroutine[None]]) -> None:
+        self.calls: list[list[dict[str, object]]] = []
+        self.script = list(script)
+        self.ended = 0  # connections that the director closed
+        self.stand_in = StandIn(bench.loop, self._serve)
+
+    def _serve(self, caller: Caller) -> Coroutine[None]:
+        while (call := (yield from caller.request())) is not None:
+            target, body = call
+            assert target == "/v3/kv/orders"
+            orders = orjson.loads(body)["orders"]
+            self.calls.append(orders)
+            act = self.script.pop(0) if self.script else accept_all
+            yield from act(caller, len(orders))
+        self.ended += 1
+
+    def verbs(self) -> list[list[object]]:
+        return [[order["verb"] for order in call] for call in self.calls]
+
+
+def accept_all(caller: Caller, count: int) -> Coroutine[None]:
+    yield from caller.answer(200, b'{"ok_count":%d}' % count)
+
+
+def accept_two(caller: Caller, _: int) -> Coroutine[None]:
+    yield from caller.answer(200, b'{"ok_count":2}')
+
+
+def accept_none(caller: Caller, _: int) -> Coroutine[None]:
+    yield from caller.answer(200, b'{"ok_count":0}')
+
+
+def throttle(caller: Caller, _: int) -> Coroutine[None]:
+    yield from caller.answer(429, b'{"error":"Throttling"}')
+
+
+def throttle_and_close(caller: Caller, count: int) -> Coroutine[None]:
+    yield from throttle(caller, count)
+    caller.stream.close()
+
+
+def reject_as_invalid(caller: Caller, _: int) -> Coroutine[None]:
+    yield from caller.answer(400, b'{"error":"ValidationError"}')
+
+
+def say_nothing(caller: Caller, _: int) -> Coroutine[None]:
+    yield from caller.silence()
+
+
+def break_off(caller: Caller, _: int) -> Coroutine[None]:
+    caller.reset()
+    yield from ()
+
+
+def half_an_answer(caller: Caller, _: int) -> Coroutine[None]:
+    yield from caller.stream.send(b'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{"ok_c', 1 << 60)
+    caller.stream.close()
+
+
+def not_http(caller: Caller, _: int) -> Coroutine[None]:
+    yield from caller.stream.send(b"\0\1\2 what\r\n\r\n", 1 << 60)
+    yield from caller.silence()
+
+
+def not_json(caller: Caller, _: int) -> Coroutine[None]:
+    yield from caller.answer(200, b"<html>")
+
+
+def close_when_idle(caller: Caller, count: int) -> Coroutine[None]:
+    yield from accept_all(caller, count)
+    caller.stream.close()
+
+
+def start_calls(bench: Bench, relay: Relay, order_queue: OrderQueue) -> Signal:
+    orders_waiting = Signal()
+    bench.loop.start(
+        "calls",
+        RelayCalls(bench.runtime, relay.stand_in.address, order_queue, orders_waiting).run(),
+    )
+    return orders_waiting
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -89,7 +89,7 @@
 
 
 class Bench:
-    """The parts of a director on a fake clock: time passes only while no byte is under way."""
+    """The runtime of a controller on a fake clock: time passes only while no byte is under way."""
 
     def __init__(self, limits: Limits = QUICK, settings: Settings = SETTINGS) -> None:
         self.clock = FakeClock()
@@ -99,7 +99,7 @@
         self.module = Script(settings)
         self.facade = Facade(settings, 7, limits, lambda _: self.module)
         self.counters = Counters()
-        self.parts = Runtime(self.facade, limits, self.counters, self.log, self.loop)
+        self.runtime = Runtime(self.facade, limits, self.counters, self.log, self.loop)
 
     def until(self, what: Callable[[], object], most: int = 4000) -> None:
         for _ in range(most):
--- /dev/null
+++ b/tests/test_discovery_versions.py
@@ -0,0 +1,115 @@
+"""Lists and changes that arrive out of order, and discovery that has started over."""
+
+from __future__ import annotations
+
+from kelpcourse.policy.events import EndpointListKind, EndpointStatus
+from kelpcourse.wire.loop import Coroutine, Wait
+from tests.discovery_service import (
+    Service,
+    client_of,
+    reported_lists,
+    response_body,
+    watch_stream,
+)
+from tests.standins import MS, QUICK, Bench, Caller, entry, listed
+
+
+def test_changes_older_than_the_known_version_end_the_watch(bench: Bench) -> None:
+    """Something was missed, and only a fresh call can tell what."""
+    service = Service(bench, watch_stream(bench, listed(40, entry("a"), whole=False)))
+    client_of(bench, service, 41).watch(True)
+    bench.until(lambda: reported_lists(bench))
+    assert reported_lists(bench)[0].kind is EndpointListKind.UNAVAILABLE
+
+
+def test_an_older_complete_list_restores_no_draining_endpoint(bench: Bench) -> None:
+    """A host that drains was ready again by a list of before."""
+    drains = watch_stream(bench, listed(43, entry("a", "draining"), whole=False))
+    service = Service(bench, drains, response_body(listed(41, entry("a"))))
+    discovery = client_of(bench, service)
+    discovery.watch(True)
+    bench.until(lambda: reported_lists(bench))
+    discovery.fetch()
+    bench.until(lambda: len(reported_lists(bench)) == 2)
+    assert [(told.kind, [h.status for h in told.endpoints]) for told in reported_lists(bench)] == [
+        (EndpointListKind.CHANGES, [EndpointStatus.DRAINING]),
+        (EndpointListKind.UNAVAILABLE, []),
+    ]
+
+
+def test_discovery_that_repeats_an_older_list_has_started_over(bench: Bench) -> None:
+    """Else its changes would be turned away for good, and the director would see no drain any more."""
+    times = QUICK.max_stale_lists
+    service = Service(
+        bench,
+        *[response_body(listed(3, entry("a")))] * times,
+        watch_stream(bench, listed(4, entry("b"), whole=False)),
+    )
+    discovery = client_of(bench, service)
+    for count in range(times):
+        discovery.fetch()
+        bench.until(lambda count=count: len(reported_lists(bench)) == count + 1)  # type: ignore[misc]
+    assert [told.kind for told in reported_lists(bench)] == [EndpointListKind.UNAVAILABLE] * (
+        times - 1
+    ) + [EndpointListKind.FULL]
+    discovery.watch(True)
+    bench.until(lambda: len(reported_lists(bench)) == times + 1)
+    assert service.targets[-1].endswith("index=3")
+
+
+def test_repeated_older_changes_lead_to_a_request_for_everything(bench: Bench) -> None:
+    times = QUICK.max_stale_lists
+    service = Service(
+        bench,
+        *[watch_stream(bench, listed(3, whole=False))] * times,
+        watch_stream(bench, listed(3, entry("a"))),
+    )
+    discovery = client_of(bench, service)
+    for count in range(times):
+        discovery.watch(True)
+        bench.until(lambda count=count: len(reported_lists(bench)) == count + 1)  # type: ignore[misc]
+    discovery.watch(True)
+    bench.until(lambda: len(reported_lists(bench)) == times + 1)
+    assert [target.split("=")[-1] for target in service.targets] == ["41"] * times + ["0"]
+    assert reported_lists(bench)[-1].kind is EndpointListKind.FULL
+
+
+def test_an_older_list_between_newer_ones_is_not_counted(bench: Bench) -> None:
+    old, new = response_body(listed(3, entry("a"))), response_body(listed(50, entry("a")))
+    service = Service(bench, old, old, new, old, old, new)
+    discovery = client_of(bench, service)
+    for count in range(6):
+        discovery.fetch()
+        bench.until(lambda count=count: len(reported_lists(bench)) == count + 1)  # type: ignore[misc]
+    lost = EndpointListKind.UNAVAILABLE
+    assert [told.kind for told in reported_lists(bench)] == [lost, lost, EndpointListKind.FULL] * 2
+
+
+def test_a_fetch_in_between_does_not_end_the_watch(bench: Bench) -> None:
+    """The watch's next line was taken for a gap, as the fetch had moved the version on."""
+    pending_lines: list[bytes] = []
+
+    def watched(caller: Caller) -> Coroutine[None]:
+        yield from caller.open_body()
+        yield from caller.line(listed(42, entry("a"), whole=False))
+        while True:
+            while not pending_lines:
+                yield Wait(bench.clock() + MS)
+            yield from caller.line(pending_lines.pop(0))
+
+    service = Service(bench, watched, response_body(listed(45, entry("a", "draining"))))
+    discovery = client_of(bench, service)
+    discovery.watch(True)
+    bench.until(lambda: len(reported_lists(bench)) == 1)
+    discovery.fetch()
+    bench.until(lambda: len(reported_lists(bench)) == 2)
+    pending_lines += [listed(44, entry("a"), whole=False), listed(46, entry("b"), whole=False)]
+    bench.until(lambda: len(reported_lists(bench)) == 3)
+    assert [
+        (told.version, [h.status for h in told.endpoints]) for told in reported_lists(bench)
+    ] == [
+        (42, [EndpointStatus.READY]),
+        (45, [EndpointStatus.DRAINING]),
+        (46, [EndpointStatus.READY]),
+    ]
+    assert len(service.targets) == 2
--- a/tests/test_end_result.py
+++ b/tests/test_end_result.py
@@ -162,7 +162,7 @@
         Signal(),
     )
     bench.loop.start(
-        "calls", RelayCalls(bench.parts, relay.stand_in.address, outbox, waiting).run()
+        "calls", RelayCalls(bench.runtime, relay.stand_in.address, outbox, waiting).run()
     )
     for number in range(STEPS):
         outbox.add(step(number))
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -67,7 +67,7 @@
     load: tuple[tuple[str, float], ...],
 ) -> None:
     host = StandIn(bench.loop, serve)
-    HealthChecker(bench.parts).check("h1", host.address)
+    HealthChecker(bench.runtime).check("h1", host.address)
     bench.until(lambda: answers(bench))
     assert [(a.endpoint, a.status, a.load) for a in answers(bench)] == [(1, status, load)]
 
@@ -75,18 +75,18 @@
 def test_a_host_that_is_down_failed_to_connect(bench: Bench) -> None:
     host = StandIn(bench.loop, silent)
     host.close()
-    HealthChecker(bench.parts).check("h1", host.address)
+    HealthChecker(bench.runtime).check("h1", host.address)
     bench.until(lambda: answers(bench))
     assert answers(bench)[0].status is HealthCheckStatus.CONNECT_FAILED
 
 
 def test_probes_beyond_the_limit_wait_and_beyond_that_are_cancelled(bench: Bench) -> None:
-    bench.parts = replace(
-        bench.parts,
+    bench.runtime = replace(
+        bench.runtime,
         limits=replace(QUICK, max_concurrent_health_checks=2, max_queued_health_checks=3),
     )
     host = StandIn(bench.loop, answering(200, b""))
-    checker = HealthChecker(bench.parts)
+    checker = HealthChecker(bench.runtime)
     for _ in range(8):
         checker.check("h1", host.address)
     bench.until(lambda: len(answers(bench)) == 8)
@@ -96,9 +96,9 @@
 
 def test_a_probe_that_ends_by_a_defect_is_answered_and_the_next_has_its_turn(bench: Bench) -> None:
     """The module awaits an answer to each, and those that waited behind it were never made."""
-    bench.parts = replace(bench.parts, limits=replace(QUICK, max_concurrent_health_checks=1))
+    bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_concurrent_health_checks=1))
     host = StandIn(bench.loop, answering(200, b""))
-    checker = HealthChecker(bench.parts)
+    checker = HealthChecker(bench.runtime)
     checker.check("h1", ("127.0.0.1", 99_999))
     checker.check("h1", host.address)
     bench.until(lambda: len(answers(bench)) == 2)
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -135,7 +135,7 @@
         self.world = MassWorld(MASS)
         self.bench = Bench(limits, MASS)
         self.facade = self.bench.facade = Facade(MASS, 7, limits, make)
-        parts = replace(self.bench.parts, facade=self.facade)
+        parts = replace(self.bench.runtime, facade=self.facade)
         self.outbox, self.waiting = (
             OrderQueue(limits.max_queued_orders, limits.max_superseded_checkpoints),
             Signal(),
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -15,7 +15,7 @@
     bench: Bench, source: Broadcaster, outbox: OrderQueue | None = None, streams: int = 1
 ) -> None:
     reader = RelayEventStreams(
-        bench.parts,
+        bench.runtime,
         source.stand_in.address,
         outbox if outbox is not None else outbox_of(),
         Signal(),
@@ -130,7 +130,7 @@
     """Nobody is told to have left or joined, so no proxy is bound anew."""
     snapshot = [joined(0), joined(1), b"{}"]
     old, new = Broadcaster(bench, snapshot, snapshot), Broadcaster(bench, snapshot, snapshot)
-    reader = RelayEventStreams(bench.parts, old.stand_in.address, outbox_of(), Signal())
+    reader = RelayEventStreams(bench.runtime, old.stand_in.address, outbox_of(), Signal())
     for stream in reader.streams():
         bench.loop.start("news", reader.run(stream))
     bench.until(lambda: old.stand_in.connections == 2 and len(bench.module.events) == 3)
--- /dev/null
+++ b/tests/test_relay_outcome_unknown.py
@@ -0,0 +1,168 @@
+"""Calls to the relay that may or may not have been carried out."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+
+import pytest
+
+from kelpcourse.memory.order_queue import OrderQueue
+from kelpcourse.memory.orders import Checkpoint, Order, RestoreEndpoint, SetWeight, WithdrawEndpoint
+from kelpcourse.policy.events import OrdersAccepted, OrdersOutcomeUnknown
+from kelpcourse.wire.loop import Coroutine, Signal, Wait
+from kelpcourse.wire.relay_calls import RelayCalls
+from tests.relay_service import (
+    Relay,
+    break_off,
+    half_an_answer,
+    not_http,
+    not_json,
+    say_nothing,
+    start_calls,
+)
+from tests.relays import MARK, SET, USE, outbox_of
+from tests.standins import MS, QUICK, Bench, Caller, StandIn
+
+CORRUPTED_ANSWERS = [
+    b"{}",
+    b"[1]",
+    b'{"ok_count":-3}',
+    b'{"ok_count":[1]}',
+    b'{"ok_count":"s-zz"}',
+    b'{"ok_count":1e30}',
+    b'{"ok_count":38654705664}',
+    b'{"ok_count":null}',
+    b'{"ok_count":true}',
+    b"\xe9\x81\xc5",
+]
+
+
+@pytest.mark.parametrize("answer", CORRUPTED_ANSWERS, ids=repr)
+def test_a_corrupted_answer_proves_nothing_and_the_call_is_resent(
+    bench: Bench, answer: bytes
+) -> None:
+    def corrupt(caller: Caller, _: int) -> Coroutine[None]:
+        yield from caller.answer(200, answer)
+
+    relay, order_queue = Relay(bench, corrupt), outbox_of(SET, MARK)
+    start_calls(bench, relay, order_queue)
+    bench.until(lambda: not order_queue.batch_count)
+    assert relay.verbs() == [["SET", "SYNC"]] * 2
+    assert bench.counters["relay_calls_failed"] == 1
+
+
+@pytest.mark.parametrize("fault", [say_nothing, break_off, half_an_answer, not_http, not_json])
+def test_a_call_of_unknown_outcome_is_resent_in_order(
+    bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
+) -> None:
+    relay, order_queue = Relay(bench, fault), outbox_of(SET, MARK)
+    start_calls(bench, relay, order_queue)
+    bench.until(lambda: len(relay.calls) == 1)
+    order_queue.add([SetWeight(0, "h1", 2.0), Checkpoint(6, False)])
+    bench.until(lambda: not order_queue.batch_count)
+    sent = [order for call in relay.calls[1:] for order in call]
+    assert [order.get("share", order.get("stamp")) for order in sent] in (
+        [2.0, 6],
+        [1.5, 5, 2.0, 6],
+    )
+    assert bench.counters["relay_calls_failed"] == 1
+    # the channel may hold the step twice: 36,000 lines ordered again uncounted would be more than it may
+    assert [event for event in bench.module.events if isinstance(event, OrdersOutcomeUnknown)] == [
+        OrdersOutcomeUnknown((5,))
+    ]
+
+
+def with_unknown_outcome(
+    bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
+) -> tuple[Relay, OrderQueue]:
+    """The first call breaks, and the module does not let it go again yet."""
+    bench.module.repeats = False
+    relay, order_queue = Relay(bench, fault), outbox_of(SET, MARK)
+    start_calls(bench, relay, order_queue)
+    return relay, order_queue
+
+
+@pytest.mark.parametrize("fault", [say_nothing, break_off, half_an_answer, not_http, not_json])
+def test_a_call_of_unknown_outcome_waits_until_the_policy_allows_to_resend(
+    bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
+) -> None:
+    """6,416 lines waited where 5,800 may: an answer was lost, and the call went again beside its first copy."""
+    relay, order_queue = with_unknown_outcome(bench, fault)
+    bench.until(
+        lambda: len([e for e in bench.module.events if isinstance(e, OrdersOutcomeUnknown)]) > 3
+    )
+    order_queue.add([SetWeight(0, "h1", 2.0), Checkpoint(6, False)])
+    bench.pass_us(50 * MS)
+    assert len(relay.calls) == 1
+    bench.module.repeats = True
+    bench.until(lambda: not order_queue.batch_count)
+    assert relay.verbs() == [["SET", "SYNC"], ["SET", "SYNC"]]
+
+
+@pytest.mark.parametrize("fault", [say_nothing, break_off, half_an_answer, not_http, not_json])
+def test_a_call_whose_checkpoint_is_acknowledged_is_not_resent(
+    bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
+) -> None:
+    relay, order_queue = with_unknown_outcome(bench, fault)
+    bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.module.events))
+    order_queue.add([USE, Checkpoint(6, False)])
+    order_queue.acknowledge(5)
+    bench.until(lambda: not order_queue.batch_count)
+    assert relay.verbs() == [["SET", "SYNC"], ["USE", "SYNC"]]
+    assert bench.counters["relay_calls_confirmed"] == 1
+    bench.until(lambda: OrdersAccepted(6) in bench.module.events)
+    assert [e for e in bench.module.events if isinstance(e, OrdersAccepted)] == [
+        OrdersAccepted(5),
+        OrdersAccepted(6),
+    ]
+
+
+def test_a_call_that_breaks_before_its_last_byte_was_not_carried_out(bench: Bench) -> None:
+    """The relay takes no more of it than the system holds. It was never carried out, and goes again at once."""
+    bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_call_bytes=1 << 30))
+    long = "h" * 2_000
+    orders: list[Order] = [SetWeight(0, f"{long}{k}", 1.0) for k in range(10_000)]
+
+    def takes_nothing(_: Caller) -> Coroutine[None]:
+        while True:
+            yield Wait(bench.clock() + MS)
+
+    bench.module.repeats = False
+    stalled, order_queue = StandIn(bench.loop, takes_nothing), outbox_of(*orders, MARK)
+    bench.loop.start(
+        "calls", RelayCalls(bench.runtime, stalled.address, order_queue, Signal()).run()
+    )
+    bench.until(lambda: bench.counters["relay_calls_failed"] == 3)
+    assert bench.log.named("relay_call_failed")[0]["reason"] == "nothing was taken in time"
+    assert stalled.connections >= 2
+    assert not [e for e in bench.module.events if isinstance(e, OrdersOutcomeUnknown)]
+
+
+def test_a_call_of_unknown_outcome_waits_at_the_new_address_too(
+    bench: Bench,
+) -> None:
+    bench.module.repeats = False
+    old, new, order_queue = Relay(bench, say_nothing), Relay(bench), outbox_of(SET, MARK)
+    calls = RelayCalls(bench.runtime, old.stand_in.address, order_queue, Signal())
+    bench.loop.start("calls", calls.run())
+    bench.until(lambda: old.calls)
+    calls.reconnect_to(new.stand_in.address)
+    bench.pass_us(4 * QUICK.call_timeout_us)
+    assert not new.calls
+    calls.reconnect_to(old.stand_in.address)  # and back, before the first move was through
+    bench.module.repeats = True
+    bench.until(lambda: not order_queue.batch_count)
+    assert (old.verbs(), new.verbs()) == ([["SET", "SYNC"]] * 2, [])
+
+
+def test_a_withdrawal_during_an_unknown_outcome_is_sent_with_the_resent_call(bench: Bench) -> None:
+    """Behind it, not ahead: the call may let the same host back."""
+    relay, order_queue = Relay(bench, say_nothing), outbox_of(RestoreEndpoint("h1"), MARK)
+    bench.module.repeats = False
+    start_calls(bench, relay, order_queue)
+    bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.module.events))
+    order_queue.add([WithdrawEndpoint("h1"), Checkpoint(6, False)])
+    bench.module.repeats = True
+    bench.until(lambda: not order_queue.batch_count)
+    assert relay.verbs() == [["IN", "SYNC"], ["OUT", "SYNC"]]
--- /dev/null
+++ b/tests/test_report_handler.py
@@ -0,0 +1,187 @@
+"""Lines of report collectors and of unauthenticated clients."""
+
+from __future__ import annotations
+
+import socket
+
+import pytest
+
+from kelpcourse.policy.events import DemandReport, EndpointReport
+from tests.listening import (
+    DEMAND_REPORT,
+    ENDPOINT_REPORT,
+    ListenerRig,
+    is_closed_after,
+    received,
+    received_until_closed,
+)
+from tests.standins import MS
+
+
+def test_reports_reach_the_policy_and_nothing_is_written_back(front: ListenerRig) -> None:
+    peer = front.connect()
+    peer.sendall(b"collector az=east\r\n" + ENDPOINT_REPORT + DEMAND_REPORT)
+    front.bench.until(lambda: len(front.reports()) == 2)
+    assert front.reports() == [
+        EndpointReport(1, "east", 212, 3, 1_000_000, 41_700, (("inflight", 7.0), ("util", 0.61))),
+        DemandReport(2, 0, 19, 0, 1_000_000),
+    ]
+    assert received(peer) is None
+
+
+def test_reports_that_arrive_together_are_one_step(front: ListenerRig) -> None:
+    one, other = front.collector(), front.collector()
+    front.bench.pass_us(5 * MS)
+    steps = len(front.bench.module.steps)
+    one.sendall(ENDPOINT_REPORT * 40)
+    other.sendall(DEMAND_REPORT * 40)
+    front.bench.until(lambda: len(front.reports()) == 80)
+    assert len(front.bench.module.steps) == steps + 1
+
+
+def test_a_message_in_single_bytes_is_one_message(front: ListenerRig) -> None:
+    peer = front.connect()
+    for byte in b"collector az=east\r\n" + ENDPOINT_REPORT:
+        peer.sendall(bytes([byte]))
+        front.bench.turn()
+    front.bench.until(front.reports)
+    assert len(front.reports()) == 1
+
+
+def test_ping_is_answered_on_any_connection(front: ListenerRig) -> None:
+    peer = front.connect()
+    peer.sendall(b"ping\r\nping\r\n")
+    answer = b""
+    while len(answer) < 12:
+        front.bench.turn()
+        answer += received(peer) or b""
+    assert answer == b"pong\r\npong\r\n"
+
+
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"what is=this",
+        b"heard az=east",
+        b"heard az=east host=h1 n=-1 bad=0 avg=1 window=1",
+        b"heard az=east host=h1 n=5 bad=9 avg=1 window=1",
+        b"heard az=west1 host=h1 n=1 bad=0 avg=1 window=1",
+        b"heard az=east host=never n=1 bad=0 avg=1 window=1",
+        b"heard az=east host=h1 n=1 bad=0 avg=nan window=1",
+        b"heard az=east host=h1 n=1 bad=0 avg=1 window=inf",
+        b"heard az=east host=h1 n=1 bad=0 avg=1 window=1 report=inflight",
+        b"usage sidecar=2 kind=sing n=1 bad=0 window=1",
+        b"usage sidecar=4 kind=read n=1 bad=0 window=1",
+        b"usage sidecar=2 kind=read n=1e3 bad=0 window=1",
+        b"usage sidecar=2 kind=read n=1 bad",
+        b"heard az=east host=h1 n=5 n=6 bad=0 avg=1 window=1000",
+        b"heard az=east host=h1 n=5 bad=1 window=1000",
+        b"heard az=east host=h1 n=5 bad=1 avg=38654705664 window=1000",
+        b"heard az=east host=h1 n=38654705664 bad=1 avg=1 window=1000",
+        b"heard az=east host=h1 n=5 bad=1 avg=1 window=38654705664",
+        b"heard az=east host=h1 n=5 bad=1 avg=1 window=0",
+        b"heard az=west host=h1 n=5 bad=1 avg=1 window=1000",
+        b"heard az=east host=h1 n=[1] bad=1 avg=1 window=1000",
+        b"usage sidecar=2 kind=read n=38654705664 bad=0 window=1000",
+        b"usage sidecar=2 kind=read n=1 bad=38654705664 window=1000",
+        b"usage sidecar=-3 kind=read n=1 bad=0 window=1000",
+        b"collector az=nowhere",
+        b"collector az=west",
+    ],
+)
+def test_an_invalid_message_of_a_collector_is_counted_and_skipped(
+    front: ListenerRig, line: bytes
+) -> None:
+    peer = front.collector()
+    peer.sendall(ENDPOINT_REPORT + line + b"\r\n" + DEMAND_REPORT)
+    front.bench.until(lambda: len(front.reports()) == 2)
+    assert front.bench.counters["collector_messages_rejected"] == 1
+    assert len(front.bench.log.named("message_rejected")) == 1
+    assert received(peer) is None
+
+
+def test_a_report_of_failures_alone_has_no_mean_time(front: ListenerRig) -> None:
+    front.collector().sendall(b"heard az=east host=h1 n=3 bad=3 window=1000\r\n")
+    front.bench.until(front.reports)
+    assert front.reports() == [EndpointReport(1, "east", 3, 3, 1_000_000, 0, ())]
+
+
+@pytest.mark.parametrize(
+    "rest",
+    [
+        b"\xe9\x81\xc5\xa5\xcf" * 9,
+        b"\xff\xfe\r\n",
+        b"heard az=\xff\r\n",
+        b"\x00\x01heard",
+        b"GET / HTTP/1.1\r\n",
+        b"heard az=east \x07\r\n",
+        b"=" * 50,
+        b"7f 7f\r\n",
+    ],
+    ids=repr,
+)
+def test_a_malformed_line_disconnects_its_collector_alone(front: ListenerRig, rest: bytes) -> None:
+    """What was good before counts; nothing that follows is waited for, as no line end may ever come."""
+    peer, other = front.collector(), front.collector()
+    peer.sendall(ENDPOINT_REPORT + rest)
+    front.bench.until(lambda: front.bench.counters["collectors_disconnected"])
+    assert received(peer) == b""
+    other.sendall(DEMAND_REPORT)
+    front.bench.until(lambda: len(front.reports()) == 2)
+
+
+@pytest.mark.parametrize(
+    "said",
+    [
+        b"\xe9\x81\xc5\xa5\xcf",
+        b"GET / HTTP/1.1\r\n",
+        b"x" * 4096,
+        ENDPOINT_REPORT,
+        DEMAND_REPORT,
+        b'{"orders":[]}\r\n',
+        b"joined sidecar=1 az=east share=2 standing=1\r\n",
+        b"collector az=nowhere\r\n",
+        b"collector az=\r\n",
+        b"update rows=1\r\n",
+        b"\r\n",
+        b"ping\r\n" + ENDPOINT_REPORT,
+        b"\xff\xff\xff\xff\x00\x00",
+    ],
+    ids=repr,
+)
+def test_an_unauthenticated_client_is_refused_at_once(front: ListenerRig, said: bytes) -> None:
+    """None of its figures reaches the module, also not of what it said beside a ping."""
+    client = front.connect()
+    client.sendall(said)
+    front.bench.until(lambda: front.bench.counters["clients_rejected"])
+    assert b"refused\r\n" in received_until_closed(client)
+    assert front.reports() == []
+
+
+def test_an_incomplete_line_before_a_reset_is_dropped(front: ListenerRig) -> None:
+    peer = front.collector()
+    peer.sendall(ENDPOINT_REPORT[:30])
+    front.bench.pass_us(3 * MS)
+    peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
+    peer.close()
+    other = front.collector()
+    other.sendall(DEMAND_REPORT)
+    front.bench.until(front.reports)
+    assert len(front.reports()) == 1
+
+
+def test_a_client_that_does_not_read_its_pongs_is_disconnected(front: ListenerRig) -> None:
+    reader = front.connect()
+    reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    assert any(is_closed_after(front.bench, reader, b"ping\r\n" * 2000) for _ in range(400))
+    front.collector().sendall(DEMAND_REPORT)
+    front.bench.until(front.reports)
+
+
+def test_a_complete_line_before_a_close_counts(front: ListenerRig) -> None:
+    """A whole line that was read counts, whatever becomes of the connection in the same round."""
+    peer = front.collector()
+    peer.sendall(ENDPOINT_REPORT)
+    peer.close()
+    front.bench.until(lambda: front.reports())
+    assert len(front.reports()) == 1
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -181,31 +181,31 @@
 def run_calls(bench: Bench, server: RawServer, orders: list[Order]) -> None:
     queue = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
     queue.add(orders)
-    bench.loop.start("calls", RelayCalls(bench.parts, server.address, queue, Signal()).run())
+    bench.loop.start("calls", RelayCalls(bench.runtime, server.address, queue, Signal()).run())
 
 
 def run_events(bench: Bench, server: RawServer) -> None:
     queue = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
-    streams = RelayEventStreams(bench.parts, server.address, queue, Signal())
+    streams = RelayEventStreams(bench.runtime, server.address, queue, Signal())
     bench.loop.start("events", streams.run(0))
 
 
 def run_watch(bench: Bench, server: RawServer) -> None:
-    DiscoveryClient(bench.parts, server.address, 41).watch(True)
+    DiscoveryClient(bench.runtime, server.address, 41).watch(True)
 
 
 def run_fetch(bench: Bench, server: RawServer) -> None:
-    DiscoveryClient(bench.parts, server.address, 41).fetch()
+    DiscoveryClient(bench.runtime, server.address, 41).fetch()
 
 
 def run_probe(bench: Bench, server: RawServer) -> None:
     bench.facade.report_cached_list([member("h1")], 1)
-    HealthChecker(bench.parts).check("h1", server.address)
+    HealthChecker(bench.runtime).check("h1", server.address)
 
 
 def run_listener(bench: Bench, address: tuple[str, int]) -> None:
     bench.facade.report_cached_list([member("h1")], 1)
-    bench.loop.start("listener", Listener(bench.parts, address).run())
+    bench.loop.start("listener", Listener(bench.runtime, address).run())
 
 
 def reported(bench: Bench) -> list[Event]:
