--- a/kelpcourse/service/controller.py
+++ b/kelpcourse/service/controller.py
@@ -81,7 +81,7 @@
             config.known.version,
             config.seed % SEED_SPREAD / SEED_SPREAD,
         )
-        self._probes = HealthChecker(runtime)
+        self._health_checker = HealthChecker(runtime)
         self._calls = RelayCalls(runtime, config.relay, self._queue, self._orders_queued)
         self._events = RelayEventStreams(runtime, config.relay, self._queue, self._calls.reachable)
         self._reloader = ConfigReloader(
@@ -151,7 +151,7 @@
         for _ in range(work.fetches):
             self._discovery.fetch()
         for check in work.health_checks:
-            self._probes.check(check.endpoint, check.address)
+            self._health_checker.check(check.endpoint, check.address)
         for text in work.log_messages:
             self._log.event("policy_message", text=text)
         if work.undeliverable:
@@ -164,7 +164,7 @@
         if dropped:
             self._counters.add("orders_dropped", dropped)
             self._log.event("orders_dropped", count=dropped)
-        self._counters.most("max_queued_orders", len(self._queue))
+        self._counters.record_max("max_queued_orders", len(self._queue))
         self._orders_queued.set()
 
 
--- a/kelpcourse/wire/listener.py
+++ b/kelpcourse/wire/listener.py
@@ -174,6 +174,6 @@
         """
         limits = self._runtime.limits
         total_bytes = sum(each.buffer.capacity_bytes for each in self._connections)
-        self._runtime.counters.most("max_read_buffer_bytes", total_bytes)
+        self._runtime.counters.record_max("max_read_buffer_bytes", total_bytes)
         has_grown = connection.buffer.capacity_bytes > limits.initial_read_buffer_bytes
         return total_bytes > limits.max_read_buffers_bytes and has_grown
