--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,12 +11,13 @@
 from kelpcourse.policy.events import EndpointStatus
 from tests.deployment import Deployment
 from tests.fleet import SETTINGS
-from tests.standins import QUICK, Bench, Script, member
+from tests.listening import ListenerRig
+from tests.standins import HASTY, QUICK, Bench, Script, member
 
 
 @pytest.fixture
 def bench() -> Iterator[Bench]:
-    """The loop, door, counters and log that a counterpart is handed, on a clock of the test's own."""
+    """The loop, facade, counters and log that a component is handed, on a clock of the test's own."""
     made = Bench()
     yield made
     made.close()
@@ -31,6 +32,24 @@
     made.close()
 
 
+@pytest.fixture
+def front(bench: Bench) -> Iterator[ListenerRig]:
+    """A listener on loopback."""
+    made = ListenerRig(bench)
+    yield made
+    made.close()
+
+
+@pytest.fixture
+def impatient_front() -> Iterator[ListenerRig]:
+    """A listener on loopback with short timeouts."""
+    bench = Bench(HASTY)
+    made = ListenerRig(bench)
+    yield made
+    made.close()
+    bench.close()
+
+
 @pytest.fixture
 def policy() -> Script:
     """A policy that follows a script."""
