--- a/tests/test_lease_storms.py
+++ b/tests/test_lease_storms.py
@@ -66,8 +66,11 @@
 
 
 def test_a_member_stays_drained_under_later_leaders_until_it_is_removed() -> None:
-    """It was known to the leader alone that had been told: the next one gave the drained member groups again, and so
-    did the one after, or not, by who led when."""
+    """It was known to the leader alone that had been told.
+
+    The next one gave the drained member groups again, and so did the one after, or not, by who
+    led when.
+    """
     removed = 0
     for seed in range(4):
         fleet = Fleet(seed, 3)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -197,8 +197,8 @@
 
 
 def test_the_first_reports_after_a_start_neither_shed_nor_set_v_low() -> None:
-    """A director that came back was told of 9 requests a second of 200 that came, a sixth of them failed, and
-    shed for 15 s by a V that had grown from nothing."""
+    # A director that came back was told of 9 requests a second of 200 that came, a sixth of them
+    # failed, and shed for 15 s by a V that had grown from nothing.
     day = Day(listed=hosts(10))
     failed = {h.id: 0.2 for h in hosts(10)}
     day.second(hosts(10), time_us=450_000, failed=failed, demand=(40, 10))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -233,8 +233,11 @@
 
 
 def test_few_that_join_after_a_withdrawal_are_bound_ahead_of_those_that_wait() -> None:
-    """Four in five directors died. Of those that came 0.3 s after a withdrawal one waited 14 s behind the rest to
-    be bound, and sent to the host all along."""
+    """Four in five directors died.
+
+    Of those that came 0.3 s after a withdrawal one waited 14 s behind the rest to be bound, and
+    sent to the host all along.
+    """
     day, out = takeover(66, 2)
     assert {b.proxy for b in only(out, BindProxy)} == {66, 67}
     assert 0 < len(day.policy.bindings.unbound_since_us) < 66
@@ -263,8 +266,10 @@
 
 
 def test_many_that_join_after_a_withdrawal_are_told_anew_with_the_next() -> None:
-    """1,250 proxies that came from dead directors had 13.4 s to leave 30 hosts withdrawn before; at 40 lines a
-    binding the channel takes 15 s for them, and 105 tries reached these hosts."""
+    """1,250 proxies that came from dead directors had 13.4 s to leave 30 hosts withdrawn before.
+
+    At 40 lines a binding the channel takes 15 s for them, and 105 tries reached these hosts.
+    """
     day, out = takeover(10, 60)
     assert not endpoint_orders(out)
     told = endpoint_orders(day.send(changes([host(101, state=EndpointStatus.GONE)])))
@@ -343,8 +348,10 @@
 
 
 def test_what_waits_for_proxies_that_joined_once_more_unseen_still_counts_as_queued() -> None:
-    """After an outage of the relay the orders that had piled up went out beside the bindings of all proxies
-    again: 4,042 lines waited where 3,600 may. Whoever is not heard to leave may be reached by both."""
+    """After an outage of the relay the orders that had piled up went out beside the bindings of all proxies again.
+
+    4,042 lines waited where 3,600 may. Whoever is not heard to leave may be reached by both.
+    """
     settings = replace(
         SETTINGS, proxy_count=40, max_backlog_entries=1200.0, delivery_entries_per_s=1000.0
     )
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -67,14 +67,20 @@
 def test_those_that_join_late_do_not_hold_up_the_next_withdrawal(
     make: Callable[[Settings], RoutingPolicy],
 ) -> None:
-    """Forty hosts had been withdrawn when a proxy joined. They were withdrawn anew with the next twenty, at the cost
-    of a line at every proxy that still had theirs in its table, and ahead of them: 60 hosts found no room for 4.2 s."""
+    """Forty hosts had been withdrawn when a proxy joined.
+
+    They were withdrawn anew with the next twenty, at the cost of a line at every proxy that still
+    had theirs in its table, and ahead of them: 60 hosts found no room for 4.2 s.
+    """
     assert not release(make).policy.withdrawals.draining
 
 
 def takeover(make: Callable[[Settings], RoutingPolicy]) -> ModuleDay:
-    """Four of five directors die right after 30 hosts began to drain: their proxies, which hold all hosts and were not
-    told, come to the fifth within a second. Raises Broken."""
+    """Four of five directors die right after 30 hosts began to drain.
+
+    Their proxies, which hold all hosts and were not told, come to the fifth within a second.
+    Raises Broken.
+    """
     day = ModuleDay(make, ROLL, HOSTS)
     day.step(full(HOSTS))
     day.join(range(40), lambda _: numbers(0, 5), 0.5, fresh=True)
@@ -88,8 +94,11 @@
 
 
 def test_all_proxies_of_lost_directors_are_told_of_drains_in_time() -> None:
-    """On herd 41 a binding was 157 lines where 3,000 a second leave: 180 of 240 proxies waited for 12 s, 60 hosts
-    were withdrawn by turns for 5 s, and drains of 4 s were broken 1,482 times."""
+    """On herd 41 a binding was 157 lines where 3,000 a second leave.
+
+    180 of 240 proxies waited for 12 s, 60 hosts were withdrawn by turns for 5 s, and drains of 4
+    s were broken 1,482 times.
+    """
     assert not takeover(RoutingPolicy).policy.bindings.unbound_since_us
     with pytest.raises(Broken):
         takeover(LongTables)
@@ -125,8 +134,11 @@
 
 
 def test_proxies_that_a_gap_in_the_news_leaves_in_doubt_may_still_take_lines() -> None:
-    """The news had a gap of 6 s and all proxies were told as joined anew. The relay still had them bound: 167 lines of
-    the next solution went to 40 of them uncounted, and 6,939 waited where 5,800 may."""
+    """The news had a gap of 6 s and all proxies were told as joined anew.
+
+    The relay still had them bound: 167 lines of the next solution went to 40 of them uncounted,
+    and 6,939 waited where 5,800 may.
+    """
     day = restarts_after_a_gap()
     day.run(20)
     assert not day.policy.bindings.unbound_since_us
@@ -162,8 +174,11 @@
 
 
 def test_hosts_that_restart_leave_messages_for_a_withdrawal() -> None:
-    """Falls of cold hosts went out as each line found room, a message at a time: all twelve that a proxy may be written
-    within 10 s were gone in one, and hosts that drained then were not withdrawn for 8 s."""
+    """Falls of cold hosts went out as each line found room, a message at a time.
+
+    All twelve that a proxy may be written within 10 s were gone in one, and hosts that drained
+    then were not withdrawn for 8 s.
+    """
     day = restarts_after_a_gap()
     for version, first in enumerate((60, 70), 3):
         day.run(1.5)
@@ -173,8 +188,11 @@
 
 
 def test_a_channel_that_stands_still_is_not_taken_for_empty() -> None:
-    """On roll 54 answers to a step came 2.4 to 3 s late. A full channel takes 2.38 s: after that its lines stood in the
-    way of nothing any more, and 6,237 waited where 5,800 may. The rules' times grow with such a channel's."""
+    """On roll 54 answers to a step came 2.4 to 3 s late.
+
+    A full channel takes 2.38 s: after that its lines stood in the way of nothing any more, and
+    6,237 waited where 5,800 may. The rules' times grow with such a channel's.
+    """
     day = ModuleDay(RoutingPolicy, replace(ROLL, drain_grace_us=3 * ROLL.drain_grace_us), HOSTS)
     day.step(full(HOSTS))
     day.join(range(2), lambda _: numbers(0, 5), 0.5, fresh=True)
