--- a/kelpcourse/cli/main.py
+++ b/kelpcourse/cli/main.py
@@ -19,14 +19,14 @@
 @contextmanager
 def _mistakes() -> Iterator[None]:
     """Mistakes of the operator's are lines on standard error and exit code 2, never a traceback."""
-    from kelpcourse.kdl import BadSettings
+    from kelpcourse.kdl import SettingsError
     from kelpcourse.service.config import ConfigError
     from kelpcourse.store.errors import FolderInUseError, NoAnswerError
     from kelpcourse.zones.errors import BadZone
 
     try:
         yield
-    except (BadSettings, ConfigError, BadZone, FolderInUseError, NoAnswerError) as error:
+    except (SettingsError, ConfigError, BadZone, FolderInUseError, NoAnswerError) as error:
         click.echo("\n".join(f"kelpcourse: {line}" for line in str(error).splitlines()), err=True)
         sys.exit(BAD_SETTINGS)
     except OSError as error:
--- a/kelpcourse/shared/settings.py
+++ b/kelpcourse/shared/settings.py
@@ -29,7 +29,7 @@
 
 import msgspec
 
-from kelpcourse.kdl import BadSettings, Block, Mistake, load
+from kelpcourse.kdl import Block, SettingProblem, SettingsError, load
 from kelpcourse.shared.certificates import days_until_expiry, tls_context
 from kelpcourse.shared.controller_events import ControllerOptions
 from kelpcourse.shared.errors import CertificateError
@@ -126,10 +126,10 @@
 
 
 def read_settings(path: Path) -> SharedSettings:
-    """Reads a settings file and the certificates that it names. Raises BadSettings with every mistake."""
+    """Reads a settings file and the certificates that it names. Raises SettingsError with every mistake."""
     file, mistakes = load(path, File)
     if file is None:
-        raise BadSettings(_by_line(mistakes))
+        raise SettingsError(_by_line(mistakes))
     block = file.shared
     addresses = _read_addresses(path, block, mistakes)
     tls = None
@@ -138,9 +138,9 @@
         try:
             tls, certificate_days_left = _load_tls(path.parent, block.tls)
         except CertificateError as error:
-            mistakes.append(Mistake(str(path), block.tls.line, "shared.tls", str(error)))
+            mistakes.append(SettingProblem(str(path), block.tls.line, "shared.tls", str(error)))
     if mistakes:
-        raise BadSettings(_by_line(mistakes))
+        raise SettingsError(_by_line(mistakes))
     return SharedSettings(
         name=block.me,
         state_folder=path.parent / block.state,
@@ -152,11 +152,13 @@
     )
 
 
-def _by_line(mistakes: list[Mistake]) -> list[Mistake]:
+def _by_line(mistakes: list[SettingProblem]) -> list[SettingProblem]:
     return sorted(mistakes, key=lambda mistake: mistake.line)
 
 
-def _read_addresses(path: Path, block: SharedBlock, mistakes: list[Mistake]) -> dict[str, Address]:
+def _read_addresses(
+    path: Path, block: SharedBlock, mistakes: list[SettingProblem]
+) -> dict[str, Address]:
     """Addresses by name; adds what can't be read to the mistakes."""
     addresses = {}
     for member in block.member:
@@ -164,7 +166,7 @@
             addresses[member.name] = read_address(member.address, "address")
         except InvalidMessageError:
             reason = f"is not host:port: {member.address!r:.60}"
-            mistakes.append(Mistake(str(path), member.line, "shared.member.address", reason))
+            mistakes.append(SettingProblem(str(path), member.line, "shared.member.address", reason))
     return addresses
 
 
--- a/kelpcourse/shared/standalone.py
+++ b/kelpcourse/shared/standalone.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from kelpcourse.kdl import BadSettings
+from kelpcourse.kdl import SettingsError
 from kelpcourse.limits import Limits
 from kelpcourse.service.process import Process
 from kelpcourse.shared.errors import RequestRejectedError
@@ -70,7 +70,7 @@
         """Reads certificates again; only connections made from now on use them."""
         try:
             self._settings = read_settings(self._path)
-        except BadSettings as error:
+        except SettingsError as error:
             self._log.always("configuration_reload_failed", reason=str(error))
             return
         self._log.always("configuration_reloaded", changed=["tls"], requires_restart=[])
--- a/kelpcourse/zones/settings.py
+++ b/kelpcourse/zones/settings.py
@@ -14,7 +14,7 @@
 import dns.tsig
 import msgspec
 
-from kelpcourse.kdl import BadSettings, Block, Mistake, load
+from kelpcourse.kdl import Block, SettingProblem, SettingsError, load
 from kelpcourse.wire.errors import InvalidMessageError
 from kelpcourse.wire.fields import parse_address
 from kelpcourse.wire.stream import Address
@@ -139,21 +139,21 @@
 
 
 def read_settings(path: Path, listen: str = "", state: Path | None = None) -> ZonesSettings:
-    """The file, with what a command line names in place of its own. Raises BadSettings with every mistake of the
+    """The file, with what a command line names in place of its own. Raises SettingsError with every mistake of the
     file and of the keys that it names."""
     block, mistakes = load(path, File)
     if block is None:
-        raise BadSettings(sorted(mistakes, key=lambda m: m.line))
+        raise SettingsError(sorted(mistakes, key=lambda m: m.line))
     settings = _Resolver(path, block.zones, mistakes).run()
     try:
         at = read_address(listen, "--listen") if listen else settings.listen
     except InvalidMessageError as error:
-        raise BadSettings([Mistake(str(path), 0, "--listen", str(error))]) from None
+        raise SettingsError([SettingProblem(str(path), 0, "--listen", str(error))]) from None
     return replace(settings, listen=at, state=state or settings.state)
 
 
 class _Resolver:
-    def __init__(self, path: Path, block: ZonesBlock, mistakes: list[Mistake]) -> None:
+    def __init__(self, path: Path, block: ZonesBlock, mistakes: list[SettingProblem]) -> None:
         self._path = path
         self._block = block
         self._mistakes = mistakes
@@ -170,7 +170,7 @@
         zones = [zone for each in block.zone if (zone := self._zone(each)) is not None]
         self._check_origins(zones)
         if self._mistakes:
-            raise BadSettings(sorted(self._mistakes, key=lambda m: m.line))
+            raise SettingsError(sorted(self._mistakes, key=lambda m: m.line))
         return ZonesSettings(
             self._path,
             listen,
@@ -181,7 +181,7 @@
         )
 
     def _note(self, block: Block, field: str, text: str) -> None:
-        self._mistakes.append(Mistake(str(self._path), block.line, field, text))
+        self._mistakes.append(SettingProblem(str(self._path), block.line, field, text))
 
     def _beside(self, text: str) -> Path:
         return self._path.parent / text
--- a/tests/test_kdl.py
+++ b/tests/test_kdl.py
@@ -10,7 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kelpcourse.kdl import BadSettings, Block, lines_of, parse
+from kelpcourse.kdl import Block, SettingsError, parse
+from kelpcourse.kdl.lines import node_lines
 
 
 class Inner(Block, kw_only=True, frozen=True):
@@ -43,7 +44,7 @@
         'size "x"\nsize 1 2\nfoo 1\ninner "a" share=2 bar=1\ninner {\n  share 0.1\n  share 0.2\n}\n'
         'only "a" "b"\nonly "c"\nwords 1\nsize 1 { x; }\n'
     )
-    with pytest.raises(BadSettings) as error:
+    with pytest.raises(SettingsError) as error:
         parse(text, "f.kdl", Outer)
     assert sorted(str(error.value).splitlines()) == sorted(
         [
@@ -73,9 +74,9 @@
     ],
 )
 def test_a_text_that_is_no_kdl_is_told_with_its_line(text: str, line: int) -> None:
-    with pytest.raises(BadSettings) as error:
+    with pytest.raises(SettingsError) as error:
         parse(text, "f", Outer)
-    assert [m.line for m in error.value.mistakes] == [line]
+    assert [m.line for m in error.value.problems] == [line]
 
 
 def all_nodes(nodes: list[ckdl.Node]) -> list[str]:
@@ -119,6 +120,6 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 def test_every_node_that_counts_is_found_where_it_stands(text: str) -> None:
     names = all_nodes(list(ckdl.parse(text, version=2).nodes))
-    lines = list(lines_of(text))
+    lines = list(node_lines(text))
     assert len(lines) == len(names)
     assert all(name in text.split("\n")[line - 1] for name, line in zip(names, lines, strict=True))
