--- a/kelpcourse/policy/controller.py
+++ b/kelpcourse/policy/controller.py
@@ -115,7 +115,11 @@
         return actions
 
     def _apply(self, now_us: int, event: Event, actions: list[Action]) -> None:
-        match event:
+        match event:  # the most frequent first
+            case EndpointReport():
+                self._add_endpoint_report(now_us, event)
+            case DemandReport():
+                self._window.add_demand_report(event)
             case Started() | TimerFired():
                 actions.append(SetTimer(TICK_TIMER, now_us + TICK_US))
             case EndpointList():
@@ -130,10 +134,6 @@
                 self.delivery.taken(number, now_us)
             case OrdersOutcomeUnknown(numbers):
                 self.delivery.doubted = numbers
-            case EndpointReport():
-                self._add_endpoint_report(now_us, event)
-            case DemandReport():
-                self._window.add_demand_report(event)
 
     def _apply_list(self, now_us: int, event: EndpointList) -> None:
         if event.kind is EndpointListKind.UNAVAILABLE:
--- a/kelpcourse/policy/draining.py
+++ b/kelpcourse/policy/draining.py
@@ -54,9 +54,9 @@
 
         Where that costs more, the endpoints are withdrawn once more instead.
         """
-        gone: list[EndpointId] = []
-        if self._bindings.unbound_since_us:
-            gone = [endpoint for endpoint in self.withdrawn if endpoint not in self._registry]
+        if not self._bindings.unbound_since_us:
+            return {}
+        gone = [endpoint for endpoint in self.withdrawn if endpoint not in self._registry]
         since_us = min((self.withdrawn[endpoint] for endpoint in gone), default=now_us)
         late = {
             proxy: joined_us
@@ -78,8 +78,7 @@
         """
         if not self.draining:
             return
-        endpoints = self._fitting(batch)
-        cost = self._costs.of_withdrawal(endpoints)
+        endpoints, cost = self._fitting(batch)
         has_room = cost <= batch.room(self._limits.urgent) or not batch.queued_entries
         if not has_room or self._can_wait(now_us, cost, batch):
             return
@@ -120,13 +119,15 @@
             del self.withdrawn[endpoint]
             self._restore(batch, endpoint)
 
-    def _fitting(self, batch: OrderBatch) -> list[EndpointId]:
-        """Returns draining endpoints that even an empty channel could take in one step."""
+    def _fitting(self, batch: OrderBatch) -> tuple[list[EndpointId], float]:
+        """Returns draining endpoints that an empty channel could take in one step, and their cost."""
         endpoints = list(self.draining)
+        cost = self._costs.of_withdrawal(endpoints)
         max_cost = batch.room(self._limits.urgent) + batch.queued_entries
-        while len(endpoints) > 1 and self._costs.of_withdrawal(endpoints) > max_cost:
+        while cost > max_cost and len(endpoints) > 1:
             endpoints = endpoints[: len(endpoints) // 2]
-        return endpoints
+            cost = self._costs.of_withdrawal(endpoints)
+        return endpoints, cost
 
     def _can_wait(self, now_us: int, cost: float, batch: OrderBatch) -> bool:
         """Whether a long withdrawal may wait for the channel to empty."""
--- a/kelpcourse/policy/endpoints.py
+++ b/kelpcourse/policy/endpoints.py
@@ -123,6 +123,8 @@
 
     def select(self, selector: EndpointSelector) -> list[EndpointState]:
         """Returns the endpoints that match."""
+        if selector.is_unrestricted:
+            return list(self.endpoints.values())
         return [state for state in self.endpoints.values() if selector.matches(state.endpoint)]
 
     def warm_up_factor(self, state: EndpointState, now_us: int) -> float:
--- a/kelpcourse/policy/reports.py
+++ b/kelpcourse/policy/reports.py
@@ -29,7 +29,10 @@
     def add_endpoint_report(self, report: EndpointReport) -> None:
         """Counts what proxies met at an endpoint."""
         successes = report.attempts - report.failed
-        outcome = self.outcomes.setdefault(report.endpoint, Outcome())
+        outcome = self.outcomes.get(report.endpoint)
+        if outcome is None:
+            outcome = Outcome()
+            self.outcomes[report.endpoint] = outcome
         outcome.successes += successes
         outcome.response_time_us += successes * report.mean_success_us
         self.spans_us.append(report.window_us)
