--- a/kelpcourse/policy/controller.py
+++ b/kelpcourse/policy/controller.py
@@ -15,7 +15,7 @@
 from kelpcourse.policy.bindings import ProxyBindings
 from kelpcourse.policy.budget import OrderCosts, max_transit_us
 from kelpcourse.policy.capacity import CapacityEstimate
-from kelpcourse.policy.delivery import Channel
+from kelpcourse.policy.delivery import DeliveryTracker
 from kelpcourse.policy.draining import Withdrawals
 from kelpcourse.policy.endpoints import EndpointRegistry
 from kelpcourse.policy.events import (
@@ -68,7 +68,7 @@
         self.capacity = CapacityEstimate()
         self.overload = OverloadDetector(self.load, self.capacity)
         self.admission = AdmissionControl(settings, self.registry)
-        self.delivery = Channel(
+        self.delivery = DeliveryTracker(
             max_transit_us(settings),
             settings.delivery_entries_per_s / US_PER_S,
             settings.max_messages_per_proxy,
@@ -129,11 +129,11 @@
             case ProxyLeft(proxy):
                 self._remove_proxy(proxy)
             case OrdersAcknowledged(proxy, number, _):
-                self.delivery.applied(proxy, number, now_us)
+                self.delivery.acknowledged(proxy, number, now_us)
             case OrdersAccepted(number):
-                self.delivery.taken(number, now_us)
+                self.delivery.accepted(number, now_us)
             case OrdersOutcomeUnknown(numbers):
-                self.delivery.doubted = numbers
+                self.delivery.outcome_unknown(numbers)
 
     def _apply_list(self, now_us: int, event: EndpointList) -> None:
         if event.kind is EndpointListKind.UNAVAILABLE:
@@ -178,7 +178,7 @@
         may_be_bound = self.bindings.join(now_us, event)
         if not may_be_bound:
             self.tables.unbind(event.proxy)
-        self.delivery.joined(event.proxy, now_us)
+        self.delivery.proxy_joined(event.proxy, now_us)
 
     def _remove_proxy(self, proxy: ProxyId) -> None:
         if proxy not in self.bindings:
@@ -186,7 +186,7 @@
         self.load.remove_proxy(len(self.bindings))
         self.bindings.remove(proxy)
         self.tables.unbind(proxy)
-        self.delivery.left(proxy)
+        self.delivery.proxy_left(proxy)
 
     def _add_endpoint_report(self, now_us: int, event: EndpointReport) -> None:
         self._window.add_endpoint_report(event)
--- a/kelpcourse/policy/publisher.py
+++ b/kelpcourse/policy/publisher.py
@@ -14,7 +14,7 @@
     OrderBatch,
     OrderCosts,
 )
-from kelpcourse.policy.delivery import Channel
+from kelpcourse.policy.delivery import DeliveryTracker
 from kelpcourse.policy.draining import Withdrawals
 from kelpcourse.policy.settings import ProxyId, Settings
 from kelpcourse.policy.subsetting import ProxyTraffic
@@ -39,7 +39,7 @@
         costs: OrderCosts,
         admission_orders: AdmissionOrders,
         updates: TableUpdates,
-        delivery: Channel,
+        delivery: DeliveryTracker,
     ) -> None:
         """Keeps the parts whose decisions are published."""
         self.withdrawals = withdrawals
@@ -60,7 +60,7 @@
         """Adds the orders of this step to its actions."""
         if not self._may_publish(now_us, actions):
             return
-        batch = OrderBatch(actions, self._costs, self._delivery.waiting(now_us))
+        batch = OrderBatch(actions, self._costs, self._delivery.backlog_entries(now_us))
         late_joiners = self.withdrawals.late_joiners(now_us)
         self.withdrawals.withdraw_pending(now_us, batch)
         if self._updates_due(now_us, batch):
@@ -73,10 +73,10 @@
 
     def _may_publish(self, now_us: int, actions: list[Action]) -> bool:
         """Whether orders may go out; those behind a call with an unknown outcome wait for it."""
-        if self._is_sliced or not self._delivery.few(1.0, now_us):
+        if self._is_sliced or not self._delivery.within_message_budget(1.0, now_us):
             return False
-        if self._delivery.doubted:
-            if not self._delivery.again(now_us, self._limits.urgent):
+        if self._delivery.unknown_outcomes:
+            if not self._delivery.try_resend(now_us, self._limits.urgent):
                 return False
             actions.append(ResendOrders())
         return True
@@ -87,13 +87,13 @@
         if (
             self.urgent
             and batch.room(self._limits.urgent) > 0
-            and self._delivery.few(URGENT_MESSAGE_SHARE, now_us)
+            and self._delivery.within_message_budget(URGENT_MESSAGE_SHARE, now_us)
         ):
             return True
         return (
             self._ordinary_updates_due(now_us)
             and batch.room(self._limits.ordinary) > 0
-            and self._delivery.few(ORDINARY_MESSAGE_SHARE, now_us)
+            and self._delivery.within_message_budget(ORDINARY_MESSAGE_SHARE, now_us)
         )
 
     def _ordinary_updates_due(self, now_us: int) -> bool:
@@ -118,7 +118,7 @@
         self.checkpoint_id = (self.checkpoint_id + 1) % CHECKPOINT_IDS
         batch.actions.append(Checkpoint(self.checkpoint_id, False))
         costs = {proxy: self._costs.with_message(count) for proxy, count in entries.items()}
-        self._delivery.sent(
+        self._delivery.record_sent(
             self.checkpoint_id,
             now_us,
             costs,
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -18,11 +18,12 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
-from kelpcourse.wire.buffers import Buffer, TooLong
-from kelpcourse.wire.loop import READ, Loop, Routine, Signal, Wait, Woken
+from kelpcourse.wire.buffers import ReadBuffer
+from kelpcourse.wire.errors import MessageTooLongError, StreamError, StreamTimeoutError
+from kelpcourse.wire.loop import READ, Coroutine, Loop, Signal, Wait, WakeReason
 from kelpcourse.wire.runtime import EventLog
-from kelpcourse.wire.stream import Act, Broken, Silent, connect, family
-from kelpcourse.wire.worker import in_thread
+from kelpcourse.wire.stream import address_family, connect
+from kelpcourse.wire.worker import run_in_thread
 from kelpcourse.zones.answer import rrset_of
 from kelpcourse.zones.belief import Contradiction, Verdict, Version
 from kelpcourse.zones.content import SOA, Difference, Zone
@@ -48,7 +49,7 @@
         self.counters = counters
         self.log = log
 
-    def ask(self, query: dns.message.Message, peer: Primary) -> Act[dns.message.Message]:
+    def ask(self, query: dns.message.Message, peer: Primary) -> Coroutine[dns.message.Message]:
         """The answer over UDP, or over TCP where UDP brings none. Raises Broken or BadZone."""
         for _ in range(ASK_TRIES):
             message = yield from self.ask_udp(query, peer)
@@ -63,18 +64,22 @@
         finally:
             session.close()
 
-    def ask_udp(self, query: dns.message.Message, peer: Primary) -> Act[dns.message.Message | None]:
+    def ask_udp(
+        self, query: dns.message.Message, peer: Primary
+    ) -> Coroutine[dns.message.Message | None]:
         """None: no answer came. The port is fresh, and a connected socket hears its peer alone; what comes from
         there with another id, question or signature is somebody's guess, and the true answer is waited for."""
         try:
-            sock = socket.socket(family(peer.address), socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
+            sock = socket.socket(
+                address_family(peer.address), socket.SOCK_DGRAM | socket.SOCK_NONBLOCK
+            )
         except OSError as error:
-            raise Broken(f"no socket: {error.strerror}") from None
+            raise StreamError(f"no socket: {error.strerror}") from None
         try:
             sock.connect(peer.address)
             sock.send(query.to_wire())
             until_us = self.loop.clock() + self.limits.soa_query_timeout_us
-            while (yield Wait(until_us, sock.fileno(), READ)) is not Woken.LATE:
+            while (yield Wait(until_us, sock.fileno(), READ)) is not WakeReason.TIMED_OUT:
                 message = self._believed(sock.recv(65_535), query, peer)
                 if message is not None:
                     return message
@@ -128,11 +133,11 @@
         self._asker = asker
         self._peer = peer
         self._query = query
-        self._buffer = Buffer(READ_LEAST, MESSAGE)
+        self._buffer = ReadBuffer(READ_LEAST, MESSAGE)
         self._stream: Any = None
         self._context: Any = None
 
-    def open(self) -> Act[None]:
+    def open(self) -> Coroutine[None]:
         clock, limits = self._asker.loop.clock, self._asker.limits
         self._stream = yield from connect(self._peer.address, clock() + limits.soa_query_timeout_us)
         wire = self._query.to_wire()
@@ -140,24 +145,24 @@
             len(wire).to_bytes(2, "big") + wire, clock() + limits.send_timeout_us
         )
 
-    def next(self) -> Act[tuple[bytes, dns.message.Message]]:
+    def next(self) -> Coroutine[tuple[bytes, dns.message.Message]]:
         """Raises Broken or BadZone."""
         limits = self._asker.limits
         until_us = self._asker.loop.clock() + limits.transfer_silence_us
         while True:
-            for slice_ in self._buffer.prefixed():
+            for slice_ in self._buffer.length_prefixed_messages():
                 wire = bytes(slice_)
                 if len(wire) <= limits.max_inline_zone_bytes:
                     return self._read(wire)
-                return (yield from in_thread(partial(self._read, wire)))
+                return (yield from run_in_thread(partial(self._read, wire)))
             try:
-                room = self._buffer.space()
-            except TooLong:
-                raise Broken("a message over its limit") from None
+                room = self._buffer.writable()
+            except MessageTooLongError:
+                raise StreamError("a message over its limit") from None
             count = yield from self._stream.recv_into(room, until_us)
             if not count:
-                raise Broken("closed before the end")
-            self._buffer.filled(count)
+                raise StreamError("closed before the end")
+            self._buffer.commit(count)
 
     def _read(self, wire: bytes) -> tuple[bytes, dns.message.Message]:
         multi = self._query.question[0].rdtype in (AXFR, IXFR)
@@ -203,9 +208,9 @@
 
     def notified(self) -> None:
         self._refresh.notified(self._asker.loop.clock())
-        self._notified.raise_()
+        self._notified.set()
 
-    def run(self) -> Routine:
+    def run(self) -> Coroutine[None]:
         clock = self._asker.loop.clock
         while True:
             self._check_expiry()
@@ -218,7 +223,7 @@
                     ),
                     signal=self._notified,
                 )
-                self._notified.lower()
+                self._notified.clear()
                 continue
             yield from self._round(self._primaries[name])
 
@@ -230,13 +235,15 @@
             )  # whatever its primaries have is news now
             self._expired(self._held)
 
-    def _round(self, peer: Primary) -> Act[None]:
+    def _round(self, peer: Primary) -> Coroutine[None]:
         log, clock = self._asker.log, self._asker.loop.clock
         try:
             verdict = yield from self._follow(peer)
-        except (Broken, BadZone, dns.xfr.UseTCP) as error:
+        except (StreamError, BadZone, dns.xfr.UseTCP) as error:
             self._asker.counters.add("zone_soa_queries_failed")
-            self._tell(self._held.belief.forget(str(peer)) if isinstance(error, Silent) else [])
+            self._tell(
+                self._held.belief.forget(str(peer)) if isinstance(error, StreamTimeoutError) else []
+            )
             log.event(
                 "zone_soa_query_failed",
                 zone=self._held.origin,
@@ -253,7 +260,7 @@
         self._refresh.answered(clock(), True)
         self._confirmed(self._held)
 
-    def _follow(self, peer: Primary) -> Act[Verdict]:
+    def _follow(self, peer: Primary) -> Coroutine[Verdict]:
         """Asks for the SOA; fetches the zone if that is newer. What it makes of the version."""
         self._asker.counters.add("zone_soa_queries")
         query = question(self._held.origin, dns.rdatatype.SOA, peer)
@@ -267,19 +274,19 @@
             return (yield from self._fetch(peer))
         return verdict
 
-    def _fetch(self, peer: Primary) -> Act[Verdict]:
+    def _fetch(self, peer: Primary) -> Coroutine[Verdict]:
         held = self._held
         if held.zone.exists and not held.belief.expired:
             try:
                 return (yield from self._transfer(peer, IXFR))
-            except (Unfit, BadZone, Broken) as error:
+            except (Unfit, BadZone, StreamError) as error:
                 self._asker.counters.add("zone_ixfr_failed")
                 self._asker.log.event(
                     "zone_ixfr_failed", zone=held.origin, primary=str(peer), reason=str(error)
                 )
         return (yield from self._transfer(peer, AXFR))
 
-    def _transfer(self, peer: Primary, rdtype: dns.rdatatype.RdataType) -> Act[Verdict]:
+    def _transfer(self, peer: Primary, rdtype: dns.rdatatype.RdataType) -> Coroutine[Verdict]:
         held, clock, limits = self._held, self._asker.loop.clock, self._asker.limits
         query = question(held.origin, rdtype, peer)
         if rdtype == IXFR:
@@ -296,10 +303,10 @@
                 whole = (
                     incoming.take(wire, message)
                     if len(wire) <= limits.max_inline_zone_bytes
-                    else (yield from in_thread(partial(incoming.take, wire, message)))
+                    else (yield from run_in_thread(partial(incoming.take, wire, message)))
                 )
                 if clock() > until_us:
-                    raise Silent("the transfer took too long")
+                    raise StreamTimeoutError("the transfer took too long")
         finally:
             session.close()
         return self._take(peer, incoming)
@@ -348,15 +355,15 @@
         self._changed = Signal()
 
     def changed(self) -> None:
-        self._changed.raise_()
+        self._changed.set()
 
-    def run(self) -> Routine:
+    def run(self) -> Coroutine[None]:
         while True:
             yield Wait(signal=self._changed)
-            self._changed.lower()
+            self._changed.clear()
             yield from self._tell()
 
-    def _tell(self) -> Act[None]:
+    def _tell(self) -> Coroutine[None]:
         wait_us = self._asker.limits.notify_retry_us
         for _ in range(self._asker.limits.max_notify_attempts):
             query = question(self._held.origin, dns.rdatatype.SOA, self._peer)
@@ -367,10 +374,10 @@
             try:
                 if (yield from self._asker.ask_udp(query, self._peer)) is not None:
                     return
-            except Broken:
+            except StreamError:
                 pass
             woken = yield Wait(self._asker.loop.clock() + wait_us, signal=self._changed)
-            if woken is Woken.SIGNALLED:
+            if woken is WakeReason.SIGNALLED:
                 return
             wait_us *= 2
         self._asker.log.event(
--- a/kelpcourse/zones/source.py
+++ b/kelpcourse/zones/source.py
@@ -6,7 +6,7 @@
 
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.settings import Settings
-from kelpcourse.wire.loop import Routine
+from kelpcourse.wire.loop import Coroutine
 from kelpcourse.wire.runtime import Runtime
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.grants import HostClass
@@ -23,7 +23,7 @@
         parts: Runtime,
         settings: Settings,
         zones: ZonesSettings,
-        keep: Callable[[str, Callable[[], Routine]], None],
+        keep: Callable[[str, Callable[[], Coroutine[None]]], None],
     ) -> None:
         self._parts = parts
         classes = tuple(
@@ -41,14 +41,14 @@
     def reread(self) -> None:
         self.zones.reread()
 
-    def watch(self, on: bool) -> None:
-        if on:
+    def watch(self, enabled: bool) -> None:
+        if enabled:
             self._tell()
 
     def fetch(self) -> None:
         self._tell()
 
-    def move(self, address: Address) -> None:
+    def reconnect_to(self, address: Address) -> None:
         """Discovery has moved, which is not asked here."""
 
     def _tell(self) -> None:
@@ -72,4 +72,4 @@
             reason="no zone is there to be followed",
             version=self.zones.union.version,
         )
-        self._parts.facade.report_list_lost()
+        self._parts.facade.report_list_unavailable()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,15 +3,63 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
+from pathlib import Path
 
 import pytest
 
-from tests.standins import Bench
+from kelpcourse.facade import Facade
+from kelpcourse.policy.events import EndpointStatus
+from tests.deployment import Deployment
+from tests.fleet import SETTINGS
+from tests.listening import ListenerRig
+from tests.standins import HASTY, QUICK, Bench, Script, member
 
 
 @pytest.fixture
 def bench() -> Iterator[Bench]:
-    """The loop, door, counters and log that a counterpart is handed, on a clock of the test's own."""
+    """The loop, facade, counters and log that a component is handed, on a clock of the test's own."""
     made = Bench()
     yield made
     made.close()
+
+
+@pytest.fixture
+def deployment(tmp_path: Path) -> Iterator[Deployment]:
+    """A relay, discovery and the configuration of a controller that runs as a process of its own."""
+    made = Deployment(tmp_path)
+    made.config()
+    yield made
+    made.close()
+
+
+@pytest.fixture
+def front(bench: Bench) -> Iterator[ListenerRig]:
+    """A listener on loopback."""
+    made = ListenerRig(bench)
+    yield made
+    made.close()
+
+
+@pytest.fixture
+def impatient_front() -> Iterator[ListenerRig]:
+    """A listener on loopback with short timeouts."""
+    bench = Bench(HASTY)
+    made = ListenerRig(bench)
+    yield made
+    made.close()
+    bench.close()
+
+
+@pytest.fixture
+def policy() -> Script:
+    """A policy that follows a script."""
+    return Script(SETTINGS)
+
+
+@pytest.fixture
+def facade(policy: Script) -> Facade:
+    """A facade that has taken its first step, with a cached list of two endpoints."""
+    made = Facade(SETTINGS, 7, QUICK, lambda _: policy)
+    made.report_cached_list([member("h1"), member("h2", EndpointStatus.DRAINING)], 41)
+    made.start(1000)
+    return made
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -16,7 +16,7 @@
 from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.orders import BindProxy, Checkpoint, Order, WithdrawEndpoint
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.service.config import BadConfig, read_config
+from kelpcourse.service.config import ConfigError, read_config
 from kelpcourse.settings import read_settings
 from tests.standins import entry
 from tests.test_adapter import CONFIG
@@ -108,7 +108,7 @@
 
 
 def test_nested_json_and_pairs_give_the_same_settings() -> None:
-    nested = read_settings(Fields.of_nested(SETTINGS))
+    nested = read_settings(Fields.from_nested(SETTINGS))
     assert nested == read_settings(Fields.parse(CONFIG.split(" ")))
 
 
@@ -121,7 +121,7 @@
     )
     assert config.seed == 0x8C1F30D27A5BE964
     assert config.known.version == 41
-    assert config.known.members[0].started_ms == 1500.0
+    assert config.known.endpoints[0].started_ms == 1500.0
     assert (config.sockets, config.memory_mb) == (4096, 2048)
 
 
@@ -193,13 +193,15 @@
     ],
 )
 def test_a_mistake_names_its_field(tmp_path: Path, root: object, field: str) -> None:
-    with pytest.raises(BadConfig, match=field.replace(".", r"\.")) as told:
+    with pytest.raises(ConfigError, match=field.replace(".", r"\.")) as told:
         read_config(environment(tmp_path, root))
     assert "\n" not in str(told.value)
 
 
-def test_a_configuration_of_5000_proxies_and_2000_hosts_is_read_and_served(tmp_path: Path) -> None:
-    """All proxies join at once: whatever is ordered has room, and nothing is given up."""
+def test_a_configuration_of_5000_proxies_and_2000_endpoints_is_read_and_served(
+    tmp_path: Path,
+) -> None:
+    """All proxies join at once: the queue has space for every order, and none is dropped."""
     listed = [{**entry(f"s-{k}"), "locality": f"room-{'ab'[k % 2]}"} for k in range(2_000)]
     root = changed("known.members", listed)
     root["settings"]["family_info"] |= {
@@ -217,10 +219,10 @@
         Facade(config.settings, 7, limits),
         OrderQueue(limits.max_queued_orders, limits.max_superseded_checkpoints),
     )
-    facade.report_known(config.known.members, config.known.version)
+    facade.report_cached_list(config.known.endpoints, config.known.version)
     facade.start(0)
     for proxy in range(5_000):
-        facade.report_joined(proxy, f"room-{'ab'[proxy % 2]}", 1.0, False)
+        facade.report_proxy_joined(proxy, f"room-{'ab'[proxy % 2]}", 1.0, False)
     given_up = bound = 0
     for at_s in range(3):
         facade.start(at_s * 1_000_000)
@@ -229,26 +231,28 @@
         bound += sum(isinstance(order, BindProxy) for order in orders)
     assert (given_up, bound > 0) == (0, True)
     with pytest.raises(InvalidReportError, match="proxy 5000 is not below 5000"):
-        facade.report_joined(5_000, "room-a", 1.0, False)
+        facade.report_proxy_joined(5_000, "room-a", 1.0, False)
 
 
-def test_files_that_can_not_be_read_are_told(tmp_path: Path) -> None:
-    with pytest.raises(BadConfig, match="NODE_CONFIG is missing"):
+def test_an_unreadable_file_is_a_configuration_error(tmp_path: Path) -> None:
+    with pytest.raises(ConfigError, match="NODE_CONFIG is missing"):
         read_config({})
-    with pytest.raises(BadConfig, match="No such file"):
+    with pytest.raises(ConfigError, match="No such file"):
         read_config({"NODE_CONFIG": str(tmp_path / "nowhere")})
     (tmp_path / "half").write_text('{"name":')
-    with pytest.raises(BadConfig, match="not JSON"):
+    with pytest.raises(ConfigError, match="not JSON"):
         read_config({"NODE_CONFIG": str(tmp_path / "half")})
 
 
 @pytest.mark.parametrize("variable", ["NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY"])
-def test_variables_that_contradict_the_file_are_told(tmp_path: Path, variable: str) -> None:
-    with pytest.raises(BadConfig, match=variable):
+def test_variables_that_contradict_the_file_are_a_configuration_error(
+    tmp_path: Path, variable: str
+) -> None:
+    with pytest.raises(ConfigError, match=variable):
         read_config(environment(tmp_path, ROOT, **{variable: "127.0.0.9:1"}))
 
 
-def test_limits_follow_what_the_machine_grants() -> None:
+def test_the_limits_of_the_machine_are_read() -> None:
     small = Limits().for_machine(64, 16)
     assert small.max_connections + small.max_concurrent_health_checks < 64
     assert small.max_read_buffers_bytes == 4 << 20
@@ -305,7 +309,7 @@
 
 @pytest.mark.parametrize("name", CUSTOMERS)
 def test_settings_of_any_customer_are_served(tmp_path: Path, name: str) -> None:
-    """Proxies are bound, reports taken in, an overload met and a host withdrawn; no step ends by an error."""
+    """Proxies are bound, reports accepted, an overload handled and an endpoint withdrawn; no step ends by an error."""
     root = copy.deepcopy(ROOT)
     for path, value in CUSTOMERS[name].items():
         *folders, last = path.split(".")
@@ -322,26 +326,26 @@
     config = read_config(environment(tmp_path, root))
     limits = Limits().for_fleet(config.settings.proxy_count, config.settings.report_period_us)
     facade, ordered = Facade(config.settings, 7, limits), list[Order]()
-    facade.report_known(config.known.members, config.known.version)
+    facade.report_cached_list(config.known.endpoints, config.known.version)
     for proxy in range(config.settings.proxy_count):
-        facade.report_joined(proxy, zones[proxy % len(zones)], 5.0, proxy % 2 == 0)
+        facade.report_proxy_joined(proxy, zones[proxy % len(zones)], 5.0, proxy % 2 == 0)
     for second in range(50, 80):
-        for host in config.known.members if second > 52 else ():
-            facade.report_tries(
+        for host in config.known.endpoints if second > 52 else ():
+            facade.report_attempts(
                 host.name, host.zone, 40, 2 * (second % 3), 1000.0, 1.5 + second, ()
             )
         for cls in config.settings.classes:
-            facade.report_usage(0, cls.name, 50 * (second - 49), second % 5, 1000.0)
+            facade.report_demand(0, cls.name, 50 * (second - 49), second % 5, 1000.0)
         if second == 60:
             facade.report_list(
-                [replace(config.known.members[0], status=EndpointStatus.DRAINING)], 42, False
+                [replace(config.known.endpoints[0], status=EndpointStatus.DRAINING)], 42, False
             )
         facade.start(second * 1_000_000)
         orders = facade.pick().orders
         ordered += orders
         for mark in [order.checkpoint_id for order in orders if isinstance(order, Checkpoint)]:
             for proxy in range(config.settings.proxy_count):
-                facade.report_applied(proxy, mark, 1.0)
+                facade.report_acknowledged(proxy, mark, 1.0)
     assert {order.proxy for order in ordered if isinstance(order, BindProxy)} == set(
         range(config.settings.proxy_count)
     )
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -9,11 +9,11 @@
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.orders import Checkpoint, Order, RestoreEndpoint, SetWeight, WithdrawEndpoint
-from kelpcourse.memory.proxies import Applied, Joined, Left, News, Proxies
+from kelpcourse.memory.proxies import Applied, Joined, Left, ProxyEvent, ProxyRegistry
 from kelpcourse.policy.draining import FORGET_AFTER_US
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.wire.buffers import Buffer
-from kelpcourse.wire.text import Heard, Usage, parse
+from kelpcourse.wire.buffers import ReadBuffer
+from kelpcourse.wire.report_codec import DemandReportMessage, EndpointReportMessage, decode_line
 from tests.fleet import SECOND, SETTINGS
 from tests.standins import QUICK, member
 from tests.test_work import steps
@@ -29,16 +29,16 @@
         settings = replace(SETTINGS, proxy_count=PROXIES)
         self.facade = Facade(settings, 7, QUICK)
         self.outbox = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
-        self.proxies = Proxies(QUICK.max_buffered_events, QUICK.event_stream_overlap_us)
-        self.buffer = Buffer(QUICK.initial_read_buffer_bytes, QUICK.max_line_bytes)
+        self.proxies = ProxyRegistry(QUICK.max_buffered_events, QUICK.event_stream_overlap_us)
+        self.buffer = ReadBuffer(QUICK.initial_read_buffer_bytes, QUICK.max_line_bytes)
         self.now = 50 * SECOND
         self.second = 0
         self.version = 1
         self.ordered: dict[tuple[object, ...], Order] = {}  # the end result at the relay
         self.names = [f"h{k}" for k in range(HOSTS)]
-        self.facade.report_known(self.members(), 1)
+        self.facade.report_cached_list(self.members(), 1)
         self.facade.start(self.now)
-        self.proxies.opened(0, 0, 0)
+        self.proxies.stream_opened(0, 0, 0)
         for proxy in range(PROXIES):
             self.news(Joined(proxy, "east", 10.0, True))
 
@@ -48,17 +48,17 @@
             for k, name in enumerate(self.names)
         ]
 
-    def news(self, news: News) -> None:
-        for told in self.proxies.told(0, news, self.now):
+    def news(self, news: ProxyEvent) -> None:
+        for told in self.proxies.receive(0, news, self.now):
             match told:
                 case Joined(proxy, zone, share, standing):
-                    self.facade.report_joined(proxy, zone, share, standing)
+                    self.facade.report_proxy_joined(proxy, zone, share, standing)
                 case Left(proxy):
                     self.outbox.forget_proxy(proxy)
-                    self.facade.report_left(proxy)
+                    self.facade.report_proxy_left(proxy)
                 case Applied(proxy, stamp, lag_ms):
-                    for answered in self.outbox.stamps(stamp):
-                        self.facade.report_applied(proxy, answered, lag_ms)
+                    for answered in self.outbox.covered_checkpoints(stamp):
+                        self.facade.report_acknowledged(proxy, answered, lag_ms)
 
     def lines(self) -> bytes:
         heard = (
@@ -79,7 +79,7 @@
         if self.second % 3 == 0:
             self.news(Left(again))
             self.news(Joined(again, "east", 10.0, False))
-        self.buffer.put(self.lines())
+        self.buffer.append(self.lines())
         for line in self.buffer.lines():
             self.take(line)
         self.facade.tick(self.now - QUICK.step_batching_us)
@@ -92,19 +92,19 @@
                 case SetWeight() | WithdrawEndpoint() | RestoreEndpoint():
                     self.ordered[order.key] = order
         self.outbox.add(orders)
-        while self.second % 3 == 0 and (orders := self.outbox.begin()):
+        while self.second % 3 == 0 and (orders := self.outbox.begin_call()):
             stamps = [order.checkpoint_id for order in orders if isinstance(order, Checkpoint)]
-            self.outbox.taken(len(orders))
+            self.outbox.accept(len(orders))
             for stamp in stamps:
                 for proxy in range(PROXIES):
                     self.news(Applied(proxy, stamp, 100.0))
 
     def take(self, line: memoryview) -> None:
-        match parse(line):
-            case Heard(zone, host, tries, failed, mean_ms, window_ms, load):
-                self.facade.report_tries(host, zone, tries, failed, window_ms, mean_ms, load)
-            case Usage(proxy, kind, arrived, unanswered, window_ms):
-                self.facade.report_usage(proxy, kind, arrived, unanswered, window_ms)
+        match decode_line(line):
+            case EndpointReportMessage(zone, host, tries, failed, mean_ms, window_ms, load):
+                self.facade.report_attempts(host, zone, tries, failed, window_ms, mean_ms, load)
+            case DemandReportMessage(proxy, kind, arrived, unanswered, window_ms):
+                self.facade.report_demand(proxy, kind, arrived, unanswered, window_ms)
 
     def spell(self, seconds: int) -> tuple[int, int]:
         """Serves so long; the interpreter's steps that it took and the objects that are kept after it."""
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -16,13 +16,12 @@
 from kelpcourse.policy import controller
 from kelpcourse.policy.budget import OrderBatch
 from kelpcourse.policy.controller import RoutingPolicy
-from kelpcourse.policy.delivery import Channel
+from kelpcourse.policy.delivery import DeliveryTracker
 from kelpcourse.policy.draining import Withdrawals
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.policy.settings import Settings
-from kelpcourse.wire.loop import Signal
+from kelpcourse.wire.loop import Coroutine, Signal
 from kelpcourse.wire.relay_calls import RelayCalls
-from kelpcourse.wire.stream import Act
 from tests.fleet import SECOND, SETTINGS, LongTables, changes, full, host
 from tests.massworld import Broken, MassWorld, ModuleDay, Order
 from tests.standins import MS, Bench, Caller, StandIn, member
@@ -51,8 +50,11 @@
 
 
 def takeover(seed: int, make: Callable[[Settings], RoutingPolicy] = RoutingPolicy) -> ModuleDay:
-    """Four in five directors die right after hosts were announced as leaving; a second and a third announcement follow
-    while their proxies come, and streams break and return. Raises Broken."""
+    """Four in five directors die right after hosts were announced as leaving.
+
+    A second and a third announcement follow while their proxies come, and streams break and
+    return. Raises Broken.
+    """
     day = ModuleDay(make, MASS, HOSTS)
     gone = random.Random(seed).sample([h.id for h in HOSTS], 90)
     day.step(full(HOSTS))
@@ -103,15 +105,17 @@
     monkeypatch.setattr(Withdrawals, "withdraw_pending", withdraw_if_all_are_bound)
 
 
-class ForgetsTheUnanswered(Channel):
+class ForgetsTheUnanswered(DeliveryTracker):
     """Books of what answers are awaited for alone."""
 
-    def waiting(self, now_us: int) -> float:
-        return super().waiting(now_us) - sum(step.others for step in self._steps)
+    def backlog_entries(self, now_us: int) -> float:
+        return super().backlog_entries(now_us) - sum(
+            delivery.unconfirmed_entries for delivery in self._deliveries
+        )
 
 
 def forget_the_unanswered(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(controller, "Channel", ForgetsTheUnanswered)
+    monkeypatch.setattr(controller, "DeliveryTracker", ForgetsTheUnanswered)
 
 
 @pytest.mark.parametrize("weaken", [forget_late_joiners, bind_first, forget_the_unanswered])
@@ -134,7 +138,7 @@
         self.world = MassWorld(MASS)
         self.bench = Bench(limits, MASS)
         self.facade = self.bench.facade = Facade(MASS, 7, limits, make)
-        parts = replace(self.bench.parts, facade=self.facade)
+        parts = replace(self.bench.runtime, facade=self.facade)
         self.outbox, self.waiting = (
             OrderQueue(limits.max_queued_orders, limits.max_superseded_checkpoints),
             Signal(),
@@ -151,10 +155,10 @@
         self.members = {
             n: replace(m, zone=ZONES[k % 8]) for k, (n, m) in enumerate(self.members.items())
         }
-        self.facade.report_known(list(self.members.values()), 1)
+        self.facade.report_cached_list(list(self.members.values()), 1)
         self.facade.start(self.bench.clock.now)
 
-    def _serve(self, caller: Caller) -> Act[None]:
+    def _serve(self, caller: Caller) -> Coroutine[None]:
         while (call := (yield from caller.request())) is not None:
             orders = orjson.loads(call[1])["orders"]
             self.world.order(self.bench.clock.now, [of_wire(order) for order in orders])
@@ -170,13 +174,13 @@
             work = self.facade.pick()
             if work.orders:
                 assert self.outbox.add(work.orders) == 0
-                self.waiting.raise_()
+                self.waiting.set()
             now = self.bench.clock.now
             if now % (10 * MS) == 0:
                 for proxy, stamp in self.world.advance(now):
-                    self.outbox.answered(stamp)
-                    for covered in self.outbox.stamps(stamp):
-                        self.facade.report_applied(proxy, covered, 1.0)
+                    self.outbox.acknowledge(stamp)
+                    for covered in self.outbox.covered_checkpoints(stamp):
+                        self.facade.report_acknowledged(proxy, covered, 1.0)
                 self.world.check(now)
 
     def join(self, proxies: range, fresh: bool, a_ms: int) -> None:
@@ -185,7 +189,7 @@
         for at, proxy in enumerate(proxies):
             names = sorted(self.members) if not fresh else sorted(self.members)[:5]
             self.world.join(self.bench.clock.now, proxy, draw.sample(names, 5 if fresh else 28))
-            self.facade.report_joined(proxy, ZONES[proxy % 8], 2.0, fresh)
+            self.facade.report_proxy_joined(proxy, ZONES[proxy % 8], 2.0, fresh)
             if at % a_ms == 0:
                 self.run(1)
 
@@ -230,8 +234,11 @@
 def test_the_real_parts_keep_queue_and_drains_though_answers_of_the_relay_are_lost(
     seed: int,
 ) -> None:
-    """Calls are carried out and would go again: the channel would hold them twice. On seed 4 a withdrawal of 23,285
-    lines stood there at 46,570, where 37,700 may."""
+    """Calls are carried out and would go again.
+
+    The channel would hold them twice. On seed 4 a withdrawal of 23,285 lines stood there at
+    46,570, where 37,700 may.
+    """
     day = taken_over(RealDay(0.15, seed=seed))
     assert day.bench.counters["relay_calls_failed"] >= 3
     assert len(day.world.out) == 60
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -6,7 +6,7 @@
 from kelpcourse.memory.orders import BindProxy, Checkpoint
 from kelpcourse.policy.events import OrdersAcknowledged, ProxyJoined, ProxyLeft
 from kelpcourse.wire.loop import Signal
-from kelpcourse.wire.relay_events import EventStreams
+from kelpcourse.wire.relay_events import RelayEventStreams
 from tests.relays import SET, USE, Broadcaster, applied, joined, left, outbox_of
 from tests.standins import MS, QUICK, Bench
 
@@ -14,8 +14,8 @@
 def start_news(
     bench: Bench, source: Broadcaster, outbox: OrderQueue | None = None, streams: int = 1
 ) -> None:
-    reader = EventStreams(
-        bench.parts,
+    reader = RelayEventStreams(
+        bench.runtime,
         source.stand_in.address,
         outbox if outbox is not None else outbox_of(),
         Signal(),
@@ -108,14 +108,14 @@
     source = Broadcaster(bench, [joined(0), b"{}", left(0)])
     start_news(bench, source, outbox)
     bench.until(lambda: ProxyLeft(0) in bench.module.events)
-    assert outbox.begin() == [SET]
+    assert outbox.begin_call() == [SET]
 
 
 def test_an_answer_to_a_merged_mark_answers_the_earlier_ones_too(bench: Bench) -> None:
     outbox = outbox_of(SET, Checkpoint(4, False))
     outbox.add([USE, Checkpoint(5, True)])
-    assert outbox.begin()[-1] == Checkpoint(5, True, (4,))
-    outbox.taken(3)
+    assert outbox.begin_call()[-1] == Checkpoint(5, True, (4,))
+    outbox.accept(3)
     bench.asked(4, 5)
     source = Broadcaster(bench, [joined(3), b"{}", applied(3, 5)])
     start_news(bench, source, outbox)
@@ -130,11 +130,11 @@
     """Nobody is told to have left or joined, so no proxy is bound anew."""
     snapshot = [joined(0), joined(1), b"{}"]
     old, new = Broadcaster(bench, snapshot, snapshot), Broadcaster(bench, snapshot, snapshot)
-    reader = EventStreams(bench.parts, old.stand_in.address, outbox_of(), Signal())
+    reader = RelayEventStreams(bench.runtime, old.stand_in.address, outbox_of(), Signal())
     for stream in reader.streams():
         bench.loop.start("news", reader.run(stream))
     bench.until(lambda: old.stand_in.connections == 2 and len(bench.module.events) == 3)
-    reader.move(new.stand_in.address)
+    reader.reconnect_to(new.stand_in.address)
     for stream in reader.streams():
         bench.loop.start("news", reader.run(stream))
     bench.until(lambda: len(bench.log.named("event_stream_opened")) == 4)
