--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,11 +2,13 @@
 
 from __future__ import annotations
 
+import socket
 from collections.abc import Iterator
 
 import pytest
 
 from tests.listening import ListenerRig
+from tests.loop_rig import SocketPair
 from tests.standins import HASTY, Bench
 
 
@@ -32,3 +34,12 @@
     yield made
     made.close()
     bench.close()
+
+
+@pytest.fixture
+def pair() -> Iterator[SocketPair]:
+    """Two connected sockets."""
+    ours, theirs = socket.socketpair()
+    yield ours, theirs
+    ours.close()
+    theirs.close()
--- /dev/null
+++ b/tests/loop_rig.py
@@ -0,0 +1,26 @@
+"""A loop on a clock of the test's own, with coroutines that record why they are resumed."""
+
+from __future__ import annotations
+
+import socket
+
+from kelpcourse.wire.loop import Coroutine, Loop, Wait
+from tests.standins import FakeClock
+
+SocketPair = tuple[socket.socket, socket.socket]
+
+
+class LoopRig:
+    """Records wake reasons, and the errors that ended tasks."""
+
+    def __init__(self) -> None:
+        self.clock = FakeClock()
+        self.unexpected_errors: list[tuple[str, Exception]] = []
+        self.loop = Loop(
+            self.clock, lambda name, error: self.unexpected_errors.append((name, error))
+        )
+        self.recorded: list[object] = []
+
+    def record_waits(self, *waits: Wait) -> Coroutine[None]:
+        for wait in waits:
+            self.recorded.append((yield wait))
--- a/tests/test_buffers.py
+++ b/tests/test_buffers.py
@@ -1,4 +1,4 @@
-"""The read buffer: lines as slices of it, whatever pieces the bytes come in."""
+"""The read buffer: lines are slices of it, however the bytes arrive."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("piece", [1, 2, 3, 7, 64, 1000])
-def test_lines_are_the_same_whole_split_and_joined(piece: int) -> None:
+def test_lines_do_not_depend_on_how_bytes_arrive(piece: int) -> None:
     buffer, lines = ReadBuffer(16, 1024), []
     for at in range(0, len(TEXT), piece):
         buffer.append(TEXT[at : at + piece])
@@ -23,15 +23,15 @@
 
 def test_a_line_is_a_slice_of_the_buffer_it_was_read_into() -> None:
     buffer = ReadBuffer(64, 64)
-    room = buffer.writable()
-    room[:6] = b"ping\r\n"
+    space = buffer.writable()
+    space[:6] = b"ping\r\n"
     buffer.commit(6)
     (line,) = buffer.lines()
-    room[0:1] = b"P"
+    space[0:1] = b"P"
     assert bytes(line) == b"Ping"
 
 
-def test_a_line_over_the_limit_is_told() -> None:
+def test_a_line_over_the_limit_raises() -> None:
     buffer = ReadBuffer(16, 64)
     buffer.append(b"x" * 64)
     with pytest.raises(MessageTooLongError):
--- /dev/null
+++ b/tests/test_dns_bytes.py
@@ -0,0 +1,154 @@
+"""Golden bytes of DNS: answers, transfers, NOTIFY and updates, held to the last byte.
+
+The expected bytes in `golden/wire/` were recorded once and are never regenerated.
+"""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Iterator
+from pathlib import Path
+
+import dns.flags
+import dns.message
+import dns.opcode
+import dns.rdatatype
+import dns.rrset
+import dns.tsig
+import pytest
+
+from tests.zonerig import KEY, Client, Part, World, host_added, update_of
+from tests.zoning import ORIGIN, SERVICE, host, rooms, zone
+
+GOLDEN = Path(__file__).parent / "golden" / "wire"
+NOW_S = 1_700_000_000
+
+
+@pytest.fixture
+def world(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[World]:
+    """With a clock that stands, as signatures hold the time, and sets of records in the order that they have here."""
+    monkeypatch.setattr("time.time", lambda: float(NOW_S))
+    monkeypatch.setattr("random.shuffle", lambda _: None)
+    made = World(tmp_path)
+    yield made
+    made.close()
+
+
+def golden(name: str) -> bytes:
+    return bytes.fromhex((GOLDEN / f"{name}.hex").read_text())
+
+
+def primary(world: World, more: str = "") -> tuple[Part, Client]:
+    many = [r for k in range(40) for r in host(f"n-{k}", "room-c", address=f"127.0.1.{k}")]
+    part = world.primary(zone(1, rooms(), many), more=more)
+    world.until(lambda: part.zones.held[ORIGIN].zone.exists)
+    return part, Client(world, part)
+
+
+def exchange(client: Client, wire: bytes, tcp: bool) -> bytes:
+    connection = client.send(wire, tcp)
+    try:
+        return client.hear(connection, tcp)
+    finally:
+        connection.close()
+
+
+QUESTIONS = (
+    ("a", f"s-0.{ORIGIN}", "A", False),
+    ("txt", f"s-1.{ORIGIN}", "TXT", False),
+    ("srv", f"{SERVICE}.room-a.{ORIGIN}", "SRV", False),
+    ("soa", ORIGIN, "SOA", False),
+    ("any", f"s-0.{ORIGIN}", "ANY", True),
+    ("nxdomain", f"nobody.{ORIGIN}", "A", False),
+    ("no-data", f"s-0.{ORIGIN}", "AAAA", False),
+    ("refused", "example.com.", "A", False),
+    ("truncated", f"{SERVICE}.room-c.{ORIGIN}", "SRV", False),
+    ("long-over-tcp", f"{SERVICE}.room-c.{ORIGIN}", "SRV", True),
+)
+
+
+@pytest.mark.parametrize(("name", "owner", "rdtype", "tcp"), QUESTIONS)
+def test_bytes_of_a_dns_answer(world: World, name: str, owner: str, rdtype: str, tcp: bool) -> None:
+    _, client = primary(world)
+    query = dns.message.make_query(owner, rdtype, id=4242)
+    assert exchange(client, query.to_wire(), tcp) == golden(name)
+
+
+def test_bytes_of_a_dns_answer_with_edns(world: World) -> None:
+    _, client = primary(world)
+    owner = f"{SERVICE}.room-a.{ORIGIN}"
+    query = dns.message.make_query(owner, "SRV", id=4242, use_edns=0, payload=1232)
+    assert exchange(client, query.to_wire(), False) == golden("edns")
+    query = dns.message.make_query(owner, "SRV", id=4242, use_edns=1)
+    assert exchange(client, query.to_wire(), False) == golden("bad-version")
+
+
+@pytest.mark.parametrize(
+    ("name", "wire"), [("unreadable", bytes(9) + b"\1\0\0"), ("status", b"\0\7\x10" + bytes(9))]
+)
+def test_bytes_of_a_dns_error(world: World, name: str, wire: bytes) -> None:
+    _, client = primary(world)
+    assert exchange(client, wire, False) == golden(name)
+
+
+def signed(rdtype: str, serial: int | None = None) -> bytes:
+    query = dns.message.make_query(ORIGIN, rdtype, id=4242)
+    if serial is not None:
+        soa = f"ns.{ORIGIN} staff.{ORIGIN} {serial} 60 10 600 30"
+        query.authority.append(dns.rrset.from_text(ORIGIN, 60, "IN", "SOA", soa))
+    query.use_tsig(KEY)
+    return query.to_wire()
+
+
+def test_bytes_of_transfers(world: World) -> None:
+    _, client = primary(world)
+    assert exchange(client, signed("AXFR"), True) == golden("axfr")
+    assert client.update(*host_added("s-9")) == dns.rcode.NOERROR
+    assert exchange(client, signed("IXFR", 1), True) == golden("ixfr")
+    assert exchange(client, signed("IXFR", 2), True) == golden("ixfr-current")
+    assert exchange(client, signed("IXFR", 2), False) == golden("ixfr-udp")
+    assert exchange(client, signed("IXFR", 77), True) == golden("ixfr-whole")
+    assert exchange(client, signed("AXFR"), False) == golden("axfr-udp")
+
+
+def update(*prepare: tuple[str, ...], key: dns.tsig.Key | None = KEY) -> bytes:
+    message = update_of(*prepare, key=None)
+    message.id = 4242
+    if key is not None:
+        message.use_tsig(key)
+    return message.to_wire()
+
+
+def test_bytes_of_update_answers(world: World) -> None:
+    _, client = primary(world)
+    add = host_added("s-9")
+    unknown = dns.tsig.Key("nobody.", KEY.secret, KEY.algorithm)
+    assert exchange(client, update(*add), False) == golden("update")
+    assert exchange(client, update(*add, key=None), False) == golden("update-unsigned")
+    assert exchange(client, update(*add, key=unknown), False) == golden("update-bad-key")
+    prerequisite = update(("present", "s-0", "AAAA"), *add)
+    assert exchange(client, prerequisite, True) == golden("update-prerequisite")
+
+
+def test_bytes_of_a_notify_and_of_its_answer(world: World) -> None:
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as follower:
+        follower.bind(("127.0.0.1", 0))
+        follower.setblocking(False)
+        _part, _ = primary(world, more=f'notify "127.0.0.1:{follower.getsockname()[1]}"')
+        received: list[bytes] = []
+
+        def notified() -> bool:
+            try:
+                received.append(follower.recv(4096))
+            except BlockingIOError:
+                return False
+            return True
+
+        world.until(notified)
+    assert received[0][2:] == golden("notify")[2:]  # its id is drawn
+    second = world.secondary(("127.0.0.1", 1))
+    notify = dns.message.make_query(ORIGIN, "SOA", id=4242)
+    notify.set_opcode(dns.opcode.NOTIFY)
+    notify.flags |= dns.flags.AA
+    answer = exchange(Client(world, second), notify.to_wire(), False)
+    assert answer == golden("notify-answer")
--- a/tests/test_end_result.py
+++ b/tests/test_end_result.py
@@ -1,4 +1,4 @@
-"""Whatever the relay does to calls, what stands there in the end is what the steps ordered."""
+"""Whatever faults calls to the relay meet, its final state is what the steps ordered."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 STEPS = 60
 
 
-class Standing:
-    """What orders have brought about: lines, levels, bindings and withdrawals."""
+class RelayState:
+    """The effect of orders: weights, admission limits, bindings and withdrawals."""
 
     def __init__(self) -> None:
         self.lines: dict[tuple[int, str], float] = {}
@@ -59,7 +59,7 @@
                 self.stamp = order["stamp"]
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, Standing) and vars(self) == vars(other)
+        return isinstance(other, RelayState) and vars(self) == vars(other)
 
 
 def step(number: int) -> list[Order]:
@@ -78,40 +78,40 @@
     return [*orders, Checkpoint(number, number % 2 == 0)]
 
 
-def wanted() -> Standing:
-    standing = Standing()
+def expected_state() -> RelayState:
+    state = RelayState()
     for number in range(STEPS):
         for order in step(number):
-            standing.apply(orjson.loads(encode_order(order)))
-    return standing
+            state.apply(orjson.loads(encode_order(order)))
+    return state
 
 
 class Relay:
-    """Carries calls out, and treats each as the next trouble of a cycle says."""
+    """Carries out calls, with the next fault of a cycle for each."""
 
-    def __init__(self, bench: Bench, troubles: list[Trouble]) -> None:
-        self.standing = Standing()
-        self.troubles = troubles
+    def __init__(self, bench: Bench, faults: list[Fault]) -> None:
+        self.state = RelayState()
+        self.faults = faults
         self.calls = 0
         self.stand_in = StandIn(bench.loop, self._serve)
 
     def _serve(self, caller: Caller) -> Coroutine[None]:
         while (call := (yield from caller.request())) is not None:
-            trouble = self.troubles[self.calls % len(self.troubles)]
+            fault = self.faults[self.calls % len(self.faults)]
             self.calls += 1
-            yield from trouble(self, caller, orjson.loads(call[1])["orders"])
+            yield from fault(self, caller, orjson.loads(call[1])["orders"])
 
     def carry_out(self, orders: Orders) -> None:
         for order in orders:
-            self.standing.apply(order)
+            self.state.apply(order)
 
 
-def sound(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
+def carried_out(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
     relay.carry_out(orders)
     yield from caller.answer(200, b'{"ok_count":%d}' % len(orders))
 
 
-def lost(_relay: Relay, caller: Caller, _orders: Orders) -> Coroutine[None]:
+def request_lost(_relay: Relay, caller: Caller, _orders: Orders) -> Coroutine[None]:
     caller.reset()
     yield from ()
 
@@ -136,37 +136,38 @@
     yield from caller.answer(429, b'{"error":"Throttling"}')
 
 
-Trouble = Callable[[Relay, Caller, Orders], Coroutine[None]]
+Fault = Callable[[Relay, Caller, Orders], Coroutine[None]]
 
 
 @pytest.mark.parametrize(
-    "troubles",
+    "faults",
     [
-        [sound],
-        [lost, sound],
-        [answer_lost, sound],
-        [answer_unreadable, sound],
-        [silent, sound],
-        [throttled, sound],
-        [sound, lost, answer_lost, throttled, silent, sound, answer_unreadable],
-        [lost, lost, lost, answer_lost, answer_lost, sound],
+        [carried_out],
+        [request_lost, carried_out],
+        [answer_lost, carried_out],
+        [answer_unreadable, carried_out],
+        [silent, carried_out],
+        [throttled, carried_out],
+        [carried_out, request_lost, answer_lost, throttled, silent, carried_out, answer_unreadable],
+        [request_lost, request_lost, request_lost, answer_lost, answer_lost, carried_out],
     ],
 )
 @pytest.mark.parametrize("pace_ms", [0, 3, 25])
 def test_the_end_result_is_what_the_steps_ordered(
-    bench: Bench, troubles: list[Trouble], pace_ms: int
+    bench: Bench, faults: list[Fault], pace_ms: int
 ) -> None:
-    relay, outbox, waiting = (
-        Relay(bench, troubles),
+    relay, order_queue, orders_waiting = (
+        Relay(bench, faults),
         OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints),
         Signal(),
     )
     bench.loop.start(
-        "calls", RelayCalls(bench.runtime, relay.stand_in.address, outbox, waiting).run()
+        "calls",
+        RelayCalls(bench.runtime, relay.stand_in.address, order_queue, orders_waiting).run(),
     )
     for number in range(STEPS):
-        outbox.add(step(number))
-        waiting.set()
+        order_queue.add(step(number))
+        orders_waiting.set()
         bench.pass_us(pace_ms * MS)
-    bench.until(lambda: not outbox.batch_count)
-    assert relay.standing == wanted()
+    bench.until(lambda: not order_queue.batch_count)
+    assert relay.state == expected_state()
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Probes against stand-ins for hosts: every one is answered, whatever the host does."""
+"""Health checks of scripted endpoints: each is reported, whatever the endpoint does."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     caller.reset()
 
 
-def answers(bench: Bench) -> list[HealthCheckCompleted]:
+def completed_checks(bench: Bench) -> list[HealthCheckCompleted]:
     return [event for event in bench.module.events if isinstance(event, HealthCheckCompleted)]
 
 
@@ -60,52 +60,55 @@
         (reset, HealthCheckStatus.RESET, ()),
     ],
 )
-def test_what_came_of_a_probe(
+def test_outcome_of_a_health_check(
     bench: Bench,
     serve: Callable[[Caller], Coroutine[None]],
     status: HealthCheckStatus,
     load: tuple[tuple[str, float], ...],
 ) -> None:
-    host = StandIn(bench.loop, serve)
-    HealthChecker(bench.runtime).check("h1", host.address)
-    bench.until(lambda: answers(bench))
-    assert [(a.endpoint, a.status, a.load) for a in answers(bench)] == [(1, status, load)]
+    endpoint = StandIn(bench.loop, serve)
+    HealthChecker(bench.runtime).check("h1", endpoint.address)
+    bench.until(lambda: completed_checks(bench))
+    assert [(a.endpoint, a.status, a.load) for a in completed_checks(bench)] == [(1, status, load)]
 
 
-def test_a_host_that_is_down_failed_to_connect(bench: Bench) -> None:
-    host = StandIn(bench.loop, silent)
-    host.close()
-    HealthChecker(bench.runtime).check("h1", host.address)
-    bench.until(lambda: answers(bench))
-    assert answers(bench)[0].status is HealthCheckStatus.CONNECT_FAILED
+def test_an_endpoint_that_is_down_fails_to_connect(bench: Bench) -> None:
+    endpoint = StandIn(bench.loop, silent)
+    endpoint.close()
+    HealthChecker(bench.runtime).check("h1", endpoint.address)
+    bench.until(lambda: completed_checks(bench))
+    assert completed_checks(bench)[0].status is HealthCheckStatus.CONNECT_FAILED
 
 
-def test_probes_beyond_the_limit_wait_and_beyond_that_are_cancelled(bench: Bench) -> None:
+def test_checks_beyond_the_limit_are_queued_and_beyond_that_cancelled(bench: Bench) -> None:
     bench.runtime = replace(
         bench.runtime,
         limits=replace(QUICK, max_concurrent_health_checks=2, max_queued_health_checks=3),
     )
-    host = StandIn(bench.loop, answering(200, b""))
+    endpoint = StandIn(bench.loop, answering(200, b""))
     checker = HealthChecker(bench.runtime)
     for _ in range(8):
-        checker.check("h1", host.address)
-    bench.until(lambda: len(answers(bench)) == 8)
-    assert [a.status for a in answers(bench)].count(HealthCheckStatus.CANCELLED) == 3
-    assert host.connections == 5
+        checker.check("h1", endpoint.address)
+    bench.until(lambda: len(completed_checks(bench)) == 8)
+    assert [a.status for a in completed_checks(bench)].count(HealthCheckStatus.CANCELLED) == 3
+    assert endpoint.connections == 5
 
 
-def test_a_probe_that_ends_by_a_defect_is_answered_and_the_next_has_its_turn(bench: Bench) -> None:
-    """The module awaits an answer to each, and those that waited behind it were never made."""
+def test_a_check_that_fails_unexpectedly_is_reported_and_the_next_one_runs(bench: Bench) -> None:
+    """The policy awaits a result of each, and checks queued behind it were never made."""
     bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_concurrent_health_checks=1))
-    host = StandIn(bench.loop, answering(200, b""))
+    endpoint = StandIn(bench.loop, answering(200, b""))
     checker = HealthChecker(bench.runtime)
     checker.check("h1", ("127.0.0.1", 99_999))
-    checker.check("h1", host.address)
-    bench.until(lambda: len(answers(bench)) == 2)
-    assert [a.status for a in answers(bench)] == [HealthCheckStatus.ERROR, HealthCheckStatus.OK]
+    checker.check("h1", endpoint.address)
+    bench.until(lambda: len(completed_checks(bench)) == 2)
+    assert [a.status for a in completed_checks(bench)] == [
+        HealthCheckStatus.ERROR,
+        HealthCheckStatus.OK,
+    ]
     assert [type(error) for error in bench.defects] == [OverflowError]
     bench.defects.clear()
 
 
-def test_a_load_report_that_is_none_is_empty() -> None:
+def test_an_empty_body_is_an_empty_load_report() -> None:
     assert decode_load_report(memoryview(b"")) == ()
--- a/tests/test_relay_codec.py
+++ b/tests/test_relay_codec.py
@@ -47,11 +47,11 @@
         (Checkpoint(905, True), '{"verb":"SYNC","stamp":905,"yes":1}'),
     ],
 )
-def test_orders_are_written_as_the_protocol_shows_them(order: Order, text: str) -> None:
+def test_orders_are_encoded_as_the_protocol_shows_them(order: Order, text: str) -> None:
     assert encode_order(order).decode() == text
 
 
-def test_a_call_holds_what_fits_and_each_part_ends_with_the_mark() -> None:
+def test_a_call_holds_what_fits_and_each_part_ends_with_the_checkpoint() -> None:
     orders: list[Order] = [*(SetWeight(0, f"h{k}", 1.0) for k in range(50)), MARK]
     body = encode_call(orders, 1000)
     assert len(body.data) <= 1000
@@ -63,11 +63,11 @@
     assert (whole.order_count, whole.checkpoint_added) == (51, False)
 
 
-def test_an_order_larger_than_a_call_goes_alone() -> None:
+def test_an_order_larger_than_a_call_is_sent_alone() -> None:
     assert encode_call([SetWeight(0, "h" * 300, 1.0), SET], 100).order_count == 1
 
 
-def test_answers() -> None:
+def test_answers_are_decoded() -> None:
     assert decode_answer(view(b'{"ok_count":2}'), 2) == 2
     with pytest.raises(ThrottledError):
         decode_answer(view(b'{"error":"Throttling"}'), 2)
@@ -86,9 +86,9 @@
             decode_answer(view(text), 2)
 
 
-def test_events() -> None:
-    told = view(b'{"type":"joined","object":{"sidecar":17,"az":"a","share":21.5,"standing":true}}')
-    assert decode_event(told) == Joined(17, "a", 21.5, True)
+def test_events_are_decoded() -> None:
+    line = view(b'{"type":"joined","object":{"sidecar":17,"az":"a","share":21.5,"standing":true}}')
+    assert decode_event(line) == Joined(17, "a", 21.5, True)
     assert decode_event(view(b'{"type":"left","object":{"sidecar":17}}')) == Left(17)
     assert decode_event(
         view(b'{"type":"applied","object":{"sidecar":1,"version":9,"lag_ms":310.4}}')
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -1,4 +1,4 @@
-"""The relay's event streams: snapshots, gaps, silence and moves to another address."""
+"""The relay's event streams: snapshots, gaps, silence and a new address."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from tests.standins import MS, QUICK, Bench
 
 
-def start_news(
-    bench: Bench, source: Broadcaster, outbox: OrderQueue | None = None, streams: int = 1
+def start_streams(
+    bench: Bench, source: Broadcaster, orders: OrderQueue | None = None, streams: int = 1
 ) -> None:
     reader = RelayEventStreams(
         bench.runtime,
         source.stand_in.address,
-        outbox if outbox is not None else outbox_of(),
+        orders if orders is not None else outbox_of(),
         Signal(),
     )
     for stream in range(streams):
         bench.loop.start("news", reader.run(stream))
 
 
-def test_news_reaches_the_module(bench: Bench) -> None:
+def test_events_reach_the_policy(bench: Bench) -> None:
     source = Broadcaster(bench, [joined(0), joined(1), b"{}"])
-    start_news(bench, source)
+    start_streams(bench, source)
     bench.asked(905)
     source.feed += [applied(1, 905), applied(1, 906), left(0)]
     bench.until(lambda: ProxyLeft(0) in bench.module.events)
@@ -39,9 +39,9 @@
 
 
 def test_after_a_gap_the_snapshot_is_reconciled(bench: Bench) -> None:
-    """A proxy that stands in both may have left and come back, one that is missing has left."""
+    """A proxy in both snapshots may have left and come back; one that is missing has left."""
     source = Broadcaster(bench, [joined(0), joined(1), b"{}"], [joined(1), joined(2), b"{}"])
-    start_news(bench, source)
+    start_streams(bench, source)
     bench.until(lambda: len(bench.module.events) == 3)
     source.hang_up = True
     bench.until(lambda: ProxyLeft(0) in bench.module.events)
@@ -55,7 +55,7 @@
 
 def test_a_stream_that_breaks_beside_another_leaves_no_gap(bench: Bench) -> None:
     source = Broadcaster(bench, *([joined(0), joined(1), b"{}"] for _ in range(3)))
-    start_news(bench, source, streams=2)
+    start_streams(bench, source, streams=2)
     bench.until(lambda: source.stand_in.connections == 2 and len(bench.module.events) == 3)
     bench.asked(5)
     source.feed += [b"{}", b"{}", b"{}", applied(0, 5)]
@@ -70,16 +70,16 @@
     assert bench.log.named("event_stream_lost")[0]["synchronised"] is True
 
 
-def test_silence_ends_a_stream_of_news(bench: Bench) -> None:
+def test_silence_ends_a_stream(bench: Bench) -> None:
     source = Broadcaster(bench, [joined(0), b"{}"], [joined(0), b"{}"])
-    start_news(bench, source)
+    start_streams(bench, source)
     bench.until(lambda: source.stand_in.connections == 2)
     assert bench.log.named("event_stream_lost")[0]["reason"] == "nothing came in time"
 
 
-def test_signs_of_life_keep_a_stream_of_news(bench: Bench) -> None:
+def test_heartbeats_keep_a_stream(bench: Bench) -> None:
     source = Broadcaster(bench, [b"{}"])
-    start_news(bench, source)
+    start_streams(bench, source)
     for _ in range(6):
         bench.pass_us(QUICK.event_stream_silence_us // 2)
         source.feed.append(b"{}")
@@ -87,38 +87,38 @@
     assert source.stand_in.connections == 1
 
 
-def test_news_without_shape_asks_for_a_fresh_snapshot(bench: Bench) -> None:
-    """What it should have told is lost, so the stream that brought it can't be gone on with."""
+def test_a_line_that_is_not_json_leads_to_a_new_snapshot(bench: Bench) -> None:
+    """What the line was to say is lost, so its stream can't be continued."""
     source = Broadcaster(bench, [joined(0), b"{}", b'{"type":"jo'], [joined(1), b"{}"])
-    start_news(bench, source)
+    start_streams(bench, source)
     bench.until(lambda: ProxyLeft(0) in bench.module.events)
     assert source.stand_in.connections == 2
 
 
-def test_news_that_can_not_be_used_is_skipped(bench: Bench) -> None:
+def test_an_invalid_event_is_skipped(bench: Bench) -> None:
     source = Broadcaster(bench, [b'{"type":"sung","object":{}}', joined(99), joined(2), b"{}"])
-    start_news(bench, source)
+    start_streams(bench, source)
     bench.until(lambda: ProxyJoined(2, "east", 2.0, True) in bench.module.events)
     assert bench.counters["relay_messages_rejected"] == 2
     assert source.stand_in.connections == 1
 
 
 def test_bindings_of_a_proxy_that_left_are_dropped(bench: Bench) -> None:
-    outbox = outbox_of(BindProxy(0, 0, ()), SET)
+    orders = outbox_of(BindProxy(0, 0, ()), SET)
     source = Broadcaster(bench, [joined(0), b"{}", left(0)])
-    start_news(bench, source, outbox)
+    start_streams(bench, source, orders)
     bench.until(lambda: ProxyLeft(0) in bench.module.events)
-    assert outbox.begin_call() == [SET]
+    assert orders.begin_call() == [SET]
 
 
-def test_an_answer_to_a_merged_mark_answers_the_earlier_ones_too(bench: Bench) -> None:
-    outbox = outbox_of(SET, Checkpoint(4, False))
-    outbox.add([USE, Checkpoint(5, True)])
-    assert outbox.begin_call()[-1] == Checkpoint(5, True, (4,))
-    outbox.accept(3)
+def test_an_acknowledgement_covers_superseded_checkpoints(bench: Bench) -> None:
+    orders = outbox_of(SET, Checkpoint(4, False))
+    orders.add([USE, Checkpoint(5, True)])
+    assert orders.begin_call()[-1] == Checkpoint(5, True, (4,))
+    orders.accept(3)
     bench.asked(4, 5)
     source = Broadcaster(bench, [joined(3), b"{}", applied(3, 5)])
-    start_news(bench, source, outbox)
+    start_streams(bench, source, orders)
     bench.until(lambda: OrdersAcknowledged(3, 5, 1500) in bench.module.events)
     assert bench.module.events[-2:] == [
         OrdersAcknowledged(3, 4, 1500),
@@ -126,8 +126,8 @@
     ]
 
 
-def test_news_moves_without_a_gap_and_lets_go_of_the_old_streams(bench: Bench) -> None:
-    """Nobody is told to have left or joined, so no proxy is bound anew."""
+def test_streams_reconnect_without_a_gap_and_close_the_old_ones(bench: Bench) -> None:
+    """No proxy is reported as left or joined, so none is bound again."""
     snapshot = [joined(0), joined(1), b"{}"]
     old, new = Broadcaster(bench, snapshot, snapshot), Broadcaster(bench, snapshot, snapshot)
     reader = RelayEventStreams(bench.runtime, old.stand_in.address, outbox_of(), Signal())
