--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import socket
 from collections.abc import Iterator
 from pathlib import Path
 
@@ -12,6 +13,7 @@
 from tests.deployment import Deployment
 from tests.fleet import SETTINGS
 from tests.listening import ListenerRig
+from tests.loop_rig import SocketPair
 from tests.standins import HASTY, QUICK, Bench, Script, member
 
 
@@ -63,3 +65,12 @@
     made.report_cached_list([member("h1"), member("h2", EndpointStatus.DRAINING)], 41)
     made.start(1000)
     return made
+
+
+@pytest.fixture
+def pair() -> Iterator[SocketPair]:
+    """Two connected sockets."""
+    ours, theirs = socket.socketpair()
+    yield ours, theirs
+    ours.close()
+    theirs.close()
