--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import socket
 from collections.abc import Iterator
 from pathlib import Path
 
@@ -11,12 +12,14 @@
 from kelpcourse.policy.events import EndpointStatus
 from tests.deployment import Deployment
 from tests.fleet import SETTINGS
-from tests.standins import QUICK, Bench, ScriptedPolicy, member
+from tests.listening import ListenerRig
+from tests.loop_rig import SocketPair
+from tests.standins import HASTY, QUICK, Bench, ScriptedPolicy, member
 
 
 @pytest.fixture
 def bench() -> Iterator[Bench]:
-    """The loop, door, counters and log that a counterpart is handed, on a clock of the test's own."""
+    """The loop, facade, counters and log that a component is handed, on a clock of the test's own."""
     made = Bench()
     yield made
     made.close()
@@ -31,6 +34,24 @@
     made.close()
 
 
+@pytest.fixture
+def front(bench: Bench) -> Iterator[ListenerRig]:
+    """A listener on loopback."""
+    made = ListenerRig(bench)
+    yield made
+    made.close()
+
+
+@pytest.fixture
+def impatient_front() -> Iterator[ListenerRig]:
+    """A listener on loopback with short timeouts."""
+    bench = Bench(HASTY)
+    made = ListenerRig(bench)
+    yield made
+    made.close()
+    bench.close()
+
+
 @pytest.fixture
 def policy() -> ScriptedPolicy:
     """A policy that follows a script."""
@@ -44,3 +65,12 @@
     made.report_cached_list([member("h1"), member("h2", EndpointStatus.DRAINING)], 41)
     made.start(1000)
     return made
+
+
+@pytest.fixture
+def pair() -> Iterator[SocketPair]:
+    """Two connected sockets."""
+    ours, theirs = socket.socketpair()
+    yield ours, theirs
+    ours.close()
+    theirs.close()
