--- a/kelpcourse/shared/member.py
+++ b/kelpcourse/shared/member.py
@@ -103,13 +103,13 @@
 
     def start(self, keep: Keep) -> None:
         """Starts the coroutines; `keep` restarts one that fails."""
-        for remark in self._storage.remarks:
+        for warning in self._storage.warnings:
             self._log.always(
                 "store_warning",
-                file=remark.file,
-                problem=remark.what,
-                lost_bytes=remark.lost_bytes,
-                alarming=remark.alarming,
+                file=warning.file,
+                problem=warning.problem,
+                lost_bytes=warning.lost_bytes,
+                alarming=warning.alarming,
             )
         keep("shared disk", self._storage.run)
         self._peers.start(keep)
--- a/kelpcourse/shared/standalone.py
+++ b/kelpcourse/shared/standalone.py
@@ -17,7 +17,7 @@
 from kelpcourse.shared.member import FleetMember, MemberSettings
 from kelpcourse.shared.peers import TlsContexts
 from kelpcourse.shared.settings import EXPIRY_WARNING_DAYS, SharedSettings, read_settings
-from kelpcourse.store.spool import ask, commands, write_whole
+from kelpcourse.store.spool import send_command, take_commands, write_atomically
 from kelpcourse.wire.loop import Coroutine, Wait
 from kelpcourse.wire.storage import StorageThread
 
@@ -85,8 +85,8 @@
     def _run_commands(self) -> Coroutine[None]:
         while True:
             yield Wait(self._loop.clock() + self._limits.zone_command_poll_us)
-            for path, data in commands(self._settings.state_folder):
-                write_whole(path, orjson.dumps(self._run_command(data)))
+            for path, data in take_commands(self._settings.state_folder):
+                write_atomically(path, orjson.dumps(self._run_command(data)))
 
     def _run_command(self, data: bytes) -> dict[str, object]:
         member = self._member
@@ -121,5 +121,5 @@
 def run_command(state_folder: Path, command_name: str, member: str) -> dict[str, Any]:
     """Sends a command to a running controller; returns its reply. Raises NoAnswer or OSError."""
     request = orjson.dumps({"command": command_name, "member": member})
-    reply: dict[str, Any] = orjson.loads(ask(state_folder, request))
+    reply: dict[str, Any] = orjson.loads(send_command(state_folder, request))
     return reply
--- a/kelpcourse/shared/storage.py
+++ b/kelpcourse/shared/storage.py
@@ -29,7 +29,7 @@
 from kelpcourse.store.commit import Settled
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.journal import Journal
-from kelpcourse.store.recovery import Recovered, Remark
+from kelpcourse.store.recovery import Recovered, RecoveryWarning
 from kelpcourse.wire.loop import Coroutine, Loop
 from kelpcourse.wire.storage import DurableWriter, JobRunner
 
@@ -70,7 +70,7 @@
         """
         journal = Journal(Folder(path))
         found = journal.open()
-        self.remarks: list[Remark] = found.remarks
+        self.warnings: list[RecoveryWarning] = found.warnings
         token_path = path / TOKEN_FILE
         try:
             _check_complete(found, path, name, token_path)
@@ -152,14 +152,14 @@
 
 def _check_complete(found: Recovered, path: Path, name: str, token_path: Path) -> None:
     """Checks that nothing of what the member promised is lost. Raises StateLostError."""
-    alarming = [remark for remark in found.remarks if remark.alarming]
+    alarming = [warning for warning in found.warnings if warning.alarming]
     is_empty = found.snapshot is None
     if is_empty and (token_path.exists() or alarming):
         raise StateLostError(
             f"{path} has lost what {name} promised; remove the folder and add the member again"
         )
     if alarming:
-        raise StateLostError(f"{path} is damaged: {'; '.join(r.what for r in alarming)}")
+        raise StateLostError(f"{path} is damaged: {'; '.join(r.problem for r in alarming)}")
 
 
 def _member_id(token_path: Path, name: str) -> MemberId:
--- a/kelpcourse/store/commit.py
+++ b/kelpcourse/store/commit.py
@@ -22,7 +22,7 @@
 
     DONE = "done"
     NOT_WRITTEN = "not_written"  # the file is as it was before the job
-    UNSURE = "unsure"  # a sync failed: what the file holds is unknown, and a second sync can't tell
+    UNKNOWN = "unknown"  # a sync failed; a second one can't tell what the first one lost
 
 
 class JobResult(NamedTuple):
@@ -44,7 +44,7 @@
 class Compact:
     """A job: a new generation of a snapshot of all that is durable and an empty journal after it."""
 
-    first: int  # number of the snapshot's own record; the next change is one above
+    snapshot_number: int  # of the snapshot's own record; the next change is one above
 
 
 Job = Append | Compact
@@ -62,21 +62,23 @@
 class Commit(Generic[Ticket]):
     """Staged changes, each with a ticket of the caller's."""
 
-    def __init__(self, limits: Limits, next_number: int, journal_bytes: int, fresh: bool) -> None:
+    def __init__(
+        self, limits: Limits, next_number: int, journal_bytes: int, needs_generation: bool
+    ) -> None:
         """Goes on after a recovery.
 
         Args:
             limits: how much may be staged, and when the journal is compacted.
             next_number: number of the next record.
             journal_bytes: size of the journal that was recovered.
-            fresh: a new generation is needed before anything is written.
+            needs_generation: a new generation is needed before anything is written.
         """
         self._limits = limits
         self._next_number = next_number
         self._next_durable_number = next_number
         self._journal_bytes = journal_bytes
         self._snapshot_bytes = 0
-        self._broken = fresh
+        self._broken = needs_generation
         self._retry_us = 0
         self._staged: list[tuple[Record, Ticket]] = []
         self._writing: list[tuple[Record, Ticket]] = []
@@ -144,7 +146,7 @@
             self._next_durable_number += len(batch)
             self._pending_bytes -= sum(FRAME.size + len(record.payload) for record, _ in batch)
             return Settled(durable=tickets)
-        if outcome is Outcome.UNSURE:
+        if outcome is Outcome.UNKNOWN:
             self._broken = True
             self._retry_us = now_us
         return Settled(undone=tickets + self._drop_staged())
@@ -155,7 +157,7 @@
             self._snapshot_bytes = size_bytes
             self._journal_bytes = 0
             self._broken = False
-        elif outcome is Outcome.UNSURE:
+        elif outcome is Outcome.UNKNOWN:
             self._broken = True
         self._retry_us = now_us + self._limits.snapshot_retry_us
         undone = self._drop_staged() if self._broken else []
--- a/kelpcourse/store/frames.py
+++ b/kelpcourse/store/frames.py
@@ -54,15 +54,15 @@
     """What a file holds up to its first damage."""
 
     generation: int
-    first: int  # number of the first record
+    first_number: int
     records: tuple[Record, ...]
-    good_bytes: int  # from the start of the file up to the damage
+    intact_bytes: int  # from the start of the file up to the damage
     damage: Damage
 
 
-def header(kind: Kind, generation: int, first: int) -> bytes:
-    """The header of a file whose first record has the number `first`."""
-    head = HEADER.pack(kind.value, generation, first)
+def header(kind: Kind, generation: int, first_number: int) -> bytes:
+    """The header of a file whose first record has the number `first_number`."""
+    head = HEADER.pack(kind.value, generation, first_number)
     return head + HEADER_SUM.pack(zlib.crc32(head))
 
 
@@ -85,10 +85,10 @@
     Raises:
         UnusableFileError: the header is cut off, damaged or of another kind.
     """
-    generation, first = _read_header(kind, data)
+    generation, first_number = _read_header(kind, data)
     records: list[Record] = []
     offset = HEADER_BYTES
-    number = first
+    number = first_number
     damage = Damage.NONE
     while offset < len(data):
         record = _record_at(data, offset)
@@ -98,20 +98,20 @@
         records.append(record)
         offset += FRAME.size + len(record.payload)
         number += 1
-    return Contents(generation, first, tuple(records), offset, damage)
+    return Contents(generation, first_number, tuple(records), offset, damage)
 
 
 def _read_header(kind: Kind, data: bytes) -> tuple[int, int]:
     """Generation and number of the first record."""
     if len(data) < HEADER_BYTES:
         raise UnusableFileError("the header is cut")
-    magic, generation, first = HEADER.unpack_from(data)
+    magic, generation, first_number = HEADER.unpack_from(data)
     (checksum,) = HEADER_SUM.unpack_from(data, HEADER.size)
     if checksum != zlib.crc32(data[: HEADER.size]):
         raise UnusableFileError("the header's checksum is wrong")
     if magic != kind.value:
         raise UnusableFileError(f"not a {kind.name.lower()}")
-    return generation, first
+    return generation, first_number
 
 
 def _record_at(data: bytes, offset: int) -> Record | None:
--- a/kelpcourse/store/journal.py
+++ b/kelpcourse/store/journal.py
@@ -40,7 +40,7 @@
         self._folder.lock()
         found = recover(self._folder.names(), self._folder.read)
         self._generation = found.generation
-        if found.fresh:
+        if found.needs_generation:
             self._set_damaged_aside(found)
         else:
             self._open_file(found)
@@ -48,29 +48,29 @@
 
     def _open_file(self, found: Recovered) -> None:
         self._fd = self._folder.open(file_name(Kind.JOURNAL, found.generation))
-        if found.cut_to is None:
+        if found.truncate_to_bytes is None:
             self._durable_bytes = os.fstat(self._fd).st_size
             return
-        self._durable_bytes = found.cut_to
+        self._durable_bytes = found.truncate_to_bytes
         # What follows must not be read as records of this process later.
-        self._folder.truncate(self._fd, found.cut_to)
+        self._folder.truncate(self._fd, found.truncate_to_bytes)
         self._folder.sync(self._fd)
 
     def _set_damaged_aside(self, found: Recovered) -> None:
         """Keeps files with damage that no crash leaves, for an investigation."""
-        for remark in found.remarks:
-            if remark.alarming and remark.file in self._folder.names():
-                self._folder.rename(remark.file, remark.file + DAMAGED_SUFFIX)
+        for warning in found.warnings:
+            if warning.alarming and warning.file in self._folder.names():
+                self._folder.rename(warning.file, warning.file + DAMAGED_SUFFIX)
 
     def begin(self, found: Recovered, snapshot: bytes) -> None:
         """Makes the generation that a start needs, while no client waits for anything yet.
 
         Where it can't be made `found` stays as it is, and the writer retries.
         """
-        if not found.fresh:
+        if not found.needs_generation:
             return
         if self.compact(found.next_number - 1, snapshot).outcome is Outcome.DONE:
-            found.fresh = False
+            found.needs_generation = False
             found.journal_bytes = 0
 
     def append(self, records: Sequence[Record]) -> JobResult:
@@ -83,7 +83,7 @@
         try:
             self._folder.sync(self._fd)
         except OSError as error:
-            return JobResult(Outcome.UNSURE, reason=f"syncing: {error.strerror}")
+            return JobResult(Outcome.UNKNOWN, reason=f"syncing: {error.strerror}")
         self._durable_bytes += len(data)
         return JobResult(Outcome.DONE, len(data))
 
@@ -91,7 +91,7 @@
         try:
             self._folder.truncate(self._fd, self._durable_bytes)
         except OSError:
-            return Outcome.UNSURE
+            return Outcome.UNKNOWN
         return Outcome.NOT_WRITTEN
 
     def compact(self, number: int, snapshot: bytes) -> JobResult:
@@ -125,7 +125,7 @@
             # It may be in place after a crash: nothing may be added to the generation before.
             os.close(fd)
             self._generation = generation
-            return JobResult(Outcome.UNSURE, reason=_generation_failed(error))
+            return JobResult(Outcome.UNKNOWN, reason=_generation_failed(error))
         self._close_file()
         self._fd = fd
         self._generation = generation
--- a/kelpcourse/store/recovery.py
+++ b/kelpcourse/store/recovery.py
@@ -16,7 +16,7 @@
 NAME = re.compile(r"(snapshot|journal)-(\d{12})\Z")
 TEMPORARY_SUFFIX = ".tmp"
 DAMAGED_SUFFIX = ".damaged"
-STATE = "state"  # named in a remark on all files together
+STATE = "state"  # named in a warning on all files together
 
 Load = Callable[[str], bytes]
 
@@ -27,11 +27,11 @@
 
 
 @dataclass(frozen=True)
-class Remark:
+class RecoveryWarning:
     """Something that was found and is reported to the operators."""
 
     file: str
-    what: str
+    problem: str
     lost_bytes: int = 0
     alarming: bool = False  # more than what a crash leaves behind
 
@@ -44,10 +44,10 @@
     snapshot: bytes | None = None
     records: list[Record] = field(default_factory=list)
     next_number: int = 1
-    cut_to: int | None = None  # bytes of that journal that are intact, if not all are
+    truncate_to_bytes: int | None = None  # bytes of that journal that are intact, if not all are
     journal_bytes: int = 0  # of all journals that were read
-    remarks: list[Remark] = field(default_factory=list)
-    fresh: bool = False  # a new generation is to be made before anything is written
+    warnings: list[RecoveryWarning] = field(default_factory=list)
+    needs_generation: bool = False  # a new generation is to be made before anything is written
 
 
 @dataclass(frozen=True)
@@ -86,13 +86,13 @@
     if _take_snapshot(files, load, recovered):
         _follow_journals(files, load, recovered)
         return recovered
-    recovered.fresh = True
+    recovered.needs_generation = True
     if files.snapshots or files.journals:
         recovered.generation = files.newest
         # A first generation that a crash cut short holds no change.
         lost = any(load(file_name(Kind.JOURNAL, generation)) for generation in files.journals)
-        what = "no snapshot can be used: nothing is restored"
-        recovered.remarks.append(Remark(STATE, what, alarming=lost))
+        problem = "no snapshot can be used: nothing is restored"
+        recovered.warnings.append(RecoveryWarning(STATE, problem, alarming=lost))
     return recovered
 
 
@@ -109,11 +109,13 @@
         if contents is None:
             continue
         if contents.damage is not Damage.NONE or len(contents.records) != 1:
-            recovered.remarks.append(Remark(name, "the snapshot is not whole", alarming=True))
+            recovered.warnings.append(
+                RecoveryWarning(name, "the snapshot is not whole", alarming=True)
+            )
             continue
         recovered.generation = generation
         recovered.snapshot = contents.records[0].payload
-        recovered.next_number = contents.first + 1
+        recovered.next_number = contents.first_number + 1
         return True
     return False
 
@@ -127,8 +129,10 @@
         generation += 1
     else:
         # A snapshot without its journal: the crash came between the two, and nothing was written since.
-        recovered.fresh = recovered.fresh or recovered.generation not in files.journals
-    if recovered.fresh:
+        recovered.needs_generation = (
+            recovered.needs_generation or recovered.generation not in files.journals
+        )
+    if recovered.needs_generation:
         recovered.generation = max(recovered.generation, files.newest)
 
 
@@ -138,32 +142,32 @@
     data = load(name)
     contents = _read(Kind.JOURNAL, name, data, recovered)
     if contents is None:
-        recovered.fresh = True
+        recovered.needs_generation = True
         return False
-    if contents.first > recovered.next_number:
-        what = f"starts at {contents.first}, {recovered.next_number} was next"
-        recovered.remarks.append(Remark(name, what, len(data), alarming=True))
-        recovered.fresh = True
+    if contents.first_number > recovered.next_number:
+        problem = f"starts at {contents.first_number}, {recovered.next_number} was next"
+        recovered.warnings.append(RecoveryWarning(name, problem, len(data), alarming=True))
+        recovered.needs_generation = True
         return False
-    end_number = contents.first + len(contents.records)
+    end_number = contents.first_number + len(contents.records)
     recovered.records += [
         record for record in contents.records if record.number >= recovered.next_number
     ]
     recovered.next_number = max(recovered.next_number, end_number)
-    recovered.journal_bytes += contents.good_bytes
+    recovered.journal_bytes += contents.intact_bytes
     recovered.generation = generation
-    recovered.cut_to = None
+    recovered.truncate_to_bytes = None
     if contents.damage is not Damage.NONE:
         inside = contents.damage is Damage.INSIDE
-        what = "damaged inside" if inside else "the last write is torn"
-        lost_bytes = len(data) - contents.good_bytes
-        recovered.remarks.append(Remark(name, what, lost_bytes, inside))
-        recovered.cut_to = contents.good_bytes
-        recovered.fresh = inside or generation + 1 in files.journals
+        problem = "damaged inside" if inside else "the last write is torn"
+        lost_bytes = len(data) - contents.intact_bytes
+        recovered.warnings.append(RecoveryWarning(name, problem, lost_bytes, inside))
+        recovered.truncate_to_bytes = contents.intact_bytes
+        recovered.needs_generation = inside or generation + 1 in files.journals
         return False
     # A journal of an abandoned generation may lag behind the one before it: its numbers then end
     # too early for what would be written on.
-    recovered.fresh = end_number != recovered.next_number
+    recovered.needs_generation = end_number != recovered.next_number
     return True
 
 
@@ -172,7 +176,7 @@
         return read(kind, data)
     except UnusableFileError as error:
         alarming = kind is Kind.SNAPSHOT
-        recovered.remarks.append(Remark(name, error.reason, alarming=alarming))
+        recovered.warnings.append(RecoveryWarning(name, error.reason, alarming=alarming))
         return None
 
 
--- a/kelpcourse/store/spool.py
+++ b/kelpcourse/store/spool.py
@@ -18,7 +18,7 @@
 ANSWER_PREFIX = "answer-"
 
 
-def write_whole(path: Path, data: bytes) -> None:
+def write_atomically(path: Path, data: bytes) -> None:
     """Writes a file that other processes see completely or not at all."""
     temporary = path.with_name(f"{path.name}.tmp")
     fd = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
@@ -27,7 +27,7 @@
     os.rename(temporary, path)
 
 
-def commands(folder: Path) -> Iterator[tuple[Path, bytes]]:
+def take_commands(folder: Path) -> Iterator[tuple[Path, bytes]]:
     """Pending commands, oldest first, each removed as it is read: where its answer goes, and its bytes."""
     for path in sorted(folder.glob(f"{COMMAND_PREFIX}*.json")):
         try:
@@ -38,7 +38,7 @@
         yield path.with_name(path.name.replace(COMMAND_PREFIX, ANSWER_PREFIX, 1)), data
 
 
-def ask(folder: Path, command: bytes) -> bytes:
+def send_command(folder: Path, command: bytes) -> bytes:
     """Sends a command to the process that holds the folder and returns its answer.
 
     Raises:
@@ -48,7 +48,7 @@
     name = f"{os.getpid()}-{time.monotonic_ns()}.json"
     waiting = folder / f"{COMMAND_PREFIX}{name}"
     answer = folder / f"{ANSWER_PREFIX}{name}"
-    write_whole(waiting, command)
+    write_atomically(waiting, command)
     deadline = time.monotonic() + ANSWER_TIMEOUT_S
     while not answer.exists():
         if time.monotonic() > deadline:
--- a/kelpcourse/wire/storage.py
+++ b/kelpcourse/wire/storage.py
@@ -79,7 +79,7 @@
             try:
                 result = job()
             except Exception as error:
-                result = JobResult(Outcome.UNSURE, 0, repr(error))
+                result = JobResult(Outcome.UNKNOWN, 0, repr(error))
             self._results.put(result)
             os.eventfd_write(self.fd, 1)
 
@@ -135,7 +135,7 @@
         self._on_settled = on_settled
         self._on_failed = on_failed
         self._commit: Commit[T] = Commit(
-            limits, recovered.next_number, recovered.journal_bytes, recovered.fresh
+            limits, recovered.next_number, recovered.journal_bytes, recovered.needs_generation
         )
         self._staged = Signal()
 
@@ -180,7 +180,7 @@
         if isinstance(job, Append):
             records = job.records
             return lambda: JobResult(*self._journal.append(records))
-        number = job.first
+        number = job.snapshot_number
         snapshot = self._snapshot()
         return lambda: JobResult(*self._journal.compact(number, snapshot))
 
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -16,7 +16,7 @@
 from kelpcourse.store.errors import FolderInUseError
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.recovery import recover
-from kelpcourse.store.spool import ask
+from kelpcourse.store.spool import send_command
 from kelpcourse.wire.loop import Loop
 from kelpcourse.zones.book import Replay
 from kelpcourse.zones.errors import BadZone
@@ -100,7 +100,7 @@
 
 
 def _by_server(state: Path, command: Restore) -> Restored:
-    return msgspec.json.decode(ask(state, msgspec.json.encode(command)), type=Restored)
+    return msgspec.json.decode(send_command(state, msgspec.json.encode(command)), type=Restored)
 
 
 class _Quiet:
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -17,7 +17,7 @@
 from kelpcourse.store.commit import Settled
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.journal import Journal
-from kelpcourse.store.spool import commands, write_whole
+from kelpcourse.store.spool import take_commands, write_atomically
 from kelpcourse.wire.loop import Coroutine, Loop, Signal, Wait
 from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.storage import DurableWriter, StorageThread
@@ -110,13 +110,13 @@
             found = journal.open()
             replay.run(found.snapshot, (record.payload for record in found.records))
         journal.begin(found, snapshot(replay.zones.values(), replay.others()))
-        for remark in found.remarks:
+        for warning in found.warnings:
             around.log.always(
                 "store_warning",
-                file=remark.file,
-                problem=remark.what,
-                lost_bytes=remark.lost_bytes,
-                alarming=remark.alarming,
+                file=warning.file,
+                problem=warning.problem,
+                lost_bytes=warning.lost_bytes,
+                alarming=warning.alarming,
             )
         for text in replay.remarks:
             around.log.always("store_warning", file="", problem=text, lost_bytes=0, alarming=True)
@@ -458,12 +458,12 @@
         assert self.settings.state is not None
         while True:
             yield Wait(self.clock() + self._around.limits.zone_command_poll_us)
-            for path, data in commands(self.settings.state):
+            for path, data in take_commands(self.settings.state):
                 self._command(path, data)
 
     def _command(self, path: Path, data: bytes) -> None:
         def answer(restored: Restored) -> None:
-            write_whole(path, msgspec.json.encode(restored))
+            write_atomically(path, msgspec.json.encode(restored))
 
         try:
             command = msgspec.json.decode(data, type=Restore)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -82,5 +82,5 @@
     bench.until(took, 1_000_000)
     thread.close()
     assert done[0] == JobResult(
-        Outcome.UNSURE, 0, "ZeroDivisionError('integer division or modulo by zero')"
+        Outcome.UNKNOWN, 0, "ZeroDivisionError('integer division or modulo by zero')"
     )
--- a/tests/test_store_commit.py
+++ b/tests/test_store_commit.py
@@ -44,7 +44,7 @@
     commit: Commit[str] = Commit(FEW, 5, 0, False)
     commit.stage(b"a", "A")
     commit.next_job(0)
-    assert commit.settle(Outcome.UNSURE, 0, 7).undone == ["A"]
+    assert commit.settle(Outcome.UNKNOWN, 0, 7).undone == ["A"]
     assert not commit.stage(b"b", "B")
     assert commit.next_job(7) == Compact(4)
     commit.settle(Outcome.NOT_WRITTEN, 0, 8)
@@ -73,7 +73,7 @@
     commit: Commit[str] = Commit(FEW, 1, 200, False)
     commit.stage(b"a", "A")
     assert commit.next_job(0) == Compact(0)
-    assert commit.settle(Outcome.UNSURE, 0, 1).undone == ["A"]
+    assert commit.settle(Outcome.UNKNOWN, 0, 1).undone == ["A"]
     assert commit.broken
 
 
--- a/tests/test_store_journal.py
+++ b/tests/test_store_journal.py
@@ -65,7 +65,7 @@
 def begun(path: Path) -> tuple[BadDisk, Journal]:
     disk = BadDisk(path)
     journal = Journal(disk)
-    assert journal.open().fresh
+    assert journal.open().needs_generation
     assert journal.compact(0, b"empty")[0] is Outcome.DONE
     return disk, journal
 
@@ -80,13 +80,13 @@
         "writing: No space left on device",
     )
     disk.fails = {"write": errno.ENOSPC, "truncate": errno.EIO}
-    assert journal.append([Record(2, b"lost")])[0] is Outcome.UNSURE
+    assert journal.append([Record(2, b"lost")])[0] is Outcome.UNKNOWN
     disk.fails = {"sync": errno.EIO}
-    assert journal.append([Record(2, b"b")])[0] is Outcome.UNSURE
+    assert journal.append([Record(2, b"b")])[0] is Outcome.UNKNOWN
     disk.fails = {"rename": errno.EIO}
     assert journal.compact(1, b"at one")[0] is Outcome.NOT_WRITTEN
     disk.fails = {"sync_names": errno.EIO}
-    assert journal.compact(1, b"at one")[0] is Outcome.UNSURE
+    assert journal.compact(1, b"at one")[0] is Outcome.UNKNOWN
     disk.fails = {}
     assert journal.compact(1, b"at one")[0] is Outcome.DONE
     journal.append([Record(2, b"c")])
@@ -124,7 +124,7 @@
     with pytest.raises(FolderInUseError):
         Journal(Folder(tmp_path)).open()
     journal.close()
-    assert recover([], b"".__getitem__).fresh  # type: ignore[arg-type]
+    assert recover([], b"".__getitem__).needs_generation  # type: ignore[arg-type]
 
 
 def test_a_journal_damaged_inside_is_put_aside_and_not_written_on(tmp_path: Path) -> None:
@@ -137,7 +137,7 @@
     path.write_bytes(data)
     again = Journal(BadDisk(tmp_path))
     found = again.open()
-    assert (len(found.records), found.fresh) == (1, True)
+    assert (len(found.records), found.needs_generation) == (1, True)
     assert (tmp_path / "journal-000000000001.damaged").exists()
     assert again.compact(1, b"rest")[0] is Outcome.DONE
     again.close()
--- a/tests/test_store_recovery.py
+++ b/tests/test_store_recovery.py
@@ -25,10 +25,10 @@
         found = from_bytes({**NAMES, "journal-000000000004": JOURNAL[:cut]})
         assert found.records == RECORDS[: whole_before(cut)]
         assert found.next_number == 11 + whole_before(cut)
-        assert [remark.lost_bytes for remark in found.remarks] == (
+        assert [warning.lost_bytes for warning in found.warnings] == (
             [cut - ENDS[whole_before(cut)]] if cut not in ENDS else []
         )
-        assert not any(remark.alarming for remark in found.remarks)
+        assert not any(warning.alarming for warning in found.warnings)
 
 
 def test_each_flipped_bit_is_found_and_what_stands_before_it_is_kept() -> None:
@@ -47,8 +47,8 @@
     assert read(Kind.JOURNAL, bytes(inside)).damage is Damage.INSIDE
     assert read(Kind.JOURNAL, JOURNAL[:-1]).damage is Damage.TORN
     found = from_bytes({**NAMES, "journal-000000000004": bytes(inside)})
-    assert found.fresh  # nothing is written behind damage
-    assert [remark.alarming for remark in found.remarks] == [True]
+    assert found.needs_generation  # nothing is written behind damage
+    assert [warning.alarming for warning in found.warnings] == [True]
 
 
 @pytest.mark.parametrize("data", [b"", SNAPSHOT[:5], JOURNAL, b"\xff" + SNAPSHOT[1:]])
@@ -69,7 +69,7 @@
     )
     assert spoilt.snapshot == b"state"
     assert spoilt.records == [*RECORDS, Record(15, b"last")]
-    assert (spoilt.next_number, spoilt.generation, spoilt.fresh) == (16, 5, False)
+    assert (spoilt.next_number, spoilt.generation, spoilt.needs_generation) == (16, 5, False)
 
 
 def test_a_crash_between_the_names_of_a_new_generation_loses_nothing() -> None:
@@ -77,16 +77,16 @@
     empty = {"journal-000000000005": header(Kind.JOURNAL, 5, 13)}
     found = from_bytes({**NAMES, **empty})
     assert found.records == RECORDS
-    assert found.fresh  # its numbers would not follow on in the empty one
+    assert found.needs_generation  # its numbers would not follow on in the empty one
     follows = from_bytes({**NAMES, "journal-000000000005": header(Kind.JOURNAL, 5, 15)})
-    assert (follows.fresh, follows.generation, follows.next_number) == (False, 5, 15)
+    assert (follows.needs_generation, follows.generation, follows.next_number) == (False, 5, 15)
 
 
 def test_a_gap_between_journals_is_not_bridged() -> None:
     found = from_bytes({**NAMES, "journal-000000000005": header(Kind.JOURNAL, 5, 16)})
     assert found.records == RECORDS
-    assert found.fresh
-    assert found.remarks[-1].alarming
+    assert found.needs_generation
+    assert found.warnings[-1].alarming
 
 
 def test_what_no_recovery_needs_goes() -> None:
--- a/tests/test_stored_controller.py
+++ b/tests/test_stored_controller.py
@@ -124,7 +124,7 @@
     storage = opener.open(folder)
     assert plain(storage.state) == RECORDED["whole"]
     assert storage.member_id == RECORDED["member"]
-    assert storage.remarks == []
+    assert storage.warnings == []
 
 
 @pytest.mark.parametrize("cut_bytes", [1, FRAME_BYTES, LAST_RECORD_BYTES - 1])
@@ -135,7 +135,7 @@
     (folder / JOURNAL).write_bytes(data[:-cut_bytes])
     storage = opener.open(folder)
     assert plain(storage.state) == RECORDED["without_last_write"]
-    assert [(r.file, r.what, r.lost_bytes, r.alarming) for r in storage.remarks] == [
+    assert [(r.file, r.problem, r.lost_bytes, r.alarming) for r in storage.warnings] == [
         (JOURNAL, "the last write is torn", LAST_RECORD_BYTES - cut_bytes, False)
     ]
 
@@ -148,7 +148,7 @@
     (folder / JOURNAL).write_bytes(data)
     storage = opener.open(folder)
     assert plain(storage.state) == RECORDED["without_last_write"]
-    assert [(r.file, r.what, r.lost_bytes) for r in storage.remarks] == [
+    assert [(r.file, r.problem, r.lost_bytes) for r in storage.warnings] == [
         (JOURNAL, "the last write is torn", LAST_RECORD_BYTES)
     ]
 
@@ -183,7 +183,8 @@
         Record(r.number, r.payload.replace(b"nothing", b"nonsens")) for r in contents.records
     ]
     (folder / JOURNAL).write_bytes(
-        header(Kind.JOURNAL, contents.generation, contents.first) + b"".join(map(frame, records))
+        header(Kind.JOURNAL, contents.generation, contents.first_number)
+        + b"".join(map(frame, records))
     )
     with pytest.raises(StateLostError, match=r"an entry can't be read: .*nonsens"):
         opener.open(folder)
--- a/tests/test_stored_zones.py
+++ b/tests/test_stored_zones.py
@@ -97,8 +97,8 @@
 
 def test_a_stored_zone_opens_to_the_recorded_state(tmp_path: Path) -> None:
     opened = open_copy(tmp_path / "store")
-    assert opened.found.remarks == []
-    assert not opened.found.fresh
+    assert opened.found.warnings == []
+    assert not opened.found.needs_generation
     assert opened.found.generation == RECORDED["generation"]
     assert opened.found.next_number == RECORDED["next_number"]
     assert opened.replay.remarks == []
@@ -149,8 +149,8 @@
             entry["payload"] for entry in ENTRIES[:count]
         ]
         torn = size not in FRAME_ENDS
-        assert [remark.file for remark in found.remarks] == ([JOURNAL] if torn else [])
-        assert all(remark.lost_bytes == size - FRAME_ENDS[count] for remark in found.remarks)
+        assert [warning.file for warning in found.warnings] == ([JOURNAL] if torn else [])
+        assert all(warning.lost_bytes == size - FRAME_ENDS[count] for warning in found.warnings)
 
 
 @pytest.mark.parametrize("count", range(len(ENTRIES)))
@@ -169,7 +169,7 @@
     opened = open_copy(tmp_path / "store", {**FILES, JOURNAL: bytes(data)})
     assert summary(opened.replay) == RECORDED["after_entries"][index]
     inside = index + 1 < len(ENTRIES)
-    assert [(remark.file, remark.alarming) for remark in opened.found.remarks] == [
+    assert [(warning.file, warning.alarming) for warning in opened.found.warnings] == [
         (JOURNAL, inside)
     ]
     assert (tmp_path / "store" / f"{JOURNAL}.damaged").exists() == inside
@@ -177,8 +177,8 @@
 
 def test_a_journal_without_a_usable_header_is_named_and_the_snapshot_stands() -> None:
     found = from_bytes({**FILES, JOURNAL: FILES[JOURNAL][: HEADER_BYTES - 1]})
-    assert found.fresh
-    assert [remark.file for remark in found.remarks] == [JOURNAL]
+    assert found.needs_generation
+    assert [warning.file for warning in found.warnings] == [JOURNAL]
     assert summary(replayed(found)) == RECORDED["after_entries"][0]
 
 
@@ -189,7 +189,7 @@
     data = bytearray(FILES[SNAPSHOT])
     data[place] ^= 1
     found = from_bytes({**FILES, SNAPSHOT: bytes(data)})
-    assert [(remark.file, remark.alarming) for remark in found.remarks] == [(SNAPSHOT, True)]
+    assert [(warning.file, warning.alarming) for warning in found.warnings] == [(SNAPSHOT, True)]
     replay = replayed(found)
     assert replay.remarks == []
     for origin in ALL_ZONES:
