--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""The durable writer and the storage thread in the loop."""
+"""The store in the loop: what one round stages shares a sync, and a job that raises has failed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.standins import Bench
 
 
-class ManualRunner:
+class ByHand:
     """A runner whose jobs run when the test says so."""
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
     def start(self, work: object) -> None:
         self.job = work
 
-    def run_job(self) -> None:
+    def go(self) -> None:
         work, self.job = self.job, None
         assert callable(work)
         self._done.append(work())
@@ -45,42 +45,42 @@
 def test_changes_of_one_round_share_a_sync_and_none_is_settled_before_it(
     bench: Bench, tmp_path: Path
 ) -> None:
-    journal, runner = Journal(Folder(tmp_path)), ManualRunner()
-    durable: list[str] = []
+    journal, hand = Journal(Folder(tmp_path)), ByHand()
+    told: list[str] = []
     writer: DurableWriter[str] = DurableWriter(
         bench.loop,
         Limits(),
         journal,
         journal.open(),
-        runner,
+        hand,
         lambda: b"s",
-        lambda settled: durable.extend(settled.durable),
+        lambda settled: told.extend(settled.durable),
         lambda *_: None,
     )
     bench.loop.start("store", writer.run())
     assert not writer.stage(b"early", "early")  # no generation stands yet
-    runner.run_job()
+    hand.go()
     bench.until(lambda: not writer.broken)
     assert all(writer.stage(str(k).encode(), str(k)) for k in range(50))
-    bench.until(lambda: runner.job is not None)
-    assert durable == []
-    runner.run_job()
-    bench.until(lambda: durable)
-    assert (len(durable), runner.ran) == (50, 2)
+    bench.until(lambda: hand.job is not None)
+    assert told == []
+    hand.go()
+    bench.until(lambda: told)
+    assert (len(told), hand.ran) == (50, 2)
     writer.close()
 
 
 def test_a_job_that_raises_has_an_unknown_outcome(bench: Bench, tmp_path: Path) -> None:
     thread = StorageThread()
     thread.start(lambda: JobResult(Outcome.DONE, 1 // 0, ""))
-    results: list[JobResult] = []
+    done: list[JobResult] = []
 
-    def has_ended() -> bool:
-        results.extend(filter(None, [thread.take_result()]))
-        return bool(results)
+    def took() -> bool:
+        done.extend(filter(None, [thread.take_result()]))
+        return bool(done)
 
-    bench.until(has_ended, 1_000_000)
+    bench.until(took, 1_000_000)
     thread.close()
-    assert results[0] == JobResult(
-        Outcome.UNSURE, 0, "ZeroDivisionError('integer division or modulo by zero')"
+    assert done[0] == JobResult(
+        Outcome.UNKNOWN, 0, "ZeroDivisionError('integer division or modulo by zero')"
     )
