--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -55,11 +55,11 @@
 @pytest.fixture
 def policy() -> Script:
     """A policy that follows a script."""
-    return Script(SETTINGS)
+    return ScriptedPolicy(SETTINGS)
 
 
 @pytest.fixture
-def facade(policy: Script) -> Facade:
+def facade(policy: ScriptedPolicy) -> Facade:
     """A facade that has taken its first step, with a cached list of two endpoints."""
     made = Facade(SETTINGS, 7, QUICK, lambda _: policy)
     made.report_cached_list([member("h1"), member("h2", EndpointStatus.DRAINING)], 41)
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -29,8 +29,8 @@
     start_streams(bench, source)
     bench.asked(905)
     source.feed += [applied(1, 905), applied(1, 906), left(0)]
-    bench.until(lambda: ProxyLeft(0) in bench.module.events)
-    assert bench.module.events[1:] == [
+    bench.until(lambda: ProxyLeft(0) in bench.policy.events)
+    assert bench.policy.events[1:] == [
         ProxyJoined(0, "east", 2.0, True),
         ProxyJoined(1, "east", 2.0, True),
         OrdersAcknowledged(1, 905, 1500),
@@ -44,8 +44,8 @@
     start_streams(bench, source)
     bench.until(lambda: len(bench.module.events) == 3)
     source.hang_up = True
-    bench.until(lambda: ProxyLeft(0) in bench.module.events)
-    assert bench.module.events[3:] == [
+    bench.until(lambda: ProxyLeft(0) in bench.policy.events)
+    assert bench.policy.events[3:] == [
         ProxyJoined(1, "east", 2.0, True),
         ProxyJoined(2, "east", 2.0, True),
         ProxyLeft(0),
@@ -59,14 +59,14 @@
     bench.until(lambda: source.stand_in.connections == 2 and len(bench.module.events) == 3)
     bench.asked(5)
     source.feed += [b"{}", b"{}", b"{}", applied(0, 5)]
-    bench.until(lambda: OrdersAcknowledged(0, 5, 1500) in bench.module.events)
+    bench.until(lambda: OrdersAcknowledged(0, 5, 1500) in bench.policy.events)
     bench.pass_us(5 * MS)
     source.hang_up = True
     bench.until(lambda: source.stand_in.connections == 3)
     source.feed += [left(1), b"{}"]
-    bench.until(lambda: ProxyLeft(1) in bench.module.events)
+    bench.until(lambda: ProxyLeft(1) in bench.policy.events)
     bench.pass_us(5 * MS)
-    assert bench.module.events[3:] == [OrdersAcknowledged(0, 5, 1500), ProxyLeft(1)]
+    assert bench.policy.events[3:] == [OrdersAcknowledged(0, 5, 1500), ProxyLeft(1)]
     assert bench.log.named("event_stream_lost")[0]["synchronised"] is True
 
 
@@ -133,7 +133,7 @@
     reader = RelayEventStreams(bench.runtime, old.stand_in.address, outbox_of(), Signal())
     for stream in reader.streams():
         bench.loop.start("news", reader.run(stream))
-    bench.until(lambda: old.stand_in.connections == 2 and len(bench.module.events) == 3)
+    bench.until(lambda: old.stand_in.connections == 2 and len(bench.policy.events) == 3)
     reader.reconnect_to(new.stand_in.address)
     for stream in reader.streams():
         bench.loop.start("news", reader.run(stream))
@@ -145,6 +145,6 @@
         bench.pass_us(5 * MS)
     assert [line["reason"] for line in bench.log.named("event_stream_lost")] == ["moved", "moved"]
     new.feed += [left(1)]
-    bench.until(lambda: ProxyLeft(1) in bench.module.events)
-    assert len(bench.module.events) == 4
+    bench.until(lambda: ProxyLeft(1) in bench.policy.events)
+    assert len(bench.policy.events) == 4
     assert old.stand_in.connections == 2
