--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,7 +14,7 @@
 from tests.fleet import SETTINGS
 from tests.listening import ListenerRig
 from tests.loop_rig import SocketPair
-from tests.standins import HASTY, QUICK, Bench, Script, member
+from tests.standins import HASTY, QUICK, Bench, ScriptedPolicy, member
 
 
 @pytest.fixture
--- a/tests/discovery_service.py
+++ b/tests/discovery_service.py
@@ -66,7 +66,7 @@
 
 
 def reported_lists(bench: Bench) -> list[EndpointList]:
-    return [event for event in bench.module.events if isinstance(event, EndpointList)]
+    return [event for event in bench.policy.events if isinstance(event, EndpointList)]
 
 
 def client_of(bench: Bench, service: Service, version: int = 41) -> DiscoveryClient:
--- a/tests/listening.py
+++ b/tests/listening.py
@@ -45,7 +45,7 @@
         return peer
 
     def reports(self) -> list[object]:
-        return [e for e in self.bench.module.events if isinstance(e, EndpointReport | DemandReport)]
+        return [e for e in self.bench.policy.events if isinstance(e, EndpointReport | DemandReport)]
 
     def close(self) -> None:
         for peer in self.peers:
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -147,7 +147,7 @@
     client_of(bench, service).watch(True)
     bench.until(lambda: reported_lists(bench))
     host = reported_lists(bench)[0].endpoints[0].id
-    bench.module.ready = [[CheckHealth(host), WatchEndpoints(False)]]
+    bench.policy.ready = [[CheckHealth(host), WatchEndpoints(False)]]
     bench.facade.report_list_unavailable()
     bench.pass_us(5 * MS)
     work = bench.facade.pick()
@@ -172,8 +172,8 @@
     discovery.watch(True) if call == "watch" else discovery.fetch()
     bench.until(lambda: reported_lists(bench))
     assert [told.kind for told in reported_lists(bench)] == [EndpointListKind.UNAVAILABLE]
-    assert [type(error) for error in bench.defects] == [OverflowError]
-    bench.defects.clear()
+    assert [type(error) for error in bench.unexpected_errors] == [OverflowError]
+    bench.unexpected_errors.clear()
     discovery.reconnect_to(service.stand_in.address)
     discovery.watch(True)
     bench.until(lambda: service.targets)
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -40,7 +40,7 @@
 
 
 def completed_checks(bench: Bench) -> list[HealthCheckCompleted]:
-    return [event for event in bench.module.events if isinstance(event, HealthCheckCompleted)]
+    return [event for event in bench.policy.events if isinstance(event, HealthCheckCompleted)]
 
 
 @pytest.mark.parametrize(
@@ -106,8 +106,8 @@
         HealthCheckStatus.ERROR,
         HealthCheckStatus.OK,
     ]
-    assert [type(error) for error in bench.defects] == [OverflowError]
-    bench.defects.clear()
+    assert [type(error) for error in bench.unexpected_errors] == [OverflowError]
+    bench.unexpected_errors.clear()
 
 
 def test_an_empty_body_is_an_empty_load_report() -> None:
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -27,7 +27,7 @@
 def test_events_reach_the_policy(bench: Bench) -> None:
     source = Broadcaster(bench, [joined(0), joined(1), b"{}"])
     start_streams(bench, source)
-    bench.asked(905)
+    bench.order_checkpoints(905)
     source.feed += [applied(1, 905), applied(1, 906), left(0)]
     bench.until(lambda: ProxyLeft(0) in bench.policy.events)
     assert bench.policy.events[1:] == [
@@ -42,7 +42,7 @@
     """A proxy in both snapshots may have left and come back; one that is missing has left."""
     source = Broadcaster(bench, [joined(0), joined(1), b"{}"], [joined(1), joined(2), b"{}"])
     start_streams(bench, source)
-    bench.until(lambda: len(bench.module.events) == 3)
+    bench.until(lambda: len(bench.policy.events) == 3)
     source.hang_up = True
     bench.until(lambda: ProxyLeft(0) in bench.policy.events)
     assert bench.policy.events[3:] == [
@@ -56,8 +56,8 @@
 def test_a_stream_that_breaks_beside_another_leaves_no_gap(bench: Bench) -> None:
     source = Broadcaster(bench, *([joined(0), joined(1), b"{}"] for _ in range(3)))
     start_streams(bench, source, streams=2)
-    bench.until(lambda: source.stand_in.connections == 2 and len(bench.module.events) == 3)
-    bench.asked(5)
+    bench.until(lambda: source.stand_in.connections == 2 and len(bench.policy.events) == 3)
+    bench.order_checkpoints(5)
     source.feed += [b"{}", b"{}", b"{}", applied(0, 5)]
     bench.until(lambda: OrdersAcknowledged(0, 5, 1500) in bench.policy.events)
     bench.pass_us(5 * MS)
@@ -91,14 +91,14 @@
     """What the line was to say is lost, so its stream can't be continued."""
     source = Broadcaster(bench, [joined(0), b"{}", b'{"type":"jo'], [joined(1), b"{}"])
     start_streams(bench, source)
-    bench.until(lambda: ProxyLeft(0) in bench.module.events)
+    bench.until(lambda: ProxyLeft(0) in bench.policy.events)
     assert source.stand_in.connections == 2
 
 
 def test_an_invalid_event_is_skipped(bench: Bench) -> None:
     source = Broadcaster(bench, [b'{"type":"sung","object":{}}', joined(99), joined(2), b"{}"])
     start_streams(bench, source)
-    bench.until(lambda: ProxyJoined(2, "east", 2.0, True) in bench.module.events)
+    bench.until(lambda: ProxyJoined(2, "east", 2.0, True) in bench.policy.events)
     assert bench.counters["relay_messages_rejected"] == 2
     assert source.stand_in.connections == 1
 
@@ -107,7 +107,7 @@
     orders = outbox_of(BindProxy(0, 0, ()), SET)
     source = Broadcaster(bench, [joined(0), b"{}", left(0)])
     start_streams(bench, source, orders)
-    bench.until(lambda: ProxyLeft(0) in bench.module.events)
+    bench.until(lambda: ProxyLeft(0) in bench.policy.events)
     assert orders.begin_call() == [SET]
 
 
@@ -116,11 +116,11 @@
     orders.add([USE, Checkpoint(5, True)])
     assert orders.begin_call()[-1] == Checkpoint(5, True, (4,))
     orders.accept(3)
-    bench.asked(4, 5)
+    bench.order_checkpoints(4, 5)
     source = Broadcaster(bench, [joined(3), b"{}", applied(3, 5)])
     start_streams(bench, source, orders)
-    bench.until(lambda: OrdersAcknowledged(3, 5, 1500) in bench.module.events)
-    assert bench.module.events[-2:] == [
+    bench.until(lambda: OrdersAcknowledged(3, 5, 1500) in bench.policy.events)
+    assert bench.policy.events[-2:] == [
         OrdersAcknowledged(3, 4, 1500),
         OrdersAcknowledged(3, 5, 1500),
     ]
--- a/tests/test_relay_outcome_unknown.py
+++ b/tests/test_relay_outcome_unknown.py
@@ -68,7 +68,7 @@
     )
     assert bench.counters["relay_calls_failed"] == 1
     # the channel may hold the step twice: 36,000 lines ordered again uncounted would be more than it may
-    assert [event for event in bench.module.events if isinstance(event, OrdersOutcomeUnknown)] == [
+    assert [event for event in bench.policy.events if isinstance(event, OrdersOutcomeUnknown)] == [
         OrdersOutcomeUnknown((5,))
     ]
 
@@ -77,7 +77,7 @@
     bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
 ) -> tuple[Relay, OrderQueue]:
     """The first call breaks, and the module does not let it go again yet."""
-    bench.module.repeats = False
+    bench.policy.resends = False
     relay, order_queue = Relay(bench, fault), outbox_of(SET, MARK)
     start_calls(bench, relay, order_queue)
     return relay, order_queue
@@ -90,12 +90,12 @@
     """6,416 lines waited where 5,800 may: an answer was lost, and the call went again beside its first copy."""
     relay, order_queue = with_unknown_outcome(bench, fault)
     bench.until(
-        lambda: len([e for e in bench.module.events if isinstance(e, OrdersOutcomeUnknown)]) > 3
+        lambda: len([e for e in bench.policy.events if isinstance(e, OrdersOutcomeUnknown)]) > 3
     )
     order_queue.add([SetWeight(0, "h1", 2.0), Checkpoint(6, False)])
     bench.pass_us(50 * MS)
     assert len(relay.calls) == 1
-    bench.module.repeats = True
+    bench.policy.resends = True
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["SET", "SYNC"], ["SET", "SYNC"]]
 
@@ -105,14 +105,14 @@
     bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
 ) -> None:
     relay, order_queue = with_unknown_outcome(bench, fault)
-    bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.module.events))
+    bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.policy.events))
     order_queue.add([USE, Checkpoint(6, False)])
     order_queue.acknowledge(5)
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["SET", "SYNC"], ["USE", "SYNC"]]
     assert bench.counters["relay_calls_confirmed"] == 1
-    bench.until(lambda: OrdersAccepted(6) in bench.module.events)
-    assert [e for e in bench.module.events if isinstance(e, OrdersAccepted)] == [
+    bench.until(lambda: OrdersAccepted(6) in bench.policy.events)
+    assert [e for e in bench.policy.events if isinstance(e, OrdersAccepted)] == [
         OrdersAccepted(5),
         OrdersAccepted(6),
     ]
@@ -128,7 +128,7 @@
         while True:
             yield Wait(bench.clock() + MS)
 
-    bench.module.repeats = False
+    bench.policy.resends = False
     stalled, order_queue = StandIn(bench.loop, takes_nothing), outbox_of(*orders, MARK)
     bench.loop.start(
         "calls", RelayCalls(bench.runtime, stalled.address, order_queue, Signal()).run()
@@ -136,13 +136,13 @@
     bench.until(lambda: bench.counters["relay_calls_failed"] == 3)
     assert bench.log.named("relay_call_failed")[0]["reason"] == "nothing was taken in time"
     assert stalled.connections >= 2
-    assert not [e for e in bench.module.events if isinstance(e, OrdersOutcomeUnknown)]
+    assert not [e for e in bench.policy.events if isinstance(e, OrdersOutcomeUnknown)]
 
 
 def test_a_call_of_unknown_outcome_waits_at_the_new_address_too(
     bench: Bench,
 ) -> None:
-    bench.module.repeats = False
+    bench.policy.resends = False
     old, new, order_queue = Relay(bench, say_nothing), Relay(bench), outbox_of(SET, MARK)
     calls = RelayCalls(bench.runtime, old.stand_in.address, order_queue, Signal())
     bench.loop.start("calls", calls.run())
@@ -151,7 +151,7 @@
     bench.pass_us(4 * QUICK.call_timeout_us)
     assert not new.calls
     calls.reconnect_to(old.stand_in.address)  # and back, before the first move was through
-    bench.module.repeats = True
+    bench.policy.resends = True
     bench.until(lambda: not order_queue.batch_count)
     assert (old.verbs(), new.verbs()) == ([["SET", "SYNC"]] * 2, [])
 
@@ -159,10 +159,10 @@
 def test_a_withdrawal_during_an_unknown_outcome_is_sent_with_the_resent_call(bench: Bench) -> None:
     """Behind it, not ahead: the call may let the same host back."""
     relay, order_queue = Relay(bench, say_nothing), outbox_of(RestoreEndpoint("h1"), MARK)
-    bench.module.repeats = False
+    bench.policy.resends = False
     start_calls(bench, relay, order_queue)
-    bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.module.events))
+    bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.policy.events))
     order_queue.add([WithdrawEndpoint("h1"), Checkpoint(6, False)])
-    bench.module.repeats = True
+    bench.policy.resends = True
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["IN", "SYNC"], ["OUT", "SYNC"]]
--- a/tests/test_report_handler.py
+++ b/tests/test_report_handler.py
@@ -32,11 +32,11 @@
 def test_reports_that_arrive_together_are_one_step(front: ListenerRig) -> None:
     one, other = front.collector(), front.collector()
     front.bench.pass_us(5 * MS)
-    steps = len(front.bench.module.steps)
+    steps = len(front.bench.policy.steps)
     one.sendall(ENDPOINT_REPORT * 40)
     other.sendall(DEMAND_REPORT * 40)
     front.bench.until(lambda: len(front.reports()) == 80)
-    assert len(front.bench.module.steps) == steps + 1
+    assert len(front.bench.policy.steps) == steps + 1
 
 
 def test_a_message_in_single_bytes_is_one_message(front: ListenerRig) -> None:
