--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -95,6 +95,15 @@
     overload_tolerance_us=2 * SECOND,
 )
 
+LIMIT = 4000.0
+LARGE = replace(
+    SETTINGS,
+    proxy_count=70,
+    max_backlog_entries=LIMIT,
+    delivery_entries_per_s=2000.0,
+    drain_grace_us=7 * SECOND,
+)
+
 
 def host(
     number: int,
@@ -229,3 +238,15 @@
     def share(self, number: int, table: int = 0) -> float:
         lines = self.tables[table]
         return lines.get(number, 0.0) / sum(lines.values())
+
+
+def steady(day: Day, seconds: int = 6, demand: tuple[int, ...] = (40, 10)) -> None:
+    for _ in range(seconds):
+        day.second(hosts(10), demand=demand)
+
+
+def fail_for(
+    day: Day, seconds: int, failed: dict[int, float] | None = None, tries: int = 20
+) -> None:
+    for _ in range(seconds):
+        day.second(hosts(10), failed=failed, tries=tries, demand=(40, 10))
--- /dev/null
+++ b/tests/test_publisher.py
@@ -0,0 +1,137 @@
+"""Orders stay within the limits of messages and backlog."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from kelpcourse.policy.actions import (
+    Action,
+    Checkpoint,
+    RestoreEndpoint,
+    SetAdmission,
+    SetWeight,
+    WithdrawEndpoint,
+)
+from kelpcourse.policy.events import (
+    EndpointStatus,
+    OrdersAccepted,
+    OrdersAcknowledged,
+    ProxyJoined,
+    ProxyLeft,
+)
+from tests.fleet import (
+    LARGE,
+    LIMIT,
+    SECOND,
+    SETTINGS,
+    Day,
+    changes,
+    endpoint_orders,
+    host,
+    hosts,
+    only,
+)
+
+
+def test_messages_to_a_proxy_stay_under_the_limit() -> None:
+    listed = hosts(10)
+    day = Day(replace(SETTINGS, max_messages_per_proxy=12), listed=listed)
+    for k in range(60):
+        state = EndpointStatus.DRAINING if k % 2 else EndpointStatus.READY
+        day.until(day.now + SECOND // 3)
+        day.send(changes([host(100 + k % 10, state=state, started=day.now)]))
+    sent = [t for t, a in day.log if isinstance(a, Checkpoint)][1:]  # the first went to nobody
+    assert len(sent) > 12
+    assert all(len([t for t in sent if now - 10 * SECOND < t <= now]) <= 12 for now in sent)
+
+
+def test_messages_that_waited_for_the_relay_count_from_when_it_accepted_them() -> None:
+    listed = hosts(10)
+    day = Day(replace(SETTINGS, max_messages_per_proxy=12), listed=listed)
+    written: list[int] = []
+    waits: list[tuple[int, int]] = []  # when the relay takes it, checkpoint
+    for k in range(150):
+        out = day.until(day.now + SECOND // 5)
+        due = [(at, number) for at, number in waits if at <= day.now]
+        waits = [w for w in waits if w not in due]
+        written += [day.now for _ in due]
+        state = EndpointStatus.DRAINING if k % 2 else EndpointStatus.READY
+        out += day.send(
+            *(OrdersAccepted(number) for _, number in due),
+            changes([host(100 + k % 10, state=state, started=day.now)]),
+        )
+        back_us = (
+            day.now + SECOND - k % 60 * SECOND // 5
+        )  # now and then the relay is out of reach for a second
+        waits += [(max(day.now, back_us), a.checkpoint_id) for a in only(out, Checkpoint)]
+    assert len(written) > 24
+    written = written[1:]  # the first went to nobody
+    assert all(len([t for t in written if now - 10 * SECOND < t <= now]) <= 12 for now in written)
+
+
+def test_ordinary_orders_wait_while_the_channel_is_slow() -> None:
+    listed = hosts(10)
+    day = Day(replace(SETTINGS, max_backlog_entries=300.0), listed=listed, answers=False)
+    uneven = {h.id: 100_000 * (1 + k) for k, h in enumerate(listed)}
+    lines = [len(only(day.second(listed, times=uneven), SetWeight)) for _ in range(12)]
+    assert sum(lines[4:]) == 0
+
+
+def test_a_drain_is_ordered_even_where_ordinary_orders_wait() -> None:
+    day = Day(replace(SETTINGS, max_backlog_entries=300.0), listed=hosts(10), answers=False)
+    day.until(day.now + 10 * SECOND)
+    assert endpoint_orders(day.send(changes([host(100, state=EndpointStatus.GONE)]))) == [
+        WithdrawEndpoint(100)
+    ]
+
+
+def test_acknowledgements_free_the_channel_when_checkpoint_numbers_start_over() -> None:
+    listed = hosts(10)
+    day = Day(replace(SETTINGS, max_backlog_entries=300.0), listed=listed)
+    day.policy.publisher.checkpoint_id = 65530
+    uneven = {h.id: 100_000 * (1 + k) for k, h in enumerate(listed)}
+    lines = [len(only(day.second(listed, times=uneven), SetWeight)) for _ in range(40)]
+    numbers = [a.checkpoint_id for _, a in day.log if isinstance(a, Checkpoint)]
+    assert min(numbers) == 0
+    assert sum(lines[numbers.index(0) :]) > 0
+
+
+def test_an_acknowledgement_of_an_earlier_stream_is_disregarded() -> None:
+    day = Day(listed=hosts(4), proxies=1)
+    day.until(day.now + 2 * SECOND)
+    day.send(ProxyLeft(0))
+    assert endpoint_orders(day.send(OrdersAcknowledged(0, 1, 5))) == []
+    day.send(ProxyJoined(0, "east", 10.0, False), OrdersAcknowledged(0, 999, 5))
+    assert day.policy.delivery.backlog_entries(day.now) > 0
+
+
+def entries_at_a_holder(before: list[tuple[int, Action]], log: list[tuple[int, Action]]) -> int:
+    """Lines at a proxy bound to the one table; a host shut out or let back is one only if the table holds it."""
+    held, lines = set[int](), 0
+    for at, (_, action) in enumerate([*before, *log]):
+        if isinstance(action, SetWeight):
+            (held.add if action.weight > 0 else held.discard)(action.endpoint)
+        if at >= len(before):
+            lines += isinstance(action, SetWeight | SetAdmission) or (
+                isinstance(action, WithdrawEndpoint | RestoreEndpoint) and action.endpoint in held
+            )
+    return lines
+
+
+def test_admission_and_restored_endpoints_wait_for_a_channel_that_stands_still() -> None:
+    """Nothing is applied any more while hosts go and come back cold and levels fall each second."""
+    day = Day(settings=LARGE, listed=hosts(80), proxies=70)
+    for _ in range(4):
+        day.second(hosts(80), demand=(20, 5))
+    day.answers = False
+    before = len(day.log)
+    for k in range(12):
+        gone = hosts(80)[3 * k : 3 * k + 3]
+        day.send(changes([replace(h, status=type(h.status).GONE) for h in gone]))
+        day.send(
+            changes([host(h.id, h.zone, started=day.now) for h in hosts(80)[3 * k - 6 : 3 * k - 3]])
+        )
+        day.second(hosts(80), time_us=900_000, demand=(20 + 20 * k, 5))
+    messages = sum(isinstance(a, Checkpoint) for _, a in day.log[before:])
+    ordered = entries_at_a_holder(day.log[:before], day.log[before:])
+    assert 0 < 70 * (ordered + messages * (SETTINGS.message_overhead_entries + 1)) <= LIMIT
