--- a/tests/test_restart.py
+++ b/tests/test_inherited_tables.py
@@ -33,7 +33,7 @@
     )
 
 
-def test_proxies_that_come_in_a_mass_keep_their_tables_until_these_are_known() -> None:
+def test_proxies_of_a_reconnect_storm_keep_their_tables_until_these_are_known() -> None:
     """Bound to even weights all at once, they jammed the slow hosts: a third of the answers late for 10 s."""
     day, actions = restarted()
     assert only(actions, BindProxy) == [BindProxy(0, 0, (0, 1))]  # the first may yet be one of few
@@ -44,7 +44,7 @@
     assert day.share(FAST) == pytest.approx(0.25, abs=0.03)
 
 
-def test_they_are_bound_after_a_while_even_if_nothing_is_heard() -> None:
+def test_they_are_bound_after_a_while_even_without_reports() -> None:
     day, _ = restarted()
     assert only(day.until(day.now + INHERITANCE_US - SECOND), BindProxy) == []
     assert {b.proxy for b in only(day.until(day.now + 2 * SECOND), BindProxy)} == {1, 2, 3}
@@ -59,23 +59,25 @@
     ],
     ids=["gone", "draining", "cold"],
 )
-def test_they_are_bound_at_once_where_tables_of_before_could_break_a_rule(before: Event) -> None:
+def test_they_are_bound_immediately_where_inherited_tables_could_break_a_rule(
+    before: Event,
+) -> None:
     _, actions = restarted(before)
     assert len(only(actions, BindProxy)) == 4
 
 
-def test_a_host_that_drains_meanwhile_ends_it() -> None:
+def test_an_endpoint_that_drains_meanwhile_ends_it() -> None:
     day, _ = restarted()
     actions = day.send(changes([host(105, "west", EndpointStatus.DRAINING)]))
     assert {b.proxy for b in only(actions, BindProxy)} == {1, 2, 3}
 
 
-def test_proxies_on_standing_tables_are_bound_at_once() -> None:
+def test_proxies_without_a_table_are_bound_immediately() -> None:
     _, actions = restarted(fresh=True)
     assert len(only(actions, BindProxy)) == 4
 
 
-def test_a_director_that_has_learned_binds_at_once() -> None:
+def test_a_controller_that_has_learned_binds_immediately() -> None:
     day, _ = restarted()
     hear(day, 20)
     actions = day.send(*(ProxyJoined(p, "east", 10.0, False) for p in day.joined))
--- a/tests/test_discovery.py
+++ b/tests/test_list_watch.py
@@ -25,14 +25,14 @@
     assert [a for _, a in day.log if isinstance(a, WatchEndpoints)] == []
 
 
-def test_a_list_on_request_is_watched_from_the_start_and_once() -> None:
+def test_a_polled_list_is_watched_from_the_start_and_once() -> None:
     day = Day(ASK, listed=hosts(4))
     day.send(full(hosts(4)))
     day.until(day.now + 30 * SECOND)
     assert [a for _, a in day.log if isinstance(a, WatchEndpoints)] == [WatchEndpoints(True)]
 
 
-def test_a_failed_call_is_repeated_with_backoff_within_what_is_allowed() -> None:
+def test_a_failed_watch_is_restarted_with_backoff_within_its_deadline() -> None:
     day = Day(ASK, listed=hosts(4))
     asked = [day.now]
     for _ in range(6):
@@ -58,7 +58,7 @@
     raise AssertionError("it never asked")
 
 
-def test_directors_that_all_failed_at_once_do_not_ask_again_at_once() -> None:
+def test_controllers_that_fail_together_do_not_retry_together() -> None:
     """A release ended the watches of all: discovery that has too many callers would have them all again."""
     asked = [asks_again_after(k) for k in range(230)]
     assert max(asked.count(at) for at in asked) <= 230 // 25
@@ -87,7 +87,7 @@
     assert endpoint_orders(fresh) == [WithdrawEndpoint(104)]
 
 
-def test_what_is_out_is_restated_to_a_proxy_that_joins_later_by_its_binding() -> None:
+def test_withdrawals_are_restated_to_a_late_joiner_by_its_binding() -> None:
     day = Day(listed=hosts(5), proxies=1)
     day.send(full(hosts(4)))
     day.send(ProxyJoined(3, "east", 10.0, False))
--- a/tests/test_mass.py
+++ b/tests/test_reconnect_storms.py
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("make", [RoutingPolicy, LongTables])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_director_that_takes_over_the_fleet_keeps_queue_and_drains(
+def test_a_controller_that_takes_over_the_fleet_keeps_backlog_and_drains(
     seed: int, make: Callable[[Settings], RoutingPolicy]
 ) -> None:
     day = takeover(seed, make)
@@ -231,7 +231,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 4])
-def test_the_real_parts_keep_queue_and_drains_though_answers_of_the_relay_are_lost(
+def test_the_real_parts_keep_backlog_and_drains_though_answers_of_the_relay_are_lost(
     seed: int,
 ) -> None:
     """Calls are carried out and would go again.
--- a/tests/test_connections.py
+++ b/tests/test_subsetting.py
@@ -57,7 +57,9 @@
 
 
 @pytest.mark.parametrize(("east", "west"), [(60, 60), (20, 100), (100, 20), (36, 84)])
-def test_every_host_gets_the_same_in_all_whatever_zone_it_comes_from(east: int, west: int) -> None:
+def test_every_endpoint_gets_the_same_in_total_whatever_zone_it_comes_from(
+    east: int, west: int
+) -> None:
     day = joined(east, west)
     total = {
         h.id: (east * shares(day, "east")[h.id] + west * shares(day, "west")[h.id]) / (east + west)
@@ -66,7 +68,7 @@
     assert max(total.values()) < 1.15 * min(total.values())
 
 
-def test_a_zone_sends_abroad_only_what_it_has_over() -> None:
+def test_a_zone_sends_to_others_only_what_exceeds_its_capacity() -> None:
     day = joined(20, 100)  # a sixth of the traffic for three tenths of the hosts
     assert sum(shares(day, "east")[h.id] for h in FLEET[:6]) > 0.98
     day = joined(100, 20)
@@ -87,7 +89,9 @@
 
 
 @pytest.mark.parametrize(("east", "west"), [(60, 60), (20, 100), (36, 84)])
-def test_no_host_is_held_by_more_proxies_than_it_accepts_connections(east: int, west: int) -> None:
+def test_no_endpoint_is_held_by_more_proxies_than_it_accepts_connections(
+    east: int, west: int
+) -> None:
     """With tables of all hosts, 1,600 proxies brought 1,600 connections to hosts that accept 357."""
     large = [host(100 + k, "east" if k % 2 else "west") for k in range(80)]
     brought = held(joined(east, west, replace(CROWDED, min_endpoint_connections=60.0), large))
@@ -95,7 +99,7 @@
     assert max(brought.values()) <= 60
 
 
-def test_a_table_of_a_part_of_the_hosts_is_bound_and_changed_for_less() -> None:
+def test_a_subset_is_bound_and_changed_at_a_lower_cost() -> None:
     """A binding of 200 lines for 323 proxies takes a channel of 3,000 a second 23 s."""
     day = joined(60, 60)
     assert all(0 < len(lines) <= 12 for lines in day.tables.values())
@@ -103,7 +107,7 @@
     assert {b.proxy for b in binds} == set(day.joined)
 
 
-def test_a_host_that_goes_is_replaced_in_the_tables_that_held_it_and_no_others() -> None:
+def test_an_endpoint_that_goes_is_replaced_in_the_tables_that_held_it_and_no_others() -> None:
     day = joined(60, 60)
     before = {table: dict(lines) for table, lines in day.tables.items()}
     day.send(changes([host(103, "east", EndpointStatus.GONE)]))
@@ -116,7 +120,7 @@
             )  # a zone's part of the lines may round anew
 
 
-def test_a_withdrawal_costs_lines_where_the_host_is_held() -> None:
+def test_a_withdrawal_costs_entries_where_the_endpoint_is_held() -> None:
     """Counted at every proxy, it kept hosts that leave waiting for room that there was."""
     day = joined(60, 60)
     day.answers = False
@@ -156,7 +160,7 @@
     assert sum(shares(day, "east")[h.id] for h in FLEET[:6]) > 0.98
 
 
-def test_what_tables_in_use_are_changed_by_at_once_fits_one_call() -> None:
+def test_changes_of_tables_in_use_fit_one_call() -> None:
     """1,156 lines went as two calls, and so as two messages to proxies of which one was counted."""
     large = [host(100 + k, "east" if k % 2 else "west") for k in range(600)]
     day = joined(
@@ -194,7 +198,7 @@
     )
 
 
-def test_a_host_of_a_zone_that_the_settings_do_not_name_is_served() -> None:
+def test_an_endpoint_of_a_zone_that_the_settings_do_not_name_is_accepted() -> None:
     day = joined(60, 60, listed=[*FLEET[:6], *(host(200 + k, "north") for k in range(14))])
     assert {h for lines in day.tables.values() for h in lines} == {
         *range(100, 106),
@@ -202,7 +206,7 @@
     }
 
 
-def test_a_zone_without_hosts_or_without_proxies_is_served() -> None:
+def test_a_zone_without_endpoints_or_without_proxies_is_accepted() -> None:
     day = joined(120, 0)
     assert sum(shares(day, "east").values()) == pytest.approx(1.0)
     assert shares(day, "east")[100] == pytest.approx(1 / 20, rel=0.15)
@@ -210,7 +214,7 @@
     assert all(len(lines) == 6 for lines in lone.tables.values())
 
 
-def test_the_split_of_traffic_is_the_fleets_not_of_those_joined_just_now() -> None:
+def test_traffic_is_split_by_all_proxies_seen_not_only_by_those_joined_now() -> None:
     """Four in five streams broke: by who was left, tables sent requests abroad that their zone's hosts could do."""
     day = joined(60, 60)
     before = {zone: sum(shares(day, zone)[h.id] for h in FLEET[:6]) for zone in ("east", "west")}
@@ -237,14 +241,14 @@
     assert {len(lines) for lines in patient.tables.values()} == {200}
 
 
-def test_tables_of_all_hosts_are_filled_before_anybody_joins() -> None:
+def test_tables_of_all_endpoints_are_filled_before_any_proxy_joins() -> None:
     """Only tables fitted to where traffic comes from wait for the first proxies; others are ready when these join."""
     day = Day(listed=FLEET, proxies=0)
     day.until(day.now + 2 * SECOND)
     assert day.tables[0].keys() == {h.id for h in FLEET}
 
 
-def test_a_zones_proxies_are_spread_over_all_groups_however_they_are_numbered() -> None:
+def test_a_zones_proxies_are_spread_over_all_subsets_however_they_are_numbered() -> None:
     """With every second proxy in a zone, half of its groups had none, and their hosts were left out."""
     day = joined(0, 0, replace(CROWDED, min_endpoint_connections=80.0))
     assert day.policy.tables.subset_count % 2 == 0
@@ -257,7 +261,7 @@
         assert max(counts.values()) <= 2 * min(counts.values())
 
 
-def test_proxies_stay_bound_when_all_hosts_are_gone_and_a_whole_list_comes() -> None:
+def test_proxies_stay_bound_when_all_endpoints_are_gone_and_a_complete_list_comes() -> None:
     """With no line left the tables were laid out anew, and those bound to the former ones were bound to none."""
     day = joined(60, 60)
     bound = {number for holders in day.policy.tables.holders.values() for number in holders}
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("make", [RoutingPolicy, LongTables])
-def test_those_that_join_late_do_not_hold_up_the_next_withdrawal(
+def test_late_joiners_do_not_delay_the_next_withdrawal(
     make: Callable[[Settings], RoutingPolicy],
 ) -> None:
     """Forty hosts had been withdrawn when a proxy joined.
@@ -93,7 +93,7 @@
     return day
 
 
-def test_all_proxies_of_lost_directors_are_told_of_drains_in_time() -> None:
+def test_all_proxies_of_lost_controllers_are_notified_of_drains_in_time() -> None:
     """On herd 41 a binding was 157 lines where 3,000 a second leave.
 
     180 of 240 proxies waited for 12 s, 60 hosts were withdrawn by turns for 5 s, and drains of 4
@@ -104,7 +104,7 @@
         takeover(LongTables)
 
 
-def test_lines_of_a_withdrawn_host_go_with_it_and_are_told_but_once() -> None:
+def test_entries_of_a_withdrawn_endpoint_are_removed_with_it_and_only_once() -> None:
     """Told anew for late joiners, a host still in the table cost a line at each proxy bound to it."""
     day = Day(ROLL, HOSTS, proxies=20, make=LongTables)
     day.until(day.now + 8 * SECOND)
@@ -146,7 +146,7 @@
     assert 2_000 < day.world.most <= ROLL.max_backlog_entries
 
 
-def test_one_that_left_unseen_is_bound_again() -> None:
+def test_a_proxy_that_left_unseen_is_bound_again() -> None:
     day = Day(ROLL, HOSTS, proxies=3, make=LongTables)
     day.until(day.now + 8 * SECOND)
     day.send(ProxyJoined(1, "east", 10.0, False))
@@ -167,7 +167,7 @@
     batch.order_endpoint(WithdrawEndpoint(endpoint))
 
 
-def test_the_count_finds_lines_left_in_the_tables(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_count_finds_entries_left_in_the_tables(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Withdrawals, "withdraw", withdraw_without_entries)
     with pytest.raises(Broken):
         release(LongTables)
