--- a/kelpcourse/wire/report_handler.py
+++ b/kelpcourse/wire/report_handler.py
@@ -70,7 +70,7 @@
             )
             return
         self._runtime.counters.add("clients_rejected")
-        self._runtime.log.event("client_rejected", reason=str(error), request=connection.has_pinged)
+        self._runtime.log.event("client_rejected", reason=str(error), pinged=connection.has_pinged)
         with contextlib.suppress(OSError):
             connection.stream.sock.send(REFUSED)
 
