--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -37,28 +37,34 @@
     )
     print("| --- | ---: | ---: | ---: | ---: |")
     names = [f"n{k}" for k in range(5)]
-    ways = {
+    methods = {
         "rendezvous, bounded, held where possible": place,
         "ring, 64 points": place_by_ring,
         "jump": place_by_jump,
     }
-    for what, way in ways.items():
-        held = way is place
-        first = way(range(GROUPS), names)
+    for name, method in methods.items():
+        keeps_current = method is place
+        first = method(range(GROUPS), names)
         rows = []
         for gone in names:
             rest = [n for n in names if n != gone]
-            without = place(range(GROUPS), rest, first) if held else way(range(GROUPS), rest)
-            back = place(range(GROUPS), names, without) if held else way(range(GROUPS), names)
+            without = (
+                place(range(GROUPS), rest, first) if keeps_current else method(range(GROUPS), rest)
+            )
+            back = (
+                place(range(GROUPS), names, without)
+                if keeps_current
+                else method(range(GROUPS), names)
+            )
             rows.append((count_moved(first, without), count_moved(without, back)))
         loads = [list(first.values()).count(n) for n in names]
         print(
-            f"| {what} | {max(loads)} | {min(loads)} | {statistics.mean(r[0] for r in rows):.0f} "
+            f"| {name} | {max(loads)} | {min(loads)} | {statistics.mean(r[0] for r in rows):.0f} "
             f"| {statistics.mean(r[1] for r in rows):.0f} |"
         )
 
 
-class StreamTimeoutError:
+class NullEventLog:
     def event(self, name: str, **fields: object) -> None:
         pass
 
@@ -68,7 +74,8 @@
 class Fleet:
     def __init__(self, folder: Path, count: int) -> None:
         self.loop = Loop(
-            lambda: time.monotonic_ns() // 1000, lambda _, error: sys.exit(f"a defect: {error!r}")
+            lambda: time.monotonic_ns() // 1000,
+            lambda _, error: sys.exit(f"an unexpected error: {error!r}"),
         )
         self.folder = folder
         self.addresses = {f"n{k}": free_address() for k in range(count)}
@@ -78,20 +85,20 @@
             self.start(name)
         for name in list(self.addresses)[1:]:
             for _ in range(2):
-                self.until(lambda name=name: self._add(name))  # type: ignore[misc]
-        self.until(self.whole)
+                self.run_until(lambda name=name: self._add(name))  # type: ignore[misc]
+        self.run_until(self.are_all_groups_held)
 
     def start(self, name: str) -> None:
         others = {n: at for n, at in self.addresses.items() if n != name}
-        place_ = MemberSettings(
+        settings = MemberSettings(
             name, self.addresses[name], others, self.folder / name, name == "n0", lambda: None
         )
         member = FleetMember(
             self.loop,
             Limits(),
             Counters(),
-            StreamTimeoutError(),
-            place_,
+            NullEventLog(),
+            settings,
             ControllerOptions(
                 24, lease=LeaseTiming(LEASE_MS * 1000, 0.05, LEASE_MS * 250, LEASE_MS * 750)
             ),
@@ -112,7 +119,7 @@
             (n for n, m in self.members.items() if m.status().get("role") == "leader"), None
         )
 
-    def whole(self) -> bool:
+    def are_all_groups_held(self) -> bool:
         return sum(m.epoch(g) is not None for m in self.members.values() for g in range(24)) == 24
 
     def _add(self, name: str) -> bool:
@@ -122,11 +129,11 @@
         except RequestRejectedError:
             return False
 
-    def until(self, what: Callable[[], object]) -> None:
+    def run_until(self, condition: Callable[[], object]) -> None:
         ends = time.monotonic() + 30
-        while not what():
+        while not condition():
             if time.monotonic() > ends:
-                sys.exit("it does not come about")
+                sys.exit("the condition did not become true in time")
             self.loop.run_once(time.monotonic_ns() // 1000 + 2_000)
 
     def close(self) -> None:
@@ -146,12 +153,12 @@
             fleet = Fleet(Path(folder), count)
             times = []
             for _ in range(rounds):
-                fleet.until(lambda fleet=fleet: fleet.leader() and fleet.whole())  # type: ignore[misc]
+                fleet.run_until(lambda fleet=fleet: fleet.leader() and fleet.are_all_groups_held())  # type: ignore[misc]
                 victim = fleet.leader()
                 assert victim is not None
                 fleet.kill(victim)
                 began = time.monotonic()
-                fleet.until(fleet.whole)
+                fleet.run_until(fleet.are_all_groups_held)
                 times.append(time.monotonic() - began)
                 fleet.start(victim)
             fleet.close()
--- a/kelpcourse/shared/member.py
+++ b/kelpcourse/shared/member.py
@@ -31,7 +31,7 @@
 from kelpcourse.wire.storage import JobRunner
 from kelpcourse.wire.stream import Address
 
-Keep = Callable[[str, Callable[[], Coroutine[None]]], None]
+Supervise = Callable[[str, Callable[[], Coroutine[None]]], None]
 
 STORAGE_POLL_US = 5_000  # while the storage is not ready at a start
 
@@ -101,8 +101,8 @@
         self._wake_up = Signal()
         self.halt_reason = ""
 
-    def start(self, keep: Keep) -> None:
-        """Starts the coroutines; `keep` restarts one that fails."""
+    def start(self, supervise: Supervise) -> None:
+        """Starts the coroutines; `supervise` restarts one that fails."""
         for remark in self._storage.remarks:
             self._log.always(
                 "store_warning",
@@ -111,9 +111,9 @@
                 lost_bytes=remark.lost_bytes,
                 alarming=remark.alarming,
             )
-        keep("shared disk", self._storage.run)
-        self._peers.start(keep)
-        keep("shared", self.run)
+        supervise("shared disk", self._storage.run)
+        self._peers.start(supervise)
+        supervise("shared", self.run)
 
     def run(self) -> Coroutine[None]:
         """Runs the step function once the storage is ready: before that it can promise nothing."""
--- a/kelpcourse/shared/peers.py
+++ b/kelpcourse/shared/peers.py
@@ -113,11 +113,11 @@
         self._incoming: list[Task] = []
         self.address: Address = self._socket.getsockname()[:2]
 
-    def start(self, keep: Callable[[str, Callable[[], Coroutine[None]]], None]) -> None:
-        """Starts the coroutines; `keep` restarts one that fails."""
-        keep("peers in", self._accept)
+    def start(self, supervise: Callable[[str, Callable[[], Coroutine[None]]], None]) -> None:
+        """Starts the coroutines; `supervise` restarts one that fails."""
+        supervise("peers in", self._accept)
         for queue in self._queues.values():
-            keep("peer out", lambda queue=queue: self._send_all(queue))  # type: ignore[misc]
+            supervise("peer out", lambda queue=queue: self._send_all(queue))  # type: ignore[misc]
 
     def close(self) -> None:
         """Stops what comes in."""
--- a/tests/leaseworld.py
+++ b/tests/leaseworld.py
@@ -11,7 +11,7 @@
 from kelpcourse.shared.lease_manager import LeaseManager
 from kelpcourse.shared.lease_timing import LeaseTiming
 from kelpcourse.shared.raft.messages import LogEntry, MemberId
-from tests.raftworld import MS, TIMING, Broken, Node, World
+from tests.raftworld import MS, TIMING, InvariantError, Node, World
 
 GROUPS = 6
 TERMS = LeaseTiming(
@@ -48,13 +48,13 @@
         self.options = ControllerOptions(GROUPS, TIMING, terms, max_log_entries)
         self.holder_factory, self.manager_factory = holder, manager
         self.controllers: dict[MemberId, Controller] = {}
-        self.epochs: dict[tuple[int, int], MemberId] = {}  # who ordered under it
-        self.highest: dict[int, int] = {}
-        self.handled = 0
+        self.epoch_holders: dict[tuple[int, int], MemberId] = {}  # who ordered under it
+        self.highest_epochs: dict[int, int] = {}
+        self.held_group_count = 0
         self.states: dict[int, bytes] = {}
         super().__init__(seed, count)
         for node in self.nodes.values():
-            node.rate = self.random.choice(rates)
+            node.clock_rate = self.random.choice(rates)
 
     def start(self, node: Node) -> None:
         stored = node.disk.stored
@@ -78,7 +78,7 @@
         if not node.paused:
             made.tick(self.clock(node))
             self.take(node)
-        self.at(5 * MS, lambda: self._tick_controller(node, made))
+        self.schedule(5 * MS, lambda: self._tick_controller(node, made))
 
     def _received(self, node: Node, sender: MemberId, message: PeerMessage) -> None:
         self.controllers[node.name].receive(self.clock(node), sender, message)
@@ -88,13 +88,15 @@
         made = self.controllers[node.name]
         out = made.take_output()
         if out.writes:
-            node.disk.waiting += out.writes
-            self.at(self.random.randint(*self.sync_us), lambda: self._synced_controller(node, made))
+            node.disk.pending_writes += out.writes
+            self.schedule(
+                self.random.randint(*self.sync_us), lambda: self._synced_controller(node, made)
+            )
         for to, message in out.messages:
             self._send(node.name, to, message)
 
     def _synced_controller(self, node: Node, made: Controller) -> None:
-        if node.raft is made.raft and node.disk.waiting:
+        if node.raft is made.raft and node.disk.pending_writes:
             made.note_written(self.clock(node), node.disk.sync())
             self.take(node)
 
@@ -106,7 +108,7 @@
         after = self.controllers[node.name].state.encode()
         known = self.states.setdefault(entry.index, after)
         if known != after:
-            raise Broken(f"two states after entry {entry.index}")
+            raise InvariantError(f"two states after entry {entry.index}")
 
     def check(self) -> None:
         super().check()
@@ -117,18 +119,22 @@
                 continue
             for group, epoch in made.lease_holder.held_epochs(self.clock(node)).items():
                 if group in holding:
-                    raise Broken(f"group {group} is held by {name} and {holding[group][0]}")
+                    raise InvariantError(f"group {group} is held by {name} and {holding[group][0]}")
                 holding[group] = name, epoch
-                other = self.epochs.setdefault((group, epoch), name)
+                other = self.epoch_holders.setdefault((group, epoch), name)
                 if other != name:
-                    raise Broken(f"epoch {epoch} of group {group} is {other}'s and {name}'s")
-                if epoch < self.highest.get(group, 0):
-                    raise Broken(f"group {group} is held under {epoch} after {self.highest[group]}")
-                self.highest[group] = epoch
-        self.handled = len(holding)
-
-
-def storm_of(fleet: Fleet, steps: int) -> None:
+                    raise InvariantError(
+                        f"epoch {epoch} of group {group} is {other}'s and {name}'s"
+                    )
+                if epoch < self.highest_epochs.get(group, 0):
+                    raise InvariantError(
+                        f"group {group} is held under {epoch} after {self.highest_epochs[group]}"
+                    )
+                self.highest_epochs[group] = epoch
+        self.held_group_count = len(holding)
+
+
+def run_lease_faults(fleet: Fleet, steps: int) -> None:
     draw, names = fleet.random, sorted(fleet.nodes)
     for _ in range(steps):
         node, what = fleet.nodes[draw.choice(names)], draw.randrange(8)
@@ -138,11 +144,11 @@
             else:
                 fleet.crash(node)
         elif what == 1:
-            fleet.cut = {(a, b) for a in names for b in names if draw.random() < 0.3}
+            fleet.blocked_links = {(a, b) for a in names for b in names if draw.random() < 0.3}
         elif what in (2, 3):
-            fleet.cut.clear()
+            fleet.blocked_links.clear()
         elif what == 4:
-            fleet.loss = draw.choice([0.0, 0.2])
+            fleet.loss_ratio = draw.choice([0.0, 0.2])
         elif what == 5:
             node.paused = not node.paused
         elif what == 6:
@@ -152,31 +158,33 @@
 
 def leader_dies_with_a_holder_cut_off(fleet: Fleet) -> None:
     """The new leader has not heard of the holder's last renewal, and can't ask it."""
-    fleet.until(lambda: fleet.handled == GROUPS)
+    fleet.run_until(lambda: fleet.held_group_count == GROUPS)
     leader = fleet.leader
     assert leader is not None
     alone = next(n for n in sorted(fleet.nodes) if n != leader.name)
     fleet.crash(leader)
-    fleet.cut = {(a, b) for a in fleet.nodes for b in fleet.nodes if alone in (a, b)}
+    fleet.blocked_links = {(a, b) for a in fleet.nodes for b in fleet.nodes if alone in (a, b)}
     fleet.run(2000 * MS)
 
 
 def leader_wakes_with_requests_in_its_buffer(fleet: Fleet) -> None:
     """It was suspended while another was elected; a holder that reaches nobody else went on sending requests."""
-    fleet.until(lambda: fleet.handled == GROUPS)
+    fleet.run_until(lambda: fleet.held_group_count == GROUPS)
     old = fleet.leader
     assert old is not None
     alone = next(n for n in sorted(fleet.nodes) if n != old.name)
     old.paused = True
     pair = {old.name, alone}
-    fleet.cut = {(a, b) for a in fleet.nodes for b in fleet.nodes if (a in pair) != (b in pair)}
+    fleet.blocked_links = {
+        (a, b) for a in fleet.nodes for b in fleet.nodes if (a in pair) != (b in pair)
+    }
     fleet.run(fleet.random.randint(500 * MS, 900 * MS))
     old.paused = False
     fleet.run(600 * MS)
 
 
 SCENES: list[Callable[[Fleet], None]] = [
-    partial(storm_of, steps=40),
+    partial(run_lease_faults, steps=40),
     leader_dies_with_a_holder_cut_off,
     leader_wakes_with_requests_in_its_buffer,
 ]
--- a/tests/memberrig.py
+++ b/tests/memberrig.py
@@ -30,9 +30,10 @@
 
     def __init__(self, folder: Path, count: int, tls: bool) -> None:
         self.folder = folder
-        self.defects: list[Exception] = []
+        self.unexpected_errors: list[Exception] = []
         self.loop = Loop(
-            lambda: time.monotonic_ns() // 1000, lambda _, error: self.defects.append(error)
+            lambda: time.monotonic_ns() // 1000,
+            lambda _, error: self.unexpected_errors.append(error),
         )
         self.log = Records()
         self.names = [f"n{k}" for k in range(count)]
@@ -88,22 +89,22 @@
             self.loop.stop(task)  # type: ignore[arg-type]
         self.members.pop(name).close()
 
-    def until(self, what: Callable[[], object]) -> None:
+    def run_until(self, condition: Callable[[], object]) -> None:
         ends = time.monotonic() + 60
-        while not what():
-            assert time.monotonic() < ends, (self.defects, self.log.lines[-6:])
+        while not condition():
+            assert time.monotonic() < ends, (self.unexpected_errors, self.log.lines[-6:])
             self.loop.run_once(time.monotonic_ns() // 1000 + 5 * MS)
-            assert not self.defects, self.defects
+            assert not self.unexpected_errors, self.unexpected_errors
 
     def leader(self) -> FleetMember | None:
         led = [m for m in self.members.values() if m.status().get("role") == "leader"]
         return led[0] if led else None
 
-    def grown(self) -> None:
+    def add_all_voters(self) -> None:
         """All of them vote."""
         for name in self.names[1:]:
             for _ in range(2):
-                self.until(lambda name=name: self._added(name))  # type: ignore[misc]
+                self.run_until(lambda name=name: self._added(name))  # type: ignore[misc]
 
     def _added(self, name: str) -> bool:
         leader = self.leader()
@@ -112,7 +113,7 @@
         except RequestRejectedError:
             return False
 
-    def held(self) -> dict[int, str]:
+    def holders(self) -> dict[int, str]:
         return {
             g: name for name, m in self.members.items() for g in range(6) if m.epoch(g) is not None
         }
--- a/tests/raftmutants.py
+++ b/tests/raftmutants.py
@@ -18,7 +18,7 @@
 from tests.raftworld import MS, TIMING, Node, World
 
 
-def crashes(world: World, steps: int) -> None:
+def run_crashes(world: World, steps: int) -> None:
     """What was acknowledged and is not durable is lost: a change is proposed, then most of them die at once."""
     draw, names = world.random, sorted(world.nodes)
     for step in range(steps):
@@ -34,9 +34,9 @@
         world.check_logs()
 
 
-def only(world: World, *names: MemberId) -> None:
+def connect_only(world: World, *names: MemberId) -> None:
     """These speak with each other, and nobody else with anybody."""
-    world.cut = {
+    world.blocked_links = {
         (a, b) for a in world.nodes for b in world.nodes if not (a in names and b in names)
     }
 
@@ -48,17 +48,17 @@
     for node in world.nodes.values():
         assert node.raft is not None
         node.raft._options = replace(TIMING, max_entries_per_message=1)
-    world.until(lambda: world.leader is not None)
+    world.run_until(lambda: world.leader is not None)
     first = world.leader
     assert first is not None
     world.run(100 * MS)
     second, *rest = [n for n in world.nodes if n != first.name]
-    only(world, first.name, second)
+    connect_only(world, first.name, second)
     world.propose(b"<e>")
     world.run(90 * MS)
     world.crash(first)
     world.crash(world.nodes[second])
-    only(world, *rest)
+    connect_only(world, *rest)
 
     def led() -> Node | None:
         leads = [
@@ -72,11 +72,13 @@
         world.run(1 * MS)
     other = led()
     assert other is not None
-    world.cut = {(a, b) for a in world.nodes for b in world.nodes}  # its first entry reaches nobody
+    world.blocked_links = {
+        (a, b) for a in world.nodes for b in world.nodes
+    }  # its first entry reaches nobody
     world.run(70 * MS)
     world.crash(other)
     third, fourth = (n for n in rest if n != other.name)
-    only(world, first.name, second, third)
+    connect_only(world, first.name, second, third)
     for node in (first, world.nodes[second]):
         world.start(node)
         assert node.raft is not None
@@ -88,7 +90,7 @@
     for name in (first.name, second):
         world.crash(world.nodes[name])
     world.start(other)
-    only(world, other.name, third, fourth)
+    connect_only(world, other.name, third, fourth)
     world.run(1500 * MS)
     world.heal()
     world.run(1500 * MS)
@@ -191,6 +193,6 @@
 
 
 SCENES: dict[type[Raft], Callable[[World, int], None]] = {
-    VotesBeforeItIsWritten: crashes,
+    VotesBeforeItIsWritten: run_crashes,
     CommitsOlderTerms: figure_8,
 }
--- a/tests/raftworld.py
+++ b/tests/raftworld.py
@@ -24,7 +24,7 @@
 )
 
 
-class Broken(AssertionError):
+class InvariantError(AssertionError):
     """A rule of the agreement does not hold."""
 
 
@@ -33,14 +33,14 @@
     """What is durable, and what was handed over and is not yet."""
 
     stored: PersistentState
-    waiting: list[StateWrite] = field(default_factory=list)
+    pending_writes: list[StateWrite] = field(default_factory=list)
 
     def sync(self) -> int:
         """All that waits becomes durable; the last number."""
-        for write in self.waiting:
+        for write in self.pending_writes:
             self.stored = apply_write(self.stored, write)
-        number = self.waiting[-1].number if self.waiting else 0
-        self.waiting.clear()
+        number = self.pending_writes[-1].number if self.pending_writes else 0
+        self.pending_writes.clear()
         return number
 
 
@@ -48,10 +48,10 @@
 class Node:
     name: MemberId
     disk: Disk
-    rate: float  # of its clock
+    clock_rate: float
     raft: Raft | None = None
     applied: list[tuple[int, bytes]] = field(default_factory=list)
-    offset_us: int = 0
+    clock_offset_us: int = 0
     paused: bool = False
 
 
@@ -60,18 +60,18 @@
         self,
         seed: int,
         count: int = 3,
-        make: type[Raft] = Raft,
+        raft_factory: type[Raft] = Raft,
         learners: int = 0,
         compact_every: int = 0,
     ) -> None:
         self.random = random.Random(seed)
-        self.make = make
-        self.now = 0
-        self.loss = 0.0
-        self.doubled = 0.0
+        self.raft_factory = raft_factory
+        self.now_us = 0
+        self.loss_ratio = 0.0
+        self.duplicate_ratio = 0.0
         self.delay_us = (1 * MS, 5 * MS)
         self.sync_us = (0, 3 * MS)
-        self.cut: set[tuple[MemberId, MemberId]] = set()  # one way
+        self.blocked_links: set[tuple[MemberId, MemberId]] = set()  # one way
         self.compact_every = compact_every
         self.leaders: dict[int, MemberId] = {}  # by term
         self.committed: dict[int, tuple[int, bytes]] = {}  # by index: term and data
@@ -91,26 +91,26 @@
 
     # Time
 
-    def at(self, after_us: int, what: Callable[[], None]) -> None:
+    def schedule(self, after_us: int, action: Callable[[], None]) -> None:
         self._order += 1
-        heapq.heappush(self._queue, (self.now + after_us, self._order, what))
+        heapq.heappush(self._queue, (self.now_us + after_us, self._order, action))
 
     def clock(self, node: Node) -> int:
-        return round(self.now * node.rate) + node.offset_us
+        return round(self.now_us * node.clock_rate) + node.clock_offset_us
 
     def run(self, span_us: int, each: Callable[[], None] = lambda: None) -> None:
-        ends = self.now + span_us
+        ends = self.now_us + span_us
         while self._queue and self._queue[0][0] <= ends:
-            self.now, _, what = heapq.heappop(self._queue)
-            what()
+            self.now_us, _, action = heapq.heappop(self._queue)
+            action()
             self.check()
             each()
-        self.now = ends
+        self.now_us = ends
 
     # Nodes
 
     def start(self, node: Node) -> None:
-        node.raft = raft = self.make(
+        node.raft = raft = self.raft_factory(
             node.name, node.disk.stored, TIMING, self.random.randrange(1 << 30), self.clock(node)
         )
         node.applied = [(node.disk.stored.snapshot.index, node.disk.stored.snapshot.data)]
@@ -118,8 +118,8 @@
 
     def crash(self, node: Node) -> None:
         """What was not durable is gone, but for what the disk happened to do already."""
-        keep = self.random.randint(0, len(node.disk.waiting))
-        del node.disk.waiting[keep:]
+        keep = self.random.randint(0, len(node.disk.pending_writes))
+        del node.disk.pending_writes[keep:]
         node.disk.sync()
         node.raft = None
 
@@ -129,14 +129,14 @@
         if not node.paused:
             raft.tick(self.clock(node))
             self.take(node)
-        self.at(5 * MS, lambda: self._tick(node, raft))
+        self.schedule(5 * MS, lambda: self._tick(node, raft))
 
     def deliver(self, sender: MemberId, to: MemberId, message: Any) -> None:
         node = self.nodes.get(to)
-        if node is None or node.raft is None or (sender, to) in self.cut:
+        if node is None or node.raft is None or (sender, to) in self.blocked_links:
             return
         if node.paused:  # it stays in the socket's buffer
-            self.at(20 * MS, lambda: self.deliver(sender, to, message))
+            self.schedule(20 * MS, lambda: self.deliver(sender, to, message))
             return
         self._received(node, sender, message)
 
@@ -149,9 +149,9 @@
         assert node.raft is not None
         out = node.raft.take_output()
         if out.writes:
-            node.disk.waiting += out.writes
+            node.disk.pending_writes += out.writes
             raft = node.raft
-            self.at(self.random.randint(*self.sync_us), lambda: self._synced(node, raft))
+            self.schedule(self.random.randint(*self.sync_us), lambda: self._synced(node, raft))
         for to, message in out.messages:
             self._send(node.name, to, message)
         if out.installed is not None:
@@ -160,26 +160,26 @@
             self._apply(node, entry)
 
     def _synced(self, node: Node, raft: Raft) -> None:
-        if node.raft is raft and node.disk.waiting:
+        if node.raft is raft and node.disk.pending_writes:
             raft.note_written(self.clock(node), node.disk.sync())
             self.take(node)
 
     def _send(self, sender: MemberId, to: MemberId, message: Any) -> None:
-        for _ in range(1 + (self.random.random() < self.doubled)):
-            if self.random.random() >= self.loss and (sender, to) not in self.cut:
-                self.at(
+        for _ in range(1 + (self.random.random() < self.duplicate_ratio)):
+            if self.random.random() >= self.loss_ratio and (sender, to) not in self.blocked_links:
+                self.schedule(
                     self.random.randint(*self.delay_us), lambda: self.deliver(sender, to, message)
                 )
 
     def _apply(self, node: Node, entry: LogEntry) -> None:
         last, state = node.applied[-1]
         if entry.index != last + 1:
-            raise Broken(f"{node.name} applies {entry.index} after {last}")
+            raise InvariantError(f"{node.name} applies {entry.index} after {last}")
         data = entry.data if entry.kind is EntryKind.DATA else b""
         node.applied.append((entry.index, state + data))
         known = self.committed.setdefault(entry.index, (entry.term, data))
         if known != (entry.term, data):
-            raise Broken(
+            raise InvariantError(
                 f"at {entry.index} {node.name} commits {entry.term, data}, another one {known}"
             )
         if self.compact_every and entry.index % self.compact_every == 0 and node.raft is not None:
@@ -195,7 +195,9 @@
             if raft.role is Role.LEADER:
                 other = self.leaders.setdefault(raft.term, node.name)
                 if other != node.name:
-                    raise Broken(f"two leaders of term {raft.term}: {other} and {node.name}")
+                    raise InvariantError(
+                        f"two leaders of term {raft.term}: {other} and {node.name}"
+                    )
                 self._check_complete(raft)
 
     def _check_complete(self, raft: Raft) -> None:
@@ -204,7 +206,7 @@
             return
         for index, (term, _) in self.committed.items():
             if index > raft.log.snapshot.index and raft.log.term_at(index) != term:
-                raise Broken(
+                raise InvariantError(
                     f"{raft.member_id} leads term {raft.term} without the committed entry {index}"
                 )
 
@@ -222,7 +224,7 @@
                     if one.term_at(index) == other.term_at(index):
                         same = True
                     if same and one.entry_at(index) != other.entry_at(index):
-                        raise Broken(f"logs part before {index}, where they agree")
+                        raise InvariantError(f"logs part before {index}, where they agree")
 
     # Use
 
@@ -255,27 +257,27 @@
         )
         self.take(node)
 
-    def until(self, what: Callable[[], Any], patience_us: int = 20_000 * MS) -> None:
-        ends = self.now + patience_us
-        while not what():
-            if self.now >= ends:
-                raise Broken("it did not come about")
+    def run_until(self, condition: Callable[[], Any], patience_us: int = 20_000 * MS) -> None:
+        ends = self.now_us + patience_us
+        while not condition():
+            if self.now_us >= ends:
+                raise InvariantError("the condition did not become true in time")
             self.run(10 * MS)
 
     def heal(self) -> None:
-        self.cut.clear()
-        self.loss = self.doubled = 0.0
+        self.blocked_links.clear()
+        self.loss_ratio = self.duplicate_ratio = 0.0
         for node in self.nodes.values():
             node.paused = False
             if node.raft is None:
                 self.start(node)
 
-    def everywhere(self, data: bytes) -> bool:
+    def is_applied_everywhere(self, data: bytes) -> bool:
         """Whether every running voter has applied it."""
         return all(data in n.applied[-1][1] for n in self.nodes.values() if n.raft is not None)
 
 
-def storm(world: World, steps: int, churn: bool = True) -> None:
+def run_faults(world: World, steps: int, churn: bool = True) -> None:
     """Faults drawn from the world's seed, proposals between them."""
     draw = world.random
     names = sorted(world.nodes)
@@ -288,20 +290,24 @@
             else:
                 world.crash(node)
         elif what == 1:
-            world.cut = {(a, b) for a in names for b in names if draw.random() < 0.3}
+            world.blocked_links = {(a, b) for a in names for b in names if draw.random() < 0.3}
         elif what == 2:
             half = set(draw.sample(names, len(names) // 2))
-            world.cut = {(a, b) for a in names for b in names if (a in half) != (b in half)}
+            world.blocked_links = {
+                (a, b) for a in names for b in names if (a in half) != (b in half)
+            }
         elif what == 3:
-            world.cut.clear()
+            world.blocked_links.clear()
         elif what == 4:
-            world.loss, world.doubled = draw.choice([(0.0, 0.0), (0.2, 0.0), (0.1, 0.3)])
+            world.loss_ratio, world.duplicate_ratio = draw.choice(
+                [(0.0, 0.0), (0.2, 0.0), (0.1, 0.3)]
+            )
         elif what == 5:
             node.paused = not node.paused
         elif what == 6:
             world.delay_us = draw.choice([(1 * MS, 5 * MS), (1 * MS, 80 * MS)])
         elif what == 7 and node.raft is not None:
-            node.offset_us += draw.choice([0, 50 * MS])
+            node.clock_offset_us += draw.choice([0, 50 * MS])
         for k in range(draw.randint(0, 3)):
             data = b"<%d.%d>" % (step, k)
             if world.propose(data):
--- a/tests/test_lease_storms.py
+++ b/tests/test_lease_faults.py
@@ -15,30 +15,30 @@
 from kelpcourse.shared.controller import Controller
 from kelpcourse.shared.controller_events import LeaseAcquired
 from kelpcourse.shared.raft.messages import Configuration
-from tests.leaseworld import GROUPS, TERMS, Fleet, storm_of
+from tests.leaseworld import GROUPS, TERMS, Fleet, run_lease_faults
 from tests.raftworld import MS, Node
 
 
 @pytest.mark.parametrize("count", [3, 5])
-def test_one_holder_at_a_time_in_storms_and_all_groups_held_after_them(count: int) -> None:
+def test_one_holder_at_a_time_under_faults_and_all_groups_held_after_them(count: int) -> None:
     for seed in range(12):
         fleet = Fleet(seed, count)
-        storm_of(fleet, 40)
+        run_lease_faults(fleet, 40)
         fleet.heal()
         fleet.delay_us = (1 * MS, 5 * MS)
-        fleet.until(lambda fleet=fleet: fleet.handled == GROUPS, 5000 * MS)  # type: ignore[misc]
+        fleet.run_until(lambda fleet=fleet: fleet.held_group_count == GROUPS, 5000 * MS)  # type: ignore[misc]
 
 
 def test_a_dead_holder_is_replaced_within_a_lease_and_an_election() -> None:
     fleet = Fleet(3, 3)
-    fleet.until(lambda: fleet.handled == GROUPS)
+    fleet.run_until(lambda: fleet.held_group_count == GROUPS)
     victim = fleet.leader  # the worst case: holder and leader in one
     assert victim is not None
     fleet.crash(victim)
-    began = fleet.now
-    fleet.until(lambda: fleet.handled == GROUPS)
+    began = fleet.now_us
+    fleet.run_until(lambda: fleet.held_group_count == GROUPS)
     assert (
-        fleet.now - began
+        fleet.now_us - began
         < 200 * MS + TERMS.leader_duration_us * 1.1 + 2 * TERMS.renewal_interval_us + 200 * MS
     )
 
@@ -46,17 +46,17 @@
 def test_commands_are_resent_until_the_replicated_state_holds_them() -> None:
     for seed in range(6):
         fleet = Fleet(seed, 3, max_log_entries=10)
-        fleet.until(lambda fleet=fleet: fleet.handled == GROUPS)  # type: ignore[misc]
+        fleet.run_until(lambda fleet=fleet: fleet.held_group_count == GROUPS)  # type: ignore[misc]
         for k in range(12):
             name = fleet.random.choice(sorted(fleet.nodes))
-            fleet.loss = 0.3
+            fleet.loss_ratio = 0.3
             node = fleet.nodes[name]
             fleet.controllers[name].submit(fleet.clock(node), StartDrain(f"h-{k}", 1000 + k))
             fleet.controllers[name].submit(fleet.clock(node), CompleteDrain(f"h-{k}", 0, 1000 + k))
             fleet.take(node)
             fleet.run(30 * MS)
-        fleet.loss = 0.0
-        fleet.until(
+        fleet.loss_ratio = 0.0
+        fleet.run_until(
             lambda fleet=fleet: all(  # type: ignore[misc]
                 len(c.state.drains) == 12 for c in fleet.controllers.values()
             ),
@@ -71,7 +71,7 @@
     removed = 0
     for seed in range(4):
         fleet = Fleet(seed, 3)
-        fleet.until(lambda fleet=fleet: fleet.handled == GROUPS)  # type: ignore[misc]
+        fleet.run_until(lambda fleet=fleet: fleet.held_group_count == GROUPS)  # type: ignore[misc]
         first = fleet.leader
         assert first is not None
         drained = next(n for n in fleet.nodes.values() if n is not first)
@@ -81,13 +81,13 @@
         fleet.take(first)
 
         def empty(fleet: Fleet = fleet, drained: Node = drained) -> bool:
-            return fleet.handled == GROUPS and not fleet.controllers[
+            return fleet.held_group_count == GROUPS and not fleet.controllers[
                 drained.name
             ].lease_holder.held_epochs(fleet.clock(drained))
 
-        fleet.until(empty, 5000 * MS)
+        fleet.run_until(empty, 5000 * MS)
         fleet.crash(first)
-        fleet.until(lambda fleet=fleet, first=first: fleet.leader not in (None, first))  # type: ignore[misc]
+        fleet.run_until(lambda fleet=fleet, first=first: fleet.leader not in (None, first))  # type: ignore[misc]
         fleet.run(1000 * MS)
         assert empty()
         fleet.start(first)
@@ -100,14 +100,14 @@
             fleet.clock(leader), Configuration(frozenset(fleet.nodes) - {drained.name})
         )
         fleet.take(leader)
-        fleet.until(lambda made=made: not made.state.drained_members, 5000 * MS)  # type: ignore[misc]
+        fleet.run_until(lambda made=made: not made.state.drained_members, 5000 * MS)  # type: ignore[misc]
         removed += 1
     assert removed
 
 
 def test_the_next_holder_gets_pending_drains_and_the_handover_state() -> None:
     fleet = Fleet(2, 3)
-    fleet.until(lambda: fleet.handled == GROUPS)
+    fleet.run_until(lambda: fleet.held_group_count == GROUPS)
     victim = next(n for n in fleet.nodes.values() if n is not fleet.leader)
     made = fleet.controllers[victim.name]
     held = made.lease_holder.held_epochs(fleet.clock(victim))
@@ -115,17 +115,19 @@
     made.submit(fleet.clock(victim), StartDrain("h", 77))
     made.submit(fleet.clock(victim), SaveHandover(group, epoch, (1.0, 0.5), 300.0))
     fleet.take(victim)
-    fleet.until(lambda: fleet.controllers[victim.name].state.leases[group].capacity_per_s == 300.0)
+    fleet.run_until(
+        lambda: fleet.controllers[victim.name].state.leases[group].capacity_per_s == 300.0
+    )
     fleet.crash(victim)
-    gained: list[LeaseAcquired] = []
+    acquired: list[LeaseAcquired] = []
     taken = Controller.take_output
 
     def noted(made: Controller) -> Any:
         out = taken(made)
-        gained.extend(e for e in out.events if isinstance(e, LeaseAcquired) and e.group == group)
+        acquired.extend(e for e in out.events if isinstance(e, LeaseAcquired) and e.group == group)
         return out
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(Controller, "take_output", noted)
-        fleet.until(lambda: gained)
-    assert gained[0] == LeaseAcquired(group, epoch + 1, {"h": 77}, (1.0, 0.5), 300.0)
+        fleet.run_until(lambda: acquired)
+    assert acquired[0] == LeaseAcquired(group, epoch + 1, {"h": 77}, (1.0, 0.5), 300.0)
--- a/tests/test_lease_mutants.py
+++ b/tests/test_lease_mutants.py
@@ -11,8 +11,8 @@
 from kelpcourse.shared.lease_timing import LeaseReply, LeaseRequest, LeaseTiming
 from kelpcourse.shared.raft.messages import MemberId
 from kelpcourse.shared.replicated_state import ReplicatedState
-from tests.leaseworld import LONG, SCENES, TERMS, Fleet, storm_of
-from tests.raftworld import MS, Broken
+from tests.leaseworld import LONG, SCENES, TERMS, Fleet, run_lease_faults
+from tests.raftworld import MS, InvariantError
 
 
 class CountsFromTheAnswer(LeaseHolder):
@@ -70,7 +70,7 @@
         fleet = Fleet(seed, 5, **made, terms=LONG if seed % 3 == 1 else TERMS)
         try:
             SCENES[seed % 3](fleet)
-        except Broken:
+        except InvariantError:
             return
     raise AssertionError(f"{mutant.__name__} is not found")
 
@@ -88,7 +88,7 @@
             seed, 3, rates=(0.6, 1.0, 1.5), terms=LeaseTiming(300 * MS, 0.0, 50 * MS, 200 * MS, 2)
         )
         try:
-            storm_of(fleet, 40)
-        except Broken:
+            run_lease_faults(fleet, 40)
+        except InvariantError:
             return
     raise AssertionError("it is not found")
--- a/tests/test_member.py
+++ b/tests/test_member.py
@@ -24,8 +24,8 @@
 def test_a_cluster_starts_with_one_member_grows_and_shares_its_groups(rig: Rig) -> None:
     for name in rig.names:
         rig.start(name)
-    rig.grown()
-    rig.until(lambda: len(rig.held()) == 6 and len(set(rig.held().values())) == 3)
+    rig.add_all_voters()
+    rig.run_until(lambda: len(rig.holders()) == 6 and len(set(rig.holders().values())) == 3)
     leader = rig.leader()
     assert leader is not None
     assert leader.status()["voters"] == sorted(m.member_id for m in rig.members.values())
@@ -35,30 +35,30 @@
     with pytest.raises(RequestRejectedError, match="not the leader"):
         follower.remove("n0")
     follower.submit(StartDrain("h", 5))
-    rig.until(lambda: all(m.status()["withdrawn"] == ["h"] for m in rig.members.values()))
+    rig.run_until(lambda: all(m.status()["withdrawn"] == ["h"] for m in rig.members.values()))
 
 
 def test_a_killed_member_is_replaced_and_returns_with_its_state(rig: Rig) -> None:
     for name in rig.names:
         rig.start(name)
-    rig.grown()
-    rig.until(lambda: len(rig.held()) == 6)
+    rig.add_all_voters()
+    rig.run_until(lambda: len(rig.holders()) == 6)
     leader = rig.leader()
     assert leader is not None
     victim = next(n for n, m in rig.members.items() if m is leader)
     me = leader.member_id
     rig.kill(victim)
-    rig.until(lambda: len(rig.held()) == 6 and rig.leader() is not None)
-    assert victim not in rig.held().values()
+    rig.run_until(lambda: len(rig.holders()) == 6 and rig.leader() is not None)
+    assert victim not in rig.holders().values()
     again = rig.start(victim)
     assert again.member_id == me
-    rig.until(lambda: len(set(rig.held().values())) == 3)
+    rig.run_until(lambda: len(set(rig.holders().values())) == 3)
 
 
 def test_a_member_with_a_wrong_certificate_is_rejected(rig: Rig) -> None:
     rig.start("n0")
     rig.start("n1", certificate="n2")
-    rig.until(
+    rig.run_until(
         lambda: any(
             "with the certificate of" in str(line["reason"])
             or "Hostname mismatch" in str(line["reason"])
@@ -69,6 +69,6 @@
         )
     )
     leader = rig.members["n0"]
-    rig.until(lambda: leader.status().get("role") == "leader")
+    rig.run_until(lambda: leader.status().get("role") == "leader")
     with pytest.raises(RequestRejectedError, match="has not said Hello"):
         leader.add("n1")
--- a/tests/test_member_storage.py
+++ b/tests/test_member_storage.py
@@ -33,7 +33,7 @@
 
     rig = Rig(tmp_path, 1, False)
     first = rig.start("n0")
-    rig.until(lambda: first.status().get("role") == "leader")
+    rig.run_until(lambda: first.status().get("role") == "leader")
     me = first.member_id
     rig.kill("n0")
     rig.close()
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -8,20 +8,20 @@
 
 from kelpcourse.shared.errors import RequestRejectedError
 from kelpcourse.shared.raft.role import Role
-from tests.raftworld import MS, TIMING, World, storm
+from tests.raftworld import MS, TIMING, World, run_faults
 
 SEEDS = range(60)
 
 
-def settled(world: World) -> None:
+def assert_recovers(world: World) -> None:
     """After the last fault everything serves as before, and nothing that was committed is lost."""
     world.heal()
     world.delay_us = (1 * MS, 5 * MS)
-    world.until(lambda: world.leader is not None)
+    world.run_until(lambda: world.leader is not None)
     for _ in range(20):  # one may be lost with the leader that took it
         world.propose(b"<last>")
         world.run(300 * MS)
-        if world.everywhere(b"<last>"):
+        if world.is_applied_everywhere(b"<last>"):
             break
     world.run(300 * MS)
     world.check_logs()
@@ -31,35 +31,35 @@
 
 
 @pytest.mark.parametrize("count", [3, 5])
-def test_storms_of_faults_break_no_rule_and_pass(count: int) -> None:
+def test_faults_break_no_rule_and_are_recovered_from(count: int) -> None:
     for seed in SEEDS:
         world = World(seed, count, compact_every=(0, 7)[seed % 2])
         for node in world.nodes.values():
-            node.rate = world.random.choice([0.95, 1.0, 1.05])
-        storm(world, 60)
-        settled(world)
+            node.clock_rate = world.random.choice([0.95, 1.0, 1.05])
+        run_faults(world, 60)
+        assert_recovers(world)
 
 
 def test_one_leader_is_found_and_followed() -> None:
     world = World(1)
-    world.until(lambda: world.leader is not None)
+    world.run_until(lambda: world.leader is not None)
     assert world.propose(b"<a>")
-    world.until(lambda: world.everywhere(b"<a>"))
-    assert world.now < 1000 * MS
+    world.run_until(lambda: world.is_applied_everywhere(b"<a>"))
+    assert world.now_us < 1000 * MS
 
 
 def test_a_partitioned_member_changes_no_term_and_unseats_no_leader() -> None:
     """Pre-vote: a controller that was alone for long comes back as if nothing had been."""
     world = World(2)
-    world.until(lambda: world.leader is not None)
+    world.run_until(lambda: world.leader is not None)
     leader = world.leader
     assert leader is not None
     assert leader.raft is not None
     alone = next(n for n in world.nodes if n != leader.name)
     term = leader.raft.term
-    world.cut = {(a, b) for a in world.nodes for b in world.nodes if alone in (a, b)}
+    world.blocked_links = {(a, b) for a in world.nodes for b in world.nodes if alone in (a, b)}
     world.run(3000 * MS)
-    world.cut.clear()
+    world.blocked_links.clear()
     world.run(1000 * MS)
     assert world.leader is leader
     assert leader.raft.term == term
@@ -68,20 +68,20 @@
 def test_a_leader_cut_off_in_one_direction_steps_down() -> None:
     for heard in (True, False):
         world = World(3)
-        world.until(lambda: world.leader is not None)  # noqa: B023
+        world.run_until(lambda: world.leader is not None)  # noqa: B023
         old = world.leader
         assert old is not None
-        world.cut = {
+        world.blocked_links = {
             (old.name, n) if not heard else (n, old.name) for n in world.nodes if n != old.name
         }
-        world.until(lambda: world.leader is not None and world.leader is not old)  # noqa: B023
+        world.run_until(lambda: world.leader is not None and world.leader is not old)  # noqa: B023
         assert old.raft is not None
         world.run(300 * MS)
         assert old.raft.role is not Role.LEADER
 
 
 def test_no_other_leader_is_elected_while_leadership_is_guaranteed() -> None:
-    """`led_until_us`: no other leader is elected before it, with clocks that run alike."""
+    """`leadership_guaranteed_until_us`: no other leader is elected before it, with clocks that run alike."""
     for seed in range(40):
         world = World(seed, 5)
         until: dict[str, int] = {}
@@ -94,13 +94,19 @@
                     newest = max(world.leaders)
                     if node.raft.term == newest:
                         for other, ends in until.items():
-                            assert other == node.name or ends <= world.now, (seed, other, node.name)
+                            assert other == node.name or ends <= world.now_us, (
+                                seed,
+                                other,
+                                node.name,
+                            )
                         until.clear()
                     until[node.name] = node.raft.leadership_guaranteed_until_us()
 
         for _ in range(20):
             names = sorted(world.nodes)
-            world.cut = {(a, b) for a in names for b in names if world.random.random() < 0.35}
+            world.blocked_links = {
+                (a, b) for a in names for b in names if world.random.random() < 0.35
+            }
             world.run(world.random.randint(50 * MS, 400 * MS), note)
             victim = world.nodes[world.random.choice(names)]
             if victim.raft is None:
@@ -111,7 +117,7 @@
 
 def test_an_empty_disk_makes_a_new_member_without_a_vote() -> None:
     world = World(5)
-    world.until(lambda: world.leader is not None)
+    world.run_until(lambda: world.leader is not None)
     fresh = world._node("n9", world.nodes["n0"].disk.stored.snapshot.config)
     world.nodes["n9"] = fresh
     world.start(fresh)
@@ -123,27 +129,27 @@
 
 def test_an_outdated_disk_is_noticed_by_the_leader_and_no_longer_counts() -> None:
     world = World(6)
-    world.until(lambda: world.propose(b"<a>"))
-    world.until(lambda: world.everywhere(b"<a>"))
+    world.run_until(lambda: world.propose(b"<a>"))
+    world.run_until(lambda: world.is_applied_everywhere(b"<a>"))
     leader = world.leader
     assert leader is not None
     assert leader.raft is not None
     other = next(n for n in world.nodes.values() if n is not leader)
     old = other.disk.stored
-    world.until(lambda: world.propose(b"<b>") and world.everywhere(b"<b>"))
+    world.run_until(lambda: world.propose(b"<b>") and world.is_applied_everywhere(b"<b>"))
     world.crash(other)
     other.disk.stored = old
     world.start(other)
     world.run(300 * MS)
     assert leader.raft.progress[other.name].has_lost_entries
     assert world.propose(b"<c>")
-    world.until(lambda: world.everywhere(b"<c>"))
+    world.run_until(lambda: world.is_applied_everywhere(b"<c>"))
 
 
 def test_members_join_as_learners_and_voters_change_one_at_a_time() -> None:
     world = World(7, 4, learners=1)
-    world.until(lambda: world.propose(b"<a>"))
-    world.until(lambda: world.everywhere(b"<a>"))
+    world.run_until(lambda: world.propose(b"<a>"))
+    world.run_until(lambda: world.is_applied_everywhere(b"<a>"))
     with pytest.raises(RequestRejectedError, match="voters change one at a time"):
         world.change(["n0"])
     with pytest.raises(RequestRejectedError, match="is to be a learner first"):
@@ -155,24 +161,24 @@
     leader = world.leader
     assert leader is not None
     world.change({"n0", "n1", "n2", "n3"} - {leader.name})  # the leader removes itself
-    world.until(lambda: world.leader is not None and world.leader is not leader)
-    world.until(lambda: world.propose(b"<b>"))
+    world.run_until(lambda: world.leader is not None and world.leader is not leader)
+    world.run_until(lambda: world.propose(b"<b>"))
     world.run(300 * MS)
     assert all(b"<b>" in n.applied[-1][1] for n in world.nodes.values() if n is not leader)
 
 
 def test_a_removed_member_that_does_not_know_causes_no_election() -> None:
     world = World(8)
-    world.until(lambda: world.propose(b"<a>"))
-    world.until(lambda: world.everywhere(b"<a>"))
+    world.run_until(lambda: world.propose(b"<a>"))
+    world.run_until(lambda: world.is_applied_everywhere(b"<a>"))
     leader = world.leader
     assert leader is not None
     assert leader.raft is not None
     gone = next(n for n in world.nodes if n != leader.name)
-    world.cut = {(a, b) for a in world.nodes for b in world.nodes if gone in (a, b)}
+    world.blocked_links = {(a, b) for a in world.nodes for b in world.nodes if gone in (a, b)}
     world.change(set(world.nodes) - {gone})
     world.run(500 * MS)
-    world.cut.clear()
+    world.blocked_links.clear()
     term = leader.raft.term
     world.run(3000 * MS)
     assert (world.leader, leader.raft.term) == (leader, term)
@@ -180,27 +186,27 @@
 
 def test_a_snapshot_arrives_in_chunks_despite_losses_and_newer_snapshots() -> None:
     world = World(9, compact_every=5)
-    world.until(lambda: world.propose(b"<first>"))
+    world.run_until(lambda: world.propose(b"<first>"))
     late = next(n for n in world.nodes.values() if n is not world.leader)
     world.crash(late)
     for k in range(23):
-        world.until(lambda k=k: world.propose(b"<%d>" % k))  # type: ignore[misc]
+        world.run_until(lambda k=k: world.propose(b"<%d>" % k))  # type: ignore[misc]
     world.run(200 * MS)
     world.start(late)
     for k in range(10):
         world.run(15 * MS)
-        world.loss = 0.5 if k % 2 else 0.0
+        world.loss_ratio = 0.5 if k % 2 else 0.0
         world.propose(b"<%d>" % (100 + k))
-    world.loss = 0.0
-    world.until(lambda: world.propose(b"<last>"))
-    world.until(lambda: world.everywhere(b"<last>"))
+    world.loss_ratio = 0.0
+    world.run_until(lambda: world.propose(b"<last>"))
+    world.run_until(lambda: world.is_applied_everywhere(b"<last>"))
     assert late.raft is not None
     assert late.raft.log.snapshot.index > 0
 
 
 def test_leadership_is_transferred() -> None:
     world = World(10)
-    world.until(lambda: world.propose(b"<a>"))
+    world.run_until(lambda: world.propose(b"<a>"))
     leader = world.leader
     assert leader is not None
     assert leader.raft is not None
@@ -209,23 +215,23 @@
     world.take(leader)
     with pytest.raises(RequestRejectedError):
         leader.raft.transfer_leadership("nobody")
-    world.until(lambda: world.leader is not None and world.leader.name == to, 200 * MS)
+    world.run_until(lambda: world.leader is not None and world.leader.name == to, 200 * MS)
     assert leader.raft.leadership_guaranteed_until_us() == 0
 
 
 def test_uncommitted_entries_are_bounded_and_a_follower_rejects_proposals() -> None:
     world = World(11)
-    world.until(lambda: world.leader is not None)
+    world.run_until(lambda: world.leader is not None)
     leader = world.leader
     assert leader is not None
     assert leader.raft is not None
-    world.cut = {(a, b) for a in world.nodes for b in world.nodes}
+    world.blocked_links = {(a, b) for a in world.nodes for b in world.nodes}
     leader.raft._options = replace(TIMING, max_uncommitted_entries=50)
     for k in range(50 - leader.raft.log.last_index + leader.raft.commit_index):
         leader.raft.propose(world.clock(leader), b"%d" % k)
     with pytest.raises(RequestRejectedError, match="entries wait already"):
         leader.raft.propose(world.clock(leader), b"one more")
-    world.cut.clear()
+    world.blocked_links.clear()
     world.run(300 * MS)
     follower = next(n for n in world.nodes.values() if n is not world.leader)
     assert follower.raft is not None
--- a/tests/test_raft_model.py
+++ b/tests/test_raft_model.py
@@ -1,4 +1,4 @@
-"""Every order of messages, elections, crashes and one proposal for three members, to a stated depth.
+"""Every order of messages, elections, run_crashes and one proposal for three members, to a stated depth.
 
 Elections begin without asking first, so that fewer steps lead to where two of them meet; a message that is lost is one
 that is never delivered. Writes are durable at once: what happens before they are is the storms' matter.
@@ -27,7 +27,7 @@
 from kelpcourse.shared.raft.persistent import PersistentState, apply_write
 from kelpcourse.shared.raft.role import Role
 from tests.raftmutants import CountsHalf, LeadsWithoutAMajority, VotesTwice
-from tests.raftworld import Broken
+from tests.raftworld import InvariantError
 
 NAMES = ("a", "b", "c")
 FAR_US = 10_000_000  # between two steps: nobody is bound by having heard of a leader
@@ -43,7 +43,7 @@
     now_us: int = FAR_US
     under_way: list[tuple[MemberId, MemberId, RaftMessage]] = field(default_factory=list)
     begins: int = 3
-    crashes: int = 1
+    run_crashes: int = 1
     proposals: int = 1
     leaders: dict[int, MemberId] = field(default_factory=dict)
     committed: dict[int, LogEntry] = field(default_factory=dict)
@@ -64,7 +64,7 @@
             for r in self.nodes.values()
         ]
         messages = sorted(f"{a}{b}{_timeless(m)}" for a, b, m in self.under_way)
-        return repr((nodes, messages, self.begins, self.crashes, self.proposals))
+        return repr((nodes, messages, self.begins, self.run_crashes, self.proposals))
 
     def touched(self, name: MemberId) -> State:
         """A copy in which this node may change; the others are shared."""
@@ -97,16 +97,16 @@
             self.under_way += [(name, to, message) for to, message in out.messages]
             for entry in out.committed:
                 if self.committed.setdefault(entry.index, entry) != entry:
-                    raise Broken(f"two entries are committed at {entry.index}")
+                    raise InvariantError(f"two entries are committed at {entry.index}")
             if not out.writes:
                 break
             node.note_written(self.now_us, out.writes[-1].number)
         if node.role is Role.LEADER and self.leaders.setdefault(node.term, name) != name:
-            raise Broken(f"two leaders of term {node.term}")
+            raise InvariantError(f"two leaders of term {node.term}")
         if node.role is Role.LEADER and node.term == max(self.leaders):
             for index, entry in self.committed.items():
                 if node.log.term_at(index) != entry.term:
-                    raise Broken(f"a leader lacks the committed entry {index}")
+                    raise InvariantError(f"a leader lacks the committed entry {index}")
 
 
 def _timeless(message: RaftMessage) -> str:
@@ -134,9 +134,9 @@
             after.nodes[name]._start_election(after.now_us, pre_vote=False)
             after.settle(name)
             yield after
-        if state.crashes and node.term:
+        if state.run_crashes and node.term:
             after = state.touched(name)
-            after.crashes -= 1
+            after.run_crashes -= 1
             after.nodes[name] = make(name, after.disks[name], RaftOptions(), 1, 0)
             yield after
         if state.proposals and node.role is Role.LEADER:
@@ -148,7 +148,7 @@
 
 
 def explore(make: type[Raft], depth: int) -> int:
-    """How many different states were met. Raises Broken."""
+    """How many different states were met. Raises InvariantError."""
     seen, level = set[str](), [start(make)]
     for _ in range(depth):
         following = []
@@ -168,5 +168,5 @@
 
 @pytest.mark.parametrize("mutant", [VotesTwice, LeadsWithoutAMajority, CountsHalf])
 def test_a_missing_defence_is_found_in_some_order(mutant: type[Raft]) -> None:
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantError):
         explore(mutant, MUTANT_DEPTH)
--- a/tests/test_raft_mutants.py
+++ b/tests/test_raft_mutants.py
@@ -9,8 +9,8 @@
 
 from kelpcourse.shared.errors import LogConflictError
 from kelpcourse.shared.raft.node import Raft
-from tests.raftmutants import MUTANTS, SCENES, crashes, figure_8
-from tests.raftworld import MS, Broken, World, storm
+from tests.raftmutants import MUTANTS, SCENES, run_crashes, figure_8
+from tests.raftworld import MS, InvariantError, World, run_faults
 
 
 class TestMutants:
@@ -22,13 +22,13 @@
             world = World(seed, 3 + 2 * (seed % 2), mutant)
             world.sync_us = (0, 60 * MS)
             try:
-                SCENES.get(mutant, storm)(world, 60)
-            except (Broken, LogConflictError, AssertionError, TypeError):
+                SCENES.get(mutant, run_faults)(world, 60)
+            except (InvariantError, LogConflictError, AssertionError, TypeError):
                 self.found[mutant.__name__] = seed
                 return
         raise AssertionError(f"{mutant.__name__} is not found")
 
-    @pytest.mark.parametrize("scene", [crashes, figure_8])
+    @pytest.mark.parametrize("scene", [run_crashes, figure_8])
     def test_scenes_that_find_mutants_find_nothing_in_the_original(
         self, scene: Callable[[World, int], None]
     ) -> None:
