--- a/tests/test_raft_mutants.py
+++ b/tests/test_raft_mutants.py
@@ -9,7 +9,7 @@
 
 from kelpcourse.shared.errors import LogConflictError
 from kelpcourse.shared.raft.node import Raft
-from tests.raftmutants import MUTANTS, SCENES, run_crashes, figure_8
+from tests.raftmutants import MUTANTS, SCENES, figure_8, run_crashes
 from tests.raftworld import MS, InvariantError, World, run_faults
 
 
