--- a/kelpcourse/shared/member.py
+++ b/kelpcourse/shared/member.py
@@ -31,7 +31,7 @@
 from kelpcourse.wire.storage import JobRunner
 from kelpcourse.wire.stream import Address
 
-Keep = Callable[[str, Callable[[], Coroutine[None]]], None]
+Supervise = Callable[[str, Callable[[], Coroutine[None]]], None]
 
 STORAGE_POLL_US = 5_000  # while the storage is not ready at a start
 
@@ -101,19 +101,19 @@
         self._wake_up = Signal()
         self.halt_reason = ""
 
-    def start(self, keep: Keep) -> None:
-        """Starts the coroutines; `keep` restarts one that fails."""
-        for remark in self._storage.remarks:
+    def start(self, supervise: Supervise) -> None:
+        """Starts the coroutines; `supervise` restarts one that fails."""
+        for warning in self._storage.warnings:
             self._log.always(
                 "store_warning",
-                file=remark.file,
-                problem=remark.what,
-                lost_bytes=remark.lost_bytes,
-                alarming=remark.alarming,
+                file=warning.file,
+                problem=warning.problem,
+                lost_bytes=warning.lost_bytes,
+                alarming=warning.alarming,
             )
-        keep("shared disk", self._storage.run)
-        self._peers.start(keep)
-        keep("shared", self.run)
+        supervise("shared disk", self._storage.run)
+        self._peers.start(supervise)
+        supervise("shared", self.run)
 
     def run(self) -> Coroutine[None]:
         """Runs the step function once the storage is ready: before that it can promise nothing."""
