--- a/tests/test_lease_faults.py
+++ b/tests/test_lease_faults.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from typing import Any
 
 import pytest
 
@@ -13,7 +12,7 @@
     StartDrain,
 )
 from kelpcourse.shared.controller import Controller
-from kelpcourse.shared.controller_events import LeaseAcquired
+from kelpcourse.shared.controller_events import ControllerOutput, LeaseAcquired
 from kelpcourse.shared.raft.messages import Configuration
 from tests.leaseworld import GROUPS, TERMS, Fleet, run_lease_faults
 from tests.raftworld import MS, Node
@@ -125,7 +124,7 @@
     acquired: list[LeaseAcquired] = []
     taken = Controller.take_output
 
-    def noted(made: Controller) -> Any:
+    def noted(made: Controller) -> ControllerOutput:
         out = taken(made)
         acquired.extend(e for e in out.events if isinstance(e, LeaseAcquired) and e.group == group)
         return out
