--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -53,7 +53,7 @@
 
 
 @pytest.fixture
-def policy() -> Script:
+def policy() -> ScriptedPolicy:
     """A policy that follows a script."""
     return ScriptedPolicy(SETTINGS)
 
