--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -147,8 +147,8 @@
 
 
 def test_no_table_is_filled_before_proxies_tell_how_traffic_splits_over_zones() -> None:
-    """Filled at the start by nobody's traffic, tables led half of it abroad, and mending them waited behind the
-    bindings: requests that cross zones doubled on a calm day."""
+    # Filled at the start by nobody's traffic, tables led half of it abroad, and mending them
+    # waited behind the bindings: requests that cross zones doubled on a calm day.
     day = Day(settings=CROWDED, listed=FLEET, proxies=0)
     day.until(day.now + 5 * SECOND)
     assert not day.tables
@@ -221,8 +221,10 @@
 
 
 def test_tables_are_as_long_as_a_drains_grace_lets_all_proxies_be_bound_to() -> None:
-    """A director that all proxies come to has to bind them within a grace: with 200 hosts in each table, 240 proxies
-    took 16 s where 4 s are granted."""
+    """A director that all proxies come to has to bind them within a grace.
+
+    With 200 hosts in each table, 240 proxies took 16 s where 4 s are granted.
+    """
     short = replace(
         SETTINGS, proxy_count=240, min_endpoint_connections=500.0, drain_grace_us=4 * SECOND
     )
--- a/tests/test_lease_faults.py
+++ b/tests/test_lease_faults.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import pytest
 
 from kelpcourse.shared.commands import (
@@ -13,7 +11,7 @@
     StartDrain,
 )
 from kelpcourse.shared.controller import Controller
-from kelpcourse.shared.controller_events import LeaseAcquired
+from kelpcourse.shared.controller_events import ControllerOutput, LeaseAcquired
 from kelpcourse.shared.raft.messages import Configuration
 from tests.leaseworld import GROUPS, TERMS, Fleet, run_lease_faults
 from tests.raftworld import MS, Node
@@ -66,8 +64,11 @@
 
 
 def test_a_member_stays_drained_under_later_leaders_until_it_is_removed() -> None:
-    """It was known to the leader alone that had been told: the next one gave the drained member groups again, and so
-    did the one after, or not, by who led when."""
+    """It was known to the leader alone that had been told.
+
+    The next one gave the drained member groups again, and so did the one after, or not, by who
+    led when.
+    """
     removed = 0
     for seed in range(4):
         fleet = Fleet(seed, 3)
@@ -122,7 +123,7 @@
     acquired: list[LeaseAcquired] = []
     taken = Controller.take_output
 
-    def noted(made: Controller) -> Any:
+    def noted(made: Controller) -> ControllerOutput:
         out = taken(made)
         acquired.extend(e for e in out.events if isinstance(e, LeaseAcquired) and e.group == group)
         return out
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -50,8 +50,11 @@
 
 
 def takeover(seed: int, make: Callable[[Settings], RoutingPolicy] = RoutingPolicy) -> ModuleDay:
-    """Four in five directors die right after hosts were announced as leaving; a second and a third announcement follow
-    while their proxies come, and streams break and return. Raises Broken."""
+    """Four in five directors die right after hosts were announced as leaving.
+
+    A second and a third announcement follow while their proxies come, and streams break and
+    return. Raises Broken.
+    """
     day = ModuleDay(make, MASS, HOSTS)
     gone = random.Random(seed).sample([h.id for h in HOSTS], 90)
     day.step(full(HOSTS))
@@ -135,7 +138,7 @@
         self.world = MassWorld(MASS)
         self.bench = Bench(limits, MASS)
         self.facade = self.bench.facade = Facade(MASS, 7, limits, make)
-        parts = replace(self.bench.parts, facade=self.facade)
+        parts = replace(self.bench.runtime, facade=self.facade)
         self.outbox, self.waiting = (
             OrderQueue(limits.max_queued_orders, limits.max_superseded_checkpoints),
             Signal(),
@@ -231,8 +234,11 @@
 def test_the_real_parts_keep_queue_and_drains_though_answers_of_the_relay_are_lost(
     seed: int,
 ) -> None:
-    """Calls are carried out and would go again: the channel would hold them twice. On seed 4 a withdrawal of 23,285
-    lines stood there at 46,570, where 37,700 may."""
+    """Calls are carried out and would go again.
+
+    The channel would hold them twice. On seed 4 a withdrawal of 23,285 lines stood there at
+    46,570, where 37,700 may.
+    """
     day = taken_over(RealDay(0.15, seed=seed))
     assert day.bench.counters["relay_calls_failed"] >= 3
     assert len(day.world.out) == 60
