--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,7 +14,7 @@
 from tests.fleet import SETTINGS
 from tests.listening import ListenerRig
 from tests.loop_rig import SocketPair
-from tests.standins import HASTY, QUICK, Bench, Script, member
+from tests.standins import HASTY, QUICK, Bench, ScriptedPolicy, member
 
 
 @pytest.fixture
@@ -53,13 +53,13 @@
 
 
 @pytest.fixture
-def policy() -> Script:
+def policy() -> ScriptedPolicy:
     """A policy that follows a script."""
-    return Script(SETTINGS)
+    return ScriptedPolicy(SETTINGS)
 
 
 @pytest.fixture
-def facade(policy: Script) -> Facade:
+def facade(policy: ScriptedPolicy) -> Facade:
     """A facade that has taken its first step, with a cached list of two endpoints."""
     made = Facade(SETTINGS, 7, QUICK, lambda _: policy)
     made.report_cached_list([member("h1"), member("h2", EndpointStatus.DRAINING)], 41)
