--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -252,7 +252,7 @@
         read_config(environment(tmp_path, ROOT, **{variable: "127.0.0.9:1"}))
 
 
-def test_the_limits_of_the_machine_are_read() -> None:
+def test_limits_follow_the_descriptors_and_memory_of_the_machine() -> None:
     small = Limits().for_machine(64, 16)
     assert small.max_connections + small.max_concurrent_health_checks < 64
     assert small.max_read_buffers_bytes == 4 << 20
@@ -263,7 +263,7 @@
     )
 
 
-CUSTOMERS: dict[str, dict[str, object]] = {
+DEPLOYMENTS: dict[str, dict[str, object]] = {
     "as it is": {},
     "one zone": {"zones": ["room-a"]},
     "nine zones": {"zones": [f"z{k}" for k in range(8)] + ["room-a"]},
@@ -279,39 +279,39 @@
     },
     "no flags of classes": {"family_info.zone_bound": [], "family_info.class_writes": []},
     "all bound to zones": {"family_info.zone_bound": [True, True]},
-    "classes worth nothing": {"lanes.0.worth": 0, "lanes.1.worth": 0},
-    "a class in a zone without hosts": {"lanes.1.only_zones": ["nowhere"]},
-    "no messages told": {"family_info.messages_most": 0, "family_info.messages_over_us": 0},
+    "classes of no priority": {"lanes.0.worth": 0, "lanes.1.worth": 0},
+    "a class in a zone without endpoints": {"lanes.1.only_zones": ["nowhere"]},
+    "no limit of messages": {"family_info.messages_most": 0, "family_info.messages_over_us": 0},
     "one message": {"family_info.messages_most": 1},
-    "no head": {"family_info.head": 0},
+    "no message overhead": {"family_info.head": 0},
     "no grace": {"invariants.stop_sending_within_us": 0},
     "a grace of minutes": {"invariants.stop_sending_within_us": 300_000_000},
-    "never cold": {"invariants.cold_us": 0, "invariants.cold_from": 0},
-    "cold for ten minutes": {"invariants.cold_us": 600_000_000},
+    "no warm-up": {"invariants.cold_us": 0, "invariants.cold_from": 0},
+    "a warm-up of ten minutes": {"invariants.cold_us": 600_000_000},
     "reports every 0.1 s": {"family_info.period_us": 100_000},
     "reports at any time": {"family_info.period_us": 0},
     "reports every two minutes": {"family_info.period_us": 120_000_000},
-    "aims of a millisecond": {
+    "objectives of a millisecond": {
         "lanes.0.aim_us": 1_000,
         "lanes.1.aim_us": 1_000,
         "lanes.0.hard_limit_us": 2_000,
     },
-    "aims of minutes": {"lanes.0.aim_us": 300_000_000, "lanes.1.aim_us": 300_000_000},
-    "rates for levels": {"family_info.admission": "per_second"},
-    "no levels": {"family_info.admission": "off"},
-    "a list that comes by itself": {"discovery": "pushed", "invariants.ask_within_us": 0},
-    "one connection a host": {"family_info.conns_least": 1.0},
-    "a tiny channel": {"family_info.pending_max": 1.0, "family_info.egress_per_s": 1.0},
+    "objectives of minutes": {"lanes.0.aim_us": 300_000_000, "lanes.1.aim_us": 300_000_000},
+    "admission by rate": {"family_info.admission": "per_second"},
+    "no admission limits": {"family_info.admission": "off"},
+    "a list that is pushed": {"discovery": "pushed", "invariants.ask_within_us": 0},
+    "one connection for each endpoint": {"family_info.conns_least": 1.0},
+    "a tiny delivery queue": {"family_info.pending_max": 1.0, "family_info.egress_per_s": 1.0},
     "no transit": {"family_info.propagation_us": 0, "family_info.transit_max_us": 0},
     "one proxy": {"family_info.proxy_count": 1},
 }
 
 
-@pytest.mark.parametrize("name", CUSTOMERS)
-def test_settings_of_any_customer_are_served(tmp_path: Path, name: str) -> None:
+@pytest.mark.parametrize("name", DEPLOYMENTS)
+def test_settings_of_any_deployment_are_served(tmp_path: Path, name: str) -> None:
     """Proxies are bound, reports accepted, an overload handled and an endpoint withdrawn; no step ends by an error."""
     root = copy.deepcopy(ROOT)
-    for path, value in CUSTOMERS[name].items():
+    for path, value in DEPLOYMENTS[name].items():
         *folders, last = path.split(".")
         place: Any = root["settings"]
         for folder in folders:
@@ -325,17 +325,19 @@
     root["known"]["members"] = listed
     config = read_config(environment(tmp_path, root))
     limits = Limits().for_fleet(config.settings.proxy_count, config.settings.report_period_us)
-    facade, ordered = Facade(config.settings, 7, limits), list[Order]()
+    facade = Facade(config.settings, 7, limits)
+    ordered: list[Order] = []
     facade.report_cached_list(config.known.endpoints, config.known.version)
     for proxy in range(config.settings.proxy_count):
         facade.report_proxy_joined(proxy, zones[proxy % len(zones)], 5.0, proxy % 2 == 0)
     for second in range(50, 80):
-        for host in config.known.endpoints if second > 52 else ():
+        reported = config.known.endpoints if second > 52 else ()
+        for endpoint in reported:
             facade.report_attempts(
-                host.name, host.zone, 40, 2 * (second % 3), 1000.0, 1.5 + second, ()
+                endpoint.name, endpoint.zone, 40, 2 * (second % 3), 1000.0, 1.5 + second, ()
             )
-        for cls in config.settings.classes:
-            facade.report_demand(0, cls.name, 50 * (second - 49), second % 5, 1000.0)
+        for request_class in config.settings.classes:
+            facade.report_demand(0, request_class.name, 50 * (second - 49), second % 5, 1000.0)
         if second == 60:
             facade.report_list(
                 [replace(config.known.endpoints[0], status=EndpointStatus.DRAINING)], 42, False
@@ -343,9 +345,10 @@
         facade.start(second * 1_000_000)
         orders = facade.pick().orders
         ordered += orders
-        for mark in [order.checkpoint_id for order in orders if isinstance(order, Checkpoint)]:
+        checkpoints = [order for order in orders if isinstance(order, Checkpoint)]
+        for checkpoint in checkpoints:
             for proxy in range(config.settings.proxy_count):
-                facade.report_acknowledged(proxy, mark, 1.0)
+                facade.report_acknowledged(proxy, checkpoint.checkpoint_id, 1.0)
     assert {order.proxy for order in ordered if isinstance(order, BindProxy)} == set(
         range(config.settings.proxy_count)
     )
--- a/tests/test_stored_zones.py
+++ b/tests/test_stored_zones.py
@@ -4,6 +4,7 @@
 
 import json
 import shutil
+from collections.abc import Iterable
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
@@ -69,7 +70,7 @@
     }
 
 
-def plain_records(records: Any) -> list[list[Any]]:
+def plain_records(records: Iterable[tuple[str, int, int, bytes]]) -> list[list[object]]:
     return [[owner, type_, ttl, data.hex()] for owner, type_, ttl, data in records]
 
 
