--- a/kelpcourse/facade/facade.py
+++ b/kelpcourse/facade/facade.py
@@ -190,7 +190,7 @@
             )
         )
 
-    def report_probe(self, endpoint: str, status: str, latency_us: int, load: Load) -> None:
+    def report_health_check(self, endpoint: str, status: str, latency_us: int, load: Load) -> None:
         """The outcome of a health check, by the value of a `HealthCheckStatus`."""
         self._events.append(
             HealthCheckCompleted(
--- a/kelpcourse/service/config.py
+++ b/kelpcourse/service/config.py
@@ -37,7 +37,7 @@
     | in the file | here |
     | --- | --- |
     | `registry.address` | `relay` |
-    | `known` | `known`, the endpoint list as it was last cached |
+    | `known` | `cached_list`, the endpoint list as it was last received |
     | `limits.sockets`, `limits.memory_mb` | `sockets`, `memory_mb` |
     """
 
@@ -46,7 +46,7 @@
     discovery: Address
     relay: Address
     seed: int
-    known: EndpointListMessage
+    cached_list: EndpointListMessage
     settings: Settings
     sockets: int
     memory_mb: int
@@ -94,7 +94,7 @@
         discovery=parse_address(_text(root, "discovery"), "discovery"),
         relay=parse_address(relay, "registry.address"),
         seed=_seed(_text(root, "seed")),
-        known=decode_endpoint_list(_object(root, "known"), _raise),
+        cached_list=decode_endpoint_list(_object(root, "known"), _raise),
         settings=_settings(root),
         sockets=_limit(root, "sockets", DEFAULT_SOCKETS),
         memory_mb=_limit(root, "memory_mb", DEFAULT_MEMORY_MB),
--- a/kelpcourse/service/controller.py
+++ b/kelpcourse/service/controller.py
@@ -78,7 +78,7 @@
         self._discovery = self._source or DiscoveryClient(
             runtime,
             config.discovery,
-            config.known.version,
+            config.cached_list.version,
             config.seed % SEED_SPREAD / SEED_SPREAD,
         )
         self._health_checker = HealthChecker(runtime)
@@ -91,8 +91,8 @@
     def run(self) -> int:
         """Runs until a signal ends it and returns the exit status."""
         config = self._config
-        self._process.log_started(len(config.known.endpoints), config.settings.proxy_count)
-        self._facade.report_cached_list(config.known.endpoints, config.known.version)
+        self._process.log_started(len(config.cached_list.endpoints), config.settings.proxy_count)
+        self._facade.report_cached_list(config.cached_list.endpoints, config.cached_list.version)
         if self._source is not None:
             self._source.start()
         self._process.handle_signals(self._reloader.reload)
--- a/kelpcourse/wire/health_checks.py
+++ b/kelpcourse/wire/health_checks.py
@@ -128,6 +128,8 @@
     def _report(self, endpoint: str, result: HealthCheckResult, duration_us: int) -> None:
         self._runtime.counters.add(f"health_checks_{result.outcome}")
         try:
-            self._runtime.facade.report_probe(endpoint, result.outcome, duration_us, result.load)
+            self._runtime.facade.report_health_check(
+                endpoint, result.outcome, duration_us, result.load
+            )
         except InvalidReportError as error:
             self._runtime.reject_message("health_check", error)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -120,8 +120,8 @@
         ("127.0.0.2", 6400),
     )
     assert config.seed == 0x8C1F30D27A5BE964
-    assert config.known.version == 41
-    assert config.known.endpoints[0].started_ms == 1500.0
+    assert config.cached_list.version == 41
+    assert config.cached_list.endpoints[0].started_ms == 1500.0
     assert (config.sockets, config.memory_mb) == (4096, 2048)
 
 
@@ -219,7 +219,7 @@
         Facade(config.settings, 7, limits),
         OrderQueue(limits.max_queued_orders, limits.max_superseded_checkpoints),
     )
-    facade.report_cached_list(config.known.endpoints, config.known.version)
+    facade.report_cached_list(config.cached_list.endpoints, config.cached_list.version)
     facade.start(0)
     for proxy in range(5_000):
         facade.report_proxy_joined(proxy, f"room-{'ab'[proxy % 2]}", 1.0, False)
@@ -327,11 +327,11 @@
     limits = Limits().for_fleet(config.settings.proxy_count, config.settings.report_period_us)
     facade = Facade(config.settings, 7, limits)
     ordered: list[Order] = []
-    facade.report_cached_list(config.known.endpoints, config.known.version)
+    facade.report_cached_list(config.cached_list.endpoints, config.cached_list.version)
     for proxy in range(config.settings.proxy_count):
         facade.report_proxy_joined(proxy, zones[proxy % len(zones)], 5.0, proxy % 2 == 0)
     for second in range(50, 80):
-        reported = config.known.endpoints if second > 52 else ()
+        reported = config.cached_list.endpoints if second > 52 else ()
         for endpoint in reported:
             facade.report_attempts(
                 endpoint.name, endpoint.zone, 40, 2 * (second % 3), 1000.0, 1.5 + second, ()
@@ -340,7 +340,9 @@
             facade.report_demand(0, request_class.name, 50 * (second - 49), second % 5, 1000.0)
         if second == 60:
             facade.report_list(
-                [replace(config.known.endpoints[0], status=EndpointStatus.DRAINING)], 42, False
+                [replace(config.cached_list.endpoints[0], status=EndpointStatus.DRAINING)],
+                42,
+                False,
             )
         facade.start(second * 1_000_000)
         orders = facade.pick().orders
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -64,7 +64,7 @@
     facade.report_demand(1, "write", 19, 2, 2000.0)
     facade.report_acknowledged(1, 905, 310.4)
     facade.report_proxy_left(1)
-    facade.report_probe("h1", "timeout", 400_000, ())
+    facade.report_health_check("h1", "timeout", 400_000, ())
     facade.report_list_unavailable()
     assert not facade.tick(5000)
     assert facade.next_due_us() == 5000 + QUICK.step_batching_us
