--- a/tests/test_lease_faults.py
+++ b/tests/test_lease_faults.py
@@ -2,10 +2,6 @@
 
 from __future__ import annotations
 
-<<<<<<< HEAD
-
-=======
->>>>>>> shared
 import pytest
 
 from kelpcourse.shared.commands import (
