--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import socket
 from collections.abc import Iterator
 from pathlib import Path
 
@@ -12,7 +13,8 @@
 from tests.deployment import Deployment
 from tests.fleet import SETTINGS
 from tests.listening import ListenerRig
-from tests.standins import HASTY, QUICK, Bench, Script, member
+from tests.loop_rig import SocketPair
+from tests.standins import HASTY, QUICK, Bench, ScriptedPolicy, member
 
 
 @pytest.fixture
@@ -51,15 +53,24 @@
 
 
 @pytest.fixture
-def policy() -> Script:
+def policy() -> ScriptedPolicy:
     """A policy that follows a script."""
-    return Script(SETTINGS)
+    return ScriptedPolicy(SETTINGS)
 
 
 @pytest.fixture
-def facade(policy: Script) -> Facade:
+def facade(policy: ScriptedPolicy) -> Facade:
     """A facade that has taken its first step, with a cached list of two endpoints."""
     made = Facade(SETTINGS, 7, QUICK, lambda _: policy)
     made.report_cached_list([member("h1"), member("h2", EndpointStatus.DRAINING)], 41)
     made.start(1000)
     return made
+
+
+@pytest.fixture
+def pair() -> Iterator[SocketPair]:
+    """Two connected sockets."""
+    ours, theirs = socket.socketpair()
+    yield ours, theirs
+    ours.close()
+    theirs.close()
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -208,5 +208,5 @@
     sent = [order["host"] for call in relay.calls for order in call if order["verb"] == "SET"]
     assert sent == [f"h{k}" for k in range(2000)]
     assert all(call[-1]["verb"] == "SYNC" for call in relay.calls)
-    bench.until(lambda: OrdersAccepted(5) in bench.module.events)
-    assert bench.module.events.count(OrdersAccepted(5)) == 1  # with its last part
+    bench.until(lambda: OrdersAccepted(5) in bench.policy.events)
+    assert bench.policy.events.count(OrdersAccepted(5)) == 1  # with its last part
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -42,7 +42,7 @@
         os.close(self.fd)
 
 
-def test_changes_of_one_round_share_a_sync_and_none_is_told_before_it(
+def test_changes_of_one_round_share_a_sync_and_none_is_settled_before_it(
     bench: Bench, tmp_path: Path
 ) -> None:
     journal, hand = Journal(Folder(tmp_path)), ByHand()
@@ -70,7 +70,7 @@
     writer.close()
 
 
-def test_a_thread_that_meets_a_defect_tells_it_as_a_failure(bench: Bench, tmp_path: Path) -> None:
+def test_a_job_that_raises_has_an_unknown_outcome(bench: Bench, tmp_path: Path) -> None:
     thread = StorageThread()
     thread.start(lambda: JobResult(Outcome.DONE, 1 // 0, ""))
     done: list[JobResult] = []
