--- a/kelpcourse/cli/__init__.py
+++ b/kelpcourse/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line. `python -m kelpcourse` without arguments is the director and does not come here."""
+"""The command line. `python -m kelpcourse` without arguments is the platform's controller and does not come here."""
--- /dev/null
+++ b/kelpcourse/cli/zone_commands.py
@@ -0,0 +1,134 @@
+"""`kelpcourse zones …`: DNS zones as a source of the endpoint list."""
+
+from __future__ import annotations
+
+import sys
+from collections.abc import Iterable
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+import click
+
+from kelpcourse.cli.errors import exit_with_problems, reports_mistakes
+from kelpcourse.cli.parameters import FILE, FOLDER
+
+if TYPE_CHECKING:
+    from kelpcourse.memory.endpoints import ListedEndpoint
+
+MAX_SERIAL = (1 << 32) - 1
+
+
+@click.group()
+def zones() -> None:
+    """DNS zones as a source of the endpoint list."""
+
+
+@zones.command("check")
+@click.argument("zonefile", type=FILE)
+@click.option("--origin", required=True, help="The zone's name.")
+@click.option(
+    "--service",
+    default="_game._tcp",
+    show_default=True,
+    help="The labels before a zone of endpoints.",
+)
+@click.option("--json", "as_json", is_flag=True, help="An array as discovery has it.")
+@reports_mistakes
+def check(zonefile: Path, origin: str, service: str, as_json: bool) -> None:
+    """List the endpoints that ZONEFILE announces.
+
+    Exit code 1 and a line for each record that can't be used.
+    """
+    from kelpcourse.limits import Limits
+    from kelpcourse.zones.errors import BadZone
+    from kelpcourse.zones.offline import check_file
+
+    try:
+        checked = check_file(zonefile, origin, service, Limits())
+    except BadZone as error:
+        exit_with_problems([str(error)])
+    _show(checked.hosts, as_json)
+    exit_with_problems(checked.problems)
+
+
+@zones.command("serve")
+@click.argument("file", type=FILE)
+@click.option("--listen", default="", help="In place of the address in FILE.")
+@click.option("--state", type=FOLDER, help="In place of the folder in FILE.")
+@reports_mistakes
+def serve(file: Path, listen: str, state: Path | None) -> None:
+    """Run a primary or secondary on its own, without a controller."""
+    from kelpcourse.zones.settings import read_settings
+    from kelpcourse.zones.standalone import serve as run_server
+
+    sys.exit(run_server(read_settings(file, listen, state)))
+
+
+@zones.command("hosts")
+@click.argument("file", type=FILE)
+@click.option("--state", type=FOLDER, help="In place of the folder in FILE.")
+@click.option("--json", "as_json", is_flag=True, help="An array as discovery has it.")
+@reports_mistakes
+def hosts(file: Path, state: Path | None, as_json: bool) -> None:
+    """List what the policy would be given, from the state alone."""
+    from kelpcourse.limits import Limits
+    from kelpcourse.zones.errors import BadZone
+    from kelpcourse.zones.offline import hosts_of, read_state
+    from kelpcourse.zones.settings import read_settings
+
+    settings = read_settings(file, "", state)
+    if settings.state is None:
+        raise BadZone(f"{file}: no state is named, there or by --state")
+    replay = read_state(settings, settings.state, Limits())
+    _show(hosts_of(replay.zones.values()), as_json)
+    exit_with_problems(replay.remarks)
+
+
+@zones.command("restore")
+@click.argument("file", type=FILE)
+@click.argument("origin")
+@click.option(
+    "--serial",
+    type=click.IntRange(0, MAX_SERIAL),
+    required=True,
+    help="As the zone was at this one.",
+)
+@click.option("--json", "as_json", is_flag=True)
+@reports_mistakes
+def restore(file: Path, origin: str, serial: int, as_json: bool) -> None:
+    """Restore the zone ORIGIN as it was at a serial, under a new one."""
+    import orjson
+
+    from kelpcourse.zones.errors import BadZone
+    from kelpcourse.zones.offline import restore as restore_zone
+    from kelpcourse.zones.settings import read_settings
+
+    restored = restore_zone(read_settings(file), origin, serial)
+    if restored.error:
+        raise BadZone(restored.error)
+    if not as_json:
+        click.echo(
+            f"{origin} is as it was at {serial}, now serial {restored.serial}, {restored.hosts} hosts"
+        )
+        return
+    answer = {
+        "origin": origin,
+        "as_at": serial,
+        "serial": restored.serial,
+        "hosts": restored.hosts,
+    }
+    click.echo(orjson.dumps(answer).decode())
+
+
+def _show(endpoints: Iterable[ListedEndpoint], as_json: bool) -> None:
+    """Prints endpoints, as discovery's JSON or one a line."""
+    import orjson
+
+    from kelpcourse.zones.offline import entry
+
+    entries = [entry(endpoint) for endpoint in endpoints]
+    if as_json:
+        click.echo(orjson.dumps(entries, option=orjson.OPT_INDENT_2).decode())
+        return
+    for fields in entries:
+        click.echo(" ".join(f"{name}={value}" for name, value in fields.items()))
