--- a/tests/standins.py
+++ b/tests/standins.py
@@ -90,7 +90,7 @@
 
 
 class Bench:
-    """The runtime of a controller on a fake clock: time passes only while no byte is under way."""
+    """The runtime of a controller on a fake clock: time passes only while no byte is in transit."""
 
     def __init__(self, limits: Limits = QUICK, settings: Settings = SETTINGS) -> None:
         self.clock = FakeClock()
--- a/tests/test_lease_faults.py
+++ b/tests/test_lease_faults.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
+<<<<<<< HEAD
 
+=======
+>>>>>>> shared
 import pytest
 
 from kelpcourse.shared.commands import (
