--- a/tests/discovery_service.py
+++ b/tests/discovery_service.py
@@ -10,7 +10,7 @@
 from tests.standins import QUICK, Bench, Caller, StandIn
 
 
-class Service:
+class DiscoveryService:
     """Answers each connection by the next act of a script."""
 
     def __init__(self, bench: Bench, *script: Callable[[Caller], Coroutine[None]]) -> None:
@@ -69,5 +69,5 @@
     return [event for event in bench.policy.events if isinstance(event, EndpointList)]
 
 
-def client_of(bench: Bench, service: Service, version: int = 41) -> DiscoveryClient:
+def client_of(bench: Bench, service: DiscoveryService, version: int = 41) -> DiscoveryClient:
     return DiscoveryClient(bench.runtime, service.stand_in.address, version)
--- a/tests/listening.py
+++ b/tests/listening.py
@@ -23,9 +23,9 @@
     def __init__(self, bench: Bench) -> None:
         self.bench = bench
         bench.facade.report_cached_list([member("h1")], 1)
-        probe = socket.create_server(("127.0.0.1", 0))
-        self.address = probe.getsockname()
-        probe.close()
+        unused = socket.create_server(("127.0.0.1", 0))
+        self.address = unused.getsockname()
+        unused.close()
         self.listener = Listener(bench.runtime, self.address)
         self.task = bench.loop.start("listener", self.listener.run())
         self.peers: list[socket.socket] = []
@@ -37,7 +37,7 @@
         return peer
 
     def collector(self) -> socket.socket:
-        """A peer that has joined."""
+        """A peer that has identified itself as a collector."""
         before = len(self.bench.log.named("collector_connected"))
         peer = self.connect()
         peer.sendall(b"collector az=east\r\n")
@@ -53,7 +53,7 @@
 
 
 def push(peer: socket.socket, data: bytes) -> bool:
-    """Sends what there is room for; false once the other side has closed."""
+    """Send what the system accepts; false once the other side has closed."""
     try:
         peer.send(data)
     except BlockingIOError:
@@ -70,7 +70,7 @@
 
 
 def received(peer: socket.socket) -> bytes | None:
-    """What has come; empty: closed, None: nothing yet."""
+    """What has come; empty means closed, None means nothing yet."""
     try:
         return peer.recv(4096)
     except BlockingIOError:
--- a/tests/relay_service.py
+++ b/tests/relay_service.py
@@ -13,12 +13,12 @@
 
 
 class Relay:
-    """Answers calls by a script; once that is used up it takes everything."""
+    """Answers calls by a script; after that it accepts everything."""
 
     def __init__(self, bench: Bench, *script: Callable[[Caller, int], Coroutine[None]]) -> None:
         self.calls: list[list[dict[str, object]]] = []
         self.script = list(script)
-        self.ended = 0  # connections that the director closed
+        self.closed_count = 0  # connections that the client closed
         self.stand_in = StandIn(bench.loop, self._serve)
 
     def _serve(self, caller: Caller) -> Coroutine[None]:
@@ -27,9 +27,9 @@
             assert target == "/v3/kv/orders"
             orders = orjson.loads(body)["orders"]
             self.calls.append(orders)
-            act = self.script.pop(0) if self.script else accept_all
-            yield from act(caller, len(orders))
-        self.ended += 1
+            answer = self.script.pop(0) if self.script else accept_all
+            yield from answer(caller, len(orders))
+        self.closed_count += 1
 
     def verbs(self) -> list[list[object]]:
         return [[order["verb"] for order in call] for call in self.calls]
--- a/tests/relays.py
+++ b/tests/relays.py
@@ -1,4 +1,4 @@
-"""What the tests of the relay's client share: orders, an outbox that holds some, and a stand-in event stream."""
+"""Orders, an order queue and a scripted event stream for tests of the relay's clients."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from kelpcourse.wire.loop import Coroutine, Wait
 from tests.standins import MS, QUICK, Bench, Caller, StandIn
 
-SET = SetWeight(0, "h1", 1.5)
-USE = BindProxy(3, 0, ("read",))
-MARK = Checkpoint(5, False)
+SET_WEIGHT = SetWeight(0, "h1", 1.5)
+BIND = BindProxy(3, 0, ("read",))
+CHECKPOINT = Checkpoint(5, False)
 
 
-def outbox_of(*orders: Order) -> OrderQueue:
-    outbox = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
-    outbox.add(orders)
-    return outbox
+def order_queue_of(*orders: Order) -> OrderQueue:
+    order_queue = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
+    order_queue.add(orders)
+    return order_queue
 
 
-class Broadcaster:
-    """Serves news by a script of lines for each connection, then what the test feeds it."""
+class EventBroadcaster:
+    """Serves scripted opening lines on each connection, then the lines that a test appends."""
 
     def __init__(self, bench: Bench, *openings: list[bytes]) -> None:
         self._bench = bench
         self._openings = list(openings)
-        self.feed: list[bytes] = []  # told on every connection
-        self.hang_up = False  # ends the first connection that sees it
+        self.lines: list[bytes] = []  # sent on every connection
+        self.disconnect_next = False  # closes the first connection that sees it
         self.stand_in = StandIn(bench.loop, self._serve)
 
     def _serve(self, caller: Caller) -> Coroutine[None]:
@@ -36,13 +36,13 @@
         yield from caller.open_body()
         for line in self._openings.pop(0):
             yield from caller.line(line)
-        told = 0 if self.stand_in.connections == 1 else len(self.feed)
-        while not self.hang_up:
-            for line in self.feed[told:]:
+        sent_count = 0 if self.stand_in.connections == 1 else len(self.lines)
+        while not self.disconnect_next:
+            for line in self.lines[sent_count:]:
                 yield from caller.line(line)
-            told = len(self.feed)
+            sent_count = len(self.lines)
             yield Wait(self._bench.clock() + MS)
-        self.hang_up = False
+        self.disconnect_next = False
 
 
 def joined(proxy: int, share: float = 2.0) -> bytes:
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -12,7 +12,7 @@
 from kelpcourse.wire.discovery import DiscoveryClient
 from kelpcourse.wire.loop import Coroutine, Wait
 from tests.discovery_service import (
-    Service,
+    DiscoveryService,
     broken_line,
     client_of,
     reported_lists,
@@ -26,7 +26,7 @@
 
 
 def test_a_watch_requests_changes_and_reports_each_object(bench: Bench) -> None:
-    service = Service(
+    service = DiscoveryService(
         bench,
         watch_stream(
             bench,
@@ -46,14 +46,14 @@
 
 
 def test_a_complete_list_may_answer_a_watch(bench: Bench) -> None:
-    service = Service(bench, watch_stream(bench, listed(90, entry("a"))))
+    service = DiscoveryService(bench, watch_stream(bench, listed(90, entry("a"))))
     client_of(bench, service).watch(True)
     bench.until(lambda: reported_lists(bench))
     assert reported_lists(bench)[0].kind is EndpointListKind.FULL
 
 
 def test_a_fetch_reports_the_complete_list(bench: Bench) -> None:
-    service = Service(bench, response_body(listed(50, entry("a"))))
+    service = DiscoveryService(bench, response_body(listed(50, entry("a"))))
     client_of(bench, service).fetch()
     bench.until(lambda: reported_lists(bench))
     assert service.targets == ["/discovery/hosts"]
@@ -67,7 +67,7 @@
 def test_a_failed_watch_or_fetch_is_reported_unavailable_once(
     bench: Bench, fault: Callable[[Caller], Coroutine[None]]
 ) -> None:
-    service = Service(bench, fault, fault)
+    service = DiscoveryService(bench, fault, fault)
     discovery = client_of(bench, service)
     discovery.watch(True)
     bench.until(lambda: reported_lists(bench))
@@ -79,7 +79,7 @@
 
 
 def test_discovery_that_is_down_is_reported_unavailable(bench: Bench) -> None:
-    service = Service(bench)
+    service = DiscoveryService(bench)
     service.stand_in.close()
     client_of(bench, service).watch(True)
     bench.until(lambda: reported_lists(bench))
@@ -87,11 +87,11 @@
 
 
 def test_heartbeats_keep_a_watch_and_silence_ends_it(bench: Bench) -> None:
-    quiet = Service(bench, watch_stream(bench, listed(42, whole=False), then_silent=False))
+    quiet = DiscoveryService(bench, watch_stream(bench, listed(42, whole=False), then_silent=False))
     client_of(bench, quiet).watch(True)
     bench.pass_us(5 * QUICK.watch_silence_us)
     assert [event.kind for event in reported_lists(bench)] == [EndpointListKind.CHANGES]
-    dead = Service(bench, watch_stream(bench, listed(42, whole=False)))
+    dead = DiscoveryService(bench, watch_stream(bench, listed(42, whole=False)))
     client_of(bench, dead).watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 3)
     assert reported_lists(bench)[-1].kind is EndpointListKind.UNAVAILABLE
@@ -104,14 +104,14 @@
             yield from caller.line(b"")
             yield Wait(bench.clock() + 10 * MS)
 
-    service = Service(bench, only_alive)
+    service = DiscoveryService(bench, only_alive)
     client_of(bench, service).watch(True)
     bench.until(lambda: reported_lists(bench))
     assert reported_lists(bench)[0].kind is EndpointListKind.UNAVAILABLE
 
 
 def test_a_restarted_watch_continues_from_the_last_version(bench: Bench) -> None:
-    service = Service(
+    service = DiscoveryService(
         bench,
         watch_stream(bench, listed(43, entry("a"), whole=False)),
         watch_stream(bench, listed(44, whole=False)),
@@ -129,8 +129,8 @@
 
 
 def test_an_invalid_entry_does_not_hold_up_the_others(bench: Bench) -> None:
-    told = listed(43, entry("a"), {"id": "b"}, entry("c", "draining"), whole=False)
-    service = Service(bench, watch_stream(bench, told))
+    reported = listed(43, entry("a"), {"id": "b"}, entry("c", "draining"), whole=False)
+    service = DiscoveryService(bench, watch_stream(bench, reported))
     client_of(bench, service).watch(True)
     bench.until(lambda: reported_lists(bench))
     assert [host.status for host in reported_lists(bench)[0].endpoints] == [
@@ -141,7 +141,7 @@
 
 
 def test_health_checks_use_the_addresses_of_the_last_list(bench: Bench) -> None:
-    service = Service(
+    service = DiscoveryService(
         bench, watch_stream(bench, listed(43, entry("a", address=("127.0.0.2", 7)), whole=False))
     )
     client_of(bench, service).watch(True)
@@ -156,22 +156,24 @@
 
 
 def test_an_entry_with_a_time_out_of_range_is_skipped(bench: Bench) -> None:
-    """It ended the watch by a defect, of which the module never heard: no drain was seen any more."""
-    spoilt = listed(42, entry("a", since=1e18), entry("b"), whole=False)
-    service = Service(bench, watch_stream(bench, spoilt, listed(43, entry("c"), whole=False)))
+    """It ended the watch by an unexpected error that was not reported: no drain was seen any more."""
+    invalid = listed(42, entry("a", since=1e18), entry("b"), whole=False)
+    service = DiscoveryService(
+        bench, watch_stream(bench, invalid, listed(43, entry("c"), whole=False))
+    )
     client_of(bench, service).watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 2)
-    assert [len(told.endpoints) for told in reported_lists(bench)] == [1, 1]
+    assert [len(reported.endpoints) for reported in reported_lists(bench)] == [1, 1]
     assert bench.counters["discovery_messages_rejected"] == 1
 
 
 @pytest.mark.parametrize("call", ["watch", "fetch"])
 def test_an_unexpected_error_in_a_call_is_reported_unavailable(bench: Bench, call: str) -> None:
-    service = Service(bench, silent)
+    service = DiscoveryService(bench, silent)
     discovery = DiscoveryClient(bench.runtime, ("127.0.0.1", 99_999), 41)
     discovery.watch(True) if call == "watch" else discovery.fetch()
     bench.until(lambda: reported_lists(bench))
-    assert [told.kind for told in reported_lists(bench)] == [EndpointListKind.UNAVAILABLE]
+    assert [reported.kind for reported in reported_lists(bench)] == [EndpointListKind.UNAVAILABLE]
     assert [type(error) for error in bench.unexpected_errors] == [OverflowError]
     bench.unexpected_errors.clear()
     discovery.reconnect_to(service.stand_in.address)
@@ -179,15 +181,15 @@
     bench.until(lambda: service.targets)
 
 
-@pytest.mark.parametrize("fault", [silent, broken_line, "signs", unavailable, reset], ids=str)
+@pytest.mark.parametrize("fault", [silent, broken_line, "heartbeats", unavailable, reset], ids=str)
 def test_a_call_without_an_answer_ends_within_its_timeout(bench: Bench, fault: object) -> None:
-    """Open and silent, half a line, empty lines without an object: none holds the module's answer back for longer."""
-    act = watch_stream(bench, then_silent=False) if fault == "signs" else fault
-    service = Service(bench, act)  # type: ignore[arg-type]
+    """Silence, an incomplete line or heartbeats alone: none delays the outcome for longer."""
+    act = watch_stream(bench, then_silent=False) if fault == "heartbeats" else fault
+    service = DiscoveryService(bench, act)  # type: ignore[arg-type]
     began_us = bench.clock()
     client_of(bench, service).watch(True)
     bench.until(lambda: reported_lists(bench))
-    assert [told.kind for told in reported_lists(bench)] == [EndpointListKind.UNAVAILABLE]
+    assert [reported.kind for reported in reported_lists(bench)] == [EndpointListKind.UNAVAILABLE]
     assert (
         bench.clock() - began_us <= QUICK.list_timeout_us + 20 * MS
     )  # the bench's clock, not the machine's
--- a/tests/test_discovery_codec.py
+++ b/tests/test_discovery_codec.py
@@ -12,11 +12,11 @@
 
 def test_entries_are_decoded_and_validated() -> None:
     bad: list[InvalidMessageError] = []
-    told = decode_endpoint_list(
+    message = decode_endpoint_list(
         {"revision": 1, "complete": True, "members": [entry("a", since=1500.5)]}, bad.append
     )
-    assert told.endpoints[0].status is EndpointStatus.READY
-    assert told.endpoints[0].started_ms == 1500.5
+    assert message.endpoints[0].status is EndpointStatus.READY
+    assert message.endpoints[0].started_ms == 1500.5
     assert bad == []
     for name, value in [
         ("id", ""),
--- a/tests/test_discovery_reconnect.py
+++ b/tests/test_discovery_reconnect.py
@@ -10,7 +10,7 @@
 from kelpcourse.wire.loop import Coroutine, Wait
 from kelpcourse.wire.runtime import Backoff
 from tests.discovery_service import (
-    Service,
+    DiscoveryService,
     client_of,
     reported_lists,
     reset,
@@ -22,24 +22,24 @@
 
 
 def reconnected(
-    bench: Bench, old: Service, *new: Callable[[Caller], Coroutine[None]]
-) -> tuple[DiscoveryClient, Service]:
+    bench: Bench, old: DiscoveryService, *new: Callable[[Caller], Coroutine[None]]
+) -> tuple[DiscoveryClient, DiscoveryService]:
     discovery = client_of(bench, old)
     discovery.watch(True)
     bench.until(lambda: reported_lists(bench))
-    other = Service(bench, *new)
+    other = DiscoveryService(bench, *new)
     discovery.reconnect_to(other.stand_in.address)
     return discovery, other
 
 
 def test_a_watch_reconnects_without_a_gap(bench: Bench) -> None:
-    old = Service(bench, watch_stream(bench, listed(42, entry("h1")), then_silent=False))
+    old = DiscoveryService(bench, watch_stream(bench, listed(42, entry("h1")), then_silent=False))
     _, new = reconnected(
         bench, old, watch_stream(bench, listed(43, entry("h1"), whole=False), then_silent=False)
     )
     bench.until(lambda: len(reported_lists(bench)) == 2)
     bench.pass_us(2 * QUICK.watch_silence_us)
-    assert [told.kind for told in reported_lists(bench)] == [
+    assert [reported.kind for reported in reported_lists(bench)] == [
         EndpointListKind.FULL,
         EndpointListKind.CHANGES,
     ]
@@ -49,7 +49,7 @@
 
 def test_the_previous_watch_serves_until_the_new_one_answers(bench: Bench) -> None:
     """Nothing is reported lost while the new address fails at first."""
-    old = Service(bench, watch_stream(bench, listed(42, entry("h1")), then_silent=False))
+    old = DiscoveryService(bench, watch_stream(bench, listed(42, entry("h1")), then_silent=False))
     _, new = reconnected(
         bench,
         old,
@@ -59,17 +59,17 @@
     )
     bench.until(lambda: len(reported_lists(bench)) == 2)
     assert len(new.targets) == 3
-    assert [told.version for told in reported_lists(bench)] == [42, 43]
+    assert [reported.version for reported in reported_lists(bench)] == [42, 43]
 
 
 def test_a_lost_previous_watch_and_a_new_address_that_is_down_are_reported_once(
     bench: Bench,
 ) -> None:
-    old = Service(bench, watch_stream(bench, listed(42, entry("h1"))))
+    old = DiscoveryService(bench, watch_stream(bench, listed(42, entry("h1"))))
     discovery, _ = reconnected(bench, old, *[unavailable] * 50)
     bench.until(lambda: len(reported_lists(bench)) == 2)
     assert reported_lists(bench)[1].kind is EndpointListKind.UNAVAILABLE
-    back = Service(bench, watch_stream(bench, listed(44, entry("h1"))))
+    back = DiscoveryService(bench, watch_stream(bench, listed(44, entry("h1"))))
     discovery.reconnect_to(back.stand_in.address)
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 3)
@@ -77,7 +77,7 @@
 
 
 def test_retries_at_a_new_address_that_is_down_back_off_and_spread() -> None:
-    """A new configuration moves all directors at once: at ten tries a second each, 230 of them were 2,300."""
+    """A new configuration moves all controllers together: 230 of them at ten attempts a second made 2,300."""
     limits = replace(QUICK, watch_retry_us=800 * MS)
     one, other = Backoff(limits, limits.watch_retry_us), Backoff(limits, limits.watch_retry_us, 0.5)
     waits = [(one.next_us(), other.next_us()) for _ in range(12)]
@@ -86,7 +86,7 @@
     bench = Bench(limits)
     _, new = reconnected(
         bench,
-        Service(bench, watch_stream(bench, listed(42, entry("h1")), then_silent=False)),
+        DiscoveryService(bench, watch_stream(bench, listed(42, entry("h1")), then_silent=False)),
         *[unavailable] * 50,
     )
     bench.pass_us(3_000 * MS)
@@ -95,20 +95,20 @@
 
 
 def test_reconnects_close_together_end_at_the_newest_address(bench: Bench) -> None:
-    old = Service(bench, watch_stream(bench, listed(42, entry("h1")), then_silent=False))
+    old = DiscoveryService(bench, watch_stream(bench, listed(42, entry("h1")), then_silent=False))
     discovery, between = reconnected(bench, old, silent)
     bench.until(lambda: between.targets)
-    last = Service(
+    last = DiscoveryService(
         bench, watch_stream(bench, listed(43, entry("h1"), whole=False), then_silent=False)
     )
     discovery.reconnect_to(last.stand_in.address)
     bench.until(lambda: len(reported_lists(bench)) == 2)
     bench.pass_us(2 * QUICK.watch_silence_us)
-    assert [told.version for told in reported_lists(bench)] == [42, 43]
+    assert [reported.version for reported in reported_lists(bench)] == [42, 43]
 
 
 def test_previous_and_new_watch_each_keep_their_own_order(bench: Bench) -> None:
-    """Both counted by one version: what the former told in between made the new one's first line look like a gap."""
+    """With one version for both, what the previous watch sent made the new one's first line look like a gap."""
     pending_lines: list[bytes] = []
 
     def previous(caller: Caller) -> Coroutine[None]:
@@ -128,32 +128,32 @@
         yield from caller.line(listed(44, entry("b"), whole=False))
         yield from caller.silence()
 
-    old, new = Service(bench, previous), Service(bench, reconnected)
+    old, new = DiscoveryService(bench, previous), DiscoveryService(bench, reconnected)
     discovery = client_of(bench, old)
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 1)
     discovery.reconnect_to(new.stand_in.address)
-    bench.until(lambda: any(told.version == 44 for told in reported_lists(bench)))
-    assert EndpointListKind.UNAVAILABLE not in {told.kind for told in reported_lists(bench)}
+    bench.until(lambda: any(reported.version == 44 for reported in reported_lists(bench)))
+    assert EndpointListKind.UNAVAILABLE not in {reported.kind for reported in reported_lists(bench)}
     assert len(new.targets) == 1
 
 
 def test_reconnecting_there_and_back_leaves_one_watch(bench: Bench) -> None:
-    first = Service(
+    first = DiscoveryService(
         bench,
         watch_stream(bench, listed(42, entry("a"), whole=False)),
         watch_stream(
             bench, listed(42, whole=False), listed(43, entry("b"), whole=False), then_silent=False
         ),
     )
-    other = Service(bench, silent)
+    other = DiscoveryService(bench, silent)
     discovery = client_of(bench, first)
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 1)
     discovery.reconnect_to(other.stand_in.address)
     bench.until(lambda: other.targets)
     discovery.reconnect_to(first.stand_in.address)
-    bench.until(lambda: any(told.version == 43 for told in reported_lists(bench)))
+    bench.until(lambda: any(reported.version == 43 for reported in reported_lists(bench)))
     bench.pass_us(3 * QUICK.list_timeout_us)
-    assert EndpointListKind.UNAVAILABLE not in {told.kind for told in reported_lists(bench)}
+    assert EndpointListKind.UNAVAILABLE not in {reported.kind for reported in reported_lists(bench)}
     assert (len(first.targets), len(other.targets)) == (2, 1)
--- a/tests/test_discovery_versions.py
+++ b/tests/test_discovery_versions.py
@@ -5,7 +5,7 @@
 from kelpcourse.policy.events import EndpointListKind, EndpointStatus
 from kelpcourse.wire.loop import Coroutine, Wait
 from tests.discovery_service import (
-    Service,
+    DiscoveryService,
     client_of,
     reported_lists,
     response_body,
@@ -16,7 +16,7 @@
 
 def test_changes_older_than_the_known_version_end_the_watch(bench: Bench) -> None:
     """Something was missed, and only a fresh call can tell what."""
-    service = Service(bench, watch_stream(bench, listed(40, entry("a"), whole=False)))
+    service = DiscoveryService(bench, watch_stream(bench, listed(40, entry("a"), whole=False)))
     client_of(bench, service, 41).watch(True)
     bench.until(lambda: reported_lists(bench))
     assert reported_lists(bench)[0].kind is EndpointListKind.UNAVAILABLE
@@ -25,22 +25,25 @@
 def test_an_older_complete_list_restores_no_draining_endpoint(bench: Bench) -> None:
     """A host that drains was ready again by a list of before."""
     drains = watch_stream(bench, listed(43, entry("a", "draining"), whole=False))
-    service = Service(bench, drains, response_body(listed(41, entry("a"))))
+    service = DiscoveryService(bench, drains, response_body(listed(41, entry("a"))))
     discovery = client_of(bench, service)
     discovery.watch(True)
     bench.until(lambda: reported_lists(bench))
     discovery.fetch()
     bench.until(lambda: len(reported_lists(bench)) == 2)
-    assert [(told.kind, [h.status for h in told.endpoints]) for told in reported_lists(bench)] == [
+    assert [
+        (reported.kind, [h.status for h in reported.endpoints])
+        for reported in reported_lists(bench)
+    ] == [
         (EndpointListKind.CHANGES, [EndpointStatus.DRAINING]),
         (EndpointListKind.UNAVAILABLE, []),
     ]
 
 
 def test_discovery_that_repeats_an_older_list_has_started_over(bench: Bench) -> None:
-    """Else its changes would be turned away for good, and the director would see no drain any more."""
+    """Otherwise its changes would be rejected for good, and no drain would be seen any more."""
     times = QUICK.max_stale_lists
-    service = Service(
+    service = DiscoveryService(
         bench,
         *[response_body(listed(3, entry("a")))] * times,
         watch_stream(bench, listed(4, entry("b"), whole=False)),
@@ -49,9 +52,9 @@
     for count in range(times):
         discovery.fetch()
         bench.until(lambda count=count: len(reported_lists(bench)) == count + 1)  # type: ignore[misc]
-    assert [told.kind for told in reported_lists(bench)] == [EndpointListKind.UNAVAILABLE] * (
-        times - 1
-    ) + [EndpointListKind.FULL]
+    assert [reported.kind for reported in reported_lists(bench)] == [
+        EndpointListKind.UNAVAILABLE
+    ] * (times - 1) + [EndpointListKind.FULL]
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == times + 1)
     assert service.targets[-1].endswith("index=3")
@@ -59,7 +62,7 @@
 
 def test_repeated_older_changes_lead_to_a_request_for_everything(bench: Bench) -> None:
     times = QUICK.max_stale_lists
-    service = Service(
+    service = DiscoveryService(
         bench,
         *[watch_stream(bench, listed(3, whole=False))] * times,
         watch_stream(bench, listed(3, entry("a"))),
@@ -76,13 +79,17 @@
 
 def test_an_older_list_between_newer_ones_is_not_counted(bench: Bench) -> None:
     old, new = response_body(listed(3, entry("a"))), response_body(listed(50, entry("a")))
-    service = Service(bench, old, old, new, old, old, new)
+    service = DiscoveryService(bench, old, old, new, old, old, new)
     discovery = client_of(bench, service)
     for count in range(6):
         discovery.fetch()
         bench.until(lambda count=count: len(reported_lists(bench)) == count + 1)  # type: ignore[misc]
     lost = EndpointListKind.UNAVAILABLE
-    assert [told.kind for told in reported_lists(bench)] == [lost, lost, EndpointListKind.FULL] * 2
+    assert [reported.kind for reported in reported_lists(bench)] == [
+        lost,
+        lost,
+        EndpointListKind.FULL,
+    ] * 2
 
 
 def test_a_fetch_in_between_does_not_end_the_watch(bench: Bench) -> None:
@@ -97,7 +104,7 @@
                 yield Wait(bench.clock() + MS)
             yield from caller.line(pending_lines.pop(0))
 
-    service = Service(bench, watched, response_body(listed(45, entry("a", "draining"))))
+    service = DiscoveryService(bench, watched, response_body(listed(45, entry("a", "draining"))))
     discovery = client_of(bench, service)
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 1)
@@ -106,7 +113,8 @@
     pending_lines += [listed(44, entry("a"), whole=False), listed(46, entry("b"), whole=False)]
     bench.until(lambda: len(reported_lists(bench)) == 3)
     assert [
-        (told.version, [h.status for h in told.endpoints]) for told in reported_lists(bench)
+        (reported.version, [h.status for h in reported.endpoints])
+        for reported in reported_lists(bench)
     ] == [
         (42, [EndpointStatus.READY]),
         (45, [EndpointStatus.DRAINING]),
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -70,15 +70,15 @@
 def test_an_unexpected_error_ends_its_coroutine_alone_and_is_reported() -> None:
     rig = LoopRig()
 
-    def defective() -> Coroutine[None]:
+    def failing() -> Coroutine[None]:
         yield Wait(rig.clock.now)
         raise ZeroDivisionError
 
-    rig.loop.start("defective", defective())
+    rig.loop.start("failing", failing())
     rig.loop.start("sound", rig.record_waits(Wait(rig.clock.now)))
     rig.loop.run_once(rig.clock.now)
     assert [(name, type(error)) for name, error in rig.unexpected_errors] == [
-        ("defective", ZeroDivisionError)
+        ("failing", ZeroDivisionError)
     ]
     assert rig.recorded == [WakeReason.TIMED_OUT]
 
@@ -154,7 +154,7 @@
     assert len(rig.loop._deadlines) < 100
 
 
-# Descriptors that are closed, used anew or waited for twice within one round
+# Descriptors that are closed, reused or waited for twice within one round
 
 
 def test_a_descriptor_closed_before_the_wait_ends_that_coroutine_alone(pair: SocketPair) -> None:
@@ -258,11 +258,11 @@
 def test_an_error_while_closing_a_coroutine_is_not_raised_in_its_stopper() -> None:
     rig = LoopRig()
 
-    def spoilt() -> Coroutine[None]:
+    def failing_on_close() -> Coroutine[None]:
         try:
             yield Wait()
         finally:
             raise KeyError("its end")
 
-    rig.loop.stop(rig.loop.start("spoilt", spoilt()))
-    assert [name for name, _ in rig.unexpected_errors] == ["spoilt"]
+    rig.loop.stop(rig.loop.start("failing_on_close", failing_on_close()))
+    assert [name for name, _ in rig.unexpected_errors] == ["failing_on_close"]
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -21,12 +21,12 @@
     throttle,
     throttle_and_close,
 )
-from tests.relays import MARK, SET, USE, Broadcaster, outbox_of
+from tests.relays import BIND, CHECKPOINT, SET_WEIGHT, EventBroadcaster, order_queue_of
 from tests.standins import MS, QUICK, Bench
 
 
 def test_a_step_is_one_call_and_the_next_reuses_the_connection(bench: Bench) -> None:
-    relay, order_queue = Relay(bench), outbox_of(SET, USE, MARK)
+    relay, order_queue = Relay(bench), order_queue_of(SET_WEIGHT, BIND, CHECKPOINT)
     orders_waiting = start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
     order_queue.add([WithdrawEndpoint("h1"), Checkpoint(6, True)])
@@ -39,15 +39,15 @@
 
 def test_an_order_refused_twice_is_dropped_and_the_rest_is_resent(bench: Bench) -> None:
     relay = Relay(bench, accept_two, accept_none)
-    order_queue = outbox_of(SET, SetWeight(0, "h2", 1.0), USE, MARK)
+    order_queue = order_queue_of(SET_WEIGHT, SetWeight(0, "h2", 1.0), BIND, CHECKPOINT)
     start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["SET", "SET", "USE", "SYNC"], ["USE", "SYNC"], ["SYNC"]]
-    assert bench.log.named("order_rejected") == [{"order": encode_order(USE).decode()}]
+    assert bench.log.named("order_rejected") == [{"order": encode_order(BIND).decode()}]
 
 
 def test_throttled_calls_are_retried(bench: Bench) -> None:
-    relay, order_queue = Relay(bench, throttle, throttle), outbox_of(SET, MARK)
+    relay, order_queue = Relay(bench, throttle, throttle), order_queue_of(SET_WEIGHT, CHECKPOINT)
     start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["SET", "SYNC"]] * 3
@@ -57,7 +57,7 @@
 def test_an_order_refused_once_is_not_dropped(bench: Bench) -> None:
     relay, order_queue = (
         Relay(bench, accept_two),
-        outbox_of(SET, SetWeight(0, "h2", 1.0), USE, MARK),
+        order_queue_of(SET_WEIGHT, SetWeight(0, "h2", 1.0), BIND, CHECKPOINT),
     )
     start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
@@ -66,7 +66,7 @@
 
 
 def test_a_call_rejected_as_invalid_is_retried(bench: Bench) -> None:
-    relay, order_queue = Relay(bench, reject_as_invalid), outbox_of(SET, MARK)
+    relay, order_queue = Relay(bench, reject_as_invalid), order_queue_of(SET_WEIGHT, CHECKPOINT)
     start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["SET", "SYNC"]] * 2
@@ -75,10 +75,13 @@
 
 def test_a_call_that_stays_invalid_is_dropped_for_later_orders(bench: Bench) -> None:
     times = QUICK.max_invalid_responses
-    relay, order_queue = Relay(bench, *[reject_as_invalid] * times), outbox_of(SET, MARK)
+    relay, order_queue = (
+        Relay(bench, *[reject_as_invalid] * times),
+        order_queue_of(SET_WEIGHT, CHECKPOINT),
+    )
     orders_waiting = start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
-    order_queue.add([USE])
+    order_queue.add([BIND])
     orders_waiting.set()
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["SET", "SYNC"]] * times + [["USE"]]
@@ -86,11 +89,11 @@
 
 
 def test_a_connection_closed_while_idle_costs_no_call(bench: Bench) -> None:
-    relay, order_queue = Relay(bench, close_when_idle), outbox_of(SET, MARK)
+    relay, order_queue = Relay(bench, close_when_idle), order_queue_of(SET_WEIGHT, CHECKPOINT)
     orders_waiting = start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
     bench.pass_us(10 * MS)
-    order_queue.add([USE])
+    order_queue.add([BIND])
     orders_waiting.set()
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["SET", "SYNC"], ["USE"]]
@@ -99,7 +102,7 @@
 
 def test_a_connection_closed_between_two_calls_is_not_written_to(bench: Bench) -> None:
     """What is written to it would be lost or not, and the call would count as broken."""
-    relay, order_queue = Relay(bench, throttle_and_close), outbox_of(SET, MARK)
+    relay, order_queue = Relay(bench, throttle_and_close), order_queue_of(SET_WEIGHT, CHECKPOINT)
     start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["SET", "SYNC"]] * 2
@@ -107,18 +110,18 @@
 
 
 def test_an_idle_connection_is_closed_before_the_relay_does_so(bench: Bench) -> None:
-    relay, order_queue = Relay(bench), outbox_of(SET, MARK)
+    relay, order_queue = Relay(bench), order_queue_of(SET_WEIGHT, CHECKPOINT)
     orders_waiting = start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
     bench.pass_us(2 * QUICK.idle_connection_us)
-    order_queue.add([USE])
+    order_queue.add([BIND])
     orders_waiting.set()
     bench.until(lambda: not order_queue.batch_count)
     assert relay.stand_in.connections == 2
 
 
 def test_a_relay_that_was_down_is_reached_again(bench: Bench) -> None:
-    relay, order_queue = Relay(bench), outbox_of(SET, MARK)
+    relay, order_queue = Relay(bench), order_queue_of(SET_WEIGHT, CHECKPOINT)
     relay.stand_in.close()
     start_calls(bench, relay, order_queue)
     bench.until(lambda: bench.counters["relay_calls_failed"] >= 3)
@@ -131,7 +134,11 @@
 
 
 def test_a_call_without_an_answer_is_resent_at_the_new_address(bench: Bench) -> None:
-    old, new, order_queue = Relay(bench, say_nothing), Relay(bench), outbox_of(SET, MARK)
+    old, new, order_queue = (
+        Relay(bench, say_nothing),
+        Relay(bench),
+        order_queue_of(SET_WEIGHT, CHECKPOINT),
+    )
     calls = RelayCalls(bench.runtime, old.stand_in.address, order_queue, Signal())
     bench.loop.start("calls", calls.run())
     bench.until(lambda: old.calls)
@@ -142,21 +149,25 @@
 
 def test_an_idle_connection_to_the_old_address_is_closed(bench: Bench) -> None:
     bench.runtime = replace(bench.runtime, limits=replace(QUICK, idle_connection_us=3_600_000_000))
-    old, new, order_queue = Relay(bench), Relay(bench), outbox_of(SET, MARK)
+    old, new, order_queue = Relay(bench), Relay(bench), order_queue_of(SET_WEIGHT, CHECKPOINT)
     orders_waiting = Signal()
     calls = RelayCalls(bench.runtime, old.stand_in.address, order_queue, orders_waiting)
     bench.loop.start("calls", calls.run())
     bench.until(lambda: not order_queue.batch_count)
     calls.reconnect_to(new.stand_in.address)
-    bench.until(lambda: old.ended)
-    order_queue.add([USE])
+    bench.until(lambda: old.closed_count)
+    order_queue.add([BIND])
     orders_waiting.set()
     bench.until(lambda: not order_queue.batch_count)
     assert (old.verbs(), new.verbs()) == ([["SET", "SYNC"]], [["USE"]])
 
 
 def test_the_old_connection_serves_until_the_new_address_answers(bench: Bench) -> None:
-    old, down, order_queue = Relay(bench, throttle), Relay(bench), outbox_of(SET, MARK)
+    old, down, order_queue = (
+        Relay(bench, throttle),
+        Relay(bench),
+        order_queue_of(SET_WEIGHT, CHECKPOINT),
+    )
     down.stand_in.close()
     calls = RelayCalls(bench.runtime, old.stand_in.address, order_queue, Signal())
     bench.loop.start("calls", calls.run())
@@ -171,7 +182,7 @@
     bench: Bench,
 ) -> None:
     """Raised while a call failed, the signal of new orders ended each wait at once."""
-    relay, order_queue = Relay(bench), outbox_of(SET, MARK)
+    relay, order_queue = Relay(bench), order_queue_of(SET_WEIGHT, CHECKPOINT)
     relay.stand_in.close()
     orders_waiting = start_calls(bench, relay, order_queue)
     for stamp in range(6, 206):
@@ -183,15 +194,15 @@
 
 def test_an_event_stream_that_opens_ends_the_wait_for_a_retry(bench: Bench) -> None:
     bench.runtime = replace(bench.runtime, limits=replace(QUICK, throttled_retry_us=3_600_000_000))
-    relay, order_queue = Relay(bench, throttle), outbox_of(SET, MARK)
-    source = Broadcaster(bench, [b"{}"])
+    relay, order_queue = Relay(bench, throttle), order_queue_of(SET_WEIGHT, CHECKPOINT)
+    source = EventBroadcaster(bench, [b"{}"])
     calls = RelayCalls(bench.runtime, relay.stand_in.address, order_queue, Signal())
     bench.loop.start("calls", calls.run())
     bench.until(lambda: len(relay.calls) == 1)
     bench.pass_us(20 * MS)
     assert len(relay.calls) == 1
     bench.loop.start(
-        "news",
+        "events",
         RelayEventStreams(bench.runtime, source.stand_in.address, order_queue, calls.reachable).run(
             0
         ),
@@ -201,7 +212,7 @@
 
 def test_a_large_step_is_split_into_calls_in_order(bench: Bench) -> None:
     orders: list[Order] = [SetWeight(0, f"h{k}", 1.0) for k in range(2000)]
-    relay, order_queue = Relay(bench), outbox_of(*orders, MARK)
+    relay, order_queue = Relay(bench), order_queue_of(*orders, CHECKPOINT)
     start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
     assert len(relay.calls) > 1
--- a/tests/test_relay_codec.py
+++ b/tests/test_relay_codec.py
@@ -23,7 +23,7 @@
     ThrottledError,
 )
 from kelpcourse.wire.relay_codec import decode_answer, decode_event, encode_call, encode_order
-from tests.relays import MARK, SET
+from tests.relays import CHECKPOINT, SET_WEIGHT
 
 
 def view(text: bytes) -> memoryview:
@@ -52,19 +52,19 @@
 
 
 def test_a_call_holds_what_fits_and_each_part_ends_with_the_checkpoint() -> None:
-    orders: list[Order] = [*(SetWeight(0, f"h{k}", 1.0) for k in range(50)), MARK]
+    orders: list[Order] = [*(SetWeight(0, f"h{k}", 1.0) for k in range(50)), CHECKPOINT]
     body = encode_call(orders, 1000)
     assert len(body.data) <= 1000
     assert 1 < body.order_count < 50
     assert body.checkpoint_added
     assert body.sent_count == body.order_count + 1
     assert orjson.loads(body.data)["orders"][-1]["verb"] == "SYNC"
-    whole = encode_call(orders, 60_000)
-    assert (whole.order_count, whole.checkpoint_added) == (51, False)
+    complete = encode_call(orders, 60_000)
+    assert (complete.order_count, complete.checkpoint_added) == (51, False)
 
 
 def test_an_order_larger_than_a_call_is_sent_alone() -> None:
-    assert encode_call([SetWeight(0, "h" * 300, 1.0), SET], 100).order_count == 1
+    assert encode_call([SetWeight(0, "h" * 300, 1.0), SET_WEIGHT], 100).order_count == 1
 
 
 def test_answers_are_decoded() -> None:
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -7,28 +7,28 @@
 from kelpcourse.policy.events import OrdersAcknowledged, ProxyJoined, ProxyLeft
 from kelpcourse.wire.loop import Signal
 from kelpcourse.wire.relay_events import RelayEventStreams
-from tests.relays import SET, USE, Broadcaster, applied, joined, left, outbox_of
+from tests.relays import BIND, SET_WEIGHT, EventBroadcaster, applied, joined, left, order_queue_of
 from tests.standins import MS, QUICK, Bench
 
 
 def start_streams(
-    bench: Bench, source: Broadcaster, orders: OrderQueue | None = None, streams: int = 1
+    bench: Bench, source: EventBroadcaster, orders: OrderQueue | None = None, streams: int = 1
 ) -> None:
     reader = RelayEventStreams(
         bench.runtime,
         source.stand_in.address,
-        orders if orders is not None else outbox_of(),
+        orders if orders is not None else order_queue_of(),
         Signal(),
     )
     for stream in range(streams):
-        bench.loop.start("news", reader.run(stream))
+        bench.loop.start("events", reader.run(stream))
 
 
 def test_events_reach_the_policy(bench: Bench) -> None:
-    source = Broadcaster(bench, [joined(0), joined(1), b"{}"])
+    source = EventBroadcaster(bench, [joined(0), joined(1), b"{}"])
     start_streams(bench, source)
     bench.order_checkpoints(905)
-    source.feed += [applied(1, 905), applied(1, 906), left(0)]
+    source.lines += [applied(1, 905), applied(1, 906), left(0)]
     bench.until(lambda: ProxyLeft(0) in bench.policy.events)
     assert bench.policy.events[1:] == [
         ProxyJoined(0, "east", 2.0, True),
@@ -40,10 +40,10 @@
 
 def test_after_a_gap_the_snapshot_is_reconciled(bench: Bench) -> None:
     """A proxy in both snapshots may have left and come back; one that is missing has left."""
-    source = Broadcaster(bench, [joined(0), joined(1), b"{}"], [joined(1), joined(2), b"{}"])
+    source = EventBroadcaster(bench, [joined(0), joined(1), b"{}"], [joined(1), joined(2), b"{}"])
     start_streams(bench, source)
     bench.until(lambda: len(bench.policy.events) == 3)
-    source.hang_up = True
+    source.disconnect_next = True
     bench.until(lambda: ProxyLeft(0) in bench.policy.events)
     assert bench.policy.events[3:] == [
         ProxyJoined(1, "east", 2.0, True),
@@ -54,16 +54,16 @@
 
 
 def test_a_stream_that_breaks_beside_another_leaves_no_gap(bench: Bench) -> None:
-    source = Broadcaster(bench, *([joined(0), joined(1), b"{}"] for _ in range(3)))
+    source = EventBroadcaster(bench, *([joined(0), joined(1), b"{}"] for _ in range(3)))
     start_streams(bench, source, streams=2)
     bench.until(lambda: source.stand_in.connections == 2 and len(bench.policy.events) == 3)
     bench.order_checkpoints(5)
-    source.feed += [b"{}", b"{}", b"{}", applied(0, 5)]
+    source.lines += [b"{}", b"{}", b"{}", applied(0, 5)]
     bench.until(lambda: OrdersAcknowledged(0, 5, 1500) in bench.policy.events)
     bench.pass_us(5 * MS)
-    source.hang_up = True
+    source.disconnect_next = True
     bench.until(lambda: source.stand_in.connections == 3)
-    source.feed += [left(1), b"{}"]
+    source.lines += [left(1), b"{}"]
     bench.until(lambda: ProxyLeft(1) in bench.policy.events)
     bench.pass_us(5 * MS)
     assert bench.policy.events[3:] == [OrdersAcknowledged(0, 5, 1500), ProxyLeft(1)]
@@ -71,32 +71,32 @@
 
 
 def test_silence_ends_a_stream(bench: Bench) -> None:
-    source = Broadcaster(bench, [joined(0), b"{}"], [joined(0), b"{}"])
+    source = EventBroadcaster(bench, [joined(0), b"{}"], [joined(0), b"{}"])
     start_streams(bench, source)
     bench.until(lambda: source.stand_in.connections == 2)
     assert bench.log.named("event_stream_lost")[0]["reason"] == "nothing came in time"
 
 
 def test_heartbeats_keep_a_stream(bench: Bench) -> None:
-    source = Broadcaster(bench, [b"{}"])
+    source = EventBroadcaster(bench, [b"{}"])
     start_streams(bench, source)
     for _ in range(6):
         bench.pass_us(QUICK.event_stream_silence_us // 2)
-        source.feed.append(b"{}")
+        source.lines.append(b"{}")
     bench.pass_us(QUICK.event_stream_silence_us // 2)
     assert source.stand_in.connections == 1
 
 
 def test_a_line_that_is_not_json_leads_to_a_new_snapshot(bench: Bench) -> None:
     """What the line was to say is lost, so its stream can't be continued."""
-    source = Broadcaster(bench, [joined(0), b"{}", b'{"type":"jo'], [joined(1), b"{}"])
+    source = EventBroadcaster(bench, [joined(0), b"{}", b'{"type":"jo'], [joined(1), b"{}"])
     start_streams(bench, source)
     bench.until(lambda: ProxyLeft(0) in bench.policy.events)
     assert source.stand_in.connections == 2
 
 
 def test_an_invalid_event_is_skipped(bench: Bench) -> None:
-    source = Broadcaster(bench, [b'{"type":"sung","object":{}}', joined(99), joined(2), b"{}"])
+    source = EventBroadcaster(bench, [b'{"type":"sung","object":{}}', joined(99), joined(2), b"{}"])
     start_streams(bench, source)
     bench.until(lambda: ProxyJoined(2, "east", 2.0, True) in bench.policy.events)
     assert bench.counters["relay_messages_rejected"] == 2
@@ -104,20 +104,20 @@
 
 
 def test_bindings_of_a_proxy_that_left_are_dropped(bench: Bench) -> None:
-    orders = outbox_of(BindProxy(0, 0, ()), SET)
-    source = Broadcaster(bench, [joined(0), b"{}", left(0)])
+    orders = order_queue_of(BindProxy(0, 0, ()), SET_WEIGHT)
+    source = EventBroadcaster(bench, [joined(0), b"{}", left(0)])
     start_streams(bench, source, orders)
     bench.until(lambda: ProxyLeft(0) in bench.policy.events)
-    assert orders.begin_call() == [SET]
+    assert orders.begin_call() == [SET_WEIGHT]
 
 
 def test_an_acknowledgement_covers_superseded_checkpoints(bench: Bench) -> None:
-    orders = outbox_of(SET, Checkpoint(4, False))
-    orders.add([USE, Checkpoint(5, True)])
+    orders = order_queue_of(SET_WEIGHT, Checkpoint(4, False))
+    orders.add([BIND, Checkpoint(5, True)])
     assert orders.begin_call()[-1] == Checkpoint(5, True, (4,))
     orders.accept(3)
     bench.order_checkpoints(4, 5)
-    source = Broadcaster(bench, [joined(3), b"{}", applied(3, 5)])
+    source = EventBroadcaster(bench, [joined(3), b"{}", applied(3, 5)])
     start_streams(bench, source, orders)
     bench.until(lambda: OrdersAcknowledged(3, 5, 1500) in bench.policy.events)
     assert bench.policy.events[-2:] == [
@@ -129,22 +129,25 @@
 def test_streams_reconnect_without_a_gap_and_close_the_old_ones(bench: Bench) -> None:
     """No proxy is reported as left or joined, so none is bound again."""
     snapshot = [joined(0), joined(1), b"{}"]
-    old, new = Broadcaster(bench, snapshot, snapshot), Broadcaster(bench, snapshot, snapshot)
-    reader = RelayEventStreams(bench.runtime, old.stand_in.address, outbox_of(), Signal())
+    old, new = (
+        EventBroadcaster(bench, snapshot, snapshot),
+        EventBroadcaster(bench, snapshot, snapshot),
+    )
+    reader = RelayEventStreams(bench.runtime, old.stand_in.address, order_queue_of(), Signal())
     for stream in reader.streams():
-        bench.loop.start("news", reader.run(stream))
+        bench.loop.start("events", reader.run(stream))
     bench.until(lambda: old.stand_in.connections == 2 and len(bench.policy.events) == 3)
     reader.reconnect_to(new.stand_in.address)
     for stream in reader.streams():
-        bench.loop.start("news", reader.run(stream))
+        bench.loop.start("events", reader.run(stream))
     bench.until(lambda: len(bench.log.named("event_stream_opened")) == 4)
     bench.pass_us(5 * MS)
     assert bench.log.named("event_stream_lost") == []
     for _ in range(4):
-        old.feed += [b"{}"]
+        old.lines += [b"{}"]
         bench.pass_us(5 * MS)
     assert [line["reason"] for line in bench.log.named("event_stream_lost")] == ["moved", "moved"]
-    new.feed += [left(1)]
+    new.lines += [left(1)]
     bench.until(lambda: ProxyLeft(1) in bench.policy.events)
     assert len(bench.policy.events) == 4
     assert old.stand_in.connections == 2
--- a/tests/test_relay_outcome_unknown.py
+++ b/tests/test_relay_outcome_unknown.py
@@ -21,7 +21,7 @@
     say_nothing,
     start_calls,
 )
-from tests.relays import MARK, SET, USE, outbox_of
+from tests.relays import BIND, CHECKPOINT, SET_WEIGHT, order_queue_of
 from tests.standins import MS, QUICK, Bench, Caller, StandIn
 
 CORRUPTED_ANSWERS = [
@@ -45,7 +45,7 @@
     def corrupt(caller: Caller, _: int) -> Coroutine[None]:
         yield from caller.answer(200, answer)
 
-    relay, order_queue = Relay(bench, corrupt), outbox_of(SET, MARK)
+    relay, order_queue = Relay(bench, corrupt), order_queue_of(SET_WEIGHT, CHECKPOINT)
     start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["SET", "SYNC"]] * 2
@@ -56,7 +56,7 @@
 def test_a_call_of_unknown_outcome_is_resent_in_order(
     bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
 ) -> None:
-    relay, order_queue = Relay(bench, fault), outbox_of(SET, MARK)
+    relay, order_queue = Relay(bench, fault), order_queue_of(SET_WEIGHT, CHECKPOINT)
     start_calls(bench, relay, order_queue)
     bench.until(lambda: len(relay.calls) == 1)
     order_queue.add([SetWeight(0, "h1", 2.0), Checkpoint(6, False)])
@@ -76,9 +76,9 @@
 def with_unknown_outcome(
     bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
 ) -> tuple[Relay, OrderQueue]:
-    """The first call breaks, and the module does not let it go again yet."""
+    """The first call breaks, and the policy does not allow to resend it yet."""
     bench.policy.resends = False
-    relay, order_queue = Relay(bench, fault), outbox_of(SET, MARK)
+    relay, order_queue = Relay(bench, fault), order_queue_of(SET_WEIGHT, CHECKPOINT)
     start_calls(bench, relay, order_queue)
     return relay, order_queue
 
@@ -106,7 +106,7 @@
 ) -> None:
     relay, order_queue = with_unknown_outcome(bench, fault)
     bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.policy.events))
-    order_queue.add([USE, Checkpoint(6, False)])
+    order_queue.add([BIND, Checkpoint(6, False)])
     order_queue.acknowledge(5)
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["SET", "SYNC"], ["USE", "SYNC"]]
@@ -129,7 +129,7 @@
             yield Wait(bench.clock() + MS)
 
     bench.policy.resends = False
-    stalled, order_queue = StandIn(bench.loop, takes_nothing), outbox_of(*orders, MARK)
+    stalled, order_queue = StandIn(bench.loop, takes_nothing), order_queue_of(*orders, CHECKPOINT)
     bench.loop.start(
         "calls", RelayCalls(bench.runtime, stalled.address, order_queue, Signal()).run()
     )
@@ -143,7 +143,11 @@
     bench: Bench,
 ) -> None:
     bench.policy.resends = False
-    old, new, order_queue = Relay(bench, say_nothing), Relay(bench), outbox_of(SET, MARK)
+    old, new, order_queue = (
+        Relay(bench, say_nothing),
+        Relay(bench),
+        order_queue_of(SET_WEIGHT, CHECKPOINT),
+    )
     calls = RelayCalls(bench.runtime, old.stand_in.address, order_queue, Signal())
     bench.loop.start("calls", calls.run())
     bench.until(lambda: old.calls)
@@ -158,7 +162,10 @@
 
 def test_a_withdrawal_during_an_unknown_outcome_is_sent_with_the_resent_call(bench: Bench) -> None:
     """Behind it, not ahead: the call may let the same host back."""
-    relay, order_queue = Relay(bench, say_nothing), outbox_of(RestoreEndpoint("h1"), MARK)
+    relay, order_queue = (
+        Relay(bench, say_nothing),
+        order_queue_of(RestoreEndpoint("h1"), CHECKPOINT),
+    )
     bench.policy.resends = False
     start_calls(bench, relay, order_queue)
     bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.policy.events))
--- a/tests/test_report_handler.py
+++ b/tests/test_report_handler.py
@@ -150,7 +150,7 @@
     ids=repr,
 )
 def test_an_unauthenticated_client_is_refused_at_once(front: ListenerRig, said: bytes) -> None:
-    """None of its figures reaches the module, also not of what it said beside a ping."""
+    """None of its reports reaches the policy, even if it has pinged."""
     client = front.connect()
     client.sendall(said)
     front.bench.until(lambda: front.bench.counters["clients_rejected"])
@@ -179,7 +179,7 @@
 
 
 def test_a_complete_line_before_a_close_counts(front: ListenerRig) -> None:
-    """A whole line that was read counts, whatever becomes of the connection in the same round."""
+    """A complete line that was read counts, even if the connection closes in the same round."""
     peer = front.collector()
     peer.sendall(ENDPOINT_REPORT)
     peer.close()
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -186,7 +186,7 @@
     DiscoveryClient(bench.runtime, server.address, 41).fetch()
 
 
-def run_probe(bench: Bench, server: RawServer) -> None:
+def run_health_check(bench: Bench, server: RawServer) -> None:
     bench.facade.report_cached_list([member("h1")], 1)
     HealthChecker(bench.runtime).check("h1", server.address)
 
@@ -205,7 +205,7 @@
 
 
 class RawServer:
-    """Accepts one connection, keeps all that comes over it and answers a whole request by ready-made bytes."""
+    """Accepts one connection, keeps what it receives and answers a complete request by given bytes."""
 
     def __init__(self, answer: bytes) -> None:
         self._answer = answer
@@ -386,9 +386,11 @@
 # Health checks
 
 
-def test_request_bytes_of_a_probe(bench: Bench, server: Callable[[bytes], RawServer]) -> None:
+def test_request_bytes_of_a_health_check(
+    bench: Bench, server: Callable[[bytes], RawServer]
+) -> None:
     endpoint = server(response(b'{"inflight":7,"queue":2,"util":0.61}'))
-    run_probe(bench, endpoint)
+    run_health_check(bench, endpoint)
     assert request_of(bench, endpoint) == (
         b"GET /metrics/load HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\nAccept: application/json\r\n\r\n"
     )
