--- a/kelpcourse/wire/discovery.py
+++ b/kelpcourse/wire/discovery.py
@@ -9,14 +9,13 @@
     decode_endpoint_list,
     watch_path,
 )
-from kelpcourse.wire.errors import HttpStatusError, InvalidMessageError, StreamError
+from kelpcourse.wire.errors import InvalidMessageError, StreamError
 from kelpcourse.wire.fields import parse_json_object
 from kelpcourse.wire.http import HttpClient, connect_http
 from kelpcourse.wire.loop import Coroutine, Task, Wait
 from kelpcourse.wire.runtime import Backoff, Runtime
 from kelpcourse.wire.stream import Address
 
-HTTP_OK = 200
 NO_VERSION = -1
 UNEXPECTED_ERROR = "unexpected error"
 
@@ -189,9 +188,7 @@
         client = yield from connect_http(address, limits, connect_deadline_us)
         try:
             yield from client.send_request("GET", target, None)
-            status = yield from client.read_status(deadline_us)
-            if status != HTTP_OK:
-                raise HttpStatusError(status)
+            yield from client.expect_ok(deadline_us)
         except BaseException:
             client.close()
             raise
--- a/kelpcourse/wire/http.py
+++ b/kelpcourse/wire/http.py
@@ -9,10 +9,17 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.wire.buffers import ReadBuffer
-from kelpcourse.wire.errors import HttpProtocolError, MessageTooLongError, StreamError
+from kelpcourse.wire.errors import (
+    HttpProtocolError,
+    HttpStatusError,
+    MessageTooLongError,
+    StreamError,
+)
 from kelpcourse.wire.loop import Coroutine
 from kelpcourse.wire.stream import Address, Stream, connect
 
+HTTP_OK = 200
+
 
 class HttpClient:
     """One connection; a response body is read as a whole, or line by line as long as it lasts."""
@@ -89,6 +96,17 @@
             raise StreamError("closed without an answer")
         return event.status_code
 
+    def expect_ok(self, deadline_us: int) -> Coroutine[None]:
+        """Read the head of a response that must have status 200.
+
+        Raises:
+            HttpStatusError: The status is another one.
+            StreamError: The connection ended or timed out, or this is not HTTP.
+        """
+        status = yield from self.read_status(deadline_us)
+        if status != HTTP_OK:
+            raise HttpStatusError(status)
+
     def read_body(self, deadline_us: int) -> Coroutine[memoryview]:
         """Read all of a response body.
 
--- a/kelpcourse/wire/relay_events.py
+++ b/kelpcourse/wire/relay_events.py
@@ -8,7 +8,6 @@
 from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.proxies import Applied, Joined, Left, ProxyEvent, ProxyRegistry
 from kelpcourse.wire.errors import (
-    HttpStatusError,
     InvalidMessageError,
     NotJsonError,
     StreamError,
@@ -19,8 +18,6 @@
 from kelpcourse.wire.runtime import Backoff, Runtime
 from kelpcourse.wire.stream import Address
 
-HTTP_OK = 200
-
 
 class RelayEventStreams:
     """Keeps several event streams open and reports each of their events once.
@@ -112,11 +109,7 @@
     def _open(self, stream: int, client: HttpClient) -> Coroutine[None]:
         limits = self._runtime.limits
         yield from client.send_request("GET", self._target, None)
-        status = yield from client.read_status(
-            self._runtime.clock() + limits.event_stream_silence_us
-        )
-        if status != HTTP_OK:
-            raise HttpStatusError(status)
+        yield from client.expect_ok(self._runtime.clock() + limits.event_stream_silence_us)
         now_us = self._runtime.clock()
         self._proxies.stream_opened(stream, now_us, now_us + limits.event_snapshot_timeout_us)
         self._runtime.counters.add("event_streams_opened")
