--- a/kelpcourse/wire/storage.py
+++ b/kelpcourse/wire/storage.py
@@ -11,11 +11,11 @@
 import queue
 import threading
 from collections.abc import Callable
-from dataclasses import dataclass
+from functools import partial
 from typing import Generic, Protocol, TypeVar
 
 from kelpcourse.limits import Limits
-from kelpcourse.store.commit import Append, Commit, Job, Outcome, Settled
+from kelpcourse.store.commit import Append, Commit, Job, JobResult, Outcome, Settled
 from kelpcourse.store.journal import Journal
 from kelpcourse.store.recovery import Recovered
 from kelpcourse.wire.loop import READ, Coroutine, Loop, Signal, Wait
@@ -23,21 +23,6 @@
 T = TypeVar("T")
 
 
-@dataclass(frozen=True)
-class JobResult:
-    """What came of one job.
-
-    Attributes:
-        outcome: Whether the data is durable.
-        written_bytes: Bytes that the job added to the journal, or those of a new snapshot.
-        reason: What went wrong; empty if nothing did.
-    """
-
-    outcome: Outcome
-    written_bytes: int
-    reason: str
-
-
 class JobRunner(Protocol):
     """Runs one job at a time off the loop."""
 
@@ -79,7 +64,7 @@
             try:
                 result = job()
             except Exception as error:
-                result = JobResult(Outcome.UNKNOWN, 0, repr(error))
+                result = JobResult(Outcome.UNKNOWN, reason=repr(error))
             self._results.put(result)
             os.eventfd_write(self.fd, 1)
 
@@ -178,14 +163,11 @@
 
     def _bind(self, job: Job) -> Callable[[], JobResult]:
         if isinstance(job, Append):
-            records = job.records
-            return lambda: JobResult(*self._journal.append(records))
-        number = job.snapshot_number
-        snapshot = self._snapshot()
-        return lambda: JobResult(*self._journal.compact(number, snapshot))
+            return partial(self._journal.append, job.records)
+        return partial(self._journal.compact, job.snapshot_number, self._snapshot())
 
     def _settle(self, result: JobResult) -> None:
-        settled = self._commit.settle(result.outcome, result.written_bytes, self._loop.clock())
+        settled = self._commit.settle(result.outcome, result.size_bytes, self._loop.clock())
         if result.outcome is not Outcome.DONE:
             self._on_failed(result.reason, self._commit.broken)
         self._on_settled(settled)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 
 from kelpcourse.limits import Limits
-from kelpcourse.store.commit import Outcome
+from kelpcourse.store.commit import JobResult, Outcome
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.journal import Journal
-from kelpcourse.wire.storage import DurableWriter, JobResult, StorageThread
+from kelpcourse.wire.storage import DurableWriter, StorageThread
 from tests.standins import Bench
 
 
