--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -5,10 +5,11 @@
 import math
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import replace
-from typing import Any, TypeVar
+from typing import TypeVar
 
 from kelpcourse.policy.actions import (
     Action,
+    Checkpoint,
     RestoreEndpoint,
     SetAdmission,
     SetTimer,
@@ -146,7 +147,7 @@
 
 
 class Day:
-    """Feeds a director, keeps the tables as proxies would hold them, and answers its timers."""
+    """Feeds a policy, keeps the tables as proxies would hold them, and answers its timers."""
 
     def __init__(
         self,
@@ -182,7 +183,7 @@
             self._apply(action)
         return actions
 
-    def _apply(self, action: Any) -> None:
+    def _apply(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             self.timers.append(action)
         elif isinstance(action, SetWeight):
@@ -193,7 +194,7 @@
         elif isinstance(action, SetAdmission):
             for position in action.classes:
                 self.levels[position] = action.limit
-        elif type(action).__name__ == "Checkpoint" and self.answers:
+        elif isinstance(action, Checkpoint) and self.answers:
             self.late += [OrdersAcknowledged(p, action.checkpoint_id, 200_000) for p in self.joined]
 
     def until(self, when: int) -> list[Action]:
--- a/tests/recording.py
+++ b/tests/recording.py
@@ -9,11 +9,11 @@
 
 import hashlib
 import random
-from collections.abc import Callable, Mapping
-from dataclasses import astuple, dataclass, field, replace
-from typing import Any
+from collections.abc import Callable, Iterable, Mapping
+from dataclasses import astuple, dataclass, replace
 
 from kelpcourse.policy.actions import (
+    Action,
     Checkpoint,
     ResendOrders,
     SetAdmission,
@@ -43,7 +43,7 @@
 from tests.fleet import READ, SECOND, SETTINGS, WRITE
 
 
-def canonical(action: Any) -> str:
+def canonical(action: Action) -> str:
     """The action's line on the simulator's wire, then its figures to the last digit."""
     if isinstance(action, ResendOrders):
         return "resend"
@@ -102,11 +102,11 @@
     """Feeds one sequence to the decisions."""
 
     sequence: Sequence
-    digest: Any = field(default_factory=hashlib.sha256)
     actions: int = 0
 
     def __post_init__(self) -> None:
         settings = self.sequence.settings
+        self.digest = hashlib.sha256()
         self.settings = settings
         self.draw = random.Random(self.sequence.seed)
         self.policy = RoutingPolicy(settings)
@@ -171,7 +171,7 @@
             events += self._incidents()
             events += self._reports()
             self._step(events)
-        return str(self.digest.hexdigest())
+        return self.digest.hexdigest()
 
     def _step(self, events: list[Event]) -> None:
         actions = self.policy.step(self.now_us, events)
@@ -181,7 +181,7 @@
             self.digest.update(canonical(action).encode() + b"\n")
             self._apply(action)
 
-    def _apply(self, action: Any) -> None:
+    def _apply(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             self.timers.append((action.due_us, action.name))
         elif isinstance(action, SetWeight):
@@ -240,7 +240,7 @@
         listed = [self._listed(played) for played in changed]
         return [endpoint_list("changes", self.version, listed)]
 
-    def _join(self, proxies: Any) -> list[Event]:
+    def _join(self, proxies: Iterable[ProxyId]) -> list[Event]:
         events: list[Event] = []
         for proxy in proxies:
             self.joined[proxy] = self._zone_of(proxy)
--- a/tests/test_reconnect_storms.py
+++ b/tests/test_reconnect_storms.py
@@ -22,8 +22,19 @@
 from kelpcourse.policy.settings import Settings
 from kelpcourse.wire.loop import Coroutine, Signal
 from kelpcourse.wire.relay_calls import RelayCalls
+from tests.delivery_world import (
+    Bind,
+    DeliveryWorld,
+    LimitAdmission,
+    Order,
+    PolicyDay,
+    Restore,
+    RuleBrokenError,
+    SetEntry,
+    Synchronise,
+    Withdraw,
+)
 from tests.fleet import SECOND, SETTINGS, LongTables, changes, full, host
-from tests.massworld import Broken, MassWorld, ModuleDay, Order
 from tests.standins import MS, Bench, Caller, StandIn, member
 
 ZONES = tuple(f"z{k}" for k in range(8))
@@ -49,24 +60,24 @@
     return lambda _: [h.id for h in draw.sample(HOSTS, 28)]
 
 
-def takeover(seed: int, make: Callable[[Settings], RoutingPolicy] = RoutingPolicy) -> ModuleDay:
+def takeover(seed: int, make: Callable[[Settings], RoutingPolicy] = RoutingPolicy) -> PolicyDay:
     """Four in five directors die right after hosts were announced as leaving.
 
     A second and a third announcement follow while their proxies come, and streams break and
-    return. Raises Broken.
+    return. Raises RuleBrokenError.
     """
-    day = ModuleDay(make, MASS, HOSTS)
+    day = PolicyDay(make, MASS, HOSTS)
     gone = random.Random(seed).sample([h.id for h in HOSTS], 90)
     day.step(full(HOSTS))
-    day.join(range(320), lambda _: [h.id for h in HOSTS[:5]], 0.5, fresh=True)
+    day.join(range(320), lambda _: [h.id for h in HOSTS[:5]], 0.5, has_no_table=True)
     day.run(6)
-    day.step(changes(day.drain(gone[:30], 2), 2))
+    day.step(changes(day.drain(gone[:30]), 2))
     day.run(0.5)
     day.join(range(320, 900), standing(seed), 0.4)
-    day.step(changes(day.drain(gone[30:60], 3), 3))
+    day.step(changes(day.drain(gone[30:60]), 3))
     day.join(range(900, 1_600), standing(seed + 1), 0.7)
     day.run(2)
-    day.step(changes(day.drain(gone[60:], 4), 4))
+    day.step(changes(day.drain(gone[60:]), 4))
     day.run(2)
     day.leave(range(1_000, 1_300))
     day.run(0.3)
@@ -81,7 +92,9 @@
     seed: int, make: Callable[[Settings], RoutingPolicy]
 ) -> None:
     day = takeover(seed, make)
-    assert MASS.max_backlog_entries * 0.5 < day.world.most <= MASS.max_backlog_entries
+    assert (
+        MASS.max_backlog_entries * 0.5 < day.world.max_backlog_entries <= MASS.max_backlog_entries
+    )
     assert len(day.policy.bindings) == 1_600
 
 
@@ -123,7 +136,7 @@
     weaken: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     weaken(monkeypatch)
-    with pytest.raises(Broken):
+    with pytest.raises(RuleBrokenError):
         takeover(1, LongTables)
 
 
@@ -135,7 +148,7 @@
         self, lost: float, make: Callable[[Settings], RoutingPolicy] = RoutingPolicy, seed: int = 1
     ) -> None:
         limits = Limits().for_fleet(MASS.proxy_count)
-        self.world = MassWorld(MASS)
+        self.world = DeliveryWorld(MASS)
         self.bench = Bench(limits, MASS)
         self.facade = self.bench.facade = Facade(MASS, 7, limits, make)
         parts = replace(self.bench.runtime, facade=self.facade)
@@ -194,7 +207,7 @@
                 self.run(1)
 
     def drain(self, names: list[str], version: int) -> None:
-        self.world.withdraw(self.bench.clock.now, names)
+        self.world.drain(self.bench.clock.now, names)
         self.facade.report_list(
             [replace(self.members[n], status=EndpointStatus.DRAINING) for n in names],
             version,
@@ -205,19 +218,20 @@
 def of_wire(order: dict[str, Any]) -> Order:
     match order["verb"]:
         case "SET":
-            return "SET", order["cluster"], order["host"], order["share"]
+            return SetEntry(order["cluster"], order["host"], order["share"])
         case "USE":
-            return "USE", order["sidecar"], order["cluster"]
+            return Bind(order["sidecar"], order["cluster"])
         case "LIMIT":
-            return "LIMIT", order["cluster"]
+            return LimitAdmission(order["cluster"])
         case "SYNC":
-            return "SYNC", order["stamp"]
-        case verb:
-            return "OUT", order["host"], verb == "OUT"
+            return Synchronise(order["stamp"])
+        case "OUT":
+            return Withdraw(order["host"])
+    return Restore(order["host"])
 
 
 def taken_over(day: RealDay) -> RealDay:
-    """Raises Broken."""
+    """Raises RuleBrokenError."""
     day.join(range(320), True, 1)
     day.run(3_000)
     gone = random.Random(1).sample(sorted(day.members), 60)
@@ -241,7 +255,7 @@
     """
     day = taken_over(RealDay(0.15, seed=seed))
     assert day.bench.counters["relay_calls_failed"] >= 3
-    assert len(day.world.out) == 60
+    assert len(day.world.withdrawn) == 60
     day.bench.close()
 
 
@@ -250,6 +264,6 @@
 ) -> None:
     forget_late_joiners(monkeypatch)
     day = RealDay(0, LongTables)
-    with pytest.raises(Broken):
+    with pytest.raises(RuleBrokenError):
         taken_over(day)
     day.bench.close()
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -1,4 +1,4 @@
-"""Withdrawals and lines on a small fleet with a short channel, against the count of tests/massworld.py."""
+"""Withdrawals and lines on a small fleet with a short channel, against the count of tests/delivery_world.py."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 from kelpcourse.policy.draining import Withdrawals
 from kelpcourse.policy.events import EndpointStatus, ProxyJoined
 from kelpcourse.policy.settings import EndpointId, Settings
+from tests.delivery_world import PolicyDay, RuleBrokenError
 from tests.fleet import (
     SECOND,
     SETTINGS,
@@ -24,7 +25,6 @@
     host,
     only,
 )
-from tests.massworld import Broken, ModuleDay
 
 HOSTS = [host(1_000 + k, "east" if k % 2 else "west") for k in range(200)]
 ROLL = replace(  # a restart of directors beside a release: half of the proxies at one director, a channel of 1.8 s
@@ -46,14 +46,14 @@
     return [h.id for h in HOSTS[first : first + count]]
 
 
-def release(make: Callable[[Settings], RoutingPolicy]) -> ModuleDay:
-    """Six in ten hosts are replaced within 7 s while proxies of other directors come. Raises Broken."""
-    day = ModuleDay(make, ROLL, HOSTS)
+def release(make: Callable[[Settings], RoutingPolicy]) -> PolicyDay:
+    """Six in ten hosts are replaced within 7 s while proxies of other directors come. Raises RuleBrokenError."""
+    day = PolicyDay(make, ROLL, HOSTS)
     day.step(full(HOSTS))
-    day.join(range(30), lambda _: numbers(0, 5), 0.5, fresh=True)
+    day.join(range(30), lambda _: numbers(0, 5), 0.5, has_no_table=True)
     day.run(8)
     for version, first in enumerate((0, 40, 80), 2):
-        day.step(changes(day.drain(numbers(first, 40), version), version))
+        day.step(changes(day.drain(numbers(first, 40)), version))
         day.step(
             changes([host(5_000 + first + k, "east", started=day.now) for k in range(40)], version)
         )
@@ -75,20 +75,20 @@
     assert not release(make).policy.withdrawals.draining
 
 
-def takeover(make: Callable[[Settings], RoutingPolicy]) -> ModuleDay:
+def takeover(make: Callable[[Settings], RoutingPolicy]) -> PolicyDay:
     """Four of five directors die right after 30 hosts began to drain.
 
     Their proxies, which hold all hosts and were not told, come to the fifth within a second.
-    Raises Broken.
+    Raises RuleBrokenError.
     """
-    day = ModuleDay(make, ROLL, HOSTS)
+    day = PolicyDay(make, ROLL, HOSTS)
     day.step(full(HOSTS))
-    day.join(range(40), lambda _: numbers(0, 5), 0.5, fresh=True)
+    day.join(range(40), lambda _: numbers(0, 5), 0.5, has_no_table=True)
     day.run(8)
-    day.step(changes(day.drain(numbers(0, 30), 2), 2))
+    day.step(changes(day.drain(numbers(0, 30)), 2))
     day.join(range(40, 240), lambda _: numbers(0, 200), 1.0)
     day.run(1)
-    day.step(changes(day.drain(numbers(30, 30), 3), 3))
+    day.step(changes(day.drain(numbers(30, 30)), 3))
     day.run(8)
     return day
 
@@ -100,7 +100,7 @@
     s were broken 1,482 times.
     """
     assert not takeover(RoutingPolicy).policy.bindings.unbound_since_us
-    with pytest.raises(Broken):
+    with pytest.raises(RuleBrokenError):
         takeover(LongTables)
 
 
@@ -121,11 +121,11 @@
     assert not [a for a in only(told, SetWeight) if a.endpoint in numbers(0, 10)]
 
 
-def restarts_after_a_gap() -> ModuleDay:
+def restarts_after_a_gap() -> PolicyDay:
     """The news had a gap, so all proxies are told as joined once more; then 60 hosts restart at once."""
-    day = ModuleDay(RoutingPolicy, ROLL, HOSTS)
+    day = PolicyDay(RoutingPolicy, ROLL, HOSTS)
     day.step(full(HOSTS))
-    day.join(range(76), lambda _: numbers(0, 5), 0.5, fresh=True)
+    day.join(range(76), lambda _: numbers(0, 5), 0.5, has_no_table=True)
     day.run(10)
     day.step(*(ProxyJoined(p, "east", 2.0, False) for p in range(76)))
     day.run(0.5)
@@ -143,7 +143,7 @@
     day.run(20)
     assert not day.policy.bindings.unbound_since_us
     assert not day.policy.bindings.possibly_stale
-    assert 2_000 < day.world.most <= ROLL.max_backlog_entries
+    assert 2_000 < day.world.max_backlog_entries <= ROLL.max_backlog_entries
 
 
 def test_a_proxy_that_left_unseen_is_bound_again() -> None:
@@ -169,7 +169,7 @@
 
 def test_the_count_finds_entries_left_in_the_tables(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Withdrawals, "withdraw", withdraw_without_entries)
-    with pytest.raises(Broken):
+    with pytest.raises(RuleBrokenError):
         release(LongTables)
 
 
@@ -182,7 +182,7 @@
     day = restarts_after_a_gap()
     for version, first in enumerate((60, 70), 3):
         day.run(1.5)
-        day.step(changes(day.drain(numbers(first, 10), version), version))
+        day.step(changes(day.drain(numbers(first, 10)), version))
     day.run(12)
     assert not day.policy.withdrawals.draining
 
@@ -193,14 +193,14 @@
     A full channel takes 2.38 s: after that its lines stood in the way of nothing any more, and
     6,237 waited where 5,800 may. The rules' times grow with such a channel's.
     """
-    day = ModuleDay(RoutingPolicy, replace(ROLL, drain_grace_us=3 * ROLL.drain_grace_us), HOSTS)
+    day = PolicyDay(RoutingPolicy, replace(ROLL, drain_grace_us=3 * ROLL.drain_grace_us), HOSTS)
     day.step(full(HOSTS))
-    day.join(range(2), lambda _: numbers(0, 5), 0.5, fresh=True)
+    day.join(range(2), lambda _: numbers(0, 5), 0.5, has_no_table=True)
     day.run(8)
-    day.step(changes(day.drain(numbers(0, 40), 2), 2))
+    day.step(changes(day.drain(numbers(0, 40)), 2))
     day.run(1)
-    day.world.stand_still(day.now, 3_000_000)
+    day.world.stall(day.now, 3_000_000)
     day.join(range(2, 33), lambda _: numbers(0, 200), 0.6)
-    day.step(changes(day.drain(numbers(40, 20), 3), 3))
+    day.step(changes(day.drain(numbers(40, 20)), 3))
     day.join(range(33, 60), lambda _: numbers(0, 200), 1.5)
     day.run(4)
