--- a/tests/loop_rig.py
+++ b/tests/loop_rig.py
@@ -11,7 +11,7 @@
 
 
 class LoopRig:
-    """Records wake reasons, and the errors that ended tasks."""
+    """RecordingLog wake reasons, and the errors that ended tasks."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
--- a/tests/test_report_handler.py
+++ b/tests/test_report_handler.py
@@ -32,11 +32,11 @@
 def test_reports_that_arrive_together_are_one_step(front: ListenerRig) -> None:
     one, other = front.collector(), front.collector()
     front.bench.pass_us(5 * MS)
-    steps = len(front.bench.module.steps)
+    steps = len(front.bench.policy.steps)
     one.sendall(ENDPOINT_REPORT * 40)
     other.sendall(DEMAND_REPORT * 40)
     front.bench.until(lambda: len(front.reports()) == 80)
-    assert len(front.bench.module.steps) == steps + 1
+    assert len(front.bench.policy.steps) == steps + 1
 
 
 def test_a_message_in_single_bytes_is_one_message(front: ListenerRig) -> None:
@@ -150,7 +150,7 @@
     ids=repr,
 )
 def test_an_unauthenticated_client_is_refused_at_once(front: ListenerRig, said: bytes) -> None:
-    """None of its figures reaches the module, also not of what it said beside a ping."""
+    """None of its reports reaches the policy, even if it has pinged."""
     client = front.connect()
     client.sendall(said)
     front.bench.until(lambda: front.bench.counters["clients_rejected"])
@@ -179,7 +179,7 @@
 
 
 def test_a_complete_line_before_a_close_counts(front: ListenerRig) -> None:
-    """A whole line that was read counts, whatever becomes of the connection in the same round."""
+    """A complete line that was read counts, even if the connection closes in the same round."""
     peer = front.collector()
     peer.sendall(ENDPOINT_REPORT)
     peer.close()
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""The durable writer and the storage thread in the loop."""
+"""The store in the loop: what one round stages shares a sync, and a job that raises has failed."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from pathlib import Path
 
 from kelpcourse.limits import Limits
-from kelpcourse.store.commit import Outcome
+from kelpcourse.store.commit import JobResult, Outcome
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.journal import Journal
-from kelpcourse.wire.storage import DurableWriter, JobResult, StorageThread
+from kelpcourse.wire.storage import DurableWriter, StorageThread
 from tests.standins import Bench
 
 
 class ManualRunner:
-    """A runner whose jobs run when the test says so."""
+    """A JobRunner whose jobs run when a test says so."""
 
     def __init__(self) -> None:
         self.fd = os.eventfd(0, os.EFD_NONBLOCK)
         self.job: object = None
-        self.ran = 0
-        self._done: list[JobResult] = []
+        self.run_count = 0
+        self._results: list[JobResult] = []
 
     def start(self, work: object) -> None:
         self.job = work
@@ -28,15 +28,15 @@
     def run_job(self) -> None:
         work, self.job = self.job, None
         assert callable(work)
-        self._done.append(work())
-        self.ran += 1
+        self._results.append(work())
+        self.run_count += 1
         os.eventfd_write(self.fd, 1)
 
     def take_result(self) -> JobResult | None:
-        if not self._done:
+        if not self._results:
             return None
         os.eventfd_read(self.fd)
-        return self._done.pop()
+        return self._results.pop()
 
     def close(self) -> None:
         os.close(self.fd)
@@ -66,7 +66,7 @@
     assert durable == []
     runner.run_job()
     bench.until(lambda: durable)
-    assert (len(durable), runner.ran) == (50, 2)
+    assert (len(durable), runner.run_count) == (50, 2)
     writer.close()
 
 
@@ -82,5 +82,5 @@
     bench.until(has_ended, 1_000_000)
     thread.close()
     assert results[0] == JobResult(
-        Outcome.UNSURE, 0, "ZeroDivisionError('integer division or modulo by zero')"
+        Outcome.UNKNOWN, 0, "ZeroDivisionError('integer division or modulo by zero')"
     )
