--- a/kelpcourse/cli/main.py
+++ b/kelpcourse/cli/main.py
@@ -22,11 +22,11 @@
     from kelpcourse.kdl import SettingsError
     from kelpcourse.service.config import ConfigError
     from kelpcourse.store.errors import FolderInUseError, NoAnswerError
-    from kelpcourse.zones.errors import BadZone
+    from kelpcourse.zones.errors import ZoneError
 
     try:
         yield
-    except (SettingsError, ConfigError, BadZone, FolderInUseError, NoAnswerError) as error:
+    except (SettingsError, ConfigError, ZoneError, FolderInUseError, NoAnswerError) as error:
         click.echo("\n".join(f"kelpcourse: {line}" for line in str(error).splitlines()), err=True)
         sys.exit(BAD_SETTINGS)
     except OSError as error:
@@ -105,12 +105,12 @@
 def zones_check(zonefile: Path, origin: str, service: str, as_json: bool) -> None:
     """The hosts that ZONEFILE announces; exit 1 and a line for each record that can't be used."""
     from kelpcourse.limits import Limits
-    from kelpcourse.zones.errors import BadZone
+    from kelpcourse.zones.errors import ZoneError
     from kelpcourse.zones.offline import check_file
 
     try:
         checked = check_file(zonefile, origin, service, Limits())
-    except BadZone as error:
+    except ZoneError as error:
         _end_with([str(error)])
         raise AssertionError from None
     _show(checked.hosts, as_json)
@@ -158,13 +158,13 @@
 def zones_hosts(file: Path, state: Path | None, as_json: bool) -> None:
     """What the decision module would be told, from the state alone."""
     from kelpcourse.limits import Limits
-    from kelpcourse.zones.errors import BadZone
+    from kelpcourse.zones.errors import ZoneError
     from kelpcourse.zones.offline import hosts_of, read_state
     from kelpcourse.zones.settings import read_settings
 
     settings = read_settings(file, "", state)
     if settings.state is None:
-        raise BadZone(f"{file}: no state is named, there or by --state")
+        raise ZoneError(f"{file}: no state is named, there or by --state")
     replay = read_state(settings, settings.state, Limits())
     _show(hosts_of(replay.zones.values()), as_json)
     _end_with(replay.remarks)
@@ -185,13 +185,13 @@
     """Puts the zone ORIGIN back as it was at a serial, under a new one."""
     import orjson
 
-    from kelpcourse.zones.errors import BadZone
+    from kelpcourse.zones.errors import ZoneError
     from kelpcourse.zones.offline import restore
     from kelpcourse.zones.settings import read_settings
 
     restored = restore(read_settings(file), origin, serial)
     if restored.error:
-        raise BadZone(restored.error)
+        raise ZoneError(restored.error)
     if as_json:
         click.echo(
             orjson.dumps(
--- a/kelpcourse/zones/book.py
+++ b/kelpcourse/zones/book.py
@@ -10,7 +10,7 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.zones.content import Difference, Record, between, zone_of
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.held import HeldZone
 
 
@@ -54,7 +54,7 @@
     try:
         return _decoder.decode(payload)
     except msgspec.DecodeError as error:
-        raise BadZone(f"an entry of the store can't be read: {error}") from None
+        raise ZoneError(f"an entry of the store can't be read: {error}") from None
 
 
 def snapshot(zones: Iterable[HeldZone], others: Iterable[Kept]) -> bytes:
@@ -102,7 +102,7 @@
     def _run_one(self, payload: bytes) -> None:
         try:
             self._take(decode(payload))
-        except BadZone as error:  # told; the version that stands is a whole one
+        except ZoneError as error:  # told; the version that stands is a whole one
             self.remarks.append(str(error))
 
     def _take(self, entry: Entry) -> None:
--- a/kelpcourse/zones/content.py
+++ b/kelpcourse/zones/content.py
@@ -15,7 +15,7 @@
 import dns.rdatatype
 import msgspec
 
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.serials import after
 
 SOA = int(dns.rdatatype.SOA)
@@ -122,7 +122,7 @@
     @property
     def soa_data(self) -> bytes:
         if self._soa is None:
-            raise BadZone(f"{self.origin} has no SOA")
+            raise ZoneError(f"{self.origin} has no SOA")
         return self._soa
 
     @property
@@ -197,13 +197,13 @@
                 self._inner.pop(owner, None)
 
     def apply(self, difference: Difference) -> None:
-        """Raises BadZone, with nothing changed, if the difference does not start from this version."""
+        """Raises ZoneError, with nothing changed, if the difference does not start from this version."""
         owners = self._owners
         for owner, type_, _, data in difference.removed:
             sets = owners.get(owner)
             held = sets.get(type_) if sets is not None else None
             if held is None or data not in held.data:
-                raise BadZone(f"{owner} has no such {type_name(type_)} record to be removed")
+                raise ZoneError(f"{owner} has no such {type_name(type_)} record to be removed")
         for record in difference.removed:
             self.take(record)
         for record in difference.added:
@@ -337,9 +337,9 @@
             self.set_soa(with_serial(self.soa_data, after(self.zone.serial)))
 
     def difference(self, at_ms: int) -> Difference:
-        """Raises BadZone if the version to be has no SOA."""
+        """Raises ZoneError if the version to be has no SOA."""
         if not self.soa_data:
-            raise BadZone(f"{self.origin} has no SOA")
+            raise ZoneError(f"{self.origin} has no SOA")
         before = self.zone.serial if self.zone.exists else None
         return Difference(
             before,
--- a/kelpcourse/zones/desk.py
+++ b/kelpcourse/zones/desk.py
@@ -29,7 +29,7 @@
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.answer import fill, look_up
 from kelpcourse.zones.content import SOA, Difference, data_of, soa_of
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.grants import Grant, HostClass
 from kelpcourse.zones.held import HeldZone
 from kelpcourse.zones.names import canonical, is_under
@@ -379,7 +379,7 @@
         difference = draft.difference(backstage.unix_ms())
         try:
             why = zone.judge(difference, grant, backstage.classes, now_us)
-        except BadZone as error:
+        except ZoneError as error:
             why = str(error)
         if why:
             self._refused(None, zone.origin, dns.rcode.REFUSED, why, grant.key)
--- a/kelpcourse/zones/errors.py
+++ b/kelpcourse/zones/errors.py
@@ -1,7 +1,7 @@
-"""What can be wrong with a zone."""
+"""Errors of the package: one base, so that a caller can handle any fault of a zone alike."""
 
 from __future__ import annotations
 
 
-class BadZone(ValueError):
-    """A zone, name or record that can't be used; the text names the place."""
+class ZoneError(ValueError):
+    """A zone, name or record cannot be used; the text names the place."""
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -28,7 +28,7 @@
 from kelpcourse.zones.belief import Contradiction, Verdict, Version
 from kelpcourse.zones.content import SOA, Difference, Zone
 from kelpcourse.zones.desk import serial_of
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.held import HeldZone
 from kelpcourse.zones.names import to_name
 from kelpcourse.zones.refresh import Refresh
@@ -50,7 +50,7 @@
         self.log = log
 
     def ask(self, query: dns.message.Message, peer: Primary) -> Coroutine[dns.message.Message]:
-        """The answer over UDP, or over TCP where UDP brings none. Raises Broken or BadZone."""
+        """The answer over UDP, or over TCP where UDP brings none. Raises Broken or ZoneError."""
         for _ in range(ASK_TRIES):
             message = yield from self.ask_udp(query, peer)
             if message is not None and not message.flags & dns.flags.TC:
@@ -115,7 +115,7 @@
         xfr=multi,
     )
     if peer.key is not None and not multi and not message.had_tsig:
-        raise BadZone("an unsigned answer to a signed question")
+        raise ZoneError("an unsigned answer to a signed question")
     return message
 
 
@@ -146,7 +146,7 @@
         )
 
     def next(self) -> Coroutine[tuple[bytes, dns.message.Message]]:
-        """Raises Broken or BadZone."""
+        """Raises Broken or ZoneError."""
         limits = self._asker.limits
         until_us = self._asker.loop.clock() + limits.transfer_silence_us
         while True:
@@ -169,11 +169,11 @@
         try:
             message = read_answer(wire, self._query, self._peer, self._context, multi)
         except TOLD as error:
-            raise BadZone(
+            raise ZoneError(
                 f"an answer that can't be used: {type(error).__name__}: {error}"
             ) from None
         if message.id != self._query.id or not message.flags & dns.flags.QR:
-            raise BadZone("an answer to another question")
+            raise ZoneError("an answer to another question")
         self._context = message.tsig_ctx
         return wire, message
 
@@ -239,7 +239,7 @@
         log, clock = self._asker.log, self._asker.loop.clock
         try:
             verdict = yield from self._follow(peer)
-        except (StreamError, BadZone, dns.xfr.UseTCP) as error:
+        except (StreamError, ZoneError, dns.xfr.UseTCP) as error:
             self._asker.counters.add("zone_soa_queries_failed")
             self._tell(
                 self._held.belief.forget(str(peer)) if isinstance(error, StreamTimeoutError) else []
@@ -267,7 +267,7 @@
         message = yield from self._asker.ask(query, peer)
         told = serial_of(message, self._held.origin)
         if message.rcode() != dns.rcode.NOERROR or told is None:
-            raise BadZone(f"no SOA of {self._held.origin}: {dns.rcode.to_text(message.rcode())}")
+            raise ZoneError(f"no SOA of {self._held.origin}: {dns.rcode.to_text(message.rcode())}")
         verdict, contradictions = self._held.belief.offer(str(peer), Version(*told))
         self._tell(contradictions)
         if verdict is Verdict.NEWER:
@@ -279,7 +279,7 @@
         if held.zone.exists and not held.belief.expired:
             try:
                 return (yield from self._transfer(peer, IXFR))
-            except (Unfit, BadZone, StreamError) as error:
+            except (Unfit, ZoneError, StreamError) as error:
                 self._asker.counters.add("zone_ixfr_failed")
                 self._asker.log.event(
                     "zone_ixfr_failed", zone=held.origin, primary=str(peer), reason=str(error)
@@ -316,7 +316,7 @@
         zone, draft = incoming.result()
         version = offered(zone, draft)
         if version is None:
-            raise BadZone("the transfer brought nothing newer")
+            raise ZoneError("the transfer brought nothing newer")
         verdict, contradictions = self._held.belief.offer(str(peer), version)
         self._tell(contradictions)
         if verdict is not Verdict.NEWER:
--- a/kelpcourse/zones/grants.py
+++ b/kelpcourse/zones/grants.py
@@ -15,7 +15,7 @@
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.content import SOA, Difference, type_name
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import is_under, labels, read_name
 
 
@@ -64,20 +64,20 @@
 def read_grant(
     key: str, origin: str, names: Iterable[str], types: Iterable[str], most: float, within_us: int
 ) -> Grant:
-    """Names are relative to the origin unless they end in a dot. Raises BadZone."""
+    """Names are relative to the origin unless they end in a dot. Raises ZoneError."""
     absolute = []
     for name in names:
         full = name if name.endswith(".") else f"{name}.{origin}" if name != "@" else origin
         key_name = read_name(full, "name")
         if not is_under(key_name, origin):
-            raise BadZone(f"name {name!r} is not in {origin}")
+            raise ZoneError(f"name {name!r} is not in {origin}")
         absolute.append(key_name)
     numbers = []
     for type_ in types:
         try:
             numbers.append(int(dns.rdatatype.from_text(type_)))
         except (dns.rdatatype.UnknownRdatatype, ValueError):
-            raise BadZone(f"type {type_!r} is not one of records") from None
+            raise ZoneError(f"type {type_!r} is not one of records") from None
     return Grant(key, tuple(absolute), tuple(numbers), most, within_us)
 
 
--- a/kelpcourse/zones/held.py
+++ b/kelpcourse/zones/held.py
@@ -10,7 +10,7 @@
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.zones.belief import Belief, Version
 from kelpcourse.zones.content import Difference, Draft, Zone, between
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.grants import Grant, HostClass, Losses, refusal
 from kelpcourse.zones.history import History
 from kelpcourse.zones.meaning import Meaning
@@ -39,16 +39,16 @@
 
     def take(self, difference: Difference, now_us: int) -> Changes:
         """A version that is durable, or can be had again: from now on it is served and announced. Raises
-        BadZone, with nothing changed, if it does not follow on."""
+        ZoneError, with nothing changed, if it does not follow on."""
         if self.zone.exists and difference.before != self.zone.serial:
-            raise BadZone(
+            raise ZoneError(
                 f"{self.origin}: a change from serial {difference.before} on {self.zone.serial}"
             )
         if (
             len(self.zone) + len(difference.added) - len(difference.removed)
             > self._limits.max_zone_records
         ):
-            raise BadZone(f"{self.origin}: more than {self._limits.max_zone_records} records")
+            raise ZoneError(f"{self.origin}: more than {self._limits.max_zone_records} records")
         self.zone.apply(difference)
         self.history.add(difference)
         self.belief.take(Version(self.zone.serial, self.zone.soa_data))
@@ -59,7 +59,7 @@
     def replay(self, difference: Difference) -> None:
         """A version out of the store. What follows from it is worked out once, by `wake`."""
         if self.zone.exists and difference.before != self.zone.serial:
-            raise BadZone(
+            raise ZoneError(
                 f"{self.origin}: a change from serial {difference.before} on {self.zone.serial}"
             )
         self.zone.apply(difference)
--- a/kelpcourse/zones/history.py
+++ b/kelpcourse/zones/history.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 
 from kelpcourse.zones.content import SOA, Difference, Record, Zone, between, with_serial
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.serials import after
 
 
@@ -63,11 +63,11 @@
 
 
 def put_back(zone: Zone, history: History, serial: int, at_ms: int) -> Difference:
-    """The zone as it was at `serial`, as the version after the one held. Raises BadZone with what is known."""
+    """The zone as it was at `serial`, as the version after the one held. Raises ZoneError with what is known."""
     former = as_at(zone, history, serial)
     if former is None:
         known = ", ".join(map(str, history.serials())) or "none"
-        raise BadZone(f"{zone.origin} is not known as it was at serial {serial}; known: {known}")
+        raise ZoneError(f"{zone.origin} is not known as it was at serial {serial}; known: {known}")
     soa = former.get(zone.origin, SOA)
     assert soa is not None
     ttl, data = soa.ttl, next(iter(soa.data))
--- a/kelpcourse/zones/meaning.py
+++ b/kelpcourse/zones/meaning.py
@@ -22,7 +22,7 @@
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.content import Difference, Record, Zone
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under, labels, read_name, relative
 
 SRV = int(dns.rdatatype.SRV)
@@ -108,7 +108,7 @@
     def _touch_srv(self, record: Record, touched: dict[str, None], there: bool) -> None:
         try:
             target, place = self._read_srv(record)
-        except BadZone as error:
+        except ZoneError as error:
             problem = Problem(
                 record.owner, "target" if "target" in str(error) else "owner", str(error)
             )
@@ -127,13 +127,13 @@
         parts = labels(record.owner)
         room = parts[len(self._service) : len(parts) - len(labels(self.origin))]
         if len(room) != 1:
-            raise BadZone(f"not SERVICE.ZONE-OF-HOSTS.{self.origin}")
+            raise ZoneError(f"not SERVICE.ZONE-OF-HOSTS.{self.origin}")
         priority, weight, port = SRV_HEAD.unpack_from(record.data)
         target = _name_in(record.data, SRV_HEAD.size)
         if target == ".":
-            raise BadZone("target is the root: the service is not there (RFC 2782)")
+            raise ZoneError("target is the root: the service is not there (RFC 2782)")
         if target == self.origin or not is_under(target, self.origin):
-            raise BadZone(f"target {target} is not below {self.origin}")
+            raise ZoneError(f"target {target} is not below {self.origin}")
         return target, Place(priority, room[0], port, weight, record.owner)
 
     def _weigh(self, target: str, zone: Zone, out: dict[str, ListedEndpoint | None]) -> None:
--- a/kelpcourse/zones/names.py
+++ b/kelpcourse/zones/names.py
@@ -7,7 +7,7 @@
 import dns.exception
 import dns.name
 
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 
 
 def canonical(name: dns.name.Name) -> str:
@@ -25,7 +25,7 @@
     try:
         return canonical(dns.name.from_text(text))
     except (dns.exception.DNSException, UnicodeError) as error:
-        raise BadZone(f"{field} is not a name: {text!r:.80}: {error}") from None
+        raise ZoneError(f"{field} is not a name: {text!r:.80}: {error}") from None
 
 
 def labels(key: str) -> tuple[str, ...]:
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -19,7 +19,7 @@
 from kelpcourse.store.spool import send_command
 from kelpcourse.wire.loop import Loop
 from kelpcourse.zones.book import Replay
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.held import HeldZone
 from kelpcourse.zones.names import read_name
 from kelpcourse.zones.service import Around, Restore, Restored, Zones
@@ -37,7 +37,7 @@
 
 
 def check_file(path: Path, origin: str, service: str, limits: Limits) -> Checked:
-    """The hosts that a zone file announces, and each record that can't be used. Raises BadZone if none can."""
+    """The hosts that a zone file announces, and each record that can't be used. Raises ZoneError if none can."""
     held = HeldZone(read_name(origin, "origin"), service, limits)
     held.take(held.replace(read_file(path, held.origin, limits), 0), 0)
     return Checked(
@@ -47,7 +47,7 @@
 
 
 def read_state(settings: ZonesSettings, state: Path, limits: Limits) -> Replay:
-    """What the folder holds, read beside a server that may be writing there. Raises BadZone or OSError."""
+    """What the folder holds, read beside a server that may be writing there. Raises ZoneError or OSError."""
     folder = Folder(state)
     for attempt in range(READ_TRIES):
         try:
@@ -86,9 +86,9 @@
 
 
 def restore(settings: ZonesSettings, origin: str, serial: int) -> Restored:
-    """By the server that runs on this state, or, if none does, here. Raises BadZone or OSError."""
+    """By the server that runs on this state, or, if none does, here. Raises ZoneError or OSError."""
     if settings.state is None:
-        raise BadZone("the settings name no state: no former version is kept")
+        raise ZoneError("the settings name no state: no former version is kept")
     command = Restore(read_name(origin, "ORIGIN"), serial)
     folder = Folder(settings.state)
     try:
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -35,7 +35,7 @@
 )
 from kelpcourse.zones.content import Difference, Zone
 from kelpcourse.zones.desk import Desk, Ticket
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.follower import Asker, Follower, Notifier, same
 from kelpcourse.zones.grants import Grant, HostClass, bare
 from kelpcourse.zones.held import Changes, HeldZone
@@ -66,7 +66,7 @@
 
 
 class Zones:
-    """Made and started by whoever hosts it. Raises BadSettings, FolderInUseError, BadZone or OSError at the
+    """Made and started by whoever hosts it. Raises BadSettings, FolderInUseError, ZoneError or OSError at the
     start; later trouble is logged and lived with."""
 
     def __init__(
@@ -399,7 +399,7 @@
         read = partial(read_file, path, zone.origin, self._around.limits)
         try:
             new = yield from run_in_thread(read)
-        except BadZone as error:
+        except ZoneError as error:
             self._bad_file(zone, error)
             return
         while self.held[zone.origin].staged:  # updates that wait for the disk come first
@@ -418,12 +418,12 @@
         self._moved(zone, path)
         try:
             new = read_file(path, zone.origin, self._around.limits)
-        except BadZone as error:
+        except ZoneError as error:
             self._bad_file(zone, error)
             return
         self._take_file(zone, path, new)
 
-    def _bad_file(self, zone: ZoneSettings, error: BadZone) -> None:
+    def _bad_file(self, zone: ZoneSettings, error: ZoneError) -> None:
         """The zone that stands serves on."""
         self._around.counters.add("zone_files_rejected")
         self._around.log.always("zone_file_rejected", zone=zone.origin, reason=str(error))
@@ -446,7 +446,7 @@
             )
             self._bad_file(
                 zone,
-                BadZone(
+                ZoneError(
                     f"{path}: serial {new.serial} is not believed beside {held.zone.serial}: {text}"
                 ),
             )
@@ -486,7 +486,7 @@
             return
         try:
             difference = put_back(held.zone, held.history, command.serial, self.unix_ms())
-        except BadZone as error:
+        except ZoneError as error:
             answer(Restored(error=str(error)))
             return
 
--- a/kelpcourse/zones/settings.py
+++ b/kelpcourse/zones/settings.py
@@ -18,7 +18,7 @@
 from kelpcourse.wire.errors import InvalidMessageError
 from kelpcourse.wire.fields import parse_address
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.grants import Grant, read_grant
 from kelpcourse.zones.names import is_under, labels, read_name
 
@@ -189,7 +189,7 @@
     def _name(self, block: Block, text: str, field: str) -> str:
         try:
             return read_name(text, "")
-        except BadZone:
+        except ZoneError:
             self._note(block, field, f"is not a name: {text!r:.80}")
             return ""
 
@@ -269,7 +269,7 @@
             return read_grant(
                 key, origin, block.names, block.types, block.most, round(block.within * 1e6)
             )
-        except BadZone as error:
+        except ZoneError as error:
             self._note(block, "zones.zone.update", str(error))
             return None
 
@@ -284,5 +284,5 @@
 def _is_name(text: str) -> bool:
     try:
         return bool(labels(read_name(text, "")))
-    except BadZone:
+    except ZoneError:
         return False
--- a/kelpcourse/zones/transfer.py
+++ b/kelpcourse/zones/transfer.py
@@ -20,7 +20,7 @@
 from kelpcourse.limits import Limits
 from kelpcourse.zones.belief import Version
 from kelpcourse.zones.content import SOA, Difference, Draft, Record, Zone, data_of, zone_of
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under, labels, to_name
 
 MESSAGE_BYTES = (
@@ -112,7 +112,7 @@
 # In
 
 
-class Unfit(BadZone):
+class Unfit(ZoneError):
     """Differences that don't fit the version held: the whole zone is to be fetched."""
 
 
@@ -139,16 +139,16 @@
         )
 
     def take(self, wire: bytes, message: dns.message.Message) -> bool:
-        """True once it is whole. Raises BadZone, Unfit or dns.xfr.UseTCP."""
+        """True once it is whole. Raises ZoneError, Unfit or dns.xfr.UseTCP."""
         self._bytes += len(wire)
         if self._bytes > self._limits.max_incoming_transfer_bytes:
-            raise BadZone(f"a transfer over {self._limits.max_incoming_transfer_bytes} bytes")
+            raise ZoneError(f"a transfer over {self._limits.max_incoming_transfer_bytes} bytes")
         try:
             return bool(self._inbound.process_message(message))
-        except (dns.xfr.UseTCP, BadZone):
+        except (dns.xfr.UseTCP, ZoneError):
             raise
         except (dns.exception.DNSException, ValueError, KeyError) as error:
-            kind = Unfit if self._inbound.incremental else BadZone
+            kind = Unfit if self._inbound.incremental else ZoneError
             raise kind(f"{self._held.origin}: {type(error).__name__}: {error}") from None
 
     def result(self) -> tuple[Zone | None, Draft | None]:
@@ -184,13 +184,13 @@
     def add(self, name: dns.name.Name, rdataset: dns.rdataset.Rdataset) -> None:
         owner = canonical(name)
         if not is_under(owner, self._held.origin):
-            raise BadZone(f"{owner} is not in {self._held.origin}")
+            raise ZoneError(f"{owner} is not in {self._held.origin}")
         for rdata in rdataset:
             record = Record(owner, int(rdataset.rdtype), int(rdataset.ttl), data_of(rdata))
             if self._records is not None:
                 self._records.append(record)
                 if len(self._records) > self._limits.max_zone_records:
-                    raise BadZone(f"more than {self._limits.max_zone_records} records")
+                    raise ZoneError(f"more than {self._limits.max_zone_records} records")
             elif self._draft is not None:
                 self._draft.add(record)
 
@@ -227,7 +227,7 @@
 
 
 def check_fits(zone: Zone) -> None:
-    """A zone as it must be to be served. Raises BadZone."""
+    """A zone as it must be to be served. Raises ZoneError."""
     soa = zone.get(zone.origin, SOA)
     if soa is None or len(soa.data) != 1:
-        raise BadZone(f"{zone.origin} has not exactly one SOA")
+        raise ZoneError(f"{zone.origin} has not exactly one SOA")
--- a/kelpcourse/zones/zonefile.py
+++ b/kelpcourse/zones/zonefile.py
@@ -15,19 +15,19 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.zones.content import CNAME, Record, Zone, data_of, read_data, type_name, zone_of
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under, to_name
 from kelpcourse.zones.transfer import check_fits
 
 
 def read_file(path: Path, origin: str, limits: Limits) -> Zone:
-    """Raises BadZone with file and line."""
+    """Raises ZoneError with file and line."""
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
-        raise BadZone(f"{path}: {error.strerror}") from None
+        raise ZoneError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise BadZone(f"{path}: not UTF-8") from None
+        raise ZoneError(f"{path}: not UTF-8") from None
     return read_text(text, origin, limits, str(path))
 
 
@@ -41,17 +41,17 @@
     reader.current_origin = reader.last_name = to_name(origin)
     try:
         reader.read()
-    except BadZone as error:
-        raise BadZone(f"{name}:{_line(tokens, text)}: {error}") from None
+    except ZoneError as error:
+        raise ZoneError(f"{name}:{_line(tokens, text)}: {error}") from None
     except (dns.exception.DNSException, ValueError) as error:
         what = str(error).removeprefix(f"{name}:{tokens.where()[1]}: ")
-        raise BadZone(f"{name}:{_line(tokens, text)}: {what}") from None
+        raise ZoneError(f"{name}:{_line(tokens, text)}: {what}") from None
     zone = zone_of(origin, sink.records)
     try:
         check_fits(zone)
         _check_aliases(zone)
-    except BadZone as error:
-        raise BadZone(f"{name}: {error}") from None
+    except ZoneError as error:
+        raise ZoneError(f"{name}: {error}") from None
     return zone
 
 
@@ -66,7 +66,7 @@
         types = set(zone.types(owner))
         if CNAME in types and len(types) > 1:
             others = ", ".join(sorted(type_name(t) for t in types - {CNAME}))
-            raise BadZone(f"{owner} has a CNAME and other records: {others}")
+            raise ZoneError(f"{owner} has a CNAME and other records: {others}")
 
 
 class _Sink:
@@ -91,9 +91,9 @@
     def add(self, name: dns.name.Name, ttl: int, rdata: dns.rdata.Rdata) -> None:
         owner = canonical(name)
         if not is_under(owner, self._origin):
-            raise BadZone(f"{owner} is not in {self._origin}")
+            raise ZoneError(f"{owner} is not in {self._origin}")
         if len(self.records) >= self._limits.max_zone_records:
-            raise BadZone(f"more than {self._limits.max_zone_records} records")
+            raise ZoneError(f"more than {self._limits.max_zone_records} records")
         self.records.append(Record(owner, int(rdata.rdtype), ttl, data_of(rdata)))
 
 
--- a/tests/test_lease_faults.py
+++ b/tests/test_lease_faults.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-
 import pytest
 
 from kelpcourse.shared.commands import (
--- a/tests/test_zone_content.py
+++ b/tests/test_zone_content.py
@@ -14,7 +14,7 @@
 from kelpcourse.zones.answer import look_up
 from kelpcourse.zones.book import Changed, Replay, decode, encode, snapshot
 from kelpcourse.zones.content import Draft, Record, Zone, between, soa_of, zone_of
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.history import History, put_back
 from kelpcourse.zones.meaning import SRV, A, Meaning
 from kelpcourse.zones.names import is_under, labels, relative
@@ -217,7 +217,7 @@
     step = draft_of(one, host("s-2"), host("s-1")).difference(0)
     one.take(host("s-1")[0])
     one.put(rec("x", "A", "10.0.0.3"))
-    with pytest.raises(BadZone, match="no such SRV"):
+    with pytest.raises(ZoneError, match="no such SRV"):
         one.apply(step)
     assert sorted(one.records()) != before
     assert one.owns("x." + ORIGIN)
@@ -245,7 +245,7 @@
         history.add(step)
     assert history.serials() == [10, 9, 8][::-1][-2:]
     assert history.since(1) is None
-    with pytest.raises(BadZone, match="known: 9, 10"):
+    with pytest.raises(ZoneError, match="known: 9, 10"):
         put_back(one, history, 3, 0)
 
 
@@ -271,7 +271,7 @@
     other.run(snapshot([], from_snapshot.others()), [])
     assert other.zones[ORIGIN].history.serials() == [1]
     assert sorted(other.zones[ORIGIN].zone.records()) == sorted(one.zone.records())
-    with pytest.raises(BadZone):
+    with pytest.raises(ZoneError):
         decode(b"\xff\x00")
 
 
--- a/tests/test_zone_decisions.py
+++ b/tests/test_zone_decisions.py
@@ -12,7 +12,7 @@
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.belief import Belief, Verdict, Version, judge
 from kelpcourse.zones.content import Soa
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.grants import Grant, HostClass, Losses, bare, matches, read_grant, refusal
 from kelpcourse.zones.refresh import SECOND_US, Refresh
 from kelpcourse.zones.serials import CIRCLE, HALF, Order, after, order
@@ -189,7 +189,7 @@
     assert not grant.allows_record("s-1." + ORIGIN, 16)
     assert grant.allows_record(ORIGIN, 6)  # the serial
     for names, types in ((["s-1.elsewhere."], []), ([], ["HOST"]), (["a..b"], [])):
-        with pytest.raises(BadZone):
+        with pytest.raises(ZoneError):
             read_grant("k", ORIGIN, names, types, 1.0, 0)
 
 
--- a/tests/test_zone_files.py
+++ b/tests/test_zone_files.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.zonefile import read_text, write_text
 from tests.zoning import LIMITS, ORIGIN, rec, rooms, zone
 
@@ -25,7 +25,7 @@
     ],
 )
 def test_a_mistake_is_told_with_its_line(text: str, line: int, what: str) -> None:
-    with pytest.raises(BadZone) as error:
+    with pytest.raises(ZoneError) as error:
         read_text(HEAD + text, ORIGIN, LIMITS, "games.zone")
     assert str(error.value).startswith(f"games.zone:{line}: ")
     assert what in str(error.value)
@@ -39,7 +39,7 @@
     ],
 )
 def test_a_zone_that_can_not_be_served_is_refused(text: str, what: str) -> None:
-    with pytest.raises(BadZone, match=what):
+    with pytest.raises(ZoneError, match=what):
         read_text("$TTL 60\n" + text, ORIGIN, LIMITS)
 
 
