--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -37,10 +37,10 @@
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.book import Changed, Replay, collecting_nothing, encode
 from kelpcourse.zones.content import SOA, Draft, Record, Zone, between, data_of
-from kelpcourse.zones.held import HeldZone
 from kelpcourse.zones.settings import read_settings, shown
 from kelpcourse.zones.standalone import Host
 from kelpcourse.zones.transfer import AXFR, Incoming, messages, whole
+from kelpcourse.zones.zone_state import ZoneState
 from kelpcourse.zones.zonefile import read_text
 
 HOSTS = 10_000
@@ -105,8 +105,8 @@
     row("AXFR, written and read, without sockets", f"{ours:.0f}", "-")
 
 
-def held_of(zone: Zone) -> HeldZone:
-    held = HeldZone(zone.origin, SERVICE, LIMITS)
+def held_of(zone: Zone) -> ZoneState:
+    held = ZoneState(zone.origin, SERVICE, LIMITS)
     held.take(held.replace(zone, 0), 0)
     return held
 
@@ -121,7 +121,7 @@
     return draft.soa_data
 
 
-def one_change(held: HeldZone, k: int) -> float:
+def one_change(held: ZoneState, k: int) -> float:
     """Seconds for a draft, the version made of it and the hosts that change."""
     owner = f"s-{k}.{ORIGIN}"
     began = time.perf_counter()
--- a/kelpcourse/zones/book.py
+++ b/kelpcourse/zones/book.py
@@ -11,7 +11,7 @@
 from kelpcourse.limits import Limits
 from kelpcourse.zones.content import Difference, Record, between, zone_of
 from kelpcourse.zones.errors import ZoneError
-from kelpcourse.zones.held import HeldZone
+from kelpcourse.zones.zone_state import ZoneState
 
 
 class Changed(msgspec.Struct, tag="changed", array_like=True, frozen=True):
@@ -57,12 +57,12 @@
         raise ZoneError(f"an entry of the store can't be read: {error}") from None
 
 
-def snapshot(zones: Iterable[HeldZone], others: Iterable[Kept]) -> bytes:
+def snapshot(zones: Iterable[ZoneState], others: Iterable[Kept]) -> bytes:
     """`others`: zones that the store holds and the settings do not name; they are kept."""
     return encode(Snapshot((*(keep(zone) for zone in zones if zone.zone.exists), *others)))
 
 
-def keep(zone: HeldZone) -> Kept:
+def keep(zone: ZoneState) -> Kept:
     return Kept(zone.origin, tuple(zone.zone.records()), tuple(zone.history), zone.seen_ms)
 
 
@@ -82,8 +82,8 @@
     """Entries into zones. Those of zones that are not in the settings are kept as they stand."""
 
     def __init__(self, origins: Sequence[str], service: str, limits: Limits) -> None:
-        self.zones = {origin: HeldZone(origin, service, limits) for origin in origins}
-        self._others: dict[str, HeldZone] = {}
+        self.zones = {origin: ZoneState(origin, service, limits) for origin in origins}
+        self._others: dict[str, ZoneState] = {}
         self._service = service
         self._limits = limits
         self.remarks: list[str] = []
@@ -127,7 +127,7 @@
             zone.history.add(each)
         zone.seen_ms = kept.seen_ms
 
-    def _zone(self, origin: str) -> HeldZone:
+    def _zone(self, origin: str) -> ZoneState:
         if origin in self.zones:
             return self.zones[origin]
-        return self._others.setdefault(origin, HeldZone(origin, self._service, self._limits))
+        return self._others.setdefault(origin, ZoneState(origin, self._service, self._limits))
--- a/kelpcourse/zones/desk.py
+++ b/kelpcourse/zones/desk.py
@@ -31,12 +31,12 @@
 from kelpcourse.zones.content import SOA, Difference, data_of, soa_of
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.grants import Grant, HostClass
-from kelpcourse.zones.held import HeldZone
 from kelpcourse.zones.names import canonical, is_under
 from kelpcourse.zones.repeats import Repeats
 from kelpcourse.zones.settings import ZoneSettings, shown
 from kelpcourse.zones.transfer import AXFR, IXFR, incremental, messages, whole
 from kelpcourse.zones.update import Rejected, evaluate
+from kelpcourse.zones.zone_state import ZoneState
 
 Reply = Callable[[Iterable[bytes]], None]
 HEAD = 12  # bytes of a message's header
@@ -73,7 +73,7 @@
 class Ticket:
     """An update that waits for the disk."""
 
-    zone: HeldZone
+    zone: ZoneState
     difference: Difference
     settle: Callable[[bool], None]  # durable or not
 
@@ -96,7 +96,7 @@
 class Desk:
     def __init__(
         self,
-        zones: Mapping[str, HeldZone],
+        zones: Mapping[str, ZoneState],
         settings: Mapping[str, ZoneSettings],
         keys: Mapping[str, dns.tsig.Key],
         limits: Limits,
@@ -210,7 +210,7 @@
             fill(response, look_up(zone.zone, owner, int(type_)))
             request.reply([self._wire(response, request)])
 
-    def _zone_of(self, owner: str) -> HeldZone | None:
+    def _zone_of(self, owner: str) -> ZoneState | None:
         return next((zone for origin, zone in self._zones.items() if is_under(owner, origin)), None)
 
     def _wire(self, response: dns.message.Message, request: Request) -> bytes:
@@ -235,7 +235,7 @@
 
     # Transfers
 
-    def _transfer(self, request: Request, zone: HeldZone, owner: str) -> None:
+    def _transfer(self, request: Request, zone: ZoneState, owner: str) -> None:
         rdtype = request.message.question[0].rdtype
         if owner != zone.origin:
             self._say(request, dns.rcode.NOTAUTH)
@@ -260,7 +260,7 @@
         else:
             request.reply(self._send_zone(request, zone))
 
-    def _send_zone(self, request: Request, zone: HeldZone) -> Iterator[bytes]:
+    def _send_zone(self, request: Request, zone: ZoneState) -> Iterator[bytes]:
         """All records are taken hold of at once: the zone may change while a slow client reads."""
         records, steps = None, None
         if request.message.question[0].rdtype == IXFR:
@@ -349,7 +349,7 @@
             return None
         return next((g for g in self._settings[origin].grants if g.key == request.key), None)
 
-    def _make(self, request: Request, zone: HeldZone, grant: Grant, mac: bytes) -> None:
+    def _make(self, request: Request, zone: ZoneState, grant: Grant, mac: bytes) -> None:
         backstage, now_us = self._backstage, self._backstage.clock()
 
         def done(rcode: dns.rcode.Rcode) -> None:
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -29,12 +29,12 @@
 from kelpcourse.zones.content import SOA, Difference, Zone
 from kelpcourse.zones.desk import serial_of
 from kelpcourse.zones.errors import ZoneError
-from kelpcourse.zones.held import HeldZone
 from kelpcourse.zones.names import to_name
 from kelpcourse.zones.refresh import Refresh
 from kelpcourse.zones.server import MESSAGE, READ_LEAST
 from kelpcourse.zones.settings import Primary
 from kelpcourse.zones.transfer import AXFR, IXFR, Incoming, Unfit, check_fits, offered
+from kelpcourse.zones.zone_state import ZoneState
 
 TOLD = (dns.exception.DNSException, ValueError, IndexError)
 ASK_TRIES = 2  # over UDP before TCP is tried
@@ -188,12 +188,12 @@
     def __init__(
         self,
         asker: Asker,
-        held: HeldZone,
+        held: ZoneState,
         primaries: tuple[Primary, ...],
         confirmed_us: int,
-        adopt: Callable[[HeldZone, Difference, str], None],
-        confirmed: Callable[[HeldZone], None],
-        expired: Callable[[HeldZone], None],
+        adopt: Callable[[ZoneState, Difference, str], None],
+        confirmed: Callable[[ZoneState], None],
+        expired: Callable[[ZoneState], None],
     ) -> None:
         self._asker = asker
         self._held = held
@@ -348,7 +348,7 @@
 class Notifier:
     """Tells one secondary of each new version, until it says that it heard (RFC 1996, section 3.6)."""
 
-    def __init__(self, asker: Asker, held: HeldZone, peer: Primary) -> None:
+    def __init__(self, asker: Asker, held: ZoneState, peer: Primary) -> None:
         self._asker = asker
         self._held = held
         self._peer = peer
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -20,11 +20,11 @@
 from kelpcourse.wire.loop import Loop
 from kelpcourse.zones.book import Replay
 from kelpcourse.zones.errors import ZoneError
-from kelpcourse.zones.held import HeldZone
 from kelpcourse.zones.names import read_name
 from kelpcourse.zones.service import Around, Restore, Restored, Zones
 from kelpcourse.zones.settings import ZonesSettings, shown
 from kelpcourse.zones.union import Union
+from kelpcourse.zones.zone_state import ZoneState
 from kelpcourse.zones.zonefile import read_file
 
 READ_TRIES = 5  # of a folder that a server compacts meanwhile
@@ -38,7 +38,7 @@
 
 def check_file(path: Path, origin: str, service: str, limits: Limits) -> Checked:
     """The hosts that a zone file announces, and each record that can't be used. Raises ZoneError if none can."""
-    held = HeldZone(read_name(origin, "origin"), service, limits)
+    held = ZoneState(read_name(origin, "origin"), service, limits)
     held.take(held.replace(read_file(path, held.origin, limits), 0), 0)
     return Checked(
         sorted(held.meaning.hosts.values(), key=lambda m: m.name),
@@ -61,7 +61,7 @@
     return replay
 
 
-def hosts_of(zones: Iterable[HeldZone]) -> list[ListedEndpoint]:
+def hosts_of(zones: Iterable[ZoneState]) -> list[ListedEndpoint]:
     """The list as the decision module would be told it."""
     known = list(zones)
     union = Union([zone.origin for zone in known], 0, 1 << 20)
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -38,11 +38,11 @@
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.follower import Asker, Follower, Notifier, same
 from kelpcourse.zones.grants import Grant, HostClass, bare
-from kelpcourse.zones.held import Changes, HeldZone
 from kelpcourse.zones.history import as_at, put_back
 from kelpcourse.zones.server import Server, pair
 from kelpcourse.zones.settings import ZoneSettings, ZonesSettings, shown
 from kelpcourse.zones.union import Conflict, Union
+from kelpcourse.zones.zone_state import Changes, ZoneState
 from kelpcourse.zones.zonefile import read_file
 
 
@@ -271,7 +271,7 @@
         self._covered = set(self._unsaved)
         return snapshot(self.held.values(), self._others)
 
-    def _adopt(self, held: HeldZone, difference: Difference, source: str) -> None:
+    def _adopt(self, held: ZoneState, difference: Difference, source: str) -> None:
         """A version that came whole from its source and can be had there again: announced at once, and kept as
         soon as the disk takes it."""
         difference = msgspec.structs.replace(difference, at_ms=self.unix_ms())
@@ -289,7 +289,7 @@
         self._announce(held, changes)
         self._save(held, Changed(held.origin, difference))
 
-    def _save(self, held: HeldZone, entry: Entry) -> None:
+    def _save(self, held: ZoneState, entry: Entry) -> None:
         """Keeps a version that is announced already. Once that has failed, only the whole zone follows on from
         what the store has."""
         if self._writer is None:
@@ -305,7 +305,7 @@
         self._unsaved.add(origin)
         self._covered.discard(origin)
 
-    def _announce(self, held: HeldZone, changes: Changes) -> None:
+    def _announce(self, held: ZoneState, changes: Changes) -> None:
         """One change of the list, however many hosts it concerns."""
         origin, around = held.origin, self._around
         members, conflicts = self.union.take(origin, changes, self.clock(), self.unix_ms())
@@ -329,7 +329,7 @@
                 zones=conflict.sources,
             )
 
-    def _tell_problems(self, held: HeldZone) -> None:
+    def _tell_problems(self, held: ZoneState) -> None:
         problems = held.meaning.problems()
         if problems:
             most = self._around.limits.max_logged_zone_problems
@@ -349,7 +349,7 @@
             )
             self._bare = now
 
-    def _confirmed(self, held: HeldZone) -> None:
+    def _confirmed(self, held: ZoneState) -> None:
         now_us = self.clock()
         held.seen_ms = self.unix_ms()
         was_available = self.union.available
@@ -365,7 +365,7 @@
             self._seen_us[held.origin] = now_us
             self._save(held, Seen(held.origin, held.seen_ms))
 
-    def _expired(self, held: HeldZone) -> None:
+    def _expired(self, held: ZoneState) -> None:
         self._around.counters.add("zone_expiries")
         self._around.log.always(
             "zone_expired",
--- a/kelpcourse/zones/held.py
+++ b/kelpcourse/zones/zone_state.py
@@ -18,7 +18,7 @@
 Changes = dict[str, ListedEndpoint | None]
 
 
-class HeldZone:
+class ZoneState:
     def __init__(self, origin: str, service: str, limits: Limits) -> None:
         self.origin = origin
         self.zone = Zone(origin)
--- a/tests/test_stored_zones.py
+++ b/tests/test_stored_zones.py
@@ -17,7 +17,7 @@
 from kelpcourse.store.journal import Journal
 from kelpcourse.store.recovery import Recovered, from_bytes
 from kelpcourse.zones.book import Replay, decode, encode, snapshot
-from kelpcourse.zones.held import HeldZone
+from kelpcourse.zones.zone_state import ZoneState
 from tests.zonerig import SECONDARY, World
 from tests.zoning import ORIGIN, SERVICE
 
@@ -73,7 +73,7 @@
     return [[owner, type_, ttl, data.hex()] for owner, type_, ttl, data in records]
 
 
-def plain_state(held: HeldZone) -> dict[str, Any]:
+def plain_state(held: ZoneState) -> dict[str, Any]:
     return {
         "serial": held.zone.serial,
         "confirmed_ms": held.seen_ms,
@@ -222,7 +222,7 @@
     part = world.part(path)
     try:
         recorded = RECORDED["zones"][ORIGIN]
-        held = part.zones.held[ORIGIN]
+        held = part.zones.zone_state[ORIGIN]
         assert (part.serial, held.seen_ms) == (recorded["serial"], recorded["confirmed_ms"])
         assert {name: phase.value for name, phase in part.list.items()} == {
             name: phase for name, (_, phase) in recorded["endpoints"].items()
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -207,7 +207,7 @@
 
     @property
     def serial(self) -> int:
-        held = self.zones.held[ORIGIN]
+        held = self.zones.zone_state[ORIGIN]
         return held.zone.serial if held.zone.exists else 0
 
     def kill(self) -> None:
--- a/tests/zoning.py
+++ b/tests/zoning.py
@@ -12,7 +12,7 @@
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.content import Draft, Record, Zone, data_of, zone_of
-from kelpcourse.zones.held import HeldZone
+from kelpcourse.zones.zone_state import ZoneState
 
 ORIGIN = "games.example.org."
 SERVICE = "_game._tcp"
@@ -74,8 +74,8 @@
     ]
 
 
-def held(start: Zone, limits: Limits = LIMITS) -> HeldZone:
-    made = HeldZone(start.origin, SERVICE, limits)
+def held(start: Zone, limits: Limits = LIMITS) -> ZoneState:
+    made = ZoneState(start.origin, SERVICE, limits)
     made.take(made.replace(start, 0), 0)
     return made
 
