--- a/kelpcourse/zones/belief.py
+++ b/kelpcourse/zones/reconciliation.py
@@ -60,7 +60,7 @@
     begins: bool
 
 
-class Belief:
+class VersionReconciler:
     """One zone's: what is held, and which of its sources contradict it."""
 
     def __init__(self, held: Version | None) -> None:
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -22,7 +22,6 @@
 from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.storage import DurableWriter, StorageThread
 from kelpcourse.wire.worker import run_in_thread
-from kelpcourse.zones.belief import Verdict, Version
 from kelpcourse.zones.book import (
     Changed,
     Entry,
@@ -39,6 +38,7 @@
 from kelpcourse.zones.follower import Asker, Follower, Notifier, same
 from kelpcourse.zones.grants import Grant, HostClass, bare
 from kelpcourse.zones.history import as_at, put_back
+from kelpcourse.zones.reconciliation import Verdict, Version
 from kelpcourse.zones.server import Server, pair
 from kelpcourse.zones.settings import ZoneSettings, ZonesSettings, shown
 from kelpcourse.zones.union import Conflict, Union
--- a/kelpcourse/zones/transfer.py
+++ b/kelpcourse/zones/transfer.py
@@ -18,10 +18,10 @@
 import dns.xfr
 
 from kelpcourse.limits import Limits
-from kelpcourse.zones.belief import Version
 from kelpcourse.zones.content import SOA, Difference, Draft, Record, Zone, data_of, zone_of
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under, labels, to_name
+from kelpcourse.zones.reconciliation import Version
 
 MESSAGE_BYTES = (
     16_000  # of records in one message going out: names can't point further (RFC 1035, 4.1.4), and
--- a/kelpcourse/zones/zone_state.py
+++ b/kelpcourse/zones/zone_state.py
@@ -8,12 +8,12 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.endpoints import ListedEndpoint
-from kelpcourse.zones.belief import Belief, Version
 from kelpcourse.zones.content import Difference, Draft, Zone, between
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.grants import Grant, HostClass, Losses, refusal
 from kelpcourse.zones.history import History
 from kelpcourse.zones.meaning import Meaning
+from kelpcourse.zones.reconciliation import Version, VersionReconciler
 
 Changes = dict[str, ListedEndpoint | None]
 
@@ -24,7 +24,7 @@
         self.zone = Zone(origin)
         self.history = History(limits.max_zone_history_records)
         self.meaning = Meaning(origin, service)
-        self.belief = Belief(None)
+        self.belief = VersionReconciler(None)
         self.seen_ms = 0  # Unix time when its source last confirmed it
         self._limits = limits
         self._losses = Losses(limits.zone_removal_window_us)
--- a/tests/test_zone_decisions.py
+++ b/tests/test_zone_decisions.py
@@ -10,10 +10,10 @@
 
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.zones.belief import Belief, Verdict, Version, judge
 from kelpcourse.zones.content import Soa
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.grants import Grant, HostClass, Losses, bare, matches, read_grant, refusal
+from kelpcourse.zones.reconciliation import Verdict, Version, VersionReconciler, judge
 from kelpcourse.zones.refresh import SECOND_US, Refresh
 from kelpcourse.zones.serials import CIRCLE, HALF, Order, after, order
 from kelpcourse.zones.union import Union
@@ -40,7 +40,7 @@
     assert order(serial, serial) is Order.SAME
 
 
-# Belief
+# VersionReconciler
 
 
 def version(serial: int, soa: bytes = b"soa") -> Version:
@@ -67,7 +67,7 @@
 def test_a_primary_restored_from_a_backup_is_told_once_and_believed_when_the_zone_has_expired() -> (
     None
 ):
-    belief = Belief(version(100))
+    belief = VersionReconciler(version(100))
     verdict, told = belief.offer("p", version(40))
     assert verdict is Verdict.BEHIND
     assert [(c.held, c.offered, c.begins) for c in told] == [(100, 40, True)]
@@ -82,7 +82,7 @@
 
 
 def test_two_primaries_that_differ_are_told_apart_and_one_may_fall_silent() -> None:
-    belief = Belief(version(100))
+    belief = VersionReconciler(version(100))
     assert belief.offer("a", version(100))[0] is Verdict.SAME
     assert belief.offer("b", version(100, b"another"))[0] is Verdict.DIFFERS
     assert [c.begins for c in belief.forget("b")] == [False]
