--- a/kelpcourse/zones/answer.py
+++ b/kelpcourse/zones/answer.py
@@ -15,7 +15,7 @@
 import dns.rrset
 
 from kelpcourse.zones.content import CNAME, NS, SOA, RecordSet, Zone, read_data, soa_of
-from kelpcourse.zones.meaning import AAAA, SRV, A
+from kelpcourse.zones.endpoint_extraction import AAAA, SRV, A
 from kelpcourse.zones.names import canonical, to_name
 
 ANY = int(dns.rdatatype.ANY)
--- a/kelpcourse/zones/meaning.py
+++ b/kelpcourse/zones/endpoint_extraction.py
@@ -59,7 +59,7 @@
     owner: str
 
 
-class Meaning:
+class EndpointExtractor:
     """The hosts of one zone, kept up with its differences at the cost of what they touch."""
 
     def __init__(self, origin: str, service: str) -> None:
--- a/kelpcourse/zones/zone_state.py
+++ b/kelpcourse/zones/zone_state.py
@@ -9,10 +9,10 @@
 from kelpcourse.limits import Limits
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.zones.content import Difference, Draft, Zone, between
+from kelpcourse.zones.endpoint_extraction import EndpointExtractor
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.grants import Grant, HostClass, Losses, refusal
 from kelpcourse.zones.history import History
-from kelpcourse.zones.meaning import Meaning
 from kelpcourse.zones.reconciliation import Version, VersionReconciler
 
 Changes = dict[str, ListedEndpoint | None]
@@ -23,13 +23,13 @@
         self.origin = origin
         self.zone = Zone(origin)
         self.history = History(limits.max_zone_history_records)
-        self.meaning = Meaning(origin, service)
+        self.meaning = EndpointExtractor(origin, service)
         self.belief = VersionReconciler(None)
         self.seen_ms = 0  # Unix time when its source last confirmed it
         self._limits = limits
         self._losses = Losses(limits.zone_removal_window_us)
         self._head: Zone | None = None  # None: the same as `zone`
-        self._head_meaning: Meaning | None = None
+        self._head_meaning: EndpointExtractor | None = None
         self._staged = 0
         self._service = service
 
@@ -94,11 +94,11 @@
             self.undo(difference)
         return why
 
-    def _heads(self) -> tuple[Zone, Meaning]:
+    def _heads(self) -> tuple[Zone, EndpointExtractor]:
         """Made with the first update and kept: a copy costs the whole zone, an update only what it touches."""
         if self._head is None or self._head_meaning is None:
             self._head = self.zone.copy()
-            self._head_meaning = Meaning(self.origin, self._service)
+            self._head_meaning = EndpointExtractor(self.origin, self._service)
             self._head_meaning.start(self._head)
         return self._head, self._head_meaning
 
--- a/tests/test_zone_content.py
+++ b/tests/test_zone_content.py
@@ -14,9 +14,9 @@
 from kelpcourse.zones.answer import look_up
 from kelpcourse.zones.book import Changed, Replay, decode, encode, snapshot
 from kelpcourse.zones.content import Draft, Record, Zone, between, soa_of, zone_of
+from kelpcourse.zones.endpoint_extraction import SRV, A, EndpointExtractor
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.history import History, put_back
-from kelpcourse.zones.meaning import SRV, A, Meaning
 from kelpcourse.zones.names import is_under, labels, relative
 from kelpcourse.zones.serials import after
 from kelpcourse.zones.update import Rejected, evaluate
@@ -47,8 +47,8 @@
 # Meaning
 
 
-def meaning(*records: Record) -> Meaning:
-    made = Meaning(ORIGIN, SERVICE)
+def meaning(*records: Record) -> EndpointExtractor:
+    made = EndpointExtractor(ORIGIN, SERVICE)
     made.start(zone_of(ORIGIN, records))
     return made
 
@@ -124,7 +124,7 @@
 
 def test_a_target_moved_to_another_address_is_one_change() -> None:
     start = zone(1, host("s-1"), host("s-2"))
-    made = Meaning(ORIGIN, SERVICE)
+    made = EndpointExtractor(ORIGIN, SERVICE)
     made.start(start)
     draft = draft_of(
         start,
@@ -153,11 +153,11 @@
 
 def play(
     steps: Sequence[Sequence[tuple[bool, Record]]],
-) -> tuple[Zone, set[Record], Meaning, History, list[Zone]]:
+) -> tuple[Zone, set[Record], EndpointExtractor, History, list[Zone]]:
     """Steps on a zone by drafts, and beside it on a plain set of records."""
     one, plain = zone(1), set(zone(1).records())
     known, history, versions = (
-        Meaning(ORIGIN, SERVICE),
+        EndpointExtractor(ORIGIN, SERVICE),
         History(LIMITS.max_zone_history_records),
         [one.copy()],
     )
@@ -191,7 +191,7 @@
     one, plain, known, history, versions = play(steps)
     assert set(one.records()) == plain
     assert len(one) == len(plain)
-    fresh = Meaning(ORIGIN, SERVICE)
+    fresh = EndpointExtractor(ORIGIN, SERVICE)
     fresh.start(one)
     assert known.hosts == fresh.hosts
     assert known.problems() == fresh.problems()
