--- a/kelpcourse/zones/union.py
+++ b/kelpcourse/zones/merged_list.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Conflict:
+class EndpointConflict:
     """Zones that differ on a host in more than its phase and start."""
 
     host: str
@@ -24,7 +24,7 @@
     begins: bool
 
 
-class Union:
+class MergedEndpointList:
     """The merged list. A host that comes back after it was gone for longer than the grace did no work meanwhile
     and carries none now: it counts as started when it came back, whatever its record says, so that the rule on
     cold hosts covers it. Within the grace proxies may still be using it, and it is what it was."""
@@ -67,7 +67,7 @@
 
     def take(
         self, source: str, changes: Mapping[str, ListedEndpoint | None], now_us: int, unix_ms: int
-    ) -> tuple[list[ListedEndpoint], list[Conflict]]:
+    ) -> tuple[list[ListedEndpoint], list[EndpointConflict]]:
         """What the list's readers are told, as one change: entries as they are now, or as gone."""
         told = self._told[source]
         for name, member in changes.items():
@@ -76,14 +76,14 @@
             else:
                 told[name] = member
         out: list[ListedEndpoint] = []
-        conflicts: list[Conflict] = []
+        conflicts: list[EndpointConflict] = []
         for name in changes:
             out += self._settle(name, now_us, unix_ms, conflicts)
         self.version += bool(out)
         return out, conflicts
 
     def _settle(
-        self, name: str, now_us: int, unix_ms: int, conflicts: list[Conflict]
+        self, name: str, now_us: int, unix_ms: int, conflicts: list[EndpointConflict]
     ) -> Iterable[ListedEndpoint]:
         views = [(source, told[name]) for source, told in self._told.items() if name in told]
         self._note_conflict(name, views, conflicts)
@@ -124,7 +124,10 @@
             self._returned_ms[name] = unix_ms
 
     def _note_conflict(
-        self, name: str, views: Sequence[tuple[str, ListedEndpoint]], conflicts: list[Conflict]
+        self,
+        name: str,
+        views: Sequence[tuple[str, ListedEndpoint]],
+        conflicts: list[EndpointConflict],
     ) -> None:
         alike = {
             replace(member, status=EndpointStatus.READY, started_ms=0.0) for _, member in views
@@ -136,6 +139,6 @@
             self._conflicts[name] = sources
         else:
             sources_before = self._conflicts.pop(name)
-            conflicts.append(Conflict(name, sources_before, False))
+            conflicts.append(EndpointConflict(name, sources_before, False))
             return
-        conflicts.append(Conflict(name, sources, True))
+        conflicts.append(EndpointConflict(name, sources, True))
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -20,10 +20,10 @@
 from kelpcourse.wire.loop import Loop
 from kelpcourse.zones.book import Replay
 from kelpcourse.zones.errors import ZoneError
+from kelpcourse.zones.merged_list import MergedEndpointList
 from kelpcourse.zones.names import read_name
 from kelpcourse.zones.service import Around, Restore, Restored, Zones
 from kelpcourse.zones.settings import ZonesSettings, shown
-from kelpcourse.zones.union import Union
 from kelpcourse.zones.zone_state import ZoneState
 from kelpcourse.zones.zonefile import read_file
 
@@ -64,7 +64,7 @@
 def hosts_of(zones: Iterable[ZoneState]) -> list[ListedEndpoint]:
     """The list as the decision module would be told it."""
     known = list(zones)
-    union = Union([zone.origin for zone in known], 0, 1 << 20)
+    union = MergedEndpointList([zone.origin for zone in known], 0, 1 << 20)
     for zone in known:
         union.take(zone.origin, dict(zone.meaning.hosts), 0, 0)
     return sorted(union.members.values(), key=lambda m: m.name)
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -38,10 +38,10 @@
 from kelpcourse.zones.follower import Asker, Follower, Notifier, same
 from kelpcourse.zones.grants import Grant, HostClass, bare
 from kelpcourse.zones.history import as_at, put_back
+from kelpcourse.zones.merged_list import EndpointConflict, MergedEndpointList
 from kelpcourse.zones.reconciliation import Verdict, Version
 from kelpcourse.zones.server import Server, pair
 from kelpcourse.zones.settings import ZoneSettings, ZonesSettings, shown
-from kelpcourse.zones.union import Conflict, Union
 from kelpcourse.zones.zone_state import Changes, ZoneState
 from kelpcourse.zones.zonefile import read_file
 
@@ -86,7 +86,7 @@
         replay = self._open_store()
         self.held = replay.zones
         self._others = replay.others()
-        self.union = Union(list(self.held), grace_us, around.limits.max_endpoint_names)
+        self.union = MergedEndpointList(list(self.held), grace_us, around.limits.max_endpoint_names)
         self._bare: set[str] = set()
         self._unsaved: set[str] = set()  # zones whose last version the store does not have
         self._covered: set[str] = set()  # those of them that the snapshot being written holds
@@ -321,7 +321,7 @@
             self._sink.listed(members, self.union.version, False)
         self._check_bare()
 
-    def _tell_conflicts(self, conflicts: Iterable[Conflict]) -> None:
+    def _tell_conflicts(self, conflicts: Iterable[EndpointConflict]) -> None:
         for conflict in conflicts:
             self._around.log.event(
                 "zone_conflict" if conflict.begins else "zone_conflict_resolved",
--- a/kelpcourse/zones/source.py
+++ b/kelpcourse/zones/source.py
@@ -52,7 +52,7 @@
         """Discovery has moved, which is not asked here."""
 
     def _tell(self) -> None:
-        union = self.zones.union
+        union = self.zones.merged_list
         if union.available:
             self.listed(list(union.members.values()), union.version, union.whole)
         else:
@@ -70,6 +70,6 @@
             "discovery_unavailable",
             call="zones",
             reason="no zone is there to be followed",
-            version=self.zones.union.version,
+            version=self.zones.merged_list.version,
         )
         self._parts.facade.report_list_unavailable()
--- a/tests/test_zone_decisions.py
+++ b/tests/test_zone_decisions.py
@@ -13,10 +13,10 @@
 from kelpcourse.zones.content import Soa
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.grants import Grant, HostClass, Losses, bare, matches, read_grant, refusal
+from kelpcourse.zones.merged_list import MergedEndpointList
 from kelpcourse.zones.reconciliation import Verdict, Version, VersionReconciler, judge
 from kelpcourse.zones.refresh import SECOND_US, Refresh
 from kelpcourse.zones.serials import CIRCLE, HALF, Order, after, order
-from kelpcourse.zones.union import Union
 from tests.zoning import LIMITS, ORIGIN, draft_of, held, host, member, rec, rooms, zone
 
 serials = st.integers(0, CIRCLE - 1)
@@ -273,8 +273,8 @@
 # Union
 
 
-def union(*sources: str, grace_us: int = 2 * SECOND_US) -> Union:
-    return Union(sources or ("z",), grace_us, 100)
+def union(*sources: str, grace_us: int = 2 * SECOND_US) -> MergedEndpointList:
+    return MergedEndpointList(sources or ("z",), grace_us, 100)
 
 
 def test_a_return_within_the_grace_is_the_same_host_and_after_it_a_started_one() -> None:
--- a/tests/test_zone_follower.py
+++ b/tests/test_zone_follower.py
@@ -122,7 +122,7 @@
     world.until(lambda: part.log.named("zone_expired"))
     assert part.losses == 1
     assert len(part.list) == 4  # silence takes nothing away
-    answer = part.zones.union
+    answer = part.zones.merged_list
     assert not answer.available
     primary.silent, primary.zone = (
         False,
