--- a/kelpcourse/zones/desk.py
+++ b/kelpcourse/zones/desk.py
@@ -30,12 +30,12 @@
 from kelpcourse.zones.answer import fill, look_up
 from kelpcourse.zones.content import SOA, Difference, data_of, soa_of
 from kelpcourse.zones.errors import ZoneError
-from kelpcourse.zones.grants import Grant, HostClass
 from kelpcourse.zones.names import canonical, is_under
 from kelpcourse.zones.repeats import Repeats
 from kelpcourse.zones.settings import ZoneSettings, shown
 from kelpcourse.zones.transfer import AXFR, IXFR, incremental, messages, whole
 from kelpcourse.zones.update import Rejected, evaluate
+from kelpcourse.zones.update_policy import EndpointClass, UpdateGrant
 from kelpcourse.zones.zone_state import ZoneState
 
 Reply = Callable[[Iterable[bytes]], None]
@@ -82,7 +82,7 @@
     """What the desk asks of the service round it."""
 
     @property
-    def classes(self) -> tuple[HostClass, ...]: ...
+    def classes(self) -> tuple[EndpointClass, ...]: ...
 
     def clock(self) -> int: ...
 
@@ -344,12 +344,12 @@
             return
         self._make(request, zone, grant, mac)
 
-    def _grant(self, origin: str, request: Request) -> Grant | None:
+    def _grant(self, origin: str, request: Request) -> UpdateGrant | None:
         if not request.key:
             return None
         return next((g for g in self._settings[origin].grants if g.key == request.key), None)
 
-    def _make(self, request: Request, zone: ZoneState, grant: Grant, mac: bytes) -> None:
+    def _make(self, request: Request, zone: ZoneState, grant: UpdateGrant, mac: bytes) -> None:
         backstage, now_us = self._backstage, self._backstage.clock()
 
         def done(rcode: dns.rcode.Rcode) -> None:
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -36,12 +36,12 @@
 from kelpcourse.zones.desk import Desk, Ticket
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.follower import Asker, Follower, Notifier, same
-from kelpcourse.zones.grants import Grant, HostClass, bare
 from kelpcourse.zones.history import as_at, put_back
 from kelpcourse.zones.merged_list import EndpointConflict, MergedEndpointList
 from kelpcourse.zones.reconciliation import Verdict, Version
 from kelpcourse.zones.server import Server, pair
 from kelpcourse.zones.settings import ZoneSettings, ZonesSettings, shown
+from kelpcourse.zones.update_policy import EndpointClass, UpdateGrant, bare
 from kelpcourse.zones.zone_state import Changes, ZoneState
 from kelpcourse.zones.zonefile import read_file
 
@@ -74,7 +74,7 @@
         settings: ZonesSettings,
         around: Around,
         sink: Sink,
-        classes: tuple[HostClass, ...] = (),
+        classes: tuple[EndpointClass, ...] = (),
         grace_us: int = 0,
     ) -> None:
         self.settings = settings
@@ -506,7 +506,7 @@
                 else Restored(error="the state can't be written")
             )
 
-        held.judge(difference, Grant(""), (), self.clock())
+        held.judge(difference, UpdateGrant(""), (), self.clock())
         if not self.stage(Ticket(held, difference, settle)):
             held.undo(difference)
             settle(False)
--- a/kelpcourse/zones/settings.py
+++ b/kelpcourse/zones/settings.py
@@ -19,8 +19,8 @@
 from kelpcourse.wire.fields import parse_address
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.errors import ZoneError
-from kelpcourse.zones.grants import Grant, read_grant
 from kelpcourse.zones.names import is_under, labels, read_name
+from kelpcourse.zones.update_policy import UpdateGrant, read_grant
 
 Part = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=86_400)]
@@ -113,7 +113,7 @@
     origin: str
     file: Path | None
     primaries: tuple[Primary, ...]
-    grants: tuple[Grant, ...]
+    grants: tuple[UpdateGrant, ...]
     transfer_keys: frozenset[str]
     notify: tuple[Primary, ...]
 
@@ -263,7 +263,7 @@
         key = self._known(block, block.key, f"{field}.key") if block.key else ""
         return Primary(self._address(block, block.address, field), self._keys.get(key))
 
-    def _grant(self, block: UpdateBlock, origin: str) -> Grant | None:
+    def _grant(self, block: UpdateBlock, origin: str) -> UpdateGrant | None:
         key = self._known(block, block.key, "zones.zone.update.key")
         try:
             return read_grant(
--- a/kelpcourse/zones/source.py
+++ b/kelpcourse/zones/source.py
@@ -9,9 +9,9 @@
 from kelpcourse.wire.loop import Coroutine
 from kelpcourse.wire.runtime import Runtime
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.grants import HostClass
 from kelpcourse.zones.service import Around, Zones
 from kelpcourse.zones.settings import ZonesSettings
+from kelpcourse.zones.update_policy import EndpointClass
 
 
 class ZoneSource:
@@ -27,7 +27,8 @@
     ) -> None:
         self._parts = parts
         classes = tuple(
-            HostClass(cls.name, cls.allowed_zones, cls.allowed_kinds) for cls in settings.classes
+            EndpointClass(cls.name, cls.allowed_zones, cls.allowed_kinds)
+            for cls in settings.classes
         )
         around = Around(parts.loop, parts.limits, parts.counters, parts.log, keep)
         self.zones = Zones(zones, around, self, classes, settings.drain_grace_us)
--- a/kelpcourse/zones/grants.py
+++ b/kelpcourse/zones/update_policy.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True)
-class HostClass:
+class EndpointClass:
     """A request class and the hosts that may serve it."""
 
     name: str
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class Grant:
+class UpdateGrant:
     """One key's right to update one zone."""
 
     key: str
@@ -63,7 +63,7 @@
 
 def read_grant(
     key: str, origin: str, names: Iterable[str], types: Iterable[str], most: float, within_us: int
-) -> Grant:
+) -> UpdateGrant:
     """Names are relative to the origin unless they end in a dot. Raises ZoneError."""
     absolute = []
     for name in names:
@@ -78,10 +78,10 @@
             numbers.append(int(dns.rdatatype.from_text(type_)))
         except (dns.rdatatype.UnknownRdatatype, ValueError):
             raise ZoneError(f"type {type_!r} is not one of records") from None
-    return Grant(key, tuple(absolute), tuple(numbers), most, within_us)
+    return UpdateGrant(key, tuple(absolute), tuple(numbers), most, within_us)
 
 
-class Losses:
+class RemovalHistory:
     """Hosts of a zone that were ready lately, to judge updates that take them away."""
 
     def __init__(self, remember_us: int) -> None:
@@ -118,12 +118,12 @@
 
 
 def refusal(
-    grant: Grant,
+    grant: UpdateGrant,
     difference: Difference,
     hosts: Mapping[str, ListedEndpoint],
     changes: Mapping[str, ListedEndpoint | None],
-    losses: Losses,
-    classes: Sequence[HostClass],
+    losses: RemovalHistory,
+    classes: Sequence[EndpointClass],
     now_us: int,
 ) -> str:
     """Why the key may not make this change; empty: it may."""
@@ -145,7 +145,7 @@
         if is_ready(member):
             lost.pop(name, None)
     ready = {**earlier, **{name: m for name, m in hosts.items() if is_ready(m)}}
-    everyone = HostClass("", frozenset(), frozenset())
+    everyone = EndpointClass("", frozenset(), frozenset())
     for cls in (everyone, *classes):
         of = sum(1 for member in ready.values() if cls.takes(member))
         gone = sum(1 for member in lost.values() if cls.takes(member))
@@ -155,7 +155,7 @@
     return ""
 
 
-def bare(classes: Sequence[HostClass], hosts: Iterable[ListedEndpoint]) -> list[str]:
+def bare(classes: Sequence[EndpointClass], hosts: Iterable[ListedEndpoint]) -> list[str]:
     """Classes that no ready host is left for."""
     left = [member for member in hosts if is_ready(member)]
     return [cls.name for cls in classes if not any(cls.takes(member) for member in left)]
--- a/kelpcourse/zones/zone_state.py
+++ b/kelpcourse/zones/zone_state.py
@@ -11,9 +11,9 @@
 from kelpcourse.zones.content import Difference, Draft, Zone, between
 from kelpcourse.zones.endpoint_extraction import EndpointExtractor
 from kelpcourse.zones.errors import ZoneError
-from kelpcourse.zones.grants import Grant, HostClass, Losses, refusal
 from kelpcourse.zones.history import History
 from kelpcourse.zones.reconciliation import Version, VersionReconciler
+from kelpcourse.zones.update_policy import EndpointClass, RemovalHistory, UpdateGrant, refusal
 
 Changes = dict[str, ListedEndpoint | None]
 
@@ -27,7 +27,7 @@
         self.belief = VersionReconciler(None)
         self.seen_ms = 0  # Unix time when its source last confirmed it
         self._limits = limits
-        self._losses = Losses(limits.zone_removal_window_us)
+        self._losses = RemovalHistory(limits.zone_removal_window_us)
         self._head: Zone | None = None  # None: the same as `zone`
         self._head_meaning: EndpointExtractor | None = None
         self._staged = 0
@@ -80,7 +80,11 @@
         return Draft(self.head)
 
     def judge(
-        self, difference: Difference, grant: Grant, classes: tuple[HostClass, ...], now_us: int
+        self,
+        difference: Difference,
+        grant: UpdateGrant,
+        classes: tuple[EndpointClass, ...],
+        now_us: int,
     ) -> str:
         """Why this key may not make this update on the head; empty: it may, and the head has made it: it is
         then staged or undone."""
--- a/tests/test_zone_decisions.py
+++ b/tests/test_zone_decisions.py
@@ -12,11 +12,19 @@
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.content import Soa
 from kelpcourse.zones.errors import ZoneError
-from kelpcourse.zones.grants import Grant, HostClass, Losses, bare, matches, read_grant, refusal
 from kelpcourse.zones.merged_list import MergedEndpointList
 from kelpcourse.zones.reconciliation import Verdict, Version, VersionReconciler, judge
 from kelpcourse.zones.refresh import SECOND_US, Refresh
 from kelpcourse.zones.serials import CIRCLE, HALF, Order, after, order
+from kelpcourse.zones.update_policy import (
+    EndpointClass,
+    RemovalHistory,
+    UpdateGrant,
+    bare,
+    matches,
+    read_grant,
+    refusal,
+)
 from tests.zoning import LIMITS, ORIGIN, draft_of, held, host, member, rec, rooms, zone
 
 serials = st.integers(0, CIRCLE - 1)
@@ -193,7 +201,9 @@
             read_grant("k", ORIGIN, names, types, 1.0, 0)
 
 
-def judged(most: float, taken: int, within_us: int = 0, classes: tuple[HostClass, ...] = ()) -> str:
+def judged(
+    most: float, taken: int, within_us: int = 0, classes: tuple[EndpointClass, ...] = ()
+) -> str:
     """An update that takes away so many of four hosts, s-0 and s-2 of room-a first."""
     start = held(zone(1, rooms()))
     names = ["s-0", "s-2", "s-1", "s-3"][:taken]
@@ -201,7 +211,9 @@
         start.head,
         remove=[r for r in rooms() if any(n in r.owner or n.encode() in r.data for n in names)],
     )
-    return start.judge(draft.difference(0), Grant("k", most=most, within_us=within_us), classes, 0)
+    return start.judge(
+        draft.difference(0), UpdateGrant("k", most=most, within_us=within_us), classes, 0
+    )
 
 
 def test_how_much_may_be_taken_away() -> None:
@@ -212,16 +224,16 @@
 
 
 def test_a_class_may_not_lose_more_than_its_part_either() -> None:
-    submit = HostClass("move-submit", frozenset({"room-a"}), frozenset())
+    submit = EndpointClass("move-submit", frozenset({"room-a"}), frozenset())
     assert "takes away 2 of 2 ready hosts of class move-submit" in judged(0.5, 2, classes=(submit,))
     assert judged(0.5, 1, classes=(submit,)) == ""
-    assert judged(0.5, 2, classes=(HostClass("x", frozenset({"room-b"}), frozenset()),)) == ""
+    assert judged(0.5, 2, classes=(EndpointClass("x", frozenset({"room-b"}), frozenset()),)) == ""
 
 
 def test_many_small_updates_do_not_add_up_to_a_large_one() -> None:
     hosts = {f"s-{k}": member(f"s-{k}") for k in range(10)}
-    losses = Losses(LIMITS.zone_removal_window_us)
-    grant = Grant("k", most=0.3, within_us=60 * SECOND_US)
+    losses = RemovalHistory(LIMITS.zone_removal_window_us)
+    grant = UpdateGrant("k", most=0.3, within_us=60 * SECOND_US)
     start = held(zone(1, rooms()))
     nothing = draft_of(start.head).difference(0)
 
@@ -243,8 +255,8 @@
     hosts = {"a": member("a"), "b": member("b", phase=EndpointStatus.DRAINING)}
     start = held(zone(1, rooms()))
     nothing = draft_of(start.head).difference(0)
-    grant = Grant("k", most=0.0)
-    losses = Losses(0)
+    grant = UpdateGrant("k", most=0.0)
+    losses = RemovalHistory(0)
     assert refusal(
         grant, nothing, hosts, {"a": member("a", phase=EndpointStatus.DRAINING)}, losses, (), 0
     )
@@ -255,16 +267,16 @@
 def test_a_refused_update_leaves_the_head_as_it_was() -> None:
     start = held(zone(1, rooms()))
     draft = draft_of(start.head, remove=host("s-0", address="127.0.0.10")[1:])
-    assert start.judge(draft.difference(0), Grant("k", most=0.0), (), 0)
+    assert start.judge(draft.difference(0), UpdateGrant("k", most=0.0), (), 0)
     assert sorted(start.head.records()) == sorted(start.zone.records())
     assert start.staged == 0
 
 
 def test_classes_without_a_host_are_named() -> None:
     classes = (
-        HostClass("any", frozenset(), frozenset()),
-        HostClass("submit", frozenset({"room-a"}), frozenset()),
-        HostClass("big", frozenset(), frozenset({"m8"})),
+        EndpointClass("any", frozenset(), frozenset()),
+        EndpointClass("submit", frozenset({"room-a"}), frozenset()),
+        EndpointClass("big", frozenset(), frozenset({"m8"})),
     )
     assert bare(classes, [member("s", "room-b")]) == ["submit", "big"]
     assert bare(classes, [member("s", phase=EndpointStatus.DRAINING)]) == ["any", "submit", "big"]
--- a/tests/test_zone_server.py
+++ b/tests/test_zone_server.py
@@ -23,8 +23,8 @@
 from kelpcourse.store.recovery import from_bytes
 from kelpcourse.zones.book import Replay
 from kelpcourse.zones.desk import Desk
-from kelpcourse.zones.grants import HostClass
 from kelpcourse.zones.service import Restored
+from kelpcourse.zones.update_policy import EndpointClass
 from tests.standins import RecordingLog
 from tests.zonerig import (
     KEY,
@@ -41,7 +41,7 @@
 )
 from tests.zoning import LIMITS, ORIGIN, SERVICE, held, host, rec, rooms, zone
 
-SUBMIT = HostClass("move-submit", frozenset({"room-a"}), frozenset())
+SUBMIT = EndpointClass("move-submit", frozenset({"room-a"}), frozenset())
 NOERROR, REFUSED = dns.rcode.NOERROR, dns.rcode.REFUSED
 
 
@@ -57,7 +57,7 @@
     *records: object,
     update: str = "",
     more: str = "",
-    classes: tuple[HostClass, ...] = (),
+    classes: tuple[EndpointClass, ...] = (),
 ) -> tuple[Part, Client]:
     part = world.primary(zone(1, rooms()), update=update, more=more, classes=classes)
     world.until(lambda: part.zones._writer is not None and not part.zones._writer.broken)
@@ -489,7 +489,7 @@
 class Nobody:
     """A backstage for the desk alone."""
 
-    classes: tuple[HostClass, ...] = ()
+    classes: tuple[EndpointClass, ...] = ()
 
     def clock(self) -> int:
         return 0
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -24,9 +24,9 @@
 from kelpcourse.wire.loop import Coroutine, Loop
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.content import Zone
-from kelpcourse.zones.grants import HostClass
 from kelpcourse.zones.service import Around, Zones
 from kelpcourse.zones.settings import read_settings, shown
+from kelpcourse.zones.update_policy import EndpointClass
 from kelpcourse.zones.zonefile import write_text
 from tests.standins import FakeClock, RecordingLog
 from tests.zoning import ORIGIN
@@ -124,7 +124,7 @@
         name: str = "primary",
         update: str = "",
         more: str = "",
-        classes: tuple[HostClass, ...] = (),
+        classes: tuple[EndpointClass, ...] = (),
         limits: Limits = QUICK,
     ) -> Part:
         path = self.folder_of(name, zone)
@@ -145,7 +145,9 @@
         (path / "z.kdl").write_text(SECONDARY.format(primaries=lines, more=more))
         return self.part(path, (), limits)
 
-    def part(self, path: Path, classes: tuple[HostClass, ...] = (), limits: Limits = QUICK) -> Part:
+    def part(
+        self, path: Path, classes: tuple[EndpointClass, ...] = (), limits: Limits = QUICK
+    ) -> Part:
         made = Part(self, path, classes, limits)
         self.parts.append(made)
         return made
@@ -160,7 +162,7 @@
 
 class Part:
     def __init__(
-        self, world: World, path: Path, classes: tuple[HostClass, ...], limits: Limits
+        self, world: World, path: Path, classes: tuple[EndpointClass, ...], limits: Limits
     ) -> None:
         self.world = world
         self.path = path
