--- a/kelpcourse/zones/repeats.py
+++ b/kelpcourse/zones/deduplication.py
@@ -16,7 +16,7 @@
 Told = Callable[[dns.rcode.Rcode], None]
 
 
-class Repeats:
+class UpdateDeduplicator:
     def __init__(self, most: int) -> None:
         self._most = most
         self._answers: OrderedDict[bytes, tuple[int, dns.rcode.Rcode]] = OrderedDict()
--- a/kelpcourse/zones/desk.py
+++ b/kelpcourse/zones/desk.py
@@ -29,9 +29,9 @@
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.answer import fill, look_up
 from kelpcourse.zones.content import SOA, Difference, data_of, soa_of
+from kelpcourse.zones.deduplication import UpdateDeduplicator
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under
-from kelpcourse.zones.repeats import Repeats
 from kelpcourse.zones.settings import ZoneSettings, shown
 from kelpcourse.zones.transfer import AXFR, IXFR, incremental, messages, whole
 from kelpcourse.zones.update import Rejected, evaluate
@@ -111,7 +111,7 @@
         self._counters = counters
         self._log = log
         self._backstage = backstage
-        self._repeats = Repeats(limits.max_pending_dns_updates * 16)
+        self._deduplicator = UpdateDeduplicator(limits.max_pending_dns_updates * 16)
         self._transfers = 0
 
     def handle(self, wire: bytes, peer: Address, tcp: bool, reply: Reply) -> None:
@@ -339,7 +339,7 @@
         def tell(rcode: dns.rcode.Rcode) -> None:
             self._say(request, rcode)
 
-        if not self._repeats.meet(mac, self._backstage.clock(), tell):
+        if not self._deduplicator.meet(mac, self._backstage.clock(), tell):
             self._counters.add("zone_updates_deduplicated")
             return
         self._make(request, zone, grant, mac)
@@ -353,7 +353,7 @@
         backstage, now_us = self._backstage, self._backstage.clock()
 
         def done(rcode: dns.rcode.Rcode) -> None:
-            self._repeats.answered(mac, rcode, backstage.clock())
+            self._deduplicator.answered(mac, rcode, backstage.clock())
 
         if not zone.head.exists:
             done(dns.rcode.SERVFAIL)
