--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -36,7 +36,7 @@
 from kelpcourse.store.journal import Journal
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.book import Changed, Replay, collecting_nothing, encode
-from kelpcourse.zones.content import SOA, Draft, Record, Zone, between, data_of
+from kelpcourse.zones.content import SOA, PendingVersion, Record, Zone, between, data_of
 from kelpcourse.zones.settings import read_settings, shown
 from kelpcourse.zones.standalone import Host
 from kelpcourse.zones.transfer import AXFR, Incoming, messages, whole
@@ -116,7 +116,7 @@
 
 
 def next_soa(zone: Zone) -> bytes:
-    draft = Draft(zone)
+    draft = PendingVersion(zone)
     draft.advance()
     return draft.soa_data
 
--- a/kelpcourse/zones/content.py
+++ b/kelpcourse/zones/content.py
@@ -256,7 +256,7 @@
     removed: dict[bytes, None] = field(default_factory=dict)
 
 
-class Draft:
+class PendingVersion:
     """A version to be, over one that stays as it is. It costs what was changed."""
 
     def __init__(self, zone: Zone) -> None:
--- a/kelpcourse/zones/transfer.py
+++ b/kelpcourse/zones/transfer.py
@@ -18,7 +18,7 @@
 import dns.xfr
 
 from kelpcourse.limits import Limits
-from kelpcourse.zones.content import SOA, Difference, Draft, Record, Zone, data_of, zone_of
+from kelpcourse.zones.content import SOA, Difference, PendingVersion, Record, Zone, data_of, zone_of
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under, labels, to_name
 from kelpcourse.zones.reconciliation import Version
@@ -151,7 +151,7 @@
             kind = Unfit if self._inbound.incremental else ZoneError
             raise kind(f"{self._held.origin}: {type(error).__name__}: {error}") from None
 
-    def result(self) -> tuple[Zone | None, Draft | None]:
+    def result(self) -> tuple[Zone | None, PendingVersion | None]:
         """A whole zone, or a draft with differences; neither: nothing was newer."""
         return self._draft.result()
 
@@ -164,7 +164,7 @@
         self._limits = limits
         self._origin = dns.name.from_text(held.origin)
         self._records: list[Record] | None = None
-        self._draft: Draft | None = None
+        self._draft: PendingVersion | None = None
         self._done = False
 
     def origin_information(self) -> tuple[dns.name.Name, bool, dns.name.Name]:
@@ -178,7 +178,7 @@
 
     def writer(self, replacement: bool = False) -> Any:
         self._records = [] if replacement else None
-        self._draft = None if replacement else Draft(self._held)
+        self._draft = None if replacement else PendingVersion(self._held)
         return self
 
     def add(self, name: dns.name.Name, rdataset: dns.rdataset.Rdataset) -> None:
@@ -212,7 +212,7 @@
     def rollback(self) -> None:
         self._records = self._draft = None
 
-    def result(self) -> tuple[Zone | None, Draft | None]:
+    def result(self) -> tuple[Zone | None, PendingVersion | None]:
         if not self._done:
             return None, None
         if self._records is not None:
@@ -220,7 +220,7 @@
         return None, self._draft
 
 
-def offered(zone: Zone | None, draft: Draft | None) -> Version | None:
+def offered(zone: Zone | None, draft: PendingVersion | None) -> Version | None:
     """The version that came, to be judged before it is believed."""
     data = zone.soa_data if zone is not None else draft.soa_data if draft is not None else b""
     return Version(int.from_bytes(data[-20:-16], "big"), data) if data else None
--- a/kelpcourse/zones/update.py
+++ b/kelpcourse/zones/update.py
@@ -10,7 +10,7 @@
 import dns.rrset
 import dns.update
 
-from kelpcourse.zones.content import CNAME, NS, SOA, Draft, Record, data_of, soa_of
+from kelpcourse.zones.content import CNAME, NS, SOA, PendingVersion, Record, data_of, soa_of
 from kelpcourse.zones.names import canonical, is_under
 from kelpcourse.zones.serials import Order, order
 
@@ -27,7 +27,7 @@
         self.rcode = rcode
 
 
-def evaluate(message: dns.update.UpdateMessage, draft: Draft) -> None:
+def evaluate(message: dns.update.UpdateMessage, draft: PendingVersion) -> None:
     """Makes the update in the draft, or raises Rejected and the draft is of no further use."""
     _require(message.prerequisite, draft)
     for rrset in message.update:
@@ -36,7 +36,7 @@
         _change(rrset, draft)
 
 
-def _key(rrset: dns.rrset.RRset, draft: Draft) -> tuple[str, int]:
+def _key(rrset: dns.rrset.RRset, draft: PendingVersion) -> tuple[str, int]:
     owner = canonical(rrset.name)
     if not is_under(owner, draft.origin):
         raise Rejected(dns.rcode.NOTZONE, f"{owner} is not in {draft.origin}")
@@ -50,7 +50,7 @@
 # Prerequisites (section 3.2)
 
 
-def _require(rrsets: Iterable[dns.rrset.RRset], draft: Draft) -> None:
+def _require(rrsets: Iterable[dns.rrset.RRset], draft: PendingVersion) -> None:
     wanted: dict[tuple[str, int], set[bytes]] = {}
     for rrset in rrsets:
         owner, type_ = _key(rrset, draft)
@@ -70,7 +70,7 @@
             raise Rejected(dns.rcode.NXRRSET, f"{owner} holds other records")
 
 
-def _require_there(owner: str, type_: int, draft: Draft) -> None:
+def _require_there(owner: str, type_: int, draft: PendingVersion) -> None:
     if type_ == ANY:
         if not draft.types(owner):
             raise Rejected(dns.rcode.NXDOMAIN, f"{owner} is not there")
@@ -78,7 +78,7 @@
         raise Rejected(dns.rcode.NXRRSET, f"{owner} has no such records")
 
 
-def _require_absent(owner: str, type_: int, draft: Draft) -> None:
+def _require_absent(owner: str, type_: int, draft: PendingVersion) -> None:
     if type_ == ANY:
         if draft.types(owner):
             raise Rejected(dns.rcode.YXDOMAIN, f"{owner} is there")
@@ -89,7 +89,7 @@
 # Changes (section 3.4)
 
 
-def _prescan(rrset: dns.rrset.RRset, draft: Draft) -> None:
+def _prescan(rrset: dns.rrset.RRset, draft: PendingVersion) -> None:
     owner, type_ = _key(rrset, draft)
     if rrset.deleting is None:
         wrong = type_ in META or not len(rrset)
@@ -101,7 +101,7 @@
         raise Rejected(dns.rcode.FORMERR, f"no such change at {owner}")
 
 
-def _change(rrset: dns.rrset.RRset, draft: Draft) -> None:
+def _change(rrset: dns.rrset.RRset, draft: PendingVersion) -> None:
     owner, type_ = _key(rrset, draft)
     apex = owner == draft.origin
     if rrset.deleting is None:
@@ -117,7 +117,7 @@
                 draft.remove(owner, type_, data)
 
 
-def _add(record: Record, draft: Draft) -> None:
+def _add(record: Record, draft: PendingVersion) -> None:
     """Section 3.4.2.2: what a zone can't hold is passed over without a word."""
     if record.type == SOA:
         if record.owner == draft.origin and len(record.data) >= 22:
--- a/kelpcourse/zones/zone_state.py
+++ b/kelpcourse/zones/zone_state.py
@@ -8,7 +8,7 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.endpoints import ListedEndpoint
-from kelpcourse.zones.content import Difference, Draft, Zone, between
+from kelpcourse.zones.content import Difference, PendingVersion, Zone, between
 from kelpcourse.zones.endpoint_extraction import EndpointExtractor
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.history import History
@@ -76,8 +76,8 @@
 
     # Updates
 
-    def draft(self) -> Draft:
-        return Draft(self.head)
+    def draft(self) -> PendingVersion:
+        return PendingVersion(self.head)
 
     def judge(
         self,
--- a/tests/test_zone_content.py
+++ b/tests/test_zone_content.py
@@ -13,7 +13,7 @@
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.answer import look_up
 from kelpcourse.zones.book import Changed, Replay, decode, encode, snapshot
-from kelpcourse.zones.content import Draft, Record, Zone, between, soa_of, zone_of
+from kelpcourse.zones.content import PendingVersion, Record, Zone, between, soa_of, zone_of
 from kelpcourse.zones.endpoint_extraction import SRV, A, EndpointExtractor
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.history import History, put_back
@@ -163,7 +163,7 @@
     )
     known.start(one)
     for step in steps:
-        draft = Draft(one)
+        draft = PendingVersion(one)
         for add, record in step:
             if add:
                 draft.add(record)
@@ -226,7 +226,7 @@
 
 def test_a_ttl_changed_is_a_difference_of_all_the_set() -> None:
     one = zone(1, [rec("x", "A", "10.0.0.1"), rec("x", "A", "10.0.0.2")])
-    draft = Draft(one)
+    draft = PendingVersion(one)
     draft.add(rec("x", "A", "10.0.0.3", ttl=5))
     draft.advance()
     step = draft.difference(0)
@@ -289,7 +289,7 @@
 
 def made(start: Zone, *prepare: tuple[str, ...]) -> set[Record]:
     """What an update adds and takes away, without the SOA."""
-    draft = Draft(start)
+    draft = PendingVersion(start)
     evaluate(update(*prepare), draft)
     draft.advance()
     step = draft.difference(0)
@@ -314,7 +314,7 @@
 )
 def test_prerequisites(prepare: tuple[str, ...], rcode: dns.rcode.Rcode | None) -> None:
     start = zone(1, rooms())
-    draft = Draft(start)
+    draft = PendingVersion(start)
     if rcode is None:
         evaluate(update(prepare), draft)
     else:
@@ -339,7 +339,7 @@
 def test_a_serial_moves_by_one_or_as_the_update_says_and_never_back() -> None:
     start = zone(7)
     for told, result in ((9, 9), (6, 8), (7, 8)):
-        draft = Draft(start)
+        draft = PendingVersion(start)
         text = f"ns.{ORIGIN} staff.{ORIGIN} {told} 60 10 600 30"
         evaluate(
             update(("add", "x", "60", "A", "10.0.0.1"), ("add", "@", "60", "SOA", text)), draft
--- a/tests/zoning.py
+++ b/tests/zoning.py
@@ -11,7 +11,7 @@
 from kelpcourse.limits import Limits
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.zones.content import Draft, Record, Zone, data_of, zone_of
+from kelpcourse.zones.content import PendingVersion, Record, Zone, data_of, zone_of
 from kelpcourse.zones.zone_state import ZoneState
 
 ORIGIN = "games.example.org."
@@ -80,8 +80,10 @@
     return made
 
 
-def draft_of(start: Zone, add: Iterable[Record] = (), remove: Iterable[Record] = ()) -> Draft:
-    draft = Draft(start)
+def draft_of(
+    start: Zone, add: Iterable[Record] = (), remove: Iterable[Record] = ()
+) -> PendingVersion:
+    draft = PendingVersion(start)
     for record in remove:
         assert draft.remove(record.owner, record.type, record.data)
     for record in add:
