--- a/kelpcourse/zones/desk.py
+++ b/kelpcourse/zones/desk.py
@@ -34,7 +34,7 @@
 from kelpcourse.zones.names import canonical, is_under
 from kelpcourse.zones.settings import ZoneSettings, shown
 from kelpcourse.zones.transfer import AXFR, IXFR, incremental, messages, whole
-from kelpcourse.zones.update import Rejected, evaluate
+from kelpcourse.zones.update import UpdateRejectedError, evaluate
 from kelpcourse.zones.update_policy import EndpointClass, UpdateGrant
 from kelpcourse.zones.zone_state import ZoneState
 
@@ -362,7 +362,7 @@
         try:
             assert isinstance(request.message, dns.update.UpdateMessage)
             evaluate(request.message, draft)
-        except Rejected as error:
+        except UpdateRejectedError as error:
             self._log.event(
                 "zone_update_rejected",
                 zone=zone.origin,
--- a/kelpcourse/zones/update.py
+++ b/kelpcourse/zones/update.py
@@ -19,7 +19,7 @@
 META = range(128, 256)  # query types: nothing that a zone holds (RFC 6895, section 3.1)
 
 
-class Rejected(Exception):
+class UpdateRejectedError(Exception):
     """The update is not made; `rcode` says why, as the RFC has it."""
 
     def __init__(self, rcode: dns.rcode.Rcode, why: str) -> None:
@@ -28,7 +28,7 @@
 
 
 def evaluate(message: dns.update.UpdateMessage, draft: PendingVersion) -> None:
-    """Makes the update in the draft, or raises Rejected and the draft is of no further use."""
+    """Makes the update in the draft, or raises UpdateRejectedError and the draft is of no further use."""
     _require(message.prerequisite, draft)
     for rrset in message.update:
         _prescan(rrset, draft)
@@ -39,7 +39,7 @@
 def _key(rrset: dns.rrset.RRset, draft: PendingVersion) -> tuple[str, int]:
     owner = canonical(rrset.name)
     if not is_under(owner, draft.origin):
-        raise Rejected(dns.rcode.NOTZONE, f"{owner} is not in {draft.origin}")
+        raise UpdateRejectedError(dns.rcode.NOTZONE, f"{owner} is not in {draft.origin}")
     return owner, int(rrset.rdtype)
 
 
@@ -55,10 +55,10 @@
     for rrset in rrsets:
         owner, type_ = _key(rrset, draft)
         if rrset.ttl:
-            raise Rejected(dns.rcode.FORMERR, f"a prerequisite on {owner} with a TTL")
+            raise UpdateRejectedError(dns.rcode.FORMERR, f"a prerequisite on {owner} with a TTL")
         match rrset.deleting:
             case dns.rdataclass.ANY | dns.rdataclass.NONE if len(rrset):
-                raise Rejected(dns.rcode.FORMERR, f"a prerequisite on {owner} with data")
+                raise UpdateRejectedError(dns.rcode.FORMERR, f"a prerequisite on {owner} with data")
             case dns.rdataclass.ANY:
                 _require_there(owner, type_, draft)
             case dns.rdataclass.NONE:
@@ -67,23 +67,23 @@
                 wanted.setdefault((owner, type_), set()).update(_data(rrset))
     for (owner, type_), data in wanted.items():
         if set(draft.data(owner, type_)) != data:
-            raise Rejected(dns.rcode.NXRRSET, f"{owner} holds other records")
+            raise UpdateRejectedError(dns.rcode.NXRRSET, f"{owner} holds other records")
 
 
 def _require_there(owner: str, type_: int, draft: PendingVersion) -> None:
     if type_ == ANY:
         if not draft.types(owner):
-            raise Rejected(dns.rcode.NXDOMAIN, f"{owner} is not there")
+            raise UpdateRejectedError(dns.rcode.NXDOMAIN, f"{owner} is not there")
     elif not draft.size(owner, type_):
-        raise Rejected(dns.rcode.NXRRSET, f"{owner} has no such records")
+        raise UpdateRejectedError(dns.rcode.NXRRSET, f"{owner} has no such records")
 
 
 def _require_absent(owner: str, type_: int, draft: PendingVersion) -> None:
     if type_ == ANY:
         if draft.types(owner):
-            raise Rejected(dns.rcode.YXDOMAIN, f"{owner} is there")
+            raise UpdateRejectedError(dns.rcode.YXDOMAIN, f"{owner} is there")
     elif draft.size(owner, type_):
-        raise Rejected(dns.rcode.YXRRSET, f"{owner} has such records")
+        raise UpdateRejectedError(dns.rcode.YXRRSET, f"{owner} has such records")
 
 
 # Changes (section 3.4)
@@ -98,7 +98,7 @@
     else:
         wrong = rrset.deleting != dns.rdataclass.NONE or bool(rrset.ttl) or type_ in META
     if wrong:
-        raise Rejected(dns.rcode.FORMERR, f"no such change at {owner}")
+        raise UpdateRejectedError(dns.rcode.FORMERR, f"no such change at {owner}")
 
 
 def _change(rrset: dns.rrset.RRset, draft: PendingVersion) -> None:
--- a/tests/test_zone_content.py
+++ b/tests/test_zone_content.py
@@ -19,7 +19,7 @@
 from kelpcourse.zones.history import History, put_back
 from kelpcourse.zones.names import is_under, labels, relative
 from kelpcourse.zones.serials import after
-from kelpcourse.zones.update import Rejected, evaluate
+from kelpcourse.zones.update import UpdateRejectedError, evaluate
 from tests.zoning import LIMITS, ORIGIN, SERVICE, draft_of, held, host, rec, rooms, soa, zone
 
 # Names
@@ -318,7 +318,7 @@
     if rcode is None:
         evaluate(update(prepare), draft)
     else:
-        with pytest.raises(Rejected) as error:
+        with pytest.raises(UpdateRejectedError) as error:
             evaluate(update(prepare, ("add", "y", "60", "A", "10.0.0.1")), draft)
         assert error.value.rcode == rcode
 
