--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -35,8 +35,8 @@
 from kelpcourse.store.frames import Record as Entry
 from kelpcourse.store.journal import Journal
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.book import Changed, Replay, collecting_nothing, encode
 from kelpcourse.zones.content import SOA, PendingVersion, Record, Zone, between, data_of
+from kelpcourse.zones.persistence import ZoneChanged, ZoneReplay, encode, garbage_collection_paused
 from kelpcourse.zones.settings import read_settings, shown
 from kelpcourse.zones.standalone import Host
 from kelpcourse.zones.transfer import AXFR, Incoming, messages, whole
@@ -293,7 +293,7 @@
         held = held_of(read_text(zone_text(hosts(1000)), ORIGIN, LIMITS))
         journal = Journal(Folder(Path(folder)))
         journal.open()
-        journal.compact(0, encode(Changed(ORIGIN, between(Zone(ORIGIN), held.zone, 0))))
+        journal.compact(0, encode(ZoneChanged(ORIGIN, between(Zone(ORIGIN), held.zone, 0))))
         entries = []
         for k in range(changes):
             draft = held.draft()
@@ -304,15 +304,15 @@
             draft.advance()
             difference = draft.difference(0)
             held.take(difference, 0)
-            entries.append(Entry(k + 1, encode(Changed(ORIGIN, difference))))
+            entries.append(Entry(k + 1, encode(ZoneChanged(ORIGIN, difference))))
         journal.append(entries)
         journal.close()
 
-        def restart() -> Replay:
+        def restart() -> ZoneReplay:
             again = Journal(Folder(Path(folder)))
-            with collecting_nothing():
+            with garbage_collection_paused():
                 found = again.open()
-                replay = Replay([ORIGIN], SERVICE, LIMITS)
+                replay = ZoneReplay([ORIGIN], SERVICE, LIMITS)
                 replay.run(found.snapshot, (r.payload for r in found.records))
             again.close()
             return replay
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -18,10 +18,10 @@
 from kelpcourse.store.recovery import recover
 from kelpcourse.store.spool import send_command
 from kelpcourse.wire.loop import Loop
-from kelpcourse.zones.book import Replay
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.merged_list import MergedEndpointList
 from kelpcourse.zones.names import read_name
+from kelpcourse.zones.persistence import ZoneReplay
 from kelpcourse.zones.service import Around, Restore, Restored, Zones
 from kelpcourse.zones.settings import ZonesSettings, shown
 from kelpcourse.zones.zone_state import ZoneState
@@ -46,7 +46,7 @@
     )
 
 
-def read_state(settings: ZonesSettings, state: Path, limits: Limits) -> Replay:
+def read_state(settings: ZonesSettings, state: Path, limits: Limits) -> ZoneReplay:
     """What the folder holds, read beside a server that may be writing there. Raises ZoneError or OSError."""
     folder = Folder(state)
     for attempt in range(READ_TRIES):
@@ -56,7 +56,7 @@
         except FileNotFoundError:
             if attempt == READ_TRIES - 1 or not state.is_dir():
                 raise
-    replay = Replay([zone.origin for zone in settings.zones], settings.service, limits)
+    replay = ZoneReplay([zone.origin for zone in settings.zones], settings.service, limits)
     replay.run(found.snapshot, (record.payload for record in found.records))
     return replay
 
--- a/kelpcourse/zones/book.py
+++ b/kelpcourse/zones/persistence.py
@@ -14,21 +14,21 @@
 from kelpcourse.zones.zone_state import ZoneState
 
 
-class Changed(msgspec.Struct, tag="changed", array_like=True, frozen=True):
+class ZoneChanged(msgspec.Struct, tag="changed", array_like=True, frozen=True):
     """A zone went from one version to the next."""
 
     origin: str
     difference: Difference
 
 
-class Seen(msgspec.Struct, tag="seen", array_like=True, frozen=True):
+class ZoneConfirmed(msgspec.Struct, tag="seen", array_like=True, frozen=True):
     """The source of a zone confirmed the version held."""
 
     origin: str
     at_ms: int
 
 
-class Kept(msgspec.Struct, tag="kept", array_like=True, frozen=True):
+class StoredZone(msgspec.Struct, tag="kept", array_like=True, frozen=True):
     """A whole zone in a snapshot, with the differences that led to it."""
 
     origin: str
@@ -37,11 +37,11 @@
     seen_ms: int
 
 
-class Snapshot(msgspec.Struct, tag="snapshot", array_like=True, frozen=True):
-    zones: tuple[Kept, ...]
+class ZoneSnapshot(msgspec.Struct, tag="snapshot", array_like=True, frozen=True):
+    zones: tuple[StoredZone, ...]
 
 
-Entry = Changed | Seen | Kept | Snapshot
+Entry = ZoneChanged | ZoneConfirmed | StoredZone | ZoneSnapshot
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Entry)
 
@@ -57,17 +57,17 @@
         raise ZoneError(f"an entry of the store can't be read: {error}") from None
 
 
-def snapshot(zones: Iterable[ZoneState], others: Iterable[Kept]) -> bytes:
+def snapshot(zones: Iterable[ZoneState], others: Iterable[StoredZone]) -> bytes:
     """`others`: zones that the store holds and the settings do not name; they are kept."""
-    return encode(Snapshot((*(keep(zone) for zone in zones if zone.zone.exists), *others)))
+    return encode(ZoneSnapshot((*(keep(zone) for zone in zones if zone.zone.exists), *others)))
 
 
-def keep(zone: ZoneState) -> Kept:
-    return Kept(zone.origin, tuple(zone.zone.records()), tuple(zone.history), zone.seen_ms)
+def keep(zone: ZoneState) -> StoredZone:
+    return StoredZone(zone.origin, tuple(zone.zone.records()), tuple(zone.history), zone.seen_ms)
 
 
 @contextmanager
-def collecting_nothing() -> Iterator[None]:
+def garbage_collection_paused() -> Iterator[None]:
     """Nothing of what a restart makes is garbage, and looking for it costs half of the time."""
     collects = gc.isenabled()
     gc.disable()
@@ -78,7 +78,7 @@
             gc.enable()
 
 
-class Replay:
+class ZoneReplay:
     """Entries into zones. Those of zones that are not in the settings are kept as they stand."""
 
     def __init__(self, origins: Sequence[str], service: str, limits: Limits) -> None:
@@ -88,9 +88,9 @@
         self._limits = limits
         self.remarks: list[str] = []
 
-    def others(self) -> tuple[Kept, ...]:
+    def others(self) -> tuple[StoredZone, ...]:
         entry = decode(snapshot(self._others.values(), ()))
-        assert isinstance(entry, Snapshot)
+        assert isinstance(entry, ZoneSnapshot)
         return entry.zones
 
     def run(self, snapshot_payload: bytes | None, payloads: Iterable[bytes]) -> None:
@@ -107,20 +107,20 @@
 
     def _take(self, entry: Entry) -> None:
         match entry:
-            case Snapshot(zones):
+            case ZoneSnapshot(zones):
                 for kept in zones:
                     self._keep(kept)
-            case Kept():
+            case StoredZone():
                 self._keep(entry)
-            case Changed():
+            case ZoneChanged():
                 zone = self._zone(entry.origin)
                 zone.replay(entry.difference)
                 zone.seen_ms = max(zone.seen_ms, entry.difference.at_ms)
-            case Seen(origin, at_ms):
+            case ZoneConfirmed(origin, at_ms):
                 zone = self._zone(origin)
                 zone.seen_ms = max(zone.seen_ms, at_ms)
 
-    def _keep(self, kept: Kept) -> None:
+    def _keep(self, kept: StoredZone) -> None:
         zone = self._zone(kept.origin)
         zone.replay(between(zone.zone, zone_of(kept.origin, kept.records), kept.seen_ms))
         for each in kept.history:
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -22,22 +22,22 @@
 from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.storage import DurableWriter, StorageThread
 from kelpcourse.wire.worker import run_in_thread
-from kelpcourse.zones.book import (
-    Changed,
-    Entry,
-    Replay,
-    Seen,
-    collecting_nothing,
-    encode,
-    keep,
-    snapshot,
-)
 from kelpcourse.zones.content import Difference, Zone
 from kelpcourse.zones.desk import Desk, Ticket
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.follower import Asker, Follower, Notifier, same
 from kelpcourse.zones.history import as_at, put_back
 from kelpcourse.zones.merged_list import EndpointConflict, MergedEndpointList
+from kelpcourse.zones.persistence import (
+    Entry,
+    ZoneChanged,
+    ZoneConfirmed,
+    ZoneReplay,
+    encode,
+    garbage_collection_paused,
+    keep,
+    snapshot,
+)
 from kelpcourse.zones.reconciliation import Verdict, Version
 from kelpcourse.zones.server import Server, pair
 from kelpcourse.zones.settings import ZoneSettings, ZonesSettings, shown
@@ -99,14 +99,16 @@
 
     # Start
 
-    def _open_store(self) -> Replay:
+    def _open_store(self) -> ZoneReplay:
         around, settings = self._around, self.settings
-        replay = Replay([zone.origin for zone in settings.zones], settings.service, around.limits)
+        replay = ZoneReplay(
+            [zone.origin for zone in settings.zones], settings.service, around.limits
+        )
         if settings.state is None:
             return replay
         journal = Journal(Folder(settings.state))
         began = time.monotonic()
-        with collecting_nothing():
+        with garbage_collection_paused():
             found = journal.open()
             replay.run(found.snapshot, (record.payload for record in found.records))
         journal.begin(found, snapshot(replay.zones.values(), replay.others()))
@@ -242,7 +244,9 @@
             self._save(ticket.zone, keep(ticket.zone))
             if ticket.zone.origin in self._unsaved:
                 return False
-        return self._writer.stage(encode(Changed(ticket.zone.origin, ticket.difference)), ticket)
+        return self._writer.stage(
+            encode(ZoneChanged(ticket.zone.origin, ticket.difference)), ticket
+        )
 
     def notified(self, origin: str) -> None:
         self._followers[origin].notified()
@@ -287,7 +291,7 @@
             hosts=len(held.meaning.hosts),
         )
         self._announce(held, changes)
-        self._save(held, Changed(held.origin, difference))
+        self._save(held, ZoneChanged(held.origin, difference))
 
     def _save(self, held: ZoneState, entry: Entry) -> None:
         """Keeps a version that is announced already. Once that has failed, only the whole zone follows on from
@@ -363,7 +367,7 @@
             >= self._around.limits.zone_confirmation_interval_us
         ):
             self._seen_us[held.origin] = now_us
-            self._save(held, Seen(held.origin, held.seen_ms))
+            self._save(held, ZoneConfirmed(held.origin, held.seen_ms))
 
     def _expired(self, held: ZoneState) -> None:
         self._around.counters.add("zone_expiries")
--- a/tests/test_stored_zones.py
+++ b/tests/test_stored_zones.py
@@ -16,7 +16,7 @@
 from kelpcourse.store.frames import HEADER_BYTES, Kind, Record, frame, header
 from kelpcourse.store.journal import Journal
 from kelpcourse.store.recovery import Recovered, from_bytes
-from kelpcourse.zones.book import Replay, decode, encode, snapshot
+from kelpcourse.zones.persistence import ZoneReplay, decode, encode, snapshot
 from kelpcourse.zones.zone_state import ZoneState
 from tests.zonerig import SECONDARY, World
 from tests.zoning import ORIGIN, SERVICE
@@ -41,7 +41,7 @@
     """What the files of one store hold."""
 
     found: Recovered
-    replay: Replay
+    replay: ZoneReplay
 
 
 def open_copy(folder: Path, files: dict[str, bytes] = FILES) -> Opened:
@@ -55,13 +55,13 @@
     return Opened(found, replayed(found))
 
 
-def replayed(found: Recovered, origins: list[str] = ALL_ZONES) -> Replay:
-    replay = Replay(origins, SERVICE, Limits())
+def replayed(found: Recovered, origins: list[str] = ALL_ZONES) -> ZoneReplay:
+    replay = ZoneReplay(origins, SERVICE, Limits())
     replay.run(found.snapshot, [record.payload for record in found.records])
     return replay
 
 
-def summary(replay: Replay) -> dict[str, list[int | None]]:
+def summary(replay: ZoneReplay) -> dict[str, list[int | None]]:
     """Of each zone: its serial, when its source last confirmed it, and the number of its records."""
     return {
         origin: [held.zone.serial if held.zone.exists else None, held.seen_ms, len(held.zone)]
--- a/tests/test_zone_content.py
+++ b/tests/test_zone_content.py
@@ -12,12 +12,12 @@
 
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.answer import look_up
-from kelpcourse.zones.book import Changed, Replay, decode, encode, snapshot
 from kelpcourse.zones.content import PendingVersion, Record, Zone, between, soa_of, zone_of
 from kelpcourse.zones.endpoint_extraction import SRV, A, EndpointExtractor
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.history import History, put_back
 from kelpcourse.zones.names import is_under, labels, relative
+from kelpcourse.zones.persistence import ZoneChanged, ZoneReplay, decode, encode, snapshot
 from kelpcourse.zones.serials import after
 from kelpcourse.zones.update import UpdateRejectedError, evaluate
 from tests.zoning import LIMITS, ORIGIN, SERVICE, draft_of, held, host, rec, rooms, soa, zone
@@ -253,19 +253,19 @@
     one = held(zone(1, rooms()))
     payloads = []
     first = between(Zone(ORIGIN), one.zone, 5)
-    payloads.append(encode(Changed(ORIGIN, first)))
+    payloads.append(encode(ZoneChanged(ORIGIN, first)))
     step = draft_of(one.zone, remove=host("s-0", address="127.0.0.10")).difference(9)
     one.take(step, 0)
-    payloads.append(encode(Changed(ORIGIN, step)))
-    replay = Replay([ORIGIN], SERVICE, LIMITS)
+    payloads.append(encode(ZoneChanged(ORIGIN, step)))
+    replay = ZoneReplay([ORIGIN], SERVICE, LIMITS)
     replay.run(None, payloads)
     again = replay.zones[ORIGIN]
     assert sorted(again.zone.records()) == sorted(one.zone.records())
     assert again.meaning.hosts == one.meaning.hosts
     assert again.seen_ms == 9
-    from_snapshot = Replay([], SERVICE, LIMITS)
+    from_snapshot = ZoneReplay([], SERVICE, LIMITS)
     from_snapshot.run(snapshot([one], ()), [])
-    other = Replay(
+    other = ZoneReplay(
         [ORIGIN], SERVICE, LIMITS
     )  # the settings had left the zone out, and name it again
     other.run(snapshot([], from_snapshot.others()), [])
--- a/tests/test_zone_server.py
+++ b/tests/test_zone_server.py
@@ -21,8 +21,8 @@
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.frames import HEADER_BYTES, Kind, read
 from kelpcourse.store.recovery import from_bytes
-from kelpcourse.zones.book import Replay
 from kelpcourse.zones.desk import Desk
+from kelpcourse.zones.persistence import ZoneReplay
 from kelpcourse.zones.service import Restored
 from kelpcourse.zones.update_policy import EndpointClass
 from tests.standins import RecordingLog
@@ -245,7 +245,7 @@
         found = from_bytes({**files, journal: data[:cut]})
         if cut % 7 and cut < len(data) - 40 and len(found.records) in versions:
             continue  # the store's own tests look at each byte; here each version and the last record's tail
-        replay = Replay([ORIGIN], SERVICE, LIMITS)
+        replay = ZoneReplay([ORIGIN], SERVICE, LIMITS)
         replay.run(found.snapshot, [r.payload for r in found.records])
         known = replay.zones[ORIGIN]
         serial = known.zone.serial if known.zone.exists else 0
