--- a/kelpcourse/lab/primary.py
+++ b/kelpcourse/lab/primary.py
@@ -128,7 +128,7 @@
 
     @property
     def serial(self) -> int:
-        return self._zones.held[ORIGIN].zone.serial
+        return self._zones.zone_states[ORIGIN].zone.serial
 
     def restore(self, serial: int, answer: Callable[[Restored], None]) -> None:
         self._zones.restore(Restore(ORIGIN, serial), answer)
--- a/kelpcourse/zones/reconciliation.py
+++ b/kelpcourse/zones/reconciliation.py
@@ -64,7 +64,7 @@
     """One zone's: what is held, and which of its sources contradict it."""
 
     def __init__(self, held: Version | None) -> None:
-        self.held = held
+        self.accepted = held
         self.expired = False
         self._against: dict[str, tuple[Verdict, int]] = {}  # by source
 
@@ -74,12 +74,12 @@
 
     def offer(self, source: str, offered: Version) -> tuple[Verdict, list[Contradiction]]:
         """What to make of a version that a source tells of."""
-        verdict = judge(None if self.expired else self.held, offered)
+        verdict = judge(None if self.expired else self.accepted, offered)
         return verdict, self._note(source, verdict, offered.serial)
 
     def take(self, version: Version) -> None:
         """This version is held from now on."""
-        self.held, self.expired = version, False
+        self.accepted, self.expired = version, False
 
     def expire(self) -> None:
         """Nothing confirmed the zone for as long as its SOA allows."""
@@ -105,5 +105,9 @@
 
     def _told(self, source: str, verdict: Verdict, serial: int, begins: bool) -> Contradiction:
         return Contradiction(
-            source, verdict, self.held.serial if self.held is not None else 0, serial, begins
+            source,
+            verdict,
+            self.accepted.serial if self.accepted is not None else 0,
+            serial,
+            begins,
         )
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -84,15 +84,17 @@
         self._by_origin = {zone.origin: zone for zone in settings.zones}
         self._writer: DurableWriter[Ticket | Saved] | None = None
         replay = self._open_store()
-        self.held = replay.zones
+        self.zone_states = replay.zones
         self._others = replay.others()
-        self.union = MergedEndpointList(list(self.held), grace_us, around.limits.max_endpoint_names)
+        self.merged_list = MergedEndpointList(
+            list(self.zone_states), grace_us, around.limits.max_endpoint_names
+        )
         self._bare: set[str] = set()
         self._unsaved: set[str] = set()  # zones whose last version the store does not have
         self._covered: set[str] = set()  # those of them that the snapshot being written holds
         self._seen_us: dict[str, int] = {}
         self._followers: dict[str, Follower] = {}
-        self._notifiers: dict[str, list[Notifier]] = {origin: [] for origin in self.held}
+        self._notifiers: dict[str, list[Notifier]] = {origin: [] for origin in self.zone_states}
         self._files: dict[str, tuple[int, ...]] = {}  # as a file last was
         self._look = Signal()
         self.server: Server | None = None
@@ -144,10 +146,10 @@
         around = self._around
         for origin, zone in self._by_origin.items():
             for peer in zone.notify:
-                notifier = Notifier(self._asker(), self.held[origin], peer)
+                notifier = Notifier(self._asker(), self.zone_states[origin], peer)
                 self._notifiers[origin].append(notifier)
                 around.keep("zone notify", notifier.run)
-        for held in self.held.values():
+        for held in self.zone_states.values():
             if held.zone.exists:
                 self._announce(held, dict(held.meaning.hosts))
         for origin, zone in self._by_origin.items():
@@ -185,7 +187,7 @@
         around = self._around
         assert self.settings.listen is not None
         desk = Desk(
-            self.held,
+            self.zone_states,
             self._by_origin,
             self.settings.keys,
             around.limits,
@@ -206,7 +208,7 @@
         around.log.always("dns_ready", listen=shown(self.server.address))
 
     def _follow(self, origin: str, zone: ZoneSettings) -> None:
-        held, around = self.held[origin], self._around
+        held, around = self.zone_states[origin], self._around
         confirmed_us = around.loop.clock() - max(0, self.unix_ms() - held.seen_ms) * 1000
         follower = Follower(
             self._asker(),
@@ -273,7 +275,7 @@
 
     def _snapshot(self) -> bytes:
         self._covered = set(self._unsaved)
-        return snapshot(self.held.values(), self._others)
+        return snapshot(self.zone_states.values(), self._others)
 
     def _adopt(self, held: ZoneState, difference: Difference, source: str) -> None:
         """A version that came whole from its source and can be had there again: announced at once, and kept as
@@ -312,17 +314,19 @@
     def _announce(self, held: ZoneState, changes: Changes) -> None:
         """One change of the list, however many hosts it concerns."""
         origin, around = held.origin, self._around
-        members, conflicts = self.union.take(origin, changes, self.clock(), self.unix_ms())
-        became_whole = self.union.loaded(origin)
+        members, conflicts = self.merged_list.take(origin, changes, self.clock(), self.unix_ms())
+        became_whole = self.merged_list.loaded(origin)
         self._tell_conflicts(conflicts)
         self._tell_problems(held)
         for notifier in self._notifiers[origin]:
             notifier.changed()
         around.counters.add("zone_changes")
         if became_whole:
-            self._sink.listed(list(self.union.members.values()), self.union.version, True)
+            self._sink.listed(
+                list(self.merged_list.members.values()), self.merged_list.version, True
+            )
         elif members:
-            self._sink.listed(members, self.union.version, False)
+            self._sink.listed(members, self.merged_list.version, False)
         self._check_bare()
 
     def _tell_conflicts(self, conflicts: Iterable[EndpointConflict]) -> None:
@@ -346,7 +350,7 @@
 
     def _check_bare(self) -> None:
         """Nothing is held back for it, but somebody must be told."""
-        now = set(bare(self.classes, self.union.members.values()))
+        now = set(bare(self.classes, self.merged_list.members.values()))
         if now != self._bare:
             self._around.log.always(
                 "zone_classes_without_endpoints", classes=sorted(now), were=sorted(self._bare)
@@ -356,11 +360,13 @@
     def _confirmed(self, held: ZoneState) -> None:
         now_us = self.clock()
         held.seen_ms = self.unix_ms()
-        was_available = self.union.available
-        self.union.loaded(held.origin)
+        was_available = self.merged_list.available
+        self.merged_list.loaded(held.origin)
         if not was_available:
             self._sink.listed(
-                list(self.union.members.values()), self.union.version, self.union.whole
+                list(self.merged_list.members.values()),
+                self.merged_list.version,
+                self.merged_list.whole,
             )
         if (
             now_us - self._seen_us.get(held.origin, -1 << 62)
@@ -377,9 +383,9 @@
             serial=held.zone.serial,
             endpoints=len(held.meaning.hosts),
         )
-        was = self.union.available
-        self.union.lost(held.origin)
-        if was and not self.union.available:
+        was = self.merged_list.available
+        self.merged_list.lost(held.origin)
+        if was and not self.merged_list.available:
             self._sink.lost()
 
     # Files
@@ -406,7 +412,7 @@
         except ZoneError as error:
             self._bad_file(zone, error)
             return
-        while self.held[zone.origin].staged:  # updates that wait for the disk come first
+        while self.zone_states[zone.origin].staged:  # updates that wait for the disk come first
             yield Wait(self.clock() + self._around.limits.zone_command_poll_us)
         self._take_file(zone, path, new)
 
@@ -433,7 +439,7 @@
         self._around.log.always("zone_file_rejected", zone=zone.origin, reason=str(error))
 
     def _take_file(self, zone: ZoneSettings, path: Path, new: Zone) -> None:
-        held = self.held[zone.origin]
+        held = self.zone_states[zone.origin]
         verdict, contradictions = held.belief.offer("file", Version(new.serial, new.soa_data))
         if verdict is Verdict.NEWER:
             self._adopt(held, held.replace(new, 0), str(path))
@@ -478,7 +484,7 @@
 
     def restore(self, command: Restore, answer: Callable[[Restored], None]) -> None:
         """Puts a zone back as it was, as its next version; `answer` hears once that is durable or can't be."""
-        held = self.held.get(command.origin)
+        held = self.zone_states.get(command.origin)
         if held is None:
             answer(Restored(error=f"no zone {command.origin} is in the settings"))
             return
--- a/tests/test_dns_bytes.py
+++ b/tests/test_dns_bytes.py
@@ -41,7 +41,7 @@
 def primary(world: World, more: str = "") -> tuple[Part, Client]:
     many = [r for k in range(40) for r in host(f"n-{k}", "room-c", address=f"127.0.1.{k}")]
     part = world.primary(zone(1, rooms(), many), more=more)
-    world.until(lambda: part.zones.zone_state[ORIGIN].zone.exists)
+    world.until(lambda: part.zones.zone_states[ORIGIN].zone.exists)
     return part, Client(world, part)
 
 
--- a/tests/test_stored_zones.py
+++ b/tests/test_stored_zones.py
@@ -222,7 +222,7 @@
     part = world.part(path)
     try:
         recorded = RECORDED["zones"][ORIGIN]
-        held = part.zones.zone_state[ORIGIN]
+        held = part.zones.zone_states[ORIGIN]
         assert (part.serial, held.seen_ms) == (recorded["serial"], recorded["confirmed_ms"])
         assert {name: phase.value for name, phase in part.list.items()} == {
             name: phase for name, (_, phase) in recorded["endpoints"].items()
--- a/tests/test_zone_server.py
+++ b/tests/test_zone_server.py
@@ -233,7 +233,7 @@
     part, client = started(world)
     for k in range(3):
         assert client.update(*host_added(f"n-{k}")) == NOERROR
-    final = sorted(part.zones.zone_state[ORIGIN].zone.records())
+    final = sorted(part.zones.zone_states[ORIGIN].zone.records())
     part.kill()
     folder = Folder(part.path / "state")
     files = {name: folder.read(name) for name in folder.names()}
@@ -358,8 +358,8 @@
     world.until(lambda: follower.serial == 2)
     assert "s-9" in follower.list
     assert part.counters["zone_ixfr_out"] == 1
-    assert sorted(follower.zones.zone_state[ORIGIN].zone.records()) == sorted(
-        part.zones.zone_state[ORIGIN].zone.records()
+    assert sorted(follower.zones.zone_states[ORIGIN].zone.records()) == sorted(
+        part.zones.zone_states[ORIGIN].zone.records()
     )
 
 
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -209,7 +209,7 @@
 
     @property
     def serial(self) -> int:
-        held = self.zones.zone_state[ORIGIN]
+        held = self.zones.zone_states[ORIGIN]
         return held.zone.serial if held.zone.exists else 0
 
     def kill(self) -> None:
