--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -35,8 +35,20 @@
 from kelpcourse.store.frames import Record as Entry
 from kelpcourse.store.journal import Journal
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.content import SOA, PendingVersion, Record, Zone, between, data_of
-from kelpcourse.zones.persistence import ZoneChanged, ZoneReplay, encode, garbage_collection_paused
+from kelpcourse.zones.content import (
+    SOA,
+    PendingVersion,
+    Record,
+    Zone,
+    canonical_data,
+    difference_between,
+)
+from kelpcourse.zones.persistence import (
+    ZoneChanged,
+    ZoneReplay,
+    encode_entry,
+    garbage_collection_paused,
+)
 from kelpcourse.zones.settings import read_settings, shown
 from kelpcourse.zones.standalone import Host
 from kelpcourse.zones.transfer import AXFR, Incoming, messages, whole
@@ -94,7 +106,7 @@
         other.take(record)
     other.take(soa_record(other))
     other.put(soa_record(zone)._replace(data=next_soa(zone)))
-    ours, difference = timed(lambda: between(zone, other, 0))
+    ours, difference = timed(lambda: difference_between(zone, other, 0))
     theirs, _ = timed(lambda: library_difference(library), 1)
     row(f"difference of two versions ({difference.size} records)", f"{ours:.0f}", f"{theirs:.0f}")
     held = held_of(zone)
@@ -146,7 +158,7 @@
 
     def all_of(reader: Any) -> set[tuple[Any, ...]]:
         return {
-            (name, rdataset.rdtype, data_of(rdata))
+            (name, rdataset.rdtype, canonical_data(rdata))
             for name, rdataset in reader.iterate_rdatasets()
             for rdata in rdataset
         }
@@ -293,7 +305,9 @@
         held = held_of(read_text(zone_text(hosts(1000)), ORIGIN, LIMITS))
         journal = Journal(Folder(Path(folder)))
         journal.open()
-        journal.compact(0, encode(ZoneChanged(ORIGIN, between(Zone(ORIGIN), held.zone, 0))))
+        journal.compact(
+            0, encode_entry(ZoneChanged(ORIGIN, difference_between(Zone(ORIGIN), held.zone, 0)))
+        )
         entries = []
         for k in range(changes):
             draft = held.draft()
@@ -304,7 +318,7 @@
             draft.advance()
             difference = draft.difference(0)
             held.take(difference, 0)
-            entries.append(Entry(k + 1, encode(ZoneChanged(ORIGIN, difference))))
+            entries.append(Entry(k + 1, encode_entry(ZoneChanged(ORIGIN, difference))))
         journal.append(entries)
         journal.close()
 
--- a/kelpcourse/cli/main.py
+++ b/kelpcourse/cli/main.py
@@ -197,7 +197,7 @@
             orjson.dumps(
                 {
                     "origin": origin,
-                    "as_at": serial,
+                    "version_at": serial,
                     "serial": restored.serial,
                     "hosts": restored.hosts,
                 }
--- a/kelpcourse/zones/answer.py
+++ b/kelpcourse/zones/answer.py
@@ -14,7 +14,7 @@
 import dns.rdatatype
 import dns.rrset
 
-from kelpcourse.zones.content import CNAME, NS, SOA, RecordSet, Zone, read_data, soa_of
+from kelpcourse.zones.content import CNAME, NS, SOA, RecordSet, Zone, parse_record_data, parse_soa
 from kelpcourse.zones.endpoint_extraction import AAAA, SRV, A
 from kelpcourse.zones.names import canonical, to_name
 
@@ -37,7 +37,7 @@
     made = dns.rrset.RRset(to_name(owner), dns.rdataclass.IN, dns.rdatatype.RdataType.make(type_))
     made.update_ttl(ttl)
     for each in data:
-        made.add(read_data(type_, each))
+        made.add(parse_record_data(type_, each))
     return made
 
 
@@ -50,7 +50,7 @@
     alias = zone.get(owner, CNAME)
     if not out.answer and alias is not None:
         out.answer.append(rrset(owner, CNAME, alias))
-        target = canonical(read_data(CNAME, next(iter(alias.data))).target)  # type: ignore[attr-defined]
+        target = canonical(parse_record_data(CNAME, next(iter(alias.data))).target)  # type: ignore[attr-defined]
         held = zone.get(target, type_)
         if held is not None:
             out.answer.append(rrset(target, type_, held))
@@ -66,7 +66,7 @@
     held = zone.get(zone.origin, SOA)
     assert held is not None
     made = rrset(zone.origin, SOA, held)
-    made.ttl = min(held.ttl, soa_of(next(iter(held.data))).minimum)
+    made.ttl = min(held.ttl, parse_soa(next(iter(held.data))).minimum)
     return made
 
 
--- a/kelpcourse/zones/content.py
+++ b/kelpcourse/zones/content.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from kelpcourse.zones.errors import ZoneError
-from kelpcourse.zones.serials import after
+from kelpcourse.zones.serials import next_serial
 
 SOA = int(dns.rdatatype.SOA)
 NS = int(dns.rdatatype.NS)
@@ -49,19 +49,19 @@
     data: dict[bytes, None]
 
 
-def read_data(type_: int, data: bytes) -> dns.rdata.Rdata:
+def parse_record_data(type_: int, data: bytes) -> dns.rdata.Rdata:
     return dns.rdata.from_wire(
         dns.rdataclass.IN, dns.rdatatype.RdataType.make(type_), data, 0, len(data)
     )
 
 
-def data_of(rdata: dns.rdata.Rdata) -> bytes:
+def canonical_data(rdata: dns.rdata.Rdata) -> bytes:
     wire = rdata.to_digestable()
     assert wire is not None
     return wire
 
 
-def soa_of(data: bytes) -> Soa:
+def parse_soa(data: bytes) -> Soa:
     at = len(data) - 20  # five figures end it, whatever the names before them are
     figures = [int.from_bytes(data[at + k : at + k + 4], "big") for k in range(0, 20, 4)]
     return Soa(*figures)
@@ -127,7 +127,7 @@
 
     @property
     def soa(self) -> Soa:
-        return soa_of(self.soa_data)
+        return parse_soa(self.soa_data)
 
     @property
     def serial(self) -> int:
@@ -214,14 +214,14 @@
     return dns.rdatatype.to_text(dns.rdatatype.RdataType.make(type_))
 
 
-def zone_of(origin: str, records: Iterable[Record]) -> Zone:
+def build_zone(origin: str, records: Iterable[Record]) -> Zone:
     zone = Zone(origin)
     for record in records:
         zone.put(record)
     return zone
 
 
-def between(old: Zone, new: Zone, at_ms: int) -> Difference:
+def difference_between(old: Zone, new: Zone, at_ms: int) -> Difference:
     """What leads from one version to another."""
     removed, added = [], []
     for owner in {**dict.fromkeys(old.owners()), **dict.fromkeys(new.owners())}:
@@ -334,7 +334,7 @@
     def advance(self) -> None:
         """Moves the serial on by one if it has not been moved."""
         if self.soa_data and self.soa_data == self.zone.soa_data:
-            self.set_soa(with_serial(self.soa_data, after(self.zone.serial)))
+            self.set_soa(with_serial(self.soa_data, next_serial(self.zone.serial)))
 
     def difference(self, at_ms: int) -> Difference:
         """Raises ZoneError if the version to be has no SOA."""
@@ -343,7 +343,7 @@
         before = self.zone.serial if self.zone.exists else None
         return Difference(
             before,
-            soa_of(self.soa_data).serial,
+            parse_soa(self.soa_data).serial,
             tuple(self._removed()),
             tuple(self._added()),
             at_ms,
--- a/kelpcourse/zones/desk.py
+++ b/kelpcourse/zones/desk.py
@@ -28,7 +28,7 @@
 from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.answer import fill, look_up
-from kelpcourse.zones.content import SOA, Difference, data_of, soa_of
+from kelpcourse.zones.content import SOA, Difference, canonical_data, parse_soa
 from kelpcourse.zones.deduplication import UpdateDeduplicator
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under
@@ -419,6 +419,6 @@
     """The serial and data of the SOA in an answer."""
     for each in message.answer:
         if each.rdtype == dns.rdatatype.SOA and canonical(each.name) == origin and len(each) == 1:
-            data = data_of(each[0])
-            return soa_of(data).serial, data
+            data = canonical_data(each[0])
+            return parse_soa(data).serial, data
     return None
--- a/kelpcourse/zones/history.py
+++ b/kelpcourse/zones/history.py
@@ -5,9 +5,9 @@
 from collections import deque
 from collections.abc import Iterator
 
-from kelpcourse.zones.content import SOA, Difference, Record, Zone, between, with_serial
+from kelpcourse.zones.content import SOA, Difference, Record, Zone, difference_between, with_serial
 from kelpcourse.zones.errors import ZoneError
-from kelpcourse.zones.serials import after
+from kelpcourse.zones.serials import next_serial
 
 
 class History:
@@ -51,7 +51,7 @@
         return None
 
 
-def as_at(zone: Zone, history: History, serial: int) -> Zone | None:
+def version_at(zone: Zone, history: History, serial: int) -> Zone | None:
     """The version with that serial; None: it is no longer known."""
     steps = history.since(serial)
     if steps is None:
@@ -62,9 +62,9 @@
     return former
 
 
-def put_back(zone: Zone, history: History, serial: int, at_ms: int) -> Difference:
+def restore_version(zone: Zone, history: History, serial: int, at_ms: int) -> Difference:
     """The zone as it was at `serial`, as the version after the one held. Raises ZoneError with what is known."""
-    former = as_at(zone, history, serial)
+    former = version_at(zone, history, serial)
     if former is None:
         known = ", ".join(map(str, history.serials())) or "none"
         raise ZoneError(f"{zone.origin} is not known as it was at serial {serial}; known: {known}")
@@ -72,5 +72,5 @@
     assert soa is not None
     ttl, data = soa.ttl, next(iter(soa.data))
     former.take(Record(zone.origin, SOA, ttl, data))
-    former.put(Record(zone.origin, SOA, ttl, with_serial(data, after(zone.serial))))
-    return between(zone, former, at_ms)
+    former.put(Record(zone.origin, SOA, ttl, with_serial(data, next_serial(zone.serial))))
+    return difference_between(zone, former, at_ms)
--- a/kelpcourse/zones/persistence.py
+++ b/kelpcourse/zones/persistence.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from kelpcourse.limits import Limits
-from kelpcourse.zones.content import Difference, Record, between, zone_of
+from kelpcourse.zones.content import Difference, Record, build_zone, difference_between
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.zone_state import ZoneState
 
@@ -46,23 +46,25 @@
 _decoder = msgspec.msgpack.Decoder(Entry)
 
 
-def encode(entry: Entry) -> bytes:
+def encode_entry(entry: Entry) -> bytes:
     return _encoder.encode(entry)
 
 
-def decode(payload: bytes) -> Entry:
+def decode_entry(payload: bytes) -> Entry:
     try:
         return _decoder.decode(payload)
     except msgspec.DecodeError as error:
         raise ZoneError(f"an entry of the store can't be read: {error}") from None
 
 
-def snapshot(zones: Iterable[ZoneState], others: Iterable[StoredZone]) -> bytes:
+def encode_snapshot(zones: Iterable[ZoneState], others: Iterable[StoredZone]) -> bytes:
     """`others`: zones that the store holds and the settings do not name; they are kept."""
-    return encode(ZoneSnapshot((*(keep(zone) for zone in zones if zone.zone.exists), *others)))
+    return encode_entry(
+        ZoneSnapshot((*(stored_zone(zone) for zone in zones if zone.zone.exists), *others))
+    )
 
 
-def keep(zone: ZoneState) -> StoredZone:
+def stored_zone(zone: ZoneState) -> StoredZone:
     return StoredZone(zone.origin, tuple(zone.zone.records()), tuple(zone.history), zone.seen_ms)
 
 
@@ -89,7 +91,7 @@
         self.remarks: list[str] = []
 
     def others(self) -> tuple[StoredZone, ...]:
-        entry = decode(snapshot(self._others.values(), ()))
+        entry = decode_entry(encode_snapshot(self._others.values(), ()))
         assert isinstance(entry, ZoneSnapshot)
         return entry.zones
 
@@ -101,7 +103,7 @@
 
     def _run_one(self, payload: bytes) -> None:
         try:
-            self._take(decode(payload))
+            self._take(decode_entry(payload))
         except ZoneError as error:  # told; the version that stands is a whole one
             self.remarks.append(str(error))
 
@@ -122,7 +124,9 @@
 
     def _keep(self, kept: StoredZone) -> None:
         zone = self._zone(kept.origin)
-        zone.replay(between(zone.zone, zone_of(kept.origin, kept.records), kept.seen_ms))
+        zone.replay(
+            difference_between(zone.zone, build_zone(kept.origin, kept.records), kept.seen_ms)
+        )
         for each in kept.history:
             zone.history.add(each)
         zone.seen_ms = kept.seen_ms
--- a/kelpcourse/zones/reconciliation.py
+++ b/kelpcourse/zones/reconciliation.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from kelpcourse.zones.serials import Order, order
+from kelpcourse.zones.serials import SerialOrder, compare_serials
 
 
 class Verdict(Enum):
@@ -27,10 +27,10 @@
 
 
 VERDICTS = {
-    Order.SAME: Verdict.SAME,
-    Order.AHEAD: Verdict.NEWER,
-    Order.BEHIND: Verdict.BEHIND,
-    Order.UNDEFINED: Verdict.UNDEFINED,
+    SerialOrder.SAME: Verdict.SAME,
+    SerialOrder.AHEAD: Verdict.NEWER,
+    SerialOrder.BEHIND: Verdict.BEHIND,
+    SerialOrder.UNDEFINED: Verdict.UNDEFINED,
 }
 
 
@@ -40,10 +40,10 @@
     soa: bytes  # canonical data, compared where serials are the same
 
 
-def judge(held: Version | None, offered: Version) -> Verdict:
+def compare_versions(held: Version | None, offered: Version) -> Verdict:
     if held is None:
         return Verdict.NEWER
-    verdict = VERDICTS[order(offered.serial, held.serial)]
+    verdict = VERDICTS[compare_serials(offered.serial, held.serial)]
     if verdict is Verdict.SAME and offered.soa != held.soa:
         return Verdict.DIFFERS
     return verdict
@@ -74,7 +74,7 @@
 
     def offer(self, source: str, offered: Version) -> tuple[Verdict, list[Contradiction]]:
         """What to make of a version that a source tells of."""
-        verdict = judge(None if self.expired else self.accepted, offered)
+        verdict = compare_versions(None if self.expired else self.accepted, offered)
         return verdict, self._note(source, verdict, offered.serial)
 
     def take(self, version: Version) -> None:
--- a/kelpcourse/zones/serials.py
+++ b/kelpcourse/zones/serials.py
@@ -4,27 +4,27 @@
 
 from enum import Enum
 
-CIRCLE = 1 << 32
-HALF = 1 << 31
+SERIAL_SPACE = 1 << 32
+HALF_SERIAL_SPACE = 1 << 31
 
 
-class Order(Enum):
+class SerialOrder(Enum):
     SAME = "same"
     AHEAD = "ahead"
     BEHIND = "behind"
     UNDEFINED = "undefined"  # exactly half round: neither is ahead (RFC 1982, section 3.2)
 
 
-def order(serial: int, other: int) -> Order:
+def compare_serials(serial: int, other: int) -> SerialOrder:
     """Where `serial` stands beside `other`."""
-    distance = (serial - other) % CIRCLE
+    distance = (serial - other) % SERIAL_SPACE
     if distance == 0:
-        return Order.SAME
-    if distance == HALF:
-        return Order.UNDEFINED
-    return Order.AHEAD if distance < HALF else Order.BEHIND
+        return SerialOrder.SAME
+    if distance == HALF_SERIAL_SPACE:
+        return SerialOrder.UNDEFINED
+    return SerialOrder.AHEAD if distance < HALF_SERIAL_SPACE else SerialOrder.BEHIND
 
 
-def after(serial: int) -> int:
+def next_serial(serial: int) -> int:
     """The next one; 0 is left out, as some servers take it for none."""
-    return (serial + 1) % CIRCLE or 1
+    return (serial + 1) % SERIAL_SPACE or 1
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -26,22 +26,22 @@
 from kelpcourse.zones.desk import Desk, Ticket
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.follower import Asker, Follower, Notifier, same
-from kelpcourse.zones.history import as_at, put_back
+from kelpcourse.zones.history import restore_version, version_at
 from kelpcourse.zones.merged_list import EndpointConflict, MergedEndpointList
 from kelpcourse.zones.persistence import (
     Entry,
     ZoneChanged,
     ZoneConfirmed,
     ZoneReplay,
-    encode,
+    encode_entry,
+    encode_snapshot,
     garbage_collection_paused,
-    keep,
-    snapshot,
+    stored_zone,
 )
 from kelpcourse.zones.reconciliation import Verdict, Version
 from kelpcourse.zones.server import Server, pair
 from kelpcourse.zones.settings import ZoneSettings, ZonesSettings, shown
-from kelpcourse.zones.update_policy import EndpointClass, UpdateGrant, bare
+from kelpcourse.zones.update_policy import EndpointClass, UpdateGrant, classes_without_endpoints
 from kelpcourse.zones.zone_state import Changes, ZoneState
 from kelpcourse.zones.zonefile import read_file
 
@@ -113,7 +113,7 @@
         with garbage_collection_paused():
             found = journal.open()
             replay.run(found.snapshot, (record.payload for record in found.records))
-        journal.begin(found, snapshot(replay.zones.values(), replay.others()))
+        journal.begin(found, encode_snapshot(replay.zones.values(), replay.others()))
         for warning in found.warnings:
             around.log.always(
                 "store_warning",
@@ -243,11 +243,11 @@
         ):
             return False
         if ticket.zone.origin in self._unsaved:
-            self._save(ticket.zone, keep(ticket.zone))
+            self._save(ticket.zone, stored_zone(ticket.zone))
             if ticket.zone.origin in self._unsaved:
                 return False
         return self._writer.stage(
-            encode(ZoneChanged(ticket.zone.origin, ticket.difference)), ticket
+            encode_entry(ZoneChanged(ticket.zone.origin, ticket.difference)), ticket
         )
 
     def notified(self, origin: str) -> None:
@@ -275,7 +275,7 @@
 
     def _snapshot(self) -> bytes:
         self._covered = set(self._unsaved)
-        return snapshot(self.zone_states.values(), self._others)
+        return encode_snapshot(self.zone_states.values(), self._others)
 
     def _adopt(self, held: ZoneState, difference: Difference, source: str) -> None:
         """A version that came whole from its source and can be had there again: announced at once, and kept as
@@ -302,9 +302,9 @@
             return
         origin = held.origin
         if origin in self._unsaved:
-            entry = keep(held)
+            entry = stored_zone(held)
         self._miss(origin)
-        if self._writer.stage(encode(entry), Saved(origin)):
+        if self._writer.stage(encode_entry(entry), Saved(origin)):
             self._unsaved.discard(origin)
 
     def _miss(self, origin: str) -> None:
@@ -350,7 +350,7 @@
 
     def _check_bare(self) -> None:
         """Nothing is held back for it, but somebody must be told."""
-        now = set(bare(self.classes, self.merged_list.members.values()))
+        now = set(classes_without_endpoints(self.classes, self.merged_list.members.values()))
         if now != self._bare:
             self._around.log.always(
                 "zone_classes_without_endpoints", classes=sorted(now), were=sorted(self._bare)
@@ -447,7 +447,9 @@
         if verdict is Verdict.SAME and same(held.zone, new):
             return
         # Updates have moved a zone on since its file was written: that is how it is, and needs no word.
-        former = as_at(held.zone, held.history, new.serial) if verdict is Verdict.BEHIND else None
+        former = (
+            version_at(held.zone, held.history, new.serial) if verdict is Verdict.BEHIND else None
+        )
         if former is not None and same(former, new):
             return
         if contradictions or verdict is Verdict.SAME:
@@ -495,7 +497,7 @@
             answer(Restored(error="updates are under way: try again"))
             return
         try:
-            difference = put_back(held.zone, held.history, command.serial, self.unix_ms())
+            difference = restore_version(held.zone, held.history, command.serial, self.unix_ms())
         except ZoneError as error:
             answer(Restored(error=str(error)))
             return
--- a/kelpcourse/zones/transfer.py
+++ b/kelpcourse/zones/transfer.py
@@ -18,7 +18,15 @@
 import dns.xfr
 
 from kelpcourse.limits import Limits
-from kelpcourse.zones.content import SOA, Difference, PendingVersion, Record, Zone, data_of, zone_of
+from kelpcourse.zones.content import (
+    SOA,
+    Difference,
+    PendingVersion,
+    Record,
+    Zone,
+    build_zone,
+    canonical_data,
+)
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under, labels, to_name
 from kelpcourse.zones.reconciliation import Version
@@ -186,7 +194,7 @@
         if not is_under(owner, self._held.origin):
             raise ZoneError(f"{owner} is not in {self._held.origin}")
         for rdata in rdataset:
-            record = Record(owner, int(rdataset.rdtype), int(rdataset.ttl), data_of(rdata))
+            record = Record(owner, int(rdataset.rdtype), int(rdataset.ttl), canonical_data(rdata))
             if self._records is not None:
                 self._records.append(record)
                 if len(self._records) > self._limits.max_zone_records:
@@ -203,7 +211,7 @@
     def delete_exact(self, name: dns.name.Name, rdataset: dns.rdataset.Rdataset) -> None:
         assert self._draft is not None
         for rdata in rdataset:
-            if not self._draft.remove(canonical(name), int(rdataset.rdtype), data_of(rdata)):
+            if not self._draft.remove(canonical(name), int(rdataset.rdtype), canonical_data(rdata)):
                 raise Unfit(f"{name}: no such record to be removed")
 
     def commit(self) -> None:
@@ -216,7 +224,7 @@
         if not self._done:
             return None, None
         if self._records is not None:
-            return zone_of(self._held.origin, self._records), None
+            return build_zone(self._held.origin, self._records), None
         return None, self._draft
 
 
--- a/kelpcourse/zones/update.py
+++ b/kelpcourse/zones/update.py
@@ -10,9 +10,17 @@
 import dns.rrset
 import dns.update
 
-from kelpcourse.zones.content import CNAME, NS, SOA, PendingVersion, Record, data_of, soa_of
+from kelpcourse.zones.content import (
+    CNAME,
+    NS,
+    SOA,
+    PendingVersion,
+    Record,
+    canonical_data,
+    parse_soa,
+)
 from kelpcourse.zones.names import canonical, is_under
-from kelpcourse.zones.serials import Order, order
+from kelpcourse.zones.serials import SerialOrder, compare_serials
 
 ANY = int(dns.rdatatype.ANY)
 IN = dns.rdataclass.IN
@@ -44,7 +52,7 @@
 
 
 def _data(rrset: dns.rrset.RRset) -> list[bytes]:
-    return [data_of(rdata) for rdata in rrset]
+    return [canonical_data(rdata) for rdata in rrset]
 
 
 # Prerequisites (section 3.2)
@@ -121,8 +129,8 @@
     """Section 3.4.2.2: what a zone can't hold is passed over without a word."""
     if record.type == SOA:
         if record.owner == draft.origin and len(record.data) >= 22:
-            offered, held = soa_of(record.data).serial, soa_of(draft.soa_data).serial
-            if order(offered, held) is Order.AHEAD:
+            offered, held = parse_soa(record.data).serial, parse_soa(draft.soa_data).serial
+            if compare_serials(offered, held) is SerialOrder.AHEAD:
                 draft.set_soa(record.data)
         return
     others = [type_ for type_ in draft.types(record.owner) if type_ != record.type]
--- a/kelpcourse/zones/update_policy.py
+++ b/kelpcourse/zones/update_policy.py
@@ -117,7 +117,7 @@
     return member is not None and member.status is EndpointStatus.READY
 
 
-def refusal(
+def rejection_reason(
     grant: UpdateGrant,
     difference: Difference,
     hosts: Mapping[str, ListedEndpoint],
@@ -155,7 +155,9 @@
     return ""
 
 
-def bare(classes: Sequence[EndpointClass], hosts: Iterable[ListedEndpoint]) -> list[str]:
+def classes_without_endpoints(
+    classes: Sequence[EndpointClass], hosts: Iterable[ListedEndpoint]
+) -> list[str]:
     """Classes that no ready host is left for."""
     left = [member for member in hosts if is_ready(member)]
     return [cls.name for cls in classes if not any(cls.takes(member) for member in left)]
--- a/kelpcourse/zones/zone_state.py
+++ b/kelpcourse/zones/zone_state.py
@@ -8,12 +8,17 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.endpoints import ListedEndpoint
-from kelpcourse.zones.content import Difference, PendingVersion, Zone, between
+from kelpcourse.zones.content import Difference, PendingVersion, Zone, difference_between
 from kelpcourse.zones.endpoint_extraction import EndpointExtractor
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.history import History
 from kelpcourse.zones.reconciliation import Version, VersionReconciler
-from kelpcourse.zones.update_policy import EndpointClass, RemovalHistory, UpdateGrant, refusal
+from kelpcourse.zones.update_policy import (
+    EndpointClass,
+    RemovalHistory,
+    UpdateGrant,
+    rejection_reason,
+)
 
 Changes = dict[str, ListedEndpoint | None]
 
@@ -72,7 +77,7 @@
 
     def replace(self, new: Zone, at_ms: int) -> Difference:
         """What leads to another version that came whole."""
-        return between(self.zone, new, at_ms)
+        return difference_between(self.zone, new, at_ms)
 
     # Updates
 
@@ -92,7 +97,7 @@
         hosts = dict(meaning.hosts) if grant.most < 1 else {}
         head.apply(difference)
         changes = meaning.take(difference, head)
-        why = refusal(grant, difference, hosts, changes, self._losses, classes, now_us)
+        why = rejection_reason(grant, difference, hosts, changes, self._losses, classes, now_us)
         self._staged += 1
         if why:
             self.undo(difference)
--- a/kelpcourse/zones/zonefile.py
+++ b/kelpcourse/zones/zonefile.py
@@ -14,7 +14,15 @@
 import dns.zonefile
 
 from kelpcourse.limits import Limits
-from kelpcourse.zones.content import CNAME, Record, Zone, data_of, read_data, type_name, zone_of
+from kelpcourse.zones.content import (
+    CNAME,
+    Record,
+    Zone,
+    build_zone,
+    canonical_data,
+    parse_record_data,
+    type_name,
+)
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under, to_name
 from kelpcourse.zones.transfer import check_fits
@@ -46,7 +54,7 @@
     except (dns.exception.DNSException, ValueError) as error:
         what = str(error).removeprefix(f"{name}:{tokens.where()[1]}: ")
         raise ZoneError(f"{name}:{_line(tokens, text)}: {what}") from None
-    zone = zone_of(origin, sink.records)
+    zone = build_zone(origin, sink.records)
     try:
         check_fits(zone)
         _check_aliases(zone)
@@ -94,7 +102,7 @@
             raise ZoneError(f"{owner} is not in {self._origin}")
         if len(self.records) >= self._limits.max_zone_records:
             raise ZoneError(f"more than {self._limits.max_zone_records} records")
-        self.records.append(Record(owner, int(rdata.rdtype), ttl, data_of(rdata)))
+        self.records.append(Record(owner, int(rdata.rdtype), ttl, canonical_data(rdata)))
 
 
 def write_text(zone: Zone) -> str:
@@ -104,6 +112,6 @@
         zone.records(), key=lambda r: (r.owner != zone.origin, r.type != 6, r.owner, r.type, r.data)
     ):
         lines.append(
-            f"{r.owner} {r.ttl} IN {type_name(r.type)} {read_data(r.type, r.data).to_text()}"
+            f"{r.owner} {r.ttl} IN {type_name(r.type)} {parse_record_data(r.type, r.data).to_text()}"
         )
     return "\n".join(lines) + "\n"
--- a/tests/test_stored_zones.py
+++ b/tests/test_stored_zones.py
@@ -16,7 +16,7 @@
 from kelpcourse.store.frames import HEADER_BYTES, Kind, Record, frame, header
 from kelpcourse.store.journal import Journal
 from kelpcourse.store.recovery import Recovered, from_bytes
-from kelpcourse.zones.persistence import ZoneReplay, decode, encode, snapshot
+from kelpcourse.zones.persistence import ZoneReplay, decode_entry, encode_entry, encode_snapshot
 from kelpcourse.zones.zone_state import ZoneState
 from tests.zonerig import SECONDARY, World
 from tests.zoning import ORIGIN, SERVICE
@@ -117,7 +117,7 @@
 def test_an_entry_is_encoded_to_the_bytes_it_was_read_from(entry: dict[str, Any]) -> None:
     payload = bytes.fromhex(entry["payload"])
     assert msgspec.msgpack.decode(payload)[0] == entry["tag"]
-    assert encode(decode(payload)) == payload
+    assert encode_entry(decode_entry(payload)) == payload
 
 
 def test_the_recorded_entries_have_every_tag() -> None:
@@ -137,7 +137,7 @@
 def test_the_next_snapshot_has_the_recorded_bytes() -> None:
     """Zones that the settings do not name stay in it."""
     replay = replayed(from_bytes(FILES), NAMED_ZONES)
-    written = snapshot(replay.zones.values(), replay.others())
+    written = encode_snapshot(replay.zones.values(), replay.others())
     assert written.hex() == RECORDED["snapshot_after"]
 
 
--- a/tests/test_zone_content.py
+++ b/tests/test_zone_content.py
@@ -12,13 +12,26 @@
 
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.answer import look_up
-from kelpcourse.zones.content import PendingVersion, Record, Zone, between, soa_of, zone_of
+from kelpcourse.zones.content import (
+    PendingVersion,
+    Record,
+    Zone,
+    build_zone,
+    difference_between,
+    parse_soa,
+)
 from kelpcourse.zones.endpoint_extraction import SRV, A, EndpointExtractor
 from kelpcourse.zones.errors import ZoneError
-from kelpcourse.zones.history import History, put_back
+from kelpcourse.zones.history import History, restore_version
 from kelpcourse.zones.names import is_under, labels, relative
-from kelpcourse.zones.persistence import ZoneChanged, ZoneReplay, decode, encode, snapshot
-from kelpcourse.zones.serials import after
+from kelpcourse.zones.persistence import (
+    ZoneChanged,
+    ZoneReplay,
+    decode_entry,
+    encode_entry,
+    encode_snapshot,
+)
+from kelpcourse.zones.serials import next_serial
 from kelpcourse.zones.update import UpdateRejectedError, evaluate
 from tests.zoning import LIMITS, ORIGIN, SERVICE, draft_of, held, host, rec, rooms, soa, zone
 
@@ -49,7 +62,7 @@
 
 def meaning(*records: Record) -> EndpointExtractor:
     made = EndpointExtractor(ORIGIN, SERVICE)
-    made.start(zone_of(ORIGIN, records))
+    made.start(build_zone(ORIGIN, records))
     return made
 
 
@@ -202,8 +215,8 @@
         for step in chain:
             walked.apply(step)
         assert set(walked.records()) == plain
-        back = put_back(one, history, version.serial, 0)
-        assert back.after == after(one.serial)
+        back = restore_version(one, history, version.serial, 0)
+        assert back.after == next_serial(one.serial)
         former = one.copy()
         former.apply(back)
         assert {r for r in former.records() if r.type != 6} == {
@@ -246,17 +259,17 @@
     assert history.serials() == [10, 9, 8][::-1][-2:]
     assert history.since(1) is None
     with pytest.raises(ZoneError, match="known: 9, 10"):
-        put_back(one, history, 3, 0)
+        restore_version(one, history, 3, 0)
 
 
 def test_entries_of_the_store_make_the_same_zones_again() -> None:
     one = held(zone(1, rooms()))
     payloads = []
-    first = between(Zone(ORIGIN), one.zone, 5)
-    payloads.append(encode(ZoneChanged(ORIGIN, first)))
+    first = difference_between(Zone(ORIGIN), one.zone, 5)
+    payloads.append(encode_entry(ZoneChanged(ORIGIN, first)))
     step = draft_of(one.zone, remove=host("s-0", address="127.0.0.10")).difference(9)
     one.take(step, 0)
-    payloads.append(encode(ZoneChanged(ORIGIN, step)))
+    payloads.append(encode_entry(ZoneChanged(ORIGIN, step)))
     replay = ZoneReplay([ORIGIN], SERVICE, LIMITS)
     replay.run(None, payloads)
     again = replay.zones[ORIGIN]
@@ -264,15 +277,15 @@
     assert again.meaning.hosts == one.meaning.hosts
     assert again.seen_ms == 9
     from_snapshot = ZoneReplay([], SERVICE, LIMITS)
-    from_snapshot.run(snapshot([one], ()), [])
+    from_snapshot.run(encode_snapshot([one], ()), [])
     other = ZoneReplay(
         [ORIGIN], SERVICE, LIMITS
     )  # the settings had left the zone out, and name it again
-    other.run(snapshot([], from_snapshot.others()), [])
+    other.run(encode_snapshot([], from_snapshot.others()), [])
     assert other.zones[ORIGIN].history.serials() == [1]
     assert sorted(other.zones[ORIGIN].zone.records()) == sorted(one.zone.records())
     with pytest.raises(ZoneError):
-        decode(b"\xff\x00")
+        decode_entry(b"\xff\x00")
 
 
 # Updates (RFC 2136)
@@ -345,7 +358,7 @@
             update(("add", "x", "60", "A", "10.0.0.1"), ("add", "@", "60", "SOA", text)), draft
         )
         draft.advance()
-        assert soa_of(draft.soa_data).serial == result
+        assert parse_soa(draft.soa_data).serial == result
 
 
 # Answers
--- a/tests/test_zone_decisions.py
+++ b/tests/test_zone_decisions.py
@@ -13,39 +13,48 @@
 from kelpcourse.zones.content import Soa
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.merged_list import MergedEndpointList
-from kelpcourse.zones.reconciliation import Verdict, Version, VersionReconciler, judge
+from kelpcourse.zones.reconciliation import Verdict, Version, VersionReconciler, compare_versions
 from kelpcourse.zones.refresh import SECOND_US, Refresh
-from kelpcourse.zones.serials import CIRCLE, HALF, Order, after, order
+from kelpcourse.zones.serials import (
+    HALF_SERIAL_SPACE,
+    SERIAL_SPACE,
+    SerialOrder,
+    compare_serials,
+    next_serial,
+)
 from kelpcourse.zones.update_policy import (
     EndpointClass,
     RemovalHistory,
     UpdateGrant,
-    bare,
+    classes_without_endpoints,
     matches,
     read_grant,
-    refusal,
+    rejection_reason,
 )
 from tests.zoning import LIMITS, ORIGIN, draft_of, held, host, member, rec, rooms, zone
 
-serials = st.integers(0, CIRCLE - 1)
+serials = st.integers(0, SERIAL_SPACE - 1)
 MS = 1000
 
 
 # Serials (RFC 1982)
 
 
-@given(serials, st.integers(1, HALF - 1))
+@given(serials, st.integers(1, HALF_SERIAL_SPACE - 1))
 def test_a_serial_is_ahead_of_all_in_the_half_round_behind_it(serial: int, distance: int) -> None:
-    assert order((serial + distance) % CIRCLE, serial) is Order.AHEAD
-    assert order(serial, (serial + distance) % CIRCLE) is Order.BEHIND
+    assert compare_serials((serial + distance) % SERIAL_SPACE, serial) is SerialOrder.AHEAD
+    assert compare_serials(serial, (serial + distance) % SERIAL_SPACE) is SerialOrder.BEHIND
 
 
 @given(serials)
 def test_half_round_is_undefined_and_the_next_one_is_ahead_and_never_0(serial: int) -> None:
-    assert order((serial + HALF) % CIRCLE, serial) is Order.UNDEFINED
-    assert order(after(serial), serial) is Order.AHEAD
-    assert after(serial) != 0
-    assert order(serial, serial) is Order.SAME
+    assert (
+        compare_serials((serial + HALF_SERIAL_SPACE) % SERIAL_SPACE, serial)
+        is SerialOrder.UNDEFINED
+    )
+    assert compare_serials(next_serial(serial), serial) is SerialOrder.AHEAD
+    assert next_serial(serial) != 0
+    assert compare_serials(serial, serial) is SerialOrder.SAME
 
 
 # VersionReconciler
@@ -61,15 +70,15 @@
         (version(101), Verdict.NEWER),
         (version(100), Verdict.SAME),
         (version(99), Verdict.BEHIND),
-        (version(100 + HALF), Verdict.UNDEFINED),
-        (version(101 + HALF), Verdict.BEHIND),
-        (version(99 + HALF), Verdict.NEWER),
+        (version(100 + HALF_SERIAL_SPACE), Verdict.UNDEFINED),
+        (version(101 + HALF_SERIAL_SPACE), Verdict.BEHIND),
+        (version(99 + HALF_SERIAL_SPACE), Verdict.NEWER),
         (version(100, b"other"), Verdict.DIFFERS),
     ],
 )
 def test_which_version_is_believed(offered: Version, verdict: Verdict) -> None:
-    assert judge(version(100), offered) is verdict
-    assert judge(None, offered) is Verdict.NEWER
+    assert compare_versions(version(100), offered) is verdict
+    assert compare_versions(None, offered) is Verdict.NEWER
 
 
 def test_a_primary_restored_from_a_backup_is_told_once_and_believed_when_the_zone_has_expired() -> (
@@ -238,7 +247,7 @@
     nothing = draft_of(start.head).difference(0)
 
     def take(name: str, now_us: int, to: ListedEndpoint | None = None) -> str:
-        why = refusal(grant, nothing, hosts, {name: to}, losses, (), now_us)
+        why = rejection_reason(grant, nothing, hosts, {name: to}, losses, (), now_us)
         if not why:
             losses.note({name: hosts[name]}, {name: to}, now_us)
             del hosts[name]
@@ -257,11 +266,11 @@
     nothing = draft_of(start.head).difference(0)
     grant = UpdateGrant("k", most=0.0)
     losses = RemovalHistory(0)
-    assert refusal(
+    assert rejection_reason(
         grant, nothing, hosts, {"a": member("a", phase=EndpointStatus.DRAINING)}, losses, (), 0
     )
-    assert refusal(grant, nothing, hosts, {"b": member("b")}, losses, (), 0) == ""
-    assert refusal(grant, nothing, hosts, {"b": None}, losses, (), 0) == ""
+    assert rejection_reason(grant, nothing, hosts, {"b": member("b")}, losses, (), 0) == ""
+    assert rejection_reason(grant, nothing, hosts, {"b": None}, losses, (), 0) == ""
 
 
 def test_a_refused_update_leaves_the_head_as_it_was() -> None:
@@ -278,8 +287,12 @@
         EndpointClass("submit", frozenset({"room-a"}), frozenset()),
         EndpointClass("big", frozenset(), frozenset({"m8"})),
     )
-    assert bare(classes, [member("s", "room-b")]) == ["submit", "big"]
-    assert bare(classes, [member("s", phase=EndpointStatus.DRAINING)]) == ["any", "submit", "big"]
+    assert classes_without_endpoints(classes, [member("s", "room-b")]) == ["submit", "big"]
+    assert classes_without_endpoints(classes, [member("s", phase=EndpointStatus.DRAINING)]) == [
+        "any",
+        "submit",
+        "big",
+    ]
 
 
 # Union
--- a/tests/test_zone_follower.py
+++ b/tests/test_zone_follower.py
@@ -10,7 +10,7 @@
 import pytest
 
 from kelpcourse.zones.content import Record, Zone
-from kelpcourse.zones.serials import HALF
+from kelpcourse.zones.serials import HALF_SERIAL_SPACE
 from kelpcourse.zones.transfer import incremental
 from tests.zoneprimary import ScriptedPrimary
 from tests.zonerig import MS, OTHER, SECOND, Part, World
@@ -50,7 +50,8 @@
 
 
 @pytest.mark.parametrize(
-    ("serial", "verdict"), [(99, "behind"), (100 + HALF, "undefined"), (101 + HALF, "behind")]
+    ("serial", "verdict"),
+    [(99, "behind"), (100 + HALF_SERIAL_SPACE, "undefined"), (101 + HALF_SERIAL_SPACE, "behind")],
 )
 def test_a_serial_that_goes_backwards_is_not_followed_and_told_once(
     world: World, serial: int, verdict: str
--- a/tests/zoning.py
+++ b/tests/zoning.py
@@ -11,7 +11,7 @@
 from kelpcourse.limits import Limits
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.zones.content import PendingVersion, Record, Zone, data_of, zone_of
+from kelpcourse.zones.content import PendingVersion, Record, Zone, build_zone, canonical_data
 from kelpcourse.zones.zone_state import ZoneState
 
 ORIGIN = "games.example.org."
@@ -26,7 +26,7 @@
         full.lower(),
         int(number),
         ttl,
-        data_of(dns.rdata.from_text(dns.rdataclass.IN, number, text)),
+        canonical_data(dns.rdata.from_text(dns.rdataclass.IN, number, text)),
     )
 
 
@@ -60,7 +60,7 @@
 
 def zone(serial: int, *records: Iterable[Record], origin: str = ORIGIN) -> Zone:
     ns = rec("@", "NS", f"ns.{origin}", origin=origin)
-    return zone_of(origin, [soa(serial, origin), ns, *(r for some in records for r in some)])
+    return build_zone(origin, [soa(serial, origin), ns, *(r for some in records for r in some)])
 
 
 def rooms(count: int = 4) -> list[Record]:
