--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -119,7 +119,7 @@
 
 def held_of(zone: Zone) -> ZoneState:
     held = ZoneState(zone.origin, SERVICE, LIMITS)
-    held.take(held.replace(zone, 0), 0)
+    held.apply(held.difference_to(zone, 0), 0)
     return held
 
 
@@ -137,11 +137,11 @@
     """Seconds for a draft, the version made of it and the hosts that change."""
     owner = f"s-{k}.{ORIGIN}"
     began = time.perf_counter()
-    draft = held.draft()
+    draft = held.new_pending_version()
     draft.remove_set(owner, 1)
     draft.add(Record(owner, 1, 60, b"\x7f\x09\x09\x09"))
     draft.advance()
-    held.take(draft.difference(0), 0)
+    held.apply(draft.difference(0), 0)
     return time.perf_counter() - began
 
 
@@ -310,14 +310,14 @@
         )
         entries = []
         for k in range(changes):
-            draft = held.draft()
+            draft = held.new_pending_version()
             owner = f"s-{k % 1000}.{ORIGIN}"
             for data in list(draft.data(owner, 1)):
                 draft.remove(owner, 1, data)
             draft.add(Record(owner, 1, 60, (0x7F080000 + k).to_bytes(4, "big")))
             draft.advance()
             difference = draft.difference(0)
-            held.take(difference, 0)
+            held.apply(difference, 0)
             entries.append(Entry(k + 1, encode_entry(ZoneChanged(ORIGIN, difference))))
         journal.append(entries)
         journal.close()
--- a/kelpcourse/zones/answer.py
+++ b/kelpcourse/zones/answer.py
@@ -44,14 +44,14 @@
 def look_up(zone: Zone, owner: str, type_: int) -> Answer:
     out = Answer()
     for held_type in list(zone.types(owner)) if type_ == ANY else [type_]:
-        held = zone.get(owner, held_type)
+        held = zone.record_set(owner, held_type)
         if held is not None:
             out.answer.append(rrset(owner, held_type, held))
-    alias = zone.get(owner, CNAME)
+    alias = zone.record_set(owner, CNAME)
     if not out.answer and alias is not None:
         out.answer.append(rrset(owner, CNAME, alias))
         target = canonical(parse_record_data(CNAME, next(iter(alias.data))).target)  # type: ignore[attr-defined]
-        held = zone.get(target, type_)
+        held = zone.record_set(target, type_)
         if held is not None:
             out.answer.append(rrset(target, type_, held))
     if not out.answer:
@@ -63,7 +63,7 @@
 
 def _negative(zone: Zone) -> dns.rrset.RRset:
     """The SOA with the time for which "no" may be remembered (RFC 2308, section 3)."""
-    held = zone.get(zone.origin, SOA)
+    held = zone.record_set(zone.origin, SOA)
     assert held is not None
     made = rrset(zone.origin, SOA, held)
     made.ttl = min(held.ttl, parse_soa(next(iter(held.data))).minimum)
@@ -79,7 +79,7 @@
         for rdata in answered:
             target = canonical(rdata.target)
             for type_ in (A, AAAA):
-                held = zone.get(target, type_)
+                held = zone.record_set(target, type_)
                 if held is not None and (target, type_) not in seen:
                     seen.add((target, type_))
                     out.additional.append(rrset(target, type_, held))
--- a/kelpcourse/zones/content.py
+++ b/kelpcourse/zones/content.py
@@ -15,7 +15,7 @@
 import dns.rdatatype
 import msgspec
 
-from kelpcourse.zones.errors import ZoneError
+from kelpcourse.zones.errors import MissingRecordError, MissingSoaError
 from kelpcourse.zones.serials import next_serial
 
 SOA = int(dns.rdatatype.SOA)
@@ -75,15 +75,15 @@
 class Difference(msgspec.Struct, frozen=True, array_like=True):
     """From one version of a zone to another, both SOA records included. It goes into the store as it is."""
 
-    before: int | None  # serial; None: there was no zone
-    after: int
+    old_serial: int | None  # None: there was no zone
+    new_serial: int
     removed: tuple[Record, ...]
     added: tuple[Record, ...]
-    at_ms: int  # Unix time when it was taken in
+    accepted_ms: int  # Unix time
 
     def inverse(self, at_ms: int) -> Difference:
-        assert self.before is not None
-        return Difference(self.after, self.before, self.added, self.removed, at_ms)
+        assert self.old_serial is not None
+        return Difference(self.new_serial, self.old_serial, self.added, self.removed, at_ms)
 
     @property
     def size(self) -> int:
@@ -122,7 +122,7 @@
     @property
     def soa_data(self) -> bytes:
         if self._soa is None:
-            raise ZoneError(f"{self.origin} has no SOA")
+            raise MissingSoaError(self.origin)
         return self._soa
 
     @property
@@ -133,7 +133,7 @@
     def serial(self) -> int:
         return int.from_bytes(self.soa_data[-20:-16], "big")
 
-    def get(self, owner: str, type_: int) -> RecordSet | None:
+    def record_set(self, owner: str, type_: int) -> RecordSet | None:
         return self._owners.get(owner, {}).get(type_)
 
     def types(self, owner: str) -> Iterable[int]:
@@ -203,7 +203,7 @@
             sets = owners.get(owner)
             held = sets.get(type_) if sets is not None else None
             if held is None or data not in held.data:
-                raise ZoneError(f"{owner} has no such {type_name(type_)} record to be removed")
+                raise MissingRecordError(owner, type_name(type_))
         for record in difference.removed:
             self.take(record)
         for record in difference.added:
@@ -226,7 +226,7 @@
     removed, added = [], []
     for owner in {**dict.fromkeys(old.owners()), **dict.fromkeys(new.owners())}:
         for type_ in {*old.types(owner), *new.types(owner)}:
-            was, now = old.get(owner, type_), new.get(owner, type_)
+            was, now = old.record_set(owner, type_), new.record_set(owner, type_)
             gone, come = _between(was, now)
             if was is not None:
                 removed += [Record(owner, type_, was.ttl, data) for data in gone]
@@ -266,7 +266,7 @@
 
     def add(self, record: Record) -> None:
         """A record that is there already only takes on the TTL."""
-        held = self.zone.get(record.owner, record.type)
+        held = self.zone.record_set(record.owner, record.type)
         change = self._changes.setdefault((record.owner, record.type), _Change())
         if held is not None and record.data in held.data:
             change.removed.pop(record.data, None)
@@ -292,12 +292,12 @@
         change = self._changes.get((owner, type_))
         if change is not None and (data in change.added or data in change.removed):
             return data in change.added
-        held = self.zone.get(owner, type_)
+        held = self.zone.record_set(owner, type_)
         return held is not None and data in held.data
 
     def data(self, owner: str, type_: int) -> Iterator[bytes]:
         change = self._changes.get((owner, type_), _Change())
-        held = self.zone.get(owner, type_)
+        held = self.zone.record_set(owner, type_)
         for data in held.data if held is not None else ():
             if data not in change.removed:
                 yield data
@@ -305,12 +305,12 @@
 
     def size(self, owner: str, type_: int) -> int:
         change = self._changes.get((owner, type_), _Change())
-        held = self.zone.get(owner, type_)
+        held = self.zone.record_set(owner, type_)
         return (len(held.data) if held is not None else 0) + len(change.added) - len(change.removed)
 
     def ttl(self, owner: str, type_: int) -> int:
         change = self._changes.get((owner, type_))
-        held = self.zone.get(owner, type_)
+        held = self.zone.record_set(owner, type_)
         if change is not None and change.ttl is not None:
             return change.ttl
         return held.ttl if held is not None else 0
@@ -339,7 +339,7 @@
     def difference(self, at_ms: int) -> Difference:
         """Raises ZoneError if the version to be has no SOA."""
         if not self.soa_data:
-            raise ZoneError(f"{self.origin} has no SOA")
+            raise MissingSoaError(self.origin)
         before = self.zone.serial if self.zone.exists else None
         return Difference(
             before,
@@ -350,12 +350,12 @@
         )
 
     def _new_ttl(self, owner: str, type_: int, change: _Change) -> bool:
-        held = self.zone.get(owner, type_)
+        held = self.zone.record_set(owner, type_)
         return held is not None and change.ttl is not None and change.ttl != held.ttl
 
     def _removed(self) -> Iterator[Record]:
         for (owner, type_), change in self._changes.items():
-            held = self.zone.get(owner, type_)
+            held = self.zone.record_set(owner, type_)
             if held is None:
                 continue
             gone: Iterable[bytes] = (
--- a/kelpcourse/zones/desk.py
+++ b/kelpcourse/zones/desk.py
@@ -198,7 +198,7 @@
         if zone is None or question.rdclass != dns.rdataclass.IN:
             self._say(request, dns.rcode.REFUSED)
         elif (
-            not zone.zone.exists or zone.belief.expired
+            not zone.zone.exists or zone.reconciler.expired
         ):  # RFC 1034, 4.3.5: what has expired is not told
             self._say(request, dns.rcode.SERVFAIL)
         elif type_ in (AXFR, IXFR):
@@ -358,7 +358,7 @@
         if not zone.head.exists:
             done(dns.rcode.SERVFAIL)
             return
-        draft = zone.draft()
+        draft = zone.new_pending_version()
         try:
             assert isinstance(request.message, dns.update.UpdateMessage)
             evaluate(request.message, draft)
@@ -378,7 +378,7 @@
         draft.advance()
         difference = draft.difference(backstage.unix_ms())
         try:
-            why = zone.judge(difference, grant, backstage.classes, now_us)
+            why = zone.stage_update(difference, grant, backstage.classes, now_us)
         except ZoneError as error:
             why = str(error)
         if why:
@@ -390,7 +390,7 @@
             done(dns.rcode.NOERROR if durable else dns.rcode.SERVFAIL)
 
         if not backstage.stage(Ticket(zone, difference, settle)):
-            zone.undo(difference)
+            zone.undo_update(difference)
             self._log.event("zone_update_throttled", zone=zone.origin, key=grant.key)
             done(dns.rcode.SERVFAIL)
 
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -216,7 +216,7 @@
             self._check_expiry()
             name = self._refresh.begin(clock())
             if name is None:
-                ends = None if self._held.belief.expired else self._refresh.expires_us()
+                ends = None if self._held.reconciler.expired else self._refresh.expires_us()
                 yield Wait(
                     min(
                         self._refresh.due_us(), ends if ends is not None else self._refresh.due_us()
@@ -228,8 +228,8 @@
             yield from self._round(self._primaries[name])
 
     def _check_expiry(self) -> None:
-        if self._refresh.expired(self._asker.loop.clock()) and not self._held.belief.expired:
-            self._held.belief.expire()
+        if self._refresh.expired(self._asker.loop.clock()) and not self._held.reconciler.expired:
+            self._held.reconciler.expire()
             self._refresh.notified(
                 self._asker.loop.clock()
             )  # whatever its primaries have is news now
@@ -242,7 +242,9 @@
         except (StreamError, ZoneError, dns.xfr.UseTCP) as error:
             self._asker.counters.add("zone_soa_queries_failed")
             self._tell(
-                self._held.belief.forget(str(peer)) if isinstance(error, StreamTimeoutError) else []
+                self._held.reconciler.source_silent(str(peer))
+                if isinstance(error, StreamTimeoutError)
+                else []
             )
             log.event(
                 "zone_soa_query_failed",
@@ -268,7 +270,7 @@
         told = serial_of(message, self._held.origin)
         if message.rcode() != dns.rcode.NOERROR or told is None:
             raise ZoneError(f"no SOA of {self._held.origin}: {dns.rcode.to_text(message.rcode())}")
-        verdict, contradictions = self._held.belief.offer(str(peer), Version(*told))
+        verdict, contradictions = self._held.reconciler.offer(str(peer), Version(*told))
         self._tell(contradictions)
         if verdict is Verdict.NEWER:
             return (yield from self._fetch(peer))
@@ -276,7 +278,7 @@
 
     def _fetch(self, peer: Primary) -> Coroutine[Verdict]:
         held = self._held
-        if held.zone.exists and not held.belief.expired:
+        if held.zone.exists and not held.reconciler.expired:
             try:
                 return (yield from self._transfer(peer, IXFR))
             except (Unfit, ZoneError, StreamError) as error:
@@ -317,14 +319,14 @@
         version = offered(zone, draft)
         if version is None:
             raise ZoneError("the transfer brought nothing newer")
-        verdict, contradictions = self._held.belief.offer(str(peer), version)
+        verdict, contradictions = self._held.reconciler.offer(str(peer), version)
         self._tell(contradictions)
         if verdict is not Verdict.NEWER:
             return verdict
         at_ms = 0
         if zone is not None:
             check_fits(zone)
-            difference = self._held.replace(zone, at_ms)
+            difference = self._held.difference_to(zone, at_ms)
         else:
             assert draft is not None
             difference = draft.difference(at_ms)
@@ -340,8 +342,8 @@
                 zone=self._held.origin,
                 primary=c.source,
                 verdict=c.verdict.value,
-                current=c.held,
-                received=c.offered,
+                current=c.accepted_serial,
+                received=c.offered_serial,
             )
 
 
--- a/kelpcourse/zones/history.py
+++ b/kelpcourse/zones/history.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 
 from kelpcourse.zones.content import SOA, Difference, Record, Zone, difference_between, with_serial
-from kelpcourse.zones.errors import ZoneError
+from kelpcourse.zones.errors import UnknownVersionError
 from kelpcourse.zones.serials import next_serial
 
 
@@ -26,15 +26,15 @@
 
     def serials(self) -> list[int]:
         """Versions that can be told of, oldest first, without the one held."""
-        return [d.before for d in self._differences if d.before is not None]
+        return [d.old_serial for d in self._differences if d.old_serial is not None]
 
     def add(self, difference: Difference) -> None:
-        if difference.before is None or (
-            self._differences and self._differences[-1].after != difference.before
+        if difference.old_serial is None or (
+            self._differences and self._differences[-1].new_serial != difference.old_serial
         ):
             self._differences.clear()
             self._records = 0
-            if difference.before is None:
+            if difference.old_serial is None:
                 return
         self._differences.append(difference)
         self._records += difference.size
@@ -46,7 +46,7 @@
         out: list[Difference] = []
         for difference in reversed(self._differences):
             out.append(difference)
-            if difference.before == serial:
+            if difference.old_serial == serial:
                 return out[::-1]
         return None
 
@@ -66,9 +66,8 @@
     """The zone as it was at `serial`, as the version after the one held. Raises ZoneError with what is known."""
     former = version_at(zone, history, serial)
     if former is None:
-        known = ", ".join(map(str, history.serials())) or "none"
-        raise ZoneError(f"{zone.origin} is not known as it was at serial {serial}; known: {known}")
-    soa = former.get(zone.origin, SOA)
+        raise UnknownVersionError(zone.origin, serial, history.serials())
+    soa = former.record_set(zone.origin, SOA)
     assert soa is not None
     ttl, data = soa.ttl, next(iter(soa.data))
     former.take(Record(zone.origin, SOA, ttl, data))
--- a/kelpcourse/zones/names.py
+++ b/kelpcourse/zones/names.py
@@ -7,7 +7,7 @@
 import dns.exception
 import dns.name
 
-from kelpcourse.zones.errors import ZoneError
+from kelpcourse.zones.errors import InvalidNameError
 
 
 def canonical(name: dns.name.Name) -> str:
@@ -25,7 +25,7 @@
     try:
         return canonical(dns.name.from_text(text))
     except (dns.exception.DNSException, UnicodeError) as error:
-        raise ZoneError(f"{field} is not a name: {text!r:.80}: {error}") from None
+        raise InvalidNameError(field, text, str(error)) from error
 
 
 def labels(key: str) -> tuple[str, ...]:
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -39,10 +39,10 @@
 def check_file(path: Path, origin: str, service: str, limits: Limits) -> Checked:
     """The hosts that a zone file announces, and each record that can't be used. Raises ZoneError if none can."""
     held = ZoneState(read_name(origin, "origin"), service, limits)
-    held.take(held.replace(read_file(path, held.origin, limits), 0), 0)
+    held.apply(held.difference_to(read_file(path, held.origin, limits), 0), 0)
     return Checked(
-        sorted(held.meaning.hosts.values(), key=lambda m: m.name),
-        [f"{path}: {problem}" for problem in held.meaning.problems()],
+        sorted(held.extractor.endpoints.values(), key=lambda m: m.name),
+        [f"{path}: {problem}" for problem in held.extractor.problems()],
     )
 
 
@@ -66,7 +66,7 @@
     known = list(zones)
     union = MergedEndpointList([zone.origin for zone in known], 0, 1 << 20)
     for zone in known:
-        union.take(zone.origin, dict(zone.meaning.hosts), 0, 0)
+        union.take(zone.origin, dict(zone.extractor.endpoints), 0, 0)
     return sorted(union.members.values(), key=lambda m: m.name)
 
 
--- a/kelpcourse/zones/persistence.py
+++ b/kelpcourse/zones/persistence.py
@@ -10,7 +10,7 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.zones.content import Difference, Record, build_zone, difference_between
-from kelpcourse.zones.errors import ZoneError
+from kelpcourse.zones.errors import StoredEntryError, ZoneError
 from kelpcourse.zones.zone_state import ZoneState
 
 
@@ -34,7 +34,7 @@
     origin: str
     records: tuple[Record, ...]
     history: tuple[Difference, ...]
-    seen_ms: int
+    confirmed_ms: int
 
 
 class ZoneSnapshot(msgspec.Struct, tag="snapshot", array_like=True, frozen=True):
@@ -54,7 +54,7 @@
     try:
         return _decoder.decode(payload)
     except msgspec.DecodeError as error:
-        raise ZoneError(f"an entry of the store can't be read: {error}") from None
+        raise StoredEntryError(str(error)) from error
 
 
 def encode_snapshot(zones: Iterable[ZoneState], others: Iterable[StoredZone]) -> bytes:
@@ -65,7 +65,9 @@
 
 
 def stored_zone(zone: ZoneState) -> StoredZone:
-    return StoredZone(zone.origin, tuple(zone.zone.records()), tuple(zone.history), zone.seen_ms)
+    return StoredZone(
+        zone.origin, tuple(zone.zone.records()), tuple(zone.history), zone.confirmed_ms
+    )
 
 
 @contextmanager
@@ -99,7 +101,7 @@
         for payload in (*([snapshot_payload] if snapshot_payload else []), *payloads):
             self._run_one(payload)
         for zone in self.zones.values():
-            zone.wake()
+            zone.finish_replay()
 
     def _run_one(self, payload: bytes) -> None:
         try:
@@ -117,19 +119,19 @@
             case ZoneChanged():
                 zone = self._zone(entry.origin)
                 zone.replay(entry.difference)
-                zone.seen_ms = max(zone.seen_ms, entry.difference.at_ms)
+                zone.confirmed_ms = max(zone.confirmed_ms, entry.difference.accepted_ms)
             case ZoneConfirmed(origin, at_ms):
                 zone = self._zone(origin)
-                zone.seen_ms = max(zone.seen_ms, at_ms)
+                zone.confirmed_ms = max(zone.confirmed_ms, at_ms)
 
     def _keep(self, kept: StoredZone) -> None:
         zone = self._zone(kept.origin)
         zone.replay(
-            difference_between(zone.zone, build_zone(kept.origin, kept.records), kept.seen_ms)
+            difference_between(zone.zone, build_zone(kept.origin, kept.records), kept.confirmed_ms)
         )
         for each in kept.history:
             zone.history.add(each)
-        zone.seen_ms = kept.seen_ms
+        zone.confirmed_ms = kept.confirmed_ms
 
     def _zone(self, origin: str) -> ZoneState:
         if origin in self.zones:
--- a/kelpcourse/zones/reconciliation.py
+++ b/kelpcourse/zones/reconciliation.py
@@ -1,9 +1,10 @@
-"""Which version of a zone is believed, when sources contradict what is held or each other. Pure.
+"""Version reconciliation: which version of a zone is accepted when its sources disagree. Pure.
 
-A version ahead of the one held (RFC 1982) is believed. One behind it is not: it is what a stale or restored
-primary says, and a director that followed it would call back hosts that are gone. It is told once, and as long as it
-lasts nothing counts as confirmed, so that the zone expires as if its primary were silent; a zone that has expired is
-held no more, and then whatever its primary has is believed. An operator who wants it earlier moves the serial ahead.
+A version with a serial ahead of the accepted one (RFC 1982) is accepted. A version behind it is not: a stale primary,
+or one that was restored from a backup, offers such a version, and accepting it would bring back endpoints that are
+gone. The contradiction is reported once; while it lasts, the source confirms nothing, so the zone expires as if its
+primary were silent. Once a zone has expired, any version is accepted. An operator who wants it earlier raises the
+serial at the primary.
 """
 
 from __future__ import annotations
@@ -15,14 +16,17 @@
 
 
 class Verdict(Enum):
-    NEWER = "newer"  # to be fetched and believed
-    SAME = "same"  # confirms what is held
+    """How an offered version compares with the accepted one."""
+
+    NEWER = "newer"  # to be fetched and accepted
+    SAME = "same"  # confirms the accepted version
     BEHIND = "behind"
-    UNDEFINED = "undefined"  # half round: which is newer can't be told
-    DIFFERS = "differs"  # the serial held with another SOA: two histories
+    UNDEFINED = "undefined"  # half the serial space apart: neither is newer
+    DIFFERS = "differs"  # the same serial with another SOA record: two histories
 
     @property
     def contradicts(self) -> bool:
+        """Whether the source of the version contradicts the accepted one."""
         return self in (Verdict.BEHIND, Verdict.UNDEFINED, Verdict.DIFFERS)
 
 
@@ -36,78 +40,81 @@
 
 @dataclass(frozen=True)
 class Version:
+    """A version of a zone, identified by its serial and its SOA record."""
+
     serial: int
     soa: bytes  # canonical data, compared where serials are the same
 
 
-def compare_versions(held: Version | None, offered: Version) -> Verdict:
-    if held is None:
+def compare_versions(accepted: Version | None, offered: Version) -> Verdict:
+    """Compares an offered version with the accepted one, if there is one."""
+    if accepted is None:
         return Verdict.NEWER
-    verdict = VERDICTS[compare_serials(offered.serial, held.serial)]
-    if verdict is Verdict.SAME and offered.soa != held.soa:
+    verdict = VERDICTS[compare_serials(offered.serial, accepted.serial)]
+    if verdict is Verdict.SAME and offered.soa != accepted.soa:
         return Verdict.DIFFERS
     return verdict
 
 
 @dataclass(frozen=True)
 class Contradiction:
-    """Something to be told to the operators, once when it begins and once when it ends."""
+    """The beginning or the end of a contradiction, to be reported to the operators."""
 
     source: str
     verdict: Verdict
-    held: int
-    offered: int
+    accepted_serial: int
+    offered_serial: int
     begins: bool
 
 
 class VersionReconciler:
-    """One zone's: what is held, and which of its sources contradict it."""
+    """The accepted version of one zone, and the sources that contradict it."""
 
-    def __init__(self, held: Version | None) -> None:
-        self.accepted = held
+    def __init__(self, accepted: Version | None) -> None:
+        """Starts with no contradiction; `accepted` is None while there is no version."""
+        self.accepted = accepted
         self.expired = False
-        self._against: dict[str, tuple[Verdict, int]] = {}  # by source
+        self._contradictions: dict[str, tuple[Verdict, int]] = {}  # by source
 
     @property
     def contradicted(self) -> bool:
-        return bool(self._against)
+        """Whether any source contradicts the accepted version."""
+        return bool(self._contradictions)
 
     def offer(self, source: str, offered: Version) -> tuple[Verdict, list[Contradiction]]:
-        """What to make of a version that a source tells of."""
+        """Judges a version that a source has, and tells which contradiction begins or ends."""
         verdict = compare_versions(None if self.expired else self.accepted, offered)
         return verdict, self._note(source, verdict, offered.serial)
 
-    def take(self, version: Version) -> None:
-        """This version is held from now on."""
-        self.accepted, self.expired = version, False
+    def accept(self, version: Version) -> None:
+        """Makes this version the accepted one; the zone is no longer expired."""
+        self.accepted = version
+        self.expired = False
 
     def expire(self) -> None:
-        """Nothing confirmed the zone for as long as its SOA allows."""
+        """Notes that no source confirmed the zone within the SOA's expire time (RFC 1035, 3.3.13)."""
         self.expired = True
 
-    def forget(self, source: str) -> list[Contradiction]:
-        """A source is silent: what it said before is no contradiction now."""
+    def source_silent(self, source: str) -> list[Contradiction]:
+        """Ends the contradiction of a source that does not answer any more."""
         return self._end(source)
 
     def _note(self, source: str, verdict: Verdict, serial: int) -> list[Contradiction]:
         if not verdict.contradicts:
             return self._end(source)
-        if self._against.get(source) == (verdict, serial):
+        if self._contradictions.get(source) == (verdict, serial):
             return []
-        self._against[source] = verdict, serial
-        return [self._told(source, verdict, serial, True)]
+        self._contradictions[source] = verdict, serial
+        return [self._contradiction(source, verdict, serial, begins=True)]
 
     def _end(self, source: str) -> list[Contradiction]:
-        if source not in self._against:
+        if source not in self._contradictions:
             return []
-        verdict, serial = self._against.pop(source)
-        return [self._told(source, verdict, serial, False)]
-
-    def _told(self, source: str, verdict: Verdict, serial: int, begins: bool) -> Contradiction:
-        return Contradiction(
-            source,
-            verdict,
-            self.accepted.serial if self.accepted is not None else 0,
-            serial,
-            begins,
-        )
+        verdict, serial = self._contradictions.pop(source)
+        return [self._contradiction(source, verdict, serial, begins=False)]
+
+    def _contradiction(
+        self, source: str, verdict: Verdict, serial: int, *, begins: bool
+    ) -> Contradiction:
+        accepted_serial = self.accepted.serial if self.accepted is not None else 0
+        return Contradiction(source, verdict, accepted_serial, serial, begins)
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -42,7 +42,7 @@
 from kelpcourse.zones.server import Server, pair
 from kelpcourse.zones.settings import ZoneSettings, ZonesSettings, shown
 from kelpcourse.zones.update_policy import EndpointClass, UpdateGrant, classes_without_endpoints
-from kelpcourse.zones.zone_state import Changes, ZoneState
+from kelpcourse.zones.zone_state import EndpointChanges, ZoneState
 from kelpcourse.zones.zonefile import read_file
 
 
@@ -151,7 +151,7 @@
                 around.keep("zone notify", notifier.run)
         for held in self.zone_states.values():
             if held.zone.exists:
-                self._announce(held, dict(held.meaning.hosts))
+                self._announce(held, dict(held.extractor.endpoints))
         for origin, zone in self._by_origin.items():
             if zone.file is not None:
                 self._read_file(zone, zone.file)
@@ -209,7 +209,7 @@
 
     def _follow(self, origin: str, zone: ZoneSettings) -> None:
         held, around = self.zone_states[origin], self._around
-        confirmed_us = around.loop.clock() - max(0, self.unix_ms() - held.seen_ms) * 1000
+        confirmed_us = around.loop.clock() - max(0, self.unix_ms() - held.confirmed_ms) * 1000
         follower = Follower(
             self._asker(),
             held,
@@ -260,11 +260,13 @@
             self._unsaved -= self._covered
         for ticket in settled.durable:
             if isinstance(ticket, Ticket):
-                self._announce(ticket.zone, ticket.zone.settle(ticket.difference, self.clock()))
+                self._announce(
+                    ticket.zone, ticket.zone.commit_update(ticket.difference, self.clock())
+                )
                 ticket.settle(True)
         for ticket in reversed(settled.undone):
             if isinstance(ticket, Ticket):
-                ticket.zone.undo(ticket.difference)
+                ticket.zone.undo_update(ticket.difference)
                 ticket.settle(False)
             else:
                 self._miss(ticket.origin)
@@ -280,17 +282,17 @@
     def _adopt(self, held: ZoneState, difference: Difference, source: str) -> None:
         """A version that came whole from its source and can be had there again: announced at once, and kept as
         soon as the disk takes it."""
-        difference = msgspec.structs.replace(difference, at_ms=self.unix_ms())
-        changes = held.take(difference, self.clock())
-        held.drop_head()
-        held.seen_ms = self.unix_ms()
+        difference = msgspec.structs.replace(difference, accepted_ms=self.unix_ms())
+        changes = held.apply(difference, self.clock())
+        held.discard_head()
+        held.confirmed_ms = self.unix_ms()
         self._around.log.always(
             "zone_updated",
             zone=held.origin,
             serial=held.zone.serial,
             source=source,
             records=len(held.zone),
-            hosts=len(held.meaning.hosts),
+            hosts=len(held.extractor.endpoints),
         )
         self._announce(held, changes)
         self._save(held, ZoneChanged(held.origin, difference))
@@ -311,7 +313,7 @@
         self._unsaved.add(origin)
         self._covered.discard(origin)
 
-    def _announce(self, held: ZoneState, changes: Changes) -> None:
+    def _announce(self, held: ZoneState, changes: EndpointChanges) -> None:
         """One change of the list, however many hosts it concerns."""
         origin, around = held.origin, self._around
         members, conflicts = self.merged_list.take(origin, changes, self.clock(), self.unix_ms())
@@ -338,7 +340,7 @@
             )
 
     def _tell_problems(self, held: ZoneState) -> None:
-        problems = held.meaning.problems()
+        problems = held.extractor.problems()
         if problems:
             most = self._around.limits.max_logged_zone_problems
             self._around.log.event(
@@ -359,7 +361,7 @@
 
     def _confirmed(self, held: ZoneState) -> None:
         now_us = self.clock()
-        held.seen_ms = self.unix_ms()
+        held.confirmed_ms = self.unix_ms()
         was_available = self.merged_list.available
         self.merged_list.loaded(held.origin)
         if not was_available:
@@ -373,7 +375,7 @@
             >= self._around.limits.zone_confirmation_interval_us
         ):
             self._seen_us[held.origin] = now_us
-            self._save(held, ZoneConfirmed(held.origin, held.seen_ms))
+            self._save(held, ZoneConfirmed(held.origin, held.confirmed_ms))
 
     def _expired(self, held: ZoneState) -> None:
         self._around.counters.add("zone_expiries")
@@ -381,7 +383,7 @@
             "zone_expired",
             zone=held.origin,
             serial=held.zone.serial,
-            endpoints=len(held.meaning.hosts),
+            endpoints=len(held.extractor.endpoints),
         )
         was = self.merged_list.available
         self.merged_list.lost(held.origin)
@@ -412,7 +414,9 @@
         except ZoneError as error:
             self._bad_file(zone, error)
             return
-        while self.zone_states[zone.origin].staged:  # updates that wait for the disk come first
+        while self.zone_states[
+            zone.origin
+        ].staged_updates:  # updates that wait for the disk come first
             yield Wait(self.clock() + self._around.limits.zone_command_poll_us)
         self._take_file(zone, path, new)
 
@@ -440,9 +444,9 @@
 
     def _take_file(self, zone: ZoneSettings, path: Path, new: Zone) -> None:
         held = self.zone_states[zone.origin]
-        verdict, contradictions = held.belief.offer("file", Version(new.serial, new.soa_data))
+        verdict, contradictions = held.reconciler.offer("file", Version(new.serial, new.soa_data))
         if verdict is Verdict.NEWER:
-            self._adopt(held, held.replace(new, 0), str(path))
+            self._adopt(held, held.difference_to(new, 0), str(path))
             return
         if verdict is Verdict.SAME and same(held.zone, new):
             return
@@ -493,7 +497,7 @@
         if self._by_origin[command.origin].primaries:
             answer(Restored(error=f"{command.origin} follows a primary: put it back there"))
             return
-        if held.staged:
+        if held.staged_updates:
             answer(Restored(error="updates are under way: try again"))
             return
         try:
@@ -510,17 +514,17 @@
                     zone=held.origin,
                     restored_serial=command.serial,
                     serial=held.zone.serial,
-                    endpoints=len(held.meaning.hosts),
+                    endpoints=len(held.extractor.endpoints),
                 )
             answer(
-                Restored(held.zone.serial, len(held.meaning.hosts))
+                Restored(held.zone.serial, len(held.extractor.endpoints))
                 if durable
                 else Restored(error="the state can't be written")
             )
 
-        held.judge(difference, UpdateGrant(""), (), self.clock())
+        held.stage_update(difference, UpdateGrant(""), (), self.clock())
         if not self.stage(Ticket(held, difference, settle)):
-            held.undo(difference)
+            held.undo_update(difference)
             settle(False)
 
 
--- a/kelpcourse/zones/transfer.py
+++ b/kelpcourse/zones/transfer.py
@@ -61,7 +61,7 @@
 
 
 def _soa_record(zone: Zone) -> Record:
-    held = zone.get(zone.origin, SOA)
+    held = zone.record_set(zone.origin, SOA)
     assert held is not None
     return Record(zone.origin, SOA, held.ttl, next(iter(held.data)))
 
@@ -236,6 +236,6 @@
 
 def check_fits(zone: Zone) -> None:
     """A zone as it must be to be served. Raises ZoneError."""
-    soa = zone.get(zone.origin, SOA)
+    soa = zone.record_set(zone.origin, SOA)
     if soa is None or len(soa.data) != 1:
         raise ZoneError(f"{zone.origin} has not exactly one SOA")
--- a/kelpcourse/zones/update_policy.py
+++ b/kelpcourse/zones/update_policy.py
@@ -1,8 +1,9 @@
-"""What a key may change and how much an update may take away. Pure.
+"""The update policy: what a key may change, and how many endpoints an update may remove. Pure.
 
-A part is taken of the hosts that are ready: an update that drains or removes more of the zone, or of a class's
-hosts, than `most` is refused before anything of it stands. With `within`, hosts lost to earlier updates of that time
-count too, so that many small updates do not add up to what one may not do.
+An update counts as removing an endpoint if the endpoint was ready and is gone or draining afterwards. An update that
+removes more than the granted fraction of the ready endpoints, of the zone or of one request class, is rejected as a
+whole. If the grant has a window, endpoints removed by earlier updates within it count too, so that many small updates
+cannot remove together what one may not.
 """
 
 from __future__ import annotations
@@ -15,149 +16,223 @@
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.content import SOA, Difference, type_name
-from kelpcourse.zones.errors import ZoneError
+from kelpcourse.zones.errors import InvalidGrantError
 from kelpcourse.zones.names import is_under, labels, read_name
 
 
 @dataclass(frozen=True)
 class EndpointClass:
-    """A request class and the hosts that may serve it."""
+    """A request class and the endpoints that may serve it."""
 
     name: str
     zones: frozenset[str]  # empty: all
-    kinds: frozenset[str]
+    kinds: frozenset[str]  # empty: all
 
-    def takes(self, member: ListedEndpoint) -> bool:
-        return (not self.zones or member.zone in self.zones) and (
-            not self.kinds or member.kind in self.kinds
-        )
+    def includes(self, endpoint: ListedEndpoint) -> bool:
+        """Whether the endpoint may serve the class."""
+        zone_allowed = not self.zones or endpoint.zone in self.zones
+        kind_allowed = not self.kinds or endpoint.kind in self.kinds
+        return zone_allowed and kind_allowed
+
+
+ALL_ENDPOINTS = EndpointClass("", frozenset(), frozenset())
 
 
 @dataclass(frozen=True)
 class UpdateGrant:
-    """One key's right to update one zone."""
+    """The right of one key to update one zone."""
 
     key: str
-    names: tuple[
-        str, ...
-    ] = ()  # absolute; empty: all. A first label `*` stands for all names below
+    names: tuple[str, ...] = ()  # absolute; empty: all; a first label `*`: all names below it
     types: tuple[int, ...] = ()  # empty: all
-    most: float = (
-        1.0  # part of the ready hosts, of the zone and of each class, that may be taken away
-    )
-    within_us: int = 0  # counting what was lost in this time, too
+    max_removed_fraction: float = 1.0  # of the ready endpoints of the zone and of each class
+    window_us: int = 0  # earlier removals within it count too
 
     def allows_record(self, owner: str, type_: int) -> bool:
+        """Whether the key may add or remove such a record."""
         if type_ == SOA:  # the serial moves with every change
             return True
-        return (not self.types or type_ in self.types) and (
+        type_allowed = not self.types or type_ in self.types
+        return type_allowed and (
             not self.names or any(matches(pattern, owner) for pattern in self.names)
         )
 
 
 def matches(pattern: str, owner: str) -> bool:
+    """Whether a name is the pattern, or below it if the pattern begins with `*.`."""
     if pattern.startswith("*."):
         return len(labels(owner)) >= len(labels(pattern)) and is_under(owner, pattern[2:])
     return pattern == owner
 
 
 def read_grant(
-    key: str, origin: str, names: Iterable[str], types: Iterable[str], most: float, within_us: int
+    key: str,
+    origin: str,
+    names: Iterable[str],
+    types: Iterable[str],
+    max_removed_fraction: float,
+    window_us: int,
 ) -> UpdateGrant:
-    """Names are relative to the origin unless they end in a dot. Raises ZoneError."""
-    absolute = []
-    for name in names:
-        full = name if name.endswith(".") else f"{name}.{origin}" if name != "@" else origin
-        key_name = read_name(full, "name")
-        if not is_under(key_name, origin):
-            raise ZoneError(f"name {name!r} is not in {origin}")
-        absolute.append(key_name)
-    numbers = []
-    for type_ in types:
-        try:
-            numbers.append(int(dns.rdatatype.from_text(type_)))
-        except (dns.rdatatype.UnknownRdatatype, ValueError):
-            raise ZoneError(f"type {type_!r} is not one of records") from None
-    return UpdateGrant(key, tuple(absolute), tuple(numbers), most, within_us)
+    """Resolves a grant as it is written in the settings.
+
+    Names are relative to the origin unless they end in a dot.
+
+    Raises:
+        ZoneError: a name is malformed or outside the zone, or a type is unknown.
+    """
+    return UpdateGrant(
+        key,
+        tuple(_absolute_name(name, origin) for name in names),
+        tuple(_type_number(type_) for type_ in types),
+        max_removed_fraction,
+        window_us,
+    )
+
+
+def _absolute_name(name: str, origin: str) -> str:
+    if name == "@":
+        written = origin
+    elif name.endswith("."):
+        written = name
+    else:
+        written = f"{name}.{origin}"
+    absolute = read_name(written, "name")
+    if not is_under(absolute, origin):
+        raise InvalidGrantError("name", name, f"is not in {origin}")
+    return absolute
+
+
+def _type_number(type_: str) -> int:
+    try:
+        return int(dns.rdatatype.from_text(type_))
+    except (dns.rdatatype.UnknownRdatatype, ValueError) as error:
+        raise InvalidGrantError("type", type_, "is not one of records") from error
 
 
 class RemovalHistory:
-    """Hosts of a zone that were ready lately, to judge updates that take them away."""
+    """Endpoints of a zone that stopped being ready lately."""
 
-    def __init__(self, remember_us: int) -> None:
-        self._remember_us = remember_us
-        self._lost: dict[
-            str, tuple[int, ListedEndpoint]
-        ] = {}  # when, and as what, a host stopped being ready
+    def __init__(self, window_us: int) -> None:
+        """Remembers removals for `window_us`."""
+        self._window_us = window_us
+        # When each endpoint stopped being ready and what it was, oldest first.
+        self._removed: dict[str, tuple[int, ListedEndpoint]] = {}
 
-    def note(
+    def record(
         self,
-        before: Mapping[str, ListedEndpoint | None],
+        previous: Mapping[str, ListedEndpoint | None],
         changes: Mapping[str, ListedEndpoint | None],
         now_us: int,
     ) -> None:
-        """Hosts have changed so, from what they were before."""
-        for name, member in changes.items():
-            was = before.get(name)
-            if is_ready(member):
-                self._lost.pop(name, None)
-            elif was is not None and is_ready(was):
-                self._lost[name] = now_us, was
-        while self._lost:
-            name, (when, _) = next(iter(self._lost.items()))
-            if when >= now_us - self._remember_us:
+        """Notes a change: the endpoints before and after it, by name."""
+        for name, endpoint in changes.items():
+            before = previous.get(name)
+            if is_ready(endpoint):
+                self._removed.pop(name, None)
+            elif before is not None and is_ready(before):
+                self._removed[name] = now_us, before
+        self._forget_before(now_us - self._window_us)
+
+    def removed_since(self, since_us: int) -> dict[str, ListedEndpoint]:
+        """Returns the endpoints removed at or after a time, as they were before, by name."""
+        return {
+            name: endpoint
+            for name, (removed_us, endpoint) in self._removed.items()
+            if removed_us >= since_us
+        }
+
+    def _forget_before(self, oldest_us: int) -> None:
+        while self._removed:
+            name, (removed_us, _) = next(iter(self._removed.items()))
+            if removed_us >= oldest_us:
                 break
-            del self._lost[name]
-
-    def since(self, then_us: int) -> dict[str, ListedEndpoint]:
-        return {name: member for name, (when, member) in self._lost.items() if when >= then_us}
+            del self._removed[name]
 
 
-def is_ready(member: ListedEndpoint | None) -> bool:
-    return member is not None and member.status is EndpointStatus.READY
+def is_ready(endpoint: ListedEndpoint | None) -> bool:
+    """Whether there is an endpoint and it is neither draining nor gone."""
+    return endpoint is not None and endpoint.status is EndpointStatus.READY
 
 
 def rejection_reason(
     grant: UpdateGrant,
     difference: Difference,
-    hosts: Mapping[str, ListedEndpoint],
+    endpoints: Mapping[str, ListedEndpoint],
     changes: Mapping[str, ListedEndpoint | None],
-    losses: RemovalHistory,
+    removals: RemovalHistory,
     classes: Sequence[EndpointClass],
     now_us: int,
 ) -> str:
-    """Why the key may not make this change; empty: it may."""
+    """Returns why the key may not make this update; empty if it may.
+
+    Args:
+        grant: the right of the key.
+        difference: what the update changes in the zone.
+        endpoints: the endpoints before the update, by name.
+        changes: the endpoints that the update changes, by name; None for one that is gone.
+        removals: earlier removals from the zone.
+        classes: the request classes, each of which must keep its part of the endpoints.
+        now_us: the time of the update on a monotonic clock.
+    """
     for record in (*difference.removed, *difference.added):
         if not grant.allows_record(record.owner, record.type):
             return f"key {grant.key} may not change {type_name(record.type)} at {record.owner}"
-    if grant.most >= 1:
+    if grant.max_removed_fraction >= 1:
         return ""
-    taken = {
-        name: hosts[name]
-        for name, member in changes.items()
-        if name in hosts and is_ready(hosts[name]) and not is_ready(member)
-    }
-    if not taken:  # putting hosts back is never too much
+    removed = _removed_by(endpoints, changes)
+    if not removed:  # restoring endpoints is never too much
         return ""
-    earlier = losses.since(now_us - grant.within_us) if grant.within_us else {}
-    lost = {**earlier, **taken}
-    for name, member in changes.items():
-        if is_ready(member):
-            lost.pop(name, None)
-    ready = {**earlier, **{name: m for name, m in hosts.items() if is_ready(m)}}
-    everyone = EndpointClass("", frozenset(), frozenset())
-    for cls in (everyone, *classes):
-        of = sum(1 for member in ready.values() if cls.takes(member))
-        gone = sum(1 for member in lost.values() if cls.takes(member))
-        if gone > grant.most * of:
-            what = f"class {cls.name}" if cls.name else "the zone"
-            return f"takes away {gone} of {of} ready hosts of {what}, at most {grant.most:g} of them are allowed"
+    earlier = removals.removed_since(now_us - grant.window_us) if grant.window_us else {}
+    removed = {**earlier, **removed}
+    for name, endpoint in changes.items():
+        if is_ready(endpoint):
+            removed.pop(name, None)
+    ready = {name: endpoint for name, endpoint in endpoints.items() if is_ready(endpoint)}
+    ready = {**earlier, **ready}
+    for endpoint_class in (ALL_ENDPOINTS, *classes):
+        reason = _excess_in_class(
+            endpoint_class, removed.values(), ready.values(), grant.max_removed_fraction
+        )
+        if reason:
+            return reason
     return ""
 
 
+def _removed_by(
+    endpoints: Mapping[str, ListedEndpoint], changes: Mapping[str, ListedEndpoint | None]
+) -> dict[str, ListedEndpoint]:
+    """Returns the endpoints that were ready and are not ready after the changes."""
+    return {
+        name: endpoints[name]
+        for name, endpoint in changes.items()
+        if name in endpoints and is_ready(endpoints[name]) and not is_ready(endpoint)
+    }
+
+
+def _excess_in_class(
+    endpoint_class: EndpointClass,
+    removed: Iterable[ListedEndpoint],
+    ready: Iterable[ListedEndpoint],
+    max_removed_fraction: float,
+) -> str:
+    ready_count = sum(1 for endpoint in ready if endpoint_class.includes(endpoint))
+    removed_count = sum(1 for endpoint in removed if endpoint_class.includes(endpoint))
+    if removed_count <= max_removed_fraction * ready_count:
+        return ""
+    place = f"class {endpoint_class.name}" if endpoint_class.name else "the zone"
+    return (
+        f"takes away {removed_count} of {ready_count} ready hosts of {place},"
+        f" at most {max_removed_fraction:g} of them are allowed"
+    )
+
+
 def classes_without_endpoints(
-    classes: Sequence[EndpointClass], hosts: Iterable[ListedEndpoint]
+    classes: Sequence[EndpointClass], endpoints: Iterable[ListedEndpoint]
 ) -> list[str]:
-    """Classes that no ready host is left for."""
-    left = [member for member in hosts if is_ready(member)]
-    return [cls.name for cls in classes if not any(cls.takes(member) for member in left)]
+    """Returns the names of the classes that have no ready endpoint."""
+    ready = [endpoint for endpoint in endpoints if is_ready(endpoint)]
+    return [
+        endpoint_class.name
+        for endpoint_class in classes
+        if not any(endpoint_class.includes(endpoint) for endpoint in ready)
+    ]
--- a/kelpcourse/zones/zone_state.py
+++ b/kelpcourse/zones/zone_state.py
@@ -1,7 +1,7 @@
-"""One zone as this process holds it: its versions, what is believed of it, and the hosts it announces. Pure.
+"""The state of one zone: its versions, its version reconciliation and the endpoints it announces. Pure.
 
-Two versions stand side by side where updates are taken: the one that is durable, which is served and announced, and
-the head, which the next update builds on. They are the same whenever nothing waits for the disk.
+Where updates are accepted there are two versions: the durable one, which is served and announced, and the head, which
+the next update builds on. They are equal whenever no update waits for the disk.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.zones.content import Difference, PendingVersion, Zone, difference_between
 from kelpcourse.zones.endpoint_extraction import EndpointExtractor
-from kelpcourse.zones.errors import ZoneError
+from kelpcourse.zones.errors import TooManyRecordsError, VersionSequenceError
 from kelpcourse.zones.history import History
 from kelpcourse.zones.reconciliation import Version, VersionReconciler
 from kelpcourse.zones.update_policy import (
@@ -20,115 +20,140 @@
     rejection_reason,
 )
 
-Changes = dict[str, ListedEndpoint | None]
+EndpointChanges = dict[str, ListedEndpoint | None]
 
 
 class ZoneState:
+    """One zone with its history, its accepted version and its endpoints."""
+
     def __init__(self, origin: str, service: str, limits: Limits) -> None:
+        """Starts without any version; `service` is the label prefix of the SRV records to read."""
         self.origin = origin
         self.zone = Zone(origin)
         self.history = History(limits.max_zone_history_records)
-        self.meaning = EndpointExtractor(origin, service)
-        self.belief = VersionReconciler(None)
-        self.seen_ms = 0  # Unix time when its source last confirmed it
+        self.extractor = EndpointExtractor(origin, service)
+        self.reconciler = VersionReconciler(None)
+        self.confirmed_ms = 0  # Unix time when its source last confirmed it
         self._limits = limits
-        self._losses = RemovalHistory(limits.zone_removal_window_us)
+        self._removals = RemovalHistory(limits.zone_removal_window_us)
         self._head: Zone | None = None  # None: the same as `zone`
-        self._head_meaning: EndpointExtractor | None = None
-        self._staged = 0
+        self._head_extractor: EndpointExtractor | None = None
+        self._staged_updates = 0
         self._service = service
 
     @property
     def head(self) -> Zone:
+        """The version that the next update builds on."""
         return self._head if self._head is not None else self.zone
 
-    def take(self, difference: Difference, now_us: int) -> Changes:
-        """A version that is durable, or can be had again: from now on it is served and announced. Raises
-        ZoneError, with nothing changed, if it does not follow on."""
-        if self.zone.exists and difference.before != self.zone.serial:
-            raise ZoneError(
-                f"{self.origin}: a change from serial {difference.before} on {self.zone.serial}"
-            )
-        if (
-            len(self.zone) + len(difference.added) - len(difference.removed)
-            > self._limits.max_zone_records
-        ):
-            raise ZoneError(f"{self.origin}: more than {self._limits.max_zone_records} records")
+    @property
+    def staged_updates(self) -> int:
+        """Updates that are part of the head and not yet durable."""
+        return self._staged_updates
+
+    def apply(self, difference: Difference, now_us: int) -> EndpointChanges:
+        """Makes a version current that is durable or can be fetched again.
+
+        Returns the endpoints that changed, by name; None for one that is gone.
+
+        Raises:
+            ZoneError: the difference does not follow on, or the zone would be too large; nothing
+                has changed.
+        """
+        self._check_sequence(difference)
+        record_count = len(self.zone) + len(difference.added) - len(difference.removed)
+        if record_count > self._limits.max_zone_records:
+            raise TooManyRecordsError(self._limits.max_zone_records, self.origin)
         self.zone.apply(difference)
         self.history.add(difference)
-        self.belief.take(Version(self.zone.serial, self.zone.soa_data))
-        changes = self.meaning.take(difference, self.zone)
-        self._losses.note(self.meaning.before, changes, now_us)
+        self._accept_current()
+        changes = self.extractor.apply(difference, self.zone)
+        self._removals.record(self.extractor.previous, changes, now_us)
         return changes
 
     def replay(self, difference: Difference) -> None:
-        """A version out of the store. What follows from it is worked out once, by `wake`."""
-        if self.zone.exists and difference.before != self.zone.serial:
-            raise ZoneError(
-                f"{self.origin}: a change from serial {difference.before} on {self.zone.serial}"
-            )
+        """Applies a version from the store; `finish_replay` derives the rest once at the end.
+
+        Raises:
+            ZoneError: the difference does not follow on; nothing has changed.
+        """
+        self._check_sequence(difference)
         self.zone.apply(difference)
         self.history.add(difference)
 
-    def wake(self) -> None:
+    def finish_replay(self) -> None:
+        """Derives the accepted version and the endpoints after the last replayed version."""
         if self.zone.exists:
-            self.belief.take(Version(self.zone.serial, self.zone.soa_data))
-            self.meaning.start(self.zone)
+            self._accept_current()
+            self.extractor.start(self.zone)
 
-    def replace(self, new: Zone, at_ms: int) -> Difference:
-        """What leads to another version that came whole."""
+    def difference_to(self, new: Zone, at_ms: int) -> Difference:
+        """Returns the difference from the current version to one that was received in full."""
         return difference_between(self.zone, new, at_ms)
 
-    # Updates
-
-    def draft(self) -> PendingVersion:
+    def new_pending_version(self) -> PendingVersion:
+        """Returns a pending version on top of the head, for one update to change."""
         return PendingVersion(self.head)
 
-    def judge(
+    def stage_update(
         self,
         difference: Difference,
         grant: UpdateGrant,
         classes: tuple[EndpointClass, ...],
         now_us: int,
     ) -> str:
-        """Why this key may not make this update on the head; empty: it may, and the head has made it: it is
-        then staged or undone."""
-        head, meaning = self._heads()
-        hosts = dict(meaning.hosts) if grant.most < 1 else {}
-        head.apply(difference)
-        changes = meaning.take(difference, head)
-        why = rejection_reason(grant, difference, hosts, changes, self._losses, classes, now_us)
-        self._staged += 1
-        if why:
-            self.undo(difference)
-        return why
-
-    def _heads(self) -> tuple[Zone, EndpointExtractor]:
-        """Made with the first update and kept: a copy costs the whole zone, an update only what it touches."""
-        if self._head is None or self._head_meaning is None:
-            self._head = self.zone.copy()
-            self._head_meaning = EndpointExtractor(self.origin, self._service)
-            self._head_meaning.start(self._head)
-        return self._head, self._head_meaning
-
-    def undo(self, difference: Difference) -> None:
-        """The last difference that the head took in is not to be: it can't be made durable."""
-        head, meaning = self._heads()
-        back = difference.inverse(difference.at_ms)
-        head.apply(back)
-        meaning.take(back, head)
-        self._staged -= 1
-
-    def settle(self, difference: Difference, now_us: int) -> Changes:
-        """A staged difference is durable."""
-        self._staged -= 1
-        return self.take(difference, now_us)
+        """Adds an update to the head if the update policy allows it.
 
-    @property
-    def staged(self) -> int:
-        return self._staged
+        An update that was added must be followed by `commit_update` or `undo_update`.
+
+        Returns:
+            Why the policy rejects the update; empty if the update was added.
 
-    def drop_head(self) -> None:
-        """The zone moved on by another way than updates."""
-        assert not self._staged
-        self._head = self._head_meaning = None
+        Raises:
+            ZoneError: the difference does not fit the head; nothing has changed.
+        """
+        head, extractor = self._open_head()
+        endpoints = dict(extractor.endpoints) if grant.max_removed_fraction < 1 else {}
+        head.apply(difference)
+        changes = extractor.apply(difference, head)
+        reason = rejection_reason(
+            grant, difference, endpoints, changes, self._removals, classes, now_us
+        )
+        self._staged_updates += 1
+        if reason:
+            self.undo_update(difference)
+        return reason
+
+    def undo_update(self, difference: Difference) -> None:
+        """Removes the last staged update from the head, as it cannot be made durable."""
+        head, extractor = self._open_head()
+        inverse = difference.inverse(difference.accepted_ms)
+        head.apply(inverse)
+        extractor.apply(inverse, head)
+        self._staged_updates -= 1
+
+    def commit_update(self, difference: Difference, now_us: int) -> EndpointChanges:
+        """Makes the oldest staged update current, as it is durable now."""
+        self._staged_updates -= 1
+        return self.apply(difference, now_us)
+
+    def discard_head(self) -> None:
+        """Forgets the head after the zone changed by another way than updates."""
+        assert not self._staged_updates
+        self._head = None
+        self._head_extractor = None
+
+    def _accept_current(self) -> None:
+        self.reconciler.accept(Version(self.zone.serial, self.zone.soa_data))
+
+    def _check_sequence(self, difference: Difference) -> None:
+        if self.zone.exists and difference.old_serial != self.zone.serial:
+            raise VersionSequenceError(self.origin, difference.old_serial, self.zone.serial)
+
+    def _open_head(self) -> tuple[Zone, EndpointExtractor]:
+        """The head is copied at the first update and then kept: a copy costs the whole zone."""
+        if self._head is None or self._head_extractor is None:
+            self._head = self.zone.copy()
+            self._head_extractor = EndpointExtractor(self.origin, self._service)
+            self._head_extractor.start(self._head)
+        return self._head, self._head_extractor
--- a/tests/test_stored_zones.py
+++ b/tests/test_stored_zones.py
@@ -64,7 +64,7 @@
 def summary(replay: ZoneReplay) -> dict[str, list[int | None]]:
     """Of each zone: its serial, when its source last confirmed it, and the number of its records."""
     return {
-        origin: [held.zone.serial if held.zone.exists else None, held.seen_ms, len(held.zone)]
+        origin: [held.zone.serial if held.zone.exists else None, held.confirmed_ms, len(held.zone)]
         for origin, held in replay.zones.items()
     }
 
@@ -76,21 +76,21 @@
 def plain_state(held: ZoneState) -> dict[str, Any]:
     return {
         "serial": held.zone.serial,
-        "confirmed_ms": held.seen_ms,
+        "confirmed_ms": held.confirmed_ms,
         "records": plain_records(held.zone.records()),
         "history": [
             {
-                "before": difference.before,
-                "after": difference.after,
+                "before": difference.old_serial,
+                "after": difference.new_serial,
                 "removed": plain_records(difference.removed),
                 "added": plain_records(difference.added),
-                "at_ms": difference.at_ms,
+                "at_ms": difference.accepted_ms,
             }
             for difference in held.history
         ],
         "endpoints": {
             name: [list(member.address), member.status.value]
-            for name, member in held.meaning.hosts.items()
+            for name, member in held.extractor.endpoints.items()
         },
     }
 
@@ -223,7 +223,7 @@
     try:
         recorded = RECORDED["zones"][ORIGIN]
         held = part.zones.zone_states[ORIGIN]
-        assert (part.serial, held.seen_ms) == (recorded["serial"], recorded["confirmed_ms"])
+        assert (part.serial, held.confirmed_ms) == (recorded["serial"], recorded["confirmed_ms"])
         assert {name: phase.value for name, phase in part.list.items()} == {
             name: phase for name, (_, phase) in recorded["endpoints"].items()
         }
--- a/tests/test_zone_content.py
+++ b/tests/test_zone_content.py
@@ -70,7 +70,7 @@
     made = meaning(
         *host("s-1", txt='"kind=m2" "cell=3" "phase=draining" "started=1767225600000"', weight=7)
     )
-    (one,) = made.hosts.values()
+    (one,) = made.endpoints.values()
     assert (one.name, one.address, one.zone, one.kind, one.cell) == (
         "s-1",
         ("10.0.0.1", 5000),
@@ -88,11 +88,11 @@
 
 def test_a_host_is_announced_once_srv_and_address_both_stand() -> None:
     srv, address = host("s-1")
-    assert meaning(address).hosts == {}
+    assert meaning(address).endpoints == {}
     alone = meaning(srv)
-    assert alone.hosts == {}
+    assert alone.endpoints == {}
     assert [(p.owner, p.field) for p in alone.problems()] == [("s-1." + ORIGIN, "address")]
-    assert meaning(srv, rec("s-1", "AAAA", "::1")).hosts["s-1"].address == ("::1", 5000)
+    assert meaning(srv, rec("s-1", "AAAA", "::1")).endpoints["s-1"].address == ("::1", 5000)
 
 
 @pytest.mark.parametrize(
@@ -122,17 +122,17 @@
 ) -> None:
     made = meaning(*host("s-1"), *host("s-3"), record)
     assert [(p.owner, p.field) for p in made.problems()] == [(f"{owner}.{ORIGIN}", field)]
-    assert sorted(made.hosts) == ["s-1", "s-3"]
-    assert made.hosts["s-1"].status is EndpointStatus.READY
+    assert sorted(made.endpoints) == ["s-1", "s-3"]
+    assert made.endpoints["s-1"].status is EndpointStatus.READY
 
 
 def test_of_two_srv_for_one_target_the_same_counts_at_every_director() -> None:
     first, second = host("s-1", "room-a"), host("s-1", "room-b")
     for order in ([*first, *second], [*second, *first]):
-        assert meaning(*order).hosts["s-1"].zone == "room-a"
+        assert meaning(*order).endpoints["s-1"].zone == "room-a"
     backup = rec(f"{SERVICE}.room-0", "SRV", "9 1 5000 s-1." + ORIGIN)
     made = meaning(*first, backup)
-    assert (made.hosts["s-1"].zone, made.problems()) == ("room-a", [])
+    assert (made.endpoints["s-1"].zone, made.problems()) == ("room-a", [])
 
 
 def test_a_target_moved_to_another_address_is_one_change() -> None:
@@ -146,7 +146,7 @@
     )
     step = draft.difference(0)
     start.apply(step)
-    changes = made.take(step, start)
+    changes = made.apply(step, start)
     assert list(changes) == ["s-1"]
     assert changes["s-1"] is not None
     assert (changes["s-1"].address[0], changes["s-1"].started_ms) == ("10.9.9.9", 7.0)
@@ -187,11 +187,11 @@
         if not draft.changed():
             continue
         draft.advance()
-        plain = {r for r in plain if r.type != 6} | {soa(draft.difference(0).after)}
+        plain = {r for r in plain if r.type != 6} | {soa(draft.difference(0).new_serial)}
         done = draft.difference(0)
         one.apply(done)
         history.add(done)
-        known.take(done, one)
+        known.apply(done, one)
         versions.append(one.copy())
     return one, plain, known, history, versions
 
@@ -206,7 +206,7 @@
     assert len(one) == len(plain)
     fresh = EndpointExtractor(ORIGIN, SERVICE)
     fresh.start(one)
-    assert known.hosts == fresh.hosts
+    assert known.endpoints == fresh.endpoints
     assert known.problems() == fresh.problems()
     for version in versions[:-1]:
         chain = history.since(version.serial)
@@ -216,7 +216,7 @@
             walked.apply(step)
         assert set(walked.records()) == plain
         back = restore_version(one, history, version.serial, 0)
-        assert back.after == next_serial(one.serial)
+        assert back.new_serial == next_serial(one.serial)
         former = one.copy()
         former.apply(back)
         assert {r for r in former.records() if r.type != 6} == {
@@ -244,7 +244,7 @@
     draft.advance()
     step = draft.difference(0)
     one.apply(step)
-    held_set = one.get("x." + ORIGIN, A)
+    held_set = one.record_set("x." + ORIGIN, A)
     assert held_set is not None
     assert (held_set.ttl, len(held_set.data)) == (5, 3)
     assert len([r for r in step.removed if r.type == A]) == 2
@@ -268,14 +268,14 @@
     first = difference_between(Zone(ORIGIN), one.zone, 5)
     payloads.append(encode_entry(ZoneChanged(ORIGIN, first)))
     step = draft_of(one.zone, remove=host("s-0", address="127.0.0.10")).difference(9)
-    one.take(step, 0)
+    one.apply(step, 0)
     payloads.append(encode_entry(ZoneChanged(ORIGIN, step)))
     replay = ZoneReplay([ORIGIN], SERVICE, LIMITS)
     replay.run(None, payloads)
     again = replay.zones[ORIGIN]
     assert sorted(again.zone.records()) == sorted(one.zone.records())
-    assert again.meaning.hosts == one.meaning.hosts
-    assert again.seen_ms == 9
+    assert again.extractor.endpoints == one.extractor.endpoints
+    assert again.confirmed_ms == 9
     from_snapshot = ZoneReplay([], SERVICE, LIMITS)
     from_snapshot.run(encode_snapshot([one], ()), [])
     other = ZoneReplay(
--- a/tests/test_zone_decisions.py
+++ b/tests/test_zone_decisions.py
@@ -87,14 +87,14 @@
     belief = VersionReconciler(version(100))
     verdict, told = belief.offer("p", version(40))
     assert verdict is Verdict.BEHIND
-    assert [(c.held, c.offered, c.begins) for c in told] == [(100, 40, True)]
+    assert [(c.accepted_serial, c.offered_serial, c.begins) for c in told] == [(100, 40, True)]
     assert belief.offer("p", version(40)) == (Verdict.BEHIND, [])
     assert belief.contradicted
     belief.expire()
     verdict, told = belief.offer("p", version(41))
     assert verdict is Verdict.NEWER
     assert [c.begins for c in told] == [False]
-    belief.take(version(41))
+    belief.accept(version(41))
     assert belief.offer("p", version(40))[0] is Verdict.BEHIND
 
 
@@ -102,9 +102,9 @@
     belief = VersionReconciler(version(100))
     assert belief.offer("a", version(100))[0] is Verdict.SAME
     assert belief.offer("b", version(100, b"another"))[0] is Verdict.DIFFERS
-    assert [c.begins for c in belief.forget("b")] == [False]
+    assert [c.begins for c in belief.source_silent("b")] == [False]
     assert not belief.contradicted
-    assert belief.forget("b") == []
+    assert belief.source_silent("b") == []
 
 
 # Refreshing
@@ -220,8 +220,11 @@
         start.head,
         remove=[r for r in rooms() if any(n in r.owner or n.encode() in r.data for n in names)],
     )
-    return start.judge(
-        draft.difference(0), UpdateGrant("k", most=most, within_us=within_us), classes, 0
+    return start.stage_update(
+        draft.difference(0),
+        UpdateGrant("k", max_removed_fraction=most, window_us=within_us),
+        classes,
+        0,
     )
 
 
@@ -242,29 +245,29 @@
 def test_many_small_updates_do_not_add_up_to_a_large_one() -> None:
     hosts = {f"s-{k}": member(f"s-{k}") for k in range(10)}
     losses = RemovalHistory(LIMITS.zone_removal_window_us)
-    grant = UpdateGrant("k", most=0.3, within_us=60 * SECOND_US)
+    grant = UpdateGrant("k", max_removed_fraction=0.3, window_us=60 * SECOND_US)
     start = held(zone(1, rooms()))
     nothing = draft_of(start.head).difference(0)
 
     def take(name: str, now_us: int, to: ListedEndpoint | None = None) -> str:
         why = rejection_reason(grant, nothing, hosts, {name: to}, losses, (), now_us)
         if not why:
-            losses.note({name: hosts[name]}, {name: to}, now_us)
+            losses.record({name: hosts[name]}, {name: to}, now_us)
             del hosts[name]
         return why
 
     assert [take(f"s-{k}", k) for k in range(3)] == ["", "", ""]
     assert "takes away 4 of 10" in take("s-3", 3)
     assert take("s-3", 60 * SECOND_US + 3) == ""  # what was lost before is no longer counted
-    losses.note({"s-0": None}, {"s-0": member("s-0")}, 60 * SECOND_US + 4)
-    assert losses.since(0).keys() == {"s-1", "s-2", "s-3"}
+    losses.record({"s-0": None}, {"s-0": member("s-0")}, 60 * SECOND_US + 4)
+    assert losses.removed_since(0).keys() == {"s-1", "s-2", "s-3"}
 
 
 def test_a_drain_counts_as_taking_away_and_putting_back_never_does() -> None:
     hosts = {"a": member("a"), "b": member("b", phase=EndpointStatus.DRAINING)}
     start = held(zone(1, rooms()))
     nothing = draft_of(start.head).difference(0)
-    grant = UpdateGrant("k", most=0.0)
+    grant = UpdateGrant("k", max_removed_fraction=0.0)
     losses = RemovalHistory(0)
     assert rejection_reason(
         grant, nothing, hosts, {"a": member("a", phase=EndpointStatus.DRAINING)}, losses, (), 0
@@ -276,9 +279,11 @@
 def test_a_refused_update_leaves_the_head_as_it_was() -> None:
     start = held(zone(1, rooms()))
     draft = draft_of(start.head, remove=host("s-0", address="127.0.0.10")[1:])
-    assert start.judge(draft.difference(0), UpdateGrant("k", most=0.0), (), 0)
+    assert start.stage_update(
+        draft.difference(0), UpdateGrant("k", max_removed_fraction=0.0), (), 0
+    )
     assert sorted(start.head.records()) == sorted(start.zone.records())
-    assert start.staged == 0
+    assert start.staged_updates == 0
 
 
 def test_classes_without_a_host_are_named() -> None:
--- a/tests/test_zone_server.py
+++ b/tests/test_zone_server.py
@@ -251,7 +251,7 @@
         serial = known.zone.serial if known.zone.exists else 0
         versions[len(found.records)] = serial
         assert {f"n-{k}" for k in range(serial - 1)} == {
-            h for h in known.meaning.hosts if h[0] == "n"
+            h for h in known.extractor.endpoints if h[0] == "n"
         }
         assert replay.remarks == []
     assert len(records) == 4  # the file, and three updates
@@ -538,7 +538,7 @@
     desk.handle(wire, ("127.0.0.1", 9), tcp, lambda wires: said.extend(wires))
     assert len(said) <= 1
     assert all(answer[:2] == wire[:2] and answer[2] & 0x80 for answer in said)
-    assert (start.zone.serial, len(start.meaning.hosts), start.staged) == (1, 4, 0)
+    assert (start.zone.serial, len(start.extractor.endpoints), start.staged_updates) == (1, 4, 0)
 
 
 def test_records_of_other_types_are_carried_along(world: World) -> None:
--- a/tests/zoning.py
+++ b/tests/zoning.py
@@ -76,7 +76,7 @@
 
 def held(start: Zone, limits: Limits = LIMITS) -> ZoneState:
     made = ZoneState(start.origin, SERVICE, limits)
-    made.take(made.replace(start, 0), 0)
+    made.apply(made.difference_to(start, 0), 0)
     return made
 
 
