--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -35,12 +35,24 @@
 from kelpcourse.store.frames import Record as Entry
 from kelpcourse.store.journal import Journal
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.book import Changed, Replay, collecting_nothing, encode
-from kelpcourse.zones.content import SOA, Draft, Record, Zone, between, data_of
-from kelpcourse.zones.held import HeldZone
+from kelpcourse.zones.content import (
+    SOA,
+    PendingVersion,
+    Record,
+    Zone,
+    canonical_data,
+    difference_between,
+)
+from kelpcourse.zones.persistence import (
+    ZoneChanged,
+    ZoneReplay,
+    encode_entry,
+    garbage_collection_paused,
+)
 from kelpcourse.zones.settings import read_settings, shown
 from kelpcourse.zones.standalone import Host
 from kelpcourse.zones.transfer import AXFR, Incoming, messages, whole
+from kelpcourse.zones.zone_state import ZoneState
 from kelpcourse.zones.zonefile import read_text
 
 HOSTS = 10_000
@@ -94,7 +106,7 @@
         other.take(record)
     other.take(soa_record(other))
     other.put(soa_record(zone)._replace(data=next_soa(zone)))
-    ours, difference = timed(lambda: between(zone, other, 0))
+    ours, difference = timed(lambda: difference_between(zone, other, 0))
     theirs, _ = timed(lambda: library_difference(library), 1)
     row(f"difference of two versions ({difference.size} records)", f"{ours:.0f}", f"{theirs:.0f}")
     held = held_of(zone)
@@ -105,9 +117,9 @@
     row("AXFR, written and read, without sockets", f"{ours:.0f}", "-")
 
 
-def held_of(zone: Zone) -> HeldZone:
-    held = HeldZone(zone.origin, SERVICE, LIMITS)
-    held.take(held.replace(zone, 0), 0)
+def held_of(zone: Zone) -> ZoneState:
+    held = ZoneState(zone.origin, SERVICE, LIMITS)
+    held.apply(held.difference_to(zone, 0), 0)
     return held
 
 
@@ -116,20 +128,20 @@
 
 
 def next_soa(zone: Zone) -> bytes:
-    draft = Draft(zone)
+    draft = PendingVersion(zone)
     draft.advance()
     return draft.soa_data
 
 
-def one_change(held: HeldZone, k: int) -> float:
+def one_change(held: ZoneState, k: int) -> float:
     """Seconds for a draft, the version made of it and the hosts that change."""
     owner = f"s-{k}.{ORIGIN}"
     began = time.perf_counter()
-    draft = held.draft()
+    draft = held.new_pending_version()
     draft.remove_set(owner, 1)
     draft.add(Record(owner, 1, 60, b"\x7f\x09\x09\x09"))
     draft.advance()
-    held.take(draft.difference(0), 0)
+    held.apply(draft.difference(0), 0)
     return time.perf_counter() - began
 
 
@@ -146,7 +158,7 @@
 
     def all_of(reader: Any) -> set[tuple[Any, ...]]:
         return {
-            (name, rdataset.rdtype, data_of(rdata))
+            (name, rdataset.rdtype, canonical_data(rdata))
             for name, rdataset in reader.iterate_rdatasets()
             for rdata in rdataset
         }
@@ -293,26 +305,28 @@
         held = held_of(read_text(zone_text(hosts(1000)), ORIGIN, LIMITS))
         journal = Journal(Folder(Path(folder)))
         journal.open()
-        journal.compact(0, encode(Changed(ORIGIN, between(Zone(ORIGIN), held.zone, 0))))
+        journal.compact(
+            0, encode_entry(ZoneChanged(ORIGIN, difference_between(Zone(ORIGIN), held.zone, 0)))
+        )
         entries = []
         for k in range(changes):
-            draft = held.draft()
+            draft = held.new_pending_version()
             owner = f"s-{k % 1000}.{ORIGIN}"
             for data in list(draft.data(owner, 1)):
                 draft.remove(owner, 1, data)
             draft.add(Record(owner, 1, 60, (0x7F080000 + k).to_bytes(4, "big")))
             draft.advance()
             difference = draft.difference(0)
-            held.take(difference, 0)
-            entries.append(Entry(k + 1, encode(Changed(ORIGIN, difference))))
+            held.apply(difference, 0)
+            entries.append(Entry(k + 1, encode_entry(ZoneChanged(ORIGIN, difference))))
         journal.append(entries)
         journal.close()
 
-        def restart() -> Replay:
+        def restart() -> ZoneReplay:
             again = Journal(Folder(Path(folder)))
-            with collecting_nothing():
+            with garbage_collection_paused():
                 found = again.open()
-                replay = Replay([ORIGIN], SERVICE, LIMITS)
+                replay = ZoneReplay([ORIGIN], SERVICE, LIMITS)
                 replay.run(found.snapshot, (r.payload for r in found.records))
             again.close()
             return replay
--- a/kelpcourse/zones/answer.py
+++ b/kelpcourse/zones/answer.py
@@ -14,8 +14,8 @@
 import dns.rdatatype
 import dns.rrset
 
-from kelpcourse.zones.content import CNAME, NS, SOA, RecordSet, Zone, read_data, soa_of
-from kelpcourse.zones.meaning import AAAA, SRV, A
+from kelpcourse.zones.content import CNAME, NS, SOA, RecordSet, Zone, parse_record_data, parse_soa
+from kelpcourse.zones.endpoint_extraction import AAAA, SRV, A
 from kelpcourse.zones.names import canonical, to_name
 
 ANY = int(dns.rdatatype.ANY)
@@ -37,21 +37,21 @@
     made = dns.rrset.RRset(to_name(owner), dns.rdataclass.IN, dns.rdatatype.RdataType.make(type_))
     made.update_ttl(ttl)
     for each in data:
-        made.add(read_data(type_, each))
+        made.add(parse_record_data(type_, each))
     return made
 
 
 def look_up(zone: Zone, owner: str, type_: int) -> Answer:
     out = Answer()
     for held_type in list(zone.types(owner)) if type_ == ANY else [type_]:
-        held = zone.get(owner, held_type)
+        held = zone.record_set(owner, held_type)
         if held is not None:
             out.answer.append(rrset(owner, held_type, held))
-    alias = zone.get(owner, CNAME)
+    alias = zone.record_set(owner, CNAME)
     if not out.answer and alias is not None:
         out.answer.append(rrset(owner, CNAME, alias))
-        target = canonical(read_data(CNAME, next(iter(alias.data))).target)  # type: ignore[attr-defined]
-        held = zone.get(target, type_)
+        target = canonical(parse_record_data(CNAME, next(iter(alias.data))).target)  # type: ignore[attr-defined]
+        held = zone.record_set(target, type_)
         if held is not None:
             out.answer.append(rrset(target, type_, held))
     if not out.answer:
@@ -63,10 +63,10 @@
 
 def _negative(zone: Zone) -> dns.rrset.RRset:
     """The SOA with the time for which "no" may be remembered (RFC 2308, section 3)."""
-    held = zone.get(zone.origin, SOA)
+    held = zone.record_set(zone.origin, SOA)
     assert held is not None
     made = rrset(zone.origin, SOA, held)
-    made.ttl = min(held.ttl, soa_of(next(iter(held.data))).minimum)
+    made.ttl = min(held.ttl, parse_soa(next(iter(held.data))).minimum)
     return made
 
 
@@ -79,7 +79,7 @@
         for rdata in answered:
             target = canonical(rdata.target)
             for type_ in (A, AAAA):
-                held = zone.get(target, type_)
+                held = zone.record_set(target, type_)
                 if held is not None and (target, type_) not in seen:
                     seen.add((target, type_))
                     out.additional.append(rrset(target, type_, held))
--- a/kelpcourse/zones/content.py
+++ b/kelpcourse/zones/content.py
@@ -15,8 +15,8 @@
 import dns.rdatatype
 import msgspec
 
-from kelpcourse.zones.errors import BadZone
-from kelpcourse.zones.serials import after
+from kelpcourse.zones.errors import MissingRecordError, MissingSoaError
+from kelpcourse.zones.serials import next_serial
 
 SOA = int(dns.rdatatype.SOA)
 NS = int(dns.rdatatype.NS)
@@ -49,19 +49,19 @@
     data: dict[bytes, None]
 
 
-def read_data(type_: int, data: bytes) -> dns.rdata.Rdata:
+def parse_record_data(type_: int, data: bytes) -> dns.rdata.Rdata:
     return dns.rdata.from_wire(
         dns.rdataclass.IN, dns.rdatatype.RdataType.make(type_), data, 0, len(data)
     )
 
 
-def data_of(rdata: dns.rdata.Rdata) -> bytes:
+def canonical_data(rdata: dns.rdata.Rdata) -> bytes:
     wire = rdata.to_digestable()
     assert wire is not None
     return wire
 
 
-def soa_of(data: bytes) -> Soa:
+def parse_soa(data: bytes) -> Soa:
     at = len(data) - 20  # five figures end it, whatever the names before them are
     figures = [int.from_bytes(data[at + k : at + k + 4], "big") for k in range(0, 20, 4)]
     return Soa(*figures)
@@ -75,15 +75,15 @@
 class Difference(msgspec.Struct, frozen=True, array_like=True):
     """From one version of a zone to another, both SOA records included. It goes into the store as it is."""
 
-    before: int | None  # serial; None: there was no zone
-    after: int
+    old_serial: int | None  # None: there was no zone
+    new_serial: int
     removed: tuple[Record, ...]
     added: tuple[Record, ...]
-    at_ms: int  # Unix time when it was taken in
+    accepted_ms: int  # Unix time
 
     def inverse(self, at_ms: int) -> Difference:
-        assert self.before is not None
-        return Difference(self.after, self.before, self.added, self.removed, at_ms)
+        assert self.old_serial is not None
+        return Difference(self.new_serial, self.old_serial, self.added, self.removed, at_ms)
 
     @property
     def size(self) -> int:
@@ -122,18 +122,18 @@
     @property
     def soa_data(self) -> bytes:
         if self._soa is None:
-            raise BadZone(f"{self.origin} has no SOA")
+            raise MissingSoaError(self.origin)
         return self._soa
 
     @property
     def soa(self) -> Soa:
-        return soa_of(self.soa_data)
+        return parse_soa(self.soa_data)
 
     @property
     def serial(self) -> int:
         return int.from_bytes(self.soa_data[-20:-16], "big")
 
-    def get(self, owner: str, type_: int) -> RecordSet | None:
+    def record_set(self, owner: str, type_: int) -> RecordSet | None:
         return self._owners.get(owner, {}).get(type_)
 
     def types(self, owner: str) -> Iterable[int]:
@@ -197,13 +197,13 @@
                 self._inner.pop(owner, None)
 
     def apply(self, difference: Difference) -> None:
-        """Raises BadZone, with nothing changed, if the difference does not start from this version."""
+        """Raises ZoneError, with nothing changed, if the difference does not start from this version."""
         owners = self._owners
         for owner, type_, _, data in difference.removed:
             sets = owners.get(owner)
             held = sets.get(type_) if sets is not None else None
             if held is None or data not in held.data:
-                raise BadZone(f"{owner} has no such {type_name(type_)} record to be removed")
+                raise MissingRecordError(owner, type_name(type_))
         for record in difference.removed:
             self.take(record)
         for record in difference.added:
@@ -214,19 +214,19 @@
     return dns.rdatatype.to_text(dns.rdatatype.RdataType.make(type_))
 
 
-def zone_of(origin: str, records: Iterable[Record]) -> Zone:
+def build_zone(origin: str, records: Iterable[Record]) -> Zone:
     zone = Zone(origin)
     for record in records:
         zone.put(record)
     return zone
 
 
-def between(old: Zone, new: Zone, at_ms: int) -> Difference:
+def difference_between(old: Zone, new: Zone, at_ms: int) -> Difference:
     """What leads from one version to another."""
     removed, added = [], []
     for owner in {**dict.fromkeys(old.owners()), **dict.fromkeys(new.owners())}:
         for type_ in {*old.types(owner), *new.types(owner)}:
-            was, now = old.get(owner, type_), new.get(owner, type_)
+            was, now = old.record_set(owner, type_), new.record_set(owner, type_)
             gone, come = _between(was, now)
             if was is not None:
                 removed += [Record(owner, type_, was.ttl, data) for data in gone]
@@ -256,7 +256,7 @@
     removed: dict[bytes, None] = field(default_factory=dict)
 
 
-class Draft:
+class PendingVersion:
     """A version to be, over one that stays as it is. It costs what was changed."""
 
     def __init__(self, zone: Zone) -> None:
@@ -266,7 +266,7 @@
 
     def add(self, record: Record) -> None:
         """A record that is there already only takes on the TTL."""
-        held = self.zone.get(record.owner, record.type)
+        held = self.zone.record_set(record.owner, record.type)
         change = self._changes.setdefault((record.owner, record.type), _Change())
         if held is not None and record.data in held.data:
             change.removed.pop(record.data, None)
@@ -292,12 +292,12 @@
         change = self._changes.get((owner, type_))
         if change is not None and (data in change.added or data in change.removed):
             return data in change.added
-        held = self.zone.get(owner, type_)
+        held = self.zone.record_set(owner, type_)
         return held is not None and data in held.data
 
     def data(self, owner: str, type_: int) -> Iterator[bytes]:
         change = self._changes.get((owner, type_), _Change())
-        held = self.zone.get(owner, type_)
+        held = self.zone.record_set(owner, type_)
         for data in held.data if held is not None else ():
             if data not in change.removed:
                 yield data
@@ -305,12 +305,12 @@
 
     def size(self, owner: str, type_: int) -> int:
         change = self._changes.get((owner, type_), _Change())
-        held = self.zone.get(owner, type_)
+        held = self.zone.record_set(owner, type_)
         return (len(held.data) if held is not None else 0) + len(change.added) - len(change.removed)
 
     def ttl(self, owner: str, type_: int) -> int:
         change = self._changes.get((owner, type_))
-        held = self.zone.get(owner, type_)
+        held = self.zone.record_set(owner, type_)
         if change is not None and change.ttl is not None:
             return change.ttl
         return held.ttl if held is not None else 0
@@ -334,28 +334,28 @@
     def advance(self) -> None:
         """Moves the serial on by one if it has not been moved."""
         if self.soa_data and self.soa_data == self.zone.soa_data:
-            self.set_soa(with_serial(self.soa_data, after(self.zone.serial)))
+            self.set_soa(with_serial(self.soa_data, next_serial(self.zone.serial)))
 
     def difference(self, at_ms: int) -> Difference:
-        """Raises BadZone if the version to be has no SOA."""
+        """Raises ZoneError if the version to be has no SOA."""
         if not self.soa_data:
-            raise BadZone(f"{self.origin} has no SOA")
+            raise MissingSoaError(self.origin)
         before = self.zone.serial if self.zone.exists else None
         return Difference(
             before,
-            soa_of(self.soa_data).serial,
+            parse_soa(self.soa_data).serial,
             tuple(self._removed()),
             tuple(self._added()),
             at_ms,
         )
 
     def _new_ttl(self, owner: str, type_: int, change: _Change) -> bool:
-        held = self.zone.get(owner, type_)
+        held = self.zone.record_set(owner, type_)
         return held is not None and change.ttl is not None and change.ttl != held.ttl
 
     def _removed(self) -> Iterator[Record]:
         for (owner, type_), change in self._changes.items():
-            held = self.zone.get(owner, type_)
+            held = self.zone.record_set(owner, type_)
             if held is None:
                 continue
             gone: Iterable[bytes] = (
--- a/kelpcourse/zones/desk.py
+++ b/kelpcourse/zones/desk.py
@@ -28,15 +28,15 @@
 from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.answer import fill, look_up
-from kelpcourse.zones.content import SOA, Difference, data_of, soa_of
-from kelpcourse.zones.errors import BadZone
-from kelpcourse.zones.grants import Grant, HostClass
-from kelpcourse.zones.held import HeldZone
+from kelpcourse.zones.content import SOA, Difference, canonical_data, parse_soa
+from kelpcourse.zones.deduplication import UpdateDeduplicator
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under
-from kelpcourse.zones.repeats import Repeats
 from kelpcourse.zones.settings import ZoneSettings, shown
 from kelpcourse.zones.transfer import AXFR, IXFR, incremental, messages, whole
-from kelpcourse.zones.update import Rejected, evaluate
+from kelpcourse.zones.update import UpdateRejectedError, evaluate
+from kelpcourse.zones.update_policy import EndpointClass, UpdateGrant
+from kelpcourse.zones.zone_state import ZoneState
 
 Reply = Callable[[Iterable[bytes]], None]
 HEAD = 12  # bytes of a message's header
@@ -73,7 +73,7 @@
 class Ticket:
     """An update that waits for the disk."""
 
-    zone: HeldZone
+    zone: ZoneState
     difference: Difference
     settle: Callable[[bool], None]  # durable or not
 
@@ -82,7 +82,7 @@
     """What the desk asks of the service round it."""
 
     @property
-    def classes(self) -> tuple[HostClass, ...]: ...
+    def classes(self) -> tuple[EndpointClass, ...]: ...
 
     def clock(self) -> int: ...
 
@@ -96,7 +96,7 @@
 class Desk:
     def __init__(
         self,
-        zones: Mapping[str, HeldZone],
+        zones: Mapping[str, ZoneState],
         settings: Mapping[str, ZoneSettings],
         keys: Mapping[str, dns.tsig.Key],
         limits: Limits,
@@ -111,7 +111,7 @@
         self._counters = counters
         self._log = log
         self._backstage = backstage
-        self._repeats = Repeats(limits.max_pending_dns_updates * 16)
+        self._deduplicator = UpdateDeduplicator(limits.max_pending_dns_updates * 16)
         self._transfers = 0
 
     def handle(self, wire: bytes, peer: Address, tcp: bool, reply: Reply) -> None:
@@ -198,7 +198,7 @@
         if zone is None or question.rdclass != dns.rdataclass.IN:
             self._say(request, dns.rcode.REFUSED)
         elif (
-            not zone.zone.exists or zone.belief.expired
+            not zone.zone.exists or zone.reconciler.expired
         ):  # RFC 1034, 4.3.5: what has expired is not told
             self._say(request, dns.rcode.SERVFAIL)
         elif type_ in (AXFR, IXFR):
@@ -210,7 +210,7 @@
             fill(response, look_up(zone.zone, owner, int(type_)))
             request.reply([self._wire(response, request)])
 
-    def _zone_of(self, owner: str) -> HeldZone | None:
+    def _zone_of(self, owner: str) -> ZoneState | None:
         return next((zone for origin, zone in self._zones.items() if is_under(owner, origin)), None)
 
     def _wire(self, response: dns.message.Message, request: Request) -> bytes:
@@ -235,7 +235,7 @@
 
     # Transfers
 
-    def _transfer(self, request: Request, zone: HeldZone, owner: str) -> None:
+    def _transfer(self, request: Request, zone: ZoneState, owner: str) -> None:
         rdtype = request.message.question[0].rdtype
         if owner != zone.origin:
             self._say(request, dns.rcode.NOTAUTH)
@@ -260,7 +260,7 @@
         else:
             request.reply(self._send_zone(request, zone))
 
-    def _send_zone(self, request: Request, zone: HeldZone) -> Iterator[bytes]:
+    def _send_zone(self, request: Request, zone: ZoneState) -> Iterator[bytes]:
         """All records are taken hold of at once: the zone may change while a slow client reads."""
         records, steps = None, None
         if request.message.question[0].rdtype == IXFR:
@@ -339,30 +339,30 @@
         def tell(rcode: dns.rcode.Rcode) -> None:
             self._say(request, rcode)
 
-        if not self._repeats.meet(mac, self._backstage.clock(), tell):
+        if not self._deduplicator.meet(mac, self._backstage.clock(), tell):
             self._counters.add("zone_updates_deduplicated")
             return
         self._make(request, zone, grant, mac)
 
-    def _grant(self, origin: str, request: Request) -> Grant | None:
+    def _grant(self, origin: str, request: Request) -> UpdateGrant | None:
         if not request.key:
             return None
         return next((g for g in self._settings[origin].grants if g.key == request.key), None)
 
-    def _make(self, request: Request, zone: HeldZone, grant: Grant, mac: bytes) -> None:
+    def _make(self, request: Request, zone: ZoneState, grant: UpdateGrant, mac: bytes) -> None:
         backstage, now_us = self._backstage, self._backstage.clock()
 
         def done(rcode: dns.rcode.Rcode) -> None:
-            self._repeats.answered(mac, rcode, backstage.clock())
+            self._deduplicator.answered(mac, rcode, backstage.clock())
 
         if not zone.head.exists:
             done(dns.rcode.SERVFAIL)
             return
-        draft = zone.draft()
+        draft = zone.new_pending_version()
         try:
             assert isinstance(request.message, dns.update.UpdateMessage)
             evaluate(request.message, draft)
-        except Rejected as error:
+        except UpdateRejectedError as error:
             self._log.event(
                 "zone_update_rejected",
                 zone=zone.origin,
@@ -378,8 +378,8 @@
         draft.advance()
         difference = draft.difference(backstage.unix_ms())
         try:
-            why = zone.judge(difference, grant, backstage.classes, now_us)
-        except BadZone as error:
+            why = zone.stage_update(difference, grant, backstage.classes, now_us)
+        except ZoneError as error:
             why = str(error)
         if why:
             self._refused(None, zone.origin, dns.rcode.REFUSED, why, grant.key)
@@ -390,7 +390,7 @@
             done(dns.rcode.NOERROR if durable else dns.rcode.SERVFAIL)
 
         if not backstage.stage(Ticket(zone, difference, settle)):
-            zone.undo(difference)
+            zone.undo_update(difference)
             self._log.event("zone_update_throttled", zone=zone.origin, key=grant.key)
             done(dns.rcode.SERVFAIL)
 
@@ -419,6 +419,6 @@
     """The serial and data of the SOA in an answer."""
     for each in message.answer:
         if each.rdtype == dns.rdatatype.SOA and canonical(each.name) == origin and len(each) == 1:
-            data = data_of(each[0])
-            return soa_of(data).serial, data
+            data = canonical_data(each[0])
+            return parse_soa(data).serial, data
     return None
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -25,16 +25,16 @@
 from kelpcourse.wire.stream import address_family, connect
 from kelpcourse.wire.worker import run_in_thread
 from kelpcourse.zones.answer import rrset_of
-from kelpcourse.zones.belief import Contradiction, Verdict, Version
 from kelpcourse.zones.content import SOA, Difference, Zone
 from kelpcourse.zones.desk import serial_of
-from kelpcourse.zones.errors import BadZone
-from kelpcourse.zones.held import HeldZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import to_name
+from kelpcourse.zones.reconciliation import Contradiction, Verdict, Version
 from kelpcourse.zones.refresh import Refresh
 from kelpcourse.zones.server import MESSAGE, READ_LEAST
 from kelpcourse.zones.settings import Primary
 from kelpcourse.zones.transfer import AXFR, IXFR, Incoming, Unfit, check_fits, offered
+from kelpcourse.zones.zone_state import ZoneState
 
 TOLD = (dns.exception.DNSException, ValueError, IndexError)
 ASK_TRIES = 2  # over UDP before TCP is tried
@@ -50,7 +50,7 @@
         self.log = log
 
     def ask(self, query: dns.message.Message, peer: Primary) -> Coroutine[dns.message.Message]:
-        """The answer over UDP, or over TCP where UDP brings none. Raises Broken or BadZone."""
+        """The answer over UDP, or over TCP where UDP brings none. Raises Broken or ZoneError."""
         for _ in range(ASK_TRIES):
             message = yield from self.ask_udp(query, peer)
             if message is not None and not message.flags & dns.flags.TC:
@@ -115,7 +115,7 @@
         xfr=multi,
     )
     if peer.key is not None and not multi and not message.had_tsig:
-        raise BadZone("an unsigned answer to a signed question")
+        raise ZoneError("an unsigned answer to a signed question")
     return message
 
 
@@ -146,7 +146,7 @@
         )
 
     def next(self) -> Coroutine[tuple[bytes, dns.message.Message]]:
-        """Raises Broken or BadZone."""
+        """Raises Broken or ZoneError."""
         limits = self._asker.limits
         until_us = self._asker.loop.clock() + limits.transfer_silence_us
         while True:
@@ -169,11 +169,11 @@
         try:
             message = read_answer(wire, self._query, self._peer, self._context, multi)
         except TOLD as error:
-            raise BadZone(
+            raise ZoneError(
                 f"an answer that can't be used: {type(error).__name__}: {error}"
             ) from None
         if message.id != self._query.id or not message.flags & dns.flags.QR:
-            raise BadZone("an answer to another question")
+            raise ZoneError("an answer to another question")
         self._context = message.tsig_ctx
         return wire, message
 
@@ -188,12 +188,12 @@
     def __init__(
         self,
         asker: Asker,
-        held: HeldZone,
+        held: ZoneState,
         primaries: tuple[Primary, ...],
         confirmed_us: int,
-        adopt: Callable[[HeldZone, Difference, str], None],
-        confirmed: Callable[[HeldZone], None],
-        expired: Callable[[HeldZone], None],
+        adopt: Callable[[ZoneState, Difference, str], None],
+        confirmed: Callable[[ZoneState], None],
+        expired: Callable[[ZoneState], None],
     ) -> None:
         self._asker = asker
         self._held = held
@@ -216,7 +216,7 @@
             self._check_expiry()
             name = self._refresh.begin(clock())
             if name is None:
-                ends = None if self._held.belief.expired else self._refresh.expires_us()
+                ends = None if self._held.reconciler.expired else self._refresh.expires_us()
                 yield Wait(
                     min(
                         self._refresh.due_us(), ends if ends is not None else self._refresh.due_us()
@@ -228,8 +228,8 @@
             yield from self._round(self._primaries[name])
 
     def _check_expiry(self) -> None:
-        if self._refresh.expired(self._asker.loop.clock()) and not self._held.belief.expired:
-            self._held.belief.expire()
+        if self._refresh.expired(self._asker.loop.clock()) and not self._held.reconciler.expired:
+            self._held.reconciler.expire()
             self._refresh.notified(
                 self._asker.loop.clock()
             )  # whatever its primaries have is news now
@@ -239,10 +239,12 @@
         log, clock = self._asker.log, self._asker.loop.clock
         try:
             verdict = yield from self._follow(peer)
-        except (StreamError, BadZone, dns.xfr.UseTCP) as error:
+        except (StreamError, ZoneError, dns.xfr.UseTCP) as error:
             self._asker.counters.add("zone_soa_queries_failed")
             self._tell(
-                self._held.belief.forget(str(peer)) if isinstance(error, StreamTimeoutError) else []
+                self._held.reconciler.source_silent(str(peer))
+                if isinstance(error, StreamTimeoutError)
+                else []
             )
             log.event(
                 "zone_soa_query_failed",
@@ -267,8 +269,8 @@
         message = yield from self._asker.ask(query, peer)
         told = serial_of(message, self._held.origin)
         if message.rcode() != dns.rcode.NOERROR or told is None:
-            raise BadZone(f"no SOA of {self._held.origin}: {dns.rcode.to_text(message.rcode())}")
-        verdict, contradictions = self._held.belief.offer(str(peer), Version(*told))
+            raise ZoneError(f"no SOA of {self._held.origin}: {dns.rcode.to_text(message.rcode())}")
+        verdict, contradictions = self._held.reconciler.offer(str(peer), Version(*told))
         self._tell(contradictions)
         if verdict is Verdict.NEWER:
             return (yield from self._fetch(peer))
@@ -276,10 +278,10 @@
 
     def _fetch(self, peer: Primary) -> Coroutine[Verdict]:
         held = self._held
-        if held.zone.exists and not held.belief.expired:
+        if held.zone.exists and not held.reconciler.expired:
             try:
                 return (yield from self._transfer(peer, IXFR))
-            except (Unfit, BadZone, StreamError) as error:
+            except (Unfit, ZoneError, StreamError) as error:
                 self._asker.counters.add("zone_ixfr_failed")
                 self._asker.log.event(
                     "zone_ixfr_failed", zone=held.origin, primary=str(peer), reason=str(error)
@@ -316,15 +318,15 @@
         zone, draft = incoming.result()
         version = offered(zone, draft)
         if version is None:
-            raise BadZone("the transfer brought nothing newer")
-        verdict, contradictions = self._held.belief.offer(str(peer), version)
+            raise ZoneError("the transfer brought nothing newer")
+        verdict, contradictions = self._held.reconciler.offer(str(peer), version)
         self._tell(contradictions)
         if verdict is not Verdict.NEWER:
             return verdict
         at_ms = 0
         if zone is not None:
             check_fits(zone)
-            difference = self._held.replace(zone, at_ms)
+            difference = self._held.difference_to(zone, at_ms)
         else:
             assert draft is not None
             difference = draft.difference(at_ms)
@@ -340,15 +342,15 @@
                 zone=self._held.origin,
                 primary=c.source,
                 verdict=c.verdict.value,
-                current=c.held,
-                received=c.offered,
+                current=c.accepted_serial,
+                received=c.offered_serial,
             )
 
 
 class Notifier:
     """Tells one secondary of each new version, until it says that it heard (RFC 1996, section 3.6)."""
 
-    def __init__(self, asker: Asker, held: HeldZone, peer: Primary) -> None:
+    def __init__(self, asker: Asker, held: ZoneState, peer: Primary) -> None:
         self._asker = asker
         self._held = held
         self._peer = peer
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -18,13 +18,13 @@
 from kelpcourse.store.recovery import recover
 from kelpcourse.store.spool import send_command
 from kelpcourse.wire.loop import Loop
-from kelpcourse.zones.book import Replay
-from kelpcourse.zones.errors import BadZone
-from kelpcourse.zones.held import HeldZone
+from kelpcourse.zones.errors import ZoneError
+from kelpcourse.zones.merged_list import MergedEndpointList
 from kelpcourse.zones.names import read_name
+from kelpcourse.zones.persistence import ZoneReplay
 from kelpcourse.zones.service import Around, Restore, Restored, Zones
 from kelpcourse.zones.settings import ZonesSettings, shown
-from kelpcourse.zones.union import Union
+from kelpcourse.zones.zone_state import ZoneState
 from kelpcourse.zones.zonefile import read_file
 
 READ_TRIES = 5  # of a folder that a server compacts meanwhile
@@ -37,17 +37,17 @@
 
 
 def check_file(path: Path, origin: str, service: str, limits: Limits) -> Checked:
-    """The hosts that a zone file announces, and each record that can't be used. Raises BadZone if none can."""
-    held = HeldZone(read_name(origin, "origin"), service, limits)
-    held.take(held.replace(read_file(path, held.origin, limits), 0), 0)
+    """The hosts that a zone file announces, and each record that can't be used. Raises ZoneError if none can."""
+    held = ZoneState(read_name(origin, "origin"), service, limits)
+    held.apply(held.difference_to(read_file(path, held.origin, limits), 0), 0)
     return Checked(
-        sorted(held.meaning.hosts.values(), key=lambda m: m.name),
-        [f"{path}: {problem}" for problem in held.meaning.problems()],
+        sorted(held.extractor.endpoints.values(), key=lambda m: m.name),
+        [f"{path}: {problem}" for problem in held.extractor.problems()],
     )
 
 
-def read_state(settings: ZonesSettings, state: Path, limits: Limits) -> Replay:
-    """What the folder holds, read beside a server that may be writing there. Raises BadZone or OSError."""
+def read_state(settings: ZonesSettings, state: Path, limits: Limits) -> ZoneReplay:
+    """What the folder holds, read beside a server that may be writing there. Raises ZoneError or OSError."""
     folder = Folder(state)
     for attempt in range(READ_TRIES):
         try:
@@ -56,17 +56,17 @@
         except FileNotFoundError:
             if attempt == READ_TRIES - 1 or not state.is_dir():
                 raise
-    replay = Replay([zone.origin for zone in settings.zones], settings.service, limits)
+    replay = ZoneReplay([zone.origin for zone in settings.zones], settings.service, limits)
     replay.run(found.snapshot, (record.payload for record in found.records))
     return replay
 
 
-def hosts_of(zones: Iterable[HeldZone]) -> list[ListedEndpoint]:
+def hosts_of(zones: Iterable[ZoneState]) -> list[ListedEndpoint]:
     """The list as the decision module would be told it."""
     known = list(zones)
-    union = Union([zone.origin for zone in known], 0, 1 << 20)
+    union = MergedEndpointList([zone.origin for zone in known], 0, 1 << 20)
     for zone in known:
-        union.take(zone.origin, dict(zone.meaning.hosts), 0, 0)
+        union.take(zone.origin, dict(zone.extractor.endpoints), 0, 0)
     return sorted(union.members.values(), key=lambda m: m.name)
 
 
@@ -86,9 +86,9 @@
 
 
 def restore(settings: ZonesSettings, origin: str, serial: int) -> Restored:
-    """By the server that runs on this state, or, if none does, here. Raises BadZone or OSError."""
+    """By the server that runs on this state, or, if none does, here. Raises ZoneError or OSError."""
     if settings.state is None:
-        raise BadZone("the settings name no state: no former version is kept")
+        raise ZoneError("the settings name no state: no former version is kept")
     command = Restore(read_name(origin, "ORIGIN"), serial)
     folder = Folder(settings.state)
     try:
--- a/kelpcourse/zones/book.py
+++ b/kelpcourse/zones/persistence.py
@@ -9,65 +9,69 @@
 import msgspec
 
 from kelpcourse.limits import Limits
-from kelpcourse.zones.content import Difference, Record, between, zone_of
-from kelpcourse.zones.errors import BadZone
-from kelpcourse.zones.held import HeldZone
+from kelpcourse.zones.content import Difference, Record, build_zone, difference_between
+from kelpcourse.zones.errors import StoredEntryError, ZoneError
+from kelpcourse.zones.zone_state import ZoneState
 
 
-class Changed(msgspec.Struct, tag="changed", array_like=True, frozen=True):
+class ZoneChanged(msgspec.Struct, tag="changed", array_like=True, frozen=True):
     """A zone went from one version to the next."""
 
     origin: str
     difference: Difference
 
 
-class Seen(msgspec.Struct, tag="seen", array_like=True, frozen=True):
+class ZoneConfirmed(msgspec.Struct, tag="seen", array_like=True, frozen=True):
     """The source of a zone confirmed the version held."""
 
     origin: str
     at_ms: int
 
 
-class Kept(msgspec.Struct, tag="kept", array_like=True, frozen=True):
+class StoredZone(msgspec.Struct, tag="kept", array_like=True, frozen=True):
     """A whole zone in a snapshot, with the differences that led to it."""
 
     origin: str
     records: tuple[Record, ...]
     history: tuple[Difference, ...]
-    seen_ms: int
+    confirmed_ms: int
 
 
-class Snapshot(msgspec.Struct, tag="snapshot", array_like=True, frozen=True):
-    zones: tuple[Kept, ...]
+class ZoneSnapshot(msgspec.Struct, tag="snapshot", array_like=True, frozen=True):
+    zones: tuple[StoredZone, ...]
 
 
-Entry = Changed | Seen | Kept | Snapshot
+Entry = ZoneChanged | ZoneConfirmed | StoredZone | ZoneSnapshot
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Entry)
 
 
-def encode(entry: Entry) -> bytes:
+def encode_entry(entry: Entry) -> bytes:
     return _encoder.encode(entry)
 
 
-def decode(payload: bytes) -> Entry:
+def decode_entry(payload: bytes) -> Entry:
     try:
         return _decoder.decode(payload)
     except msgspec.DecodeError as error:
-        raise BadZone(f"an entry of the store can't be read: {error}") from None
+        raise StoredEntryError(str(error)) from error
 
 
-def snapshot(zones: Iterable[HeldZone], others: Iterable[Kept]) -> bytes:
+def encode_snapshot(zones: Iterable[ZoneState], others: Iterable[StoredZone]) -> bytes:
     """`others`: zones that the store holds and the settings do not name; they are kept."""
-    return encode(Snapshot((*(keep(zone) for zone in zones if zone.zone.exists), *others)))
+    return encode_entry(
+        ZoneSnapshot((*(stored_zone(zone) for zone in zones if zone.zone.exists), *others))
+    )
 
 
-def keep(zone: HeldZone) -> Kept:
-    return Kept(zone.origin, tuple(zone.zone.records()), tuple(zone.history), zone.seen_ms)
+def stored_zone(zone: ZoneState) -> StoredZone:
+    return StoredZone(
+        zone.origin, tuple(zone.zone.records()), tuple(zone.history), zone.confirmed_ms
+    )
 
 
 @contextmanager
-def collecting_nothing() -> Iterator[None]:
+def garbage_collection_paused() -> Iterator[None]:
     """Nothing of what a restart makes is garbage, and looking for it costs half of the time."""
     collects = gc.isenabled()
     gc.disable()
@@ -78,56 +82,58 @@
             gc.enable()
 
 
-class Replay:
+class ZoneReplay:
     """Entries into zones. Those of zones that are not in the settings are kept as they stand."""
 
     def __init__(self, origins: Sequence[str], service: str, limits: Limits) -> None:
-        self.zones = {origin: HeldZone(origin, service, limits) for origin in origins}
-        self._others: dict[str, HeldZone] = {}
+        self.zones = {origin: ZoneState(origin, service, limits) for origin in origins}
+        self._others: dict[str, ZoneState] = {}
         self._service = service
         self._limits = limits
         self.remarks: list[str] = []
 
-    def others(self) -> tuple[Kept, ...]:
-        entry = decode(snapshot(self._others.values(), ()))
-        assert isinstance(entry, Snapshot)
+    def others(self) -> tuple[StoredZone, ...]:
+        entry = decode_entry(encode_snapshot(self._others.values(), ()))
+        assert isinstance(entry, ZoneSnapshot)
         return entry.zones
 
     def run(self, snapshot_payload: bytes | None, payloads: Iterable[bytes]) -> None:
         for payload in (*([snapshot_payload] if snapshot_payload else []), *payloads):
             self._run_one(payload)
         for zone in self.zones.values():
-            zone.wake()
+            zone.finish_replay()
 
     def _run_one(self, payload: bytes) -> None:
         try:
-            self._take(decode(payload))
-        except BadZone as error:  # told; the version that stands is a whole one
+            self._take(decode_entry(payload))
+        except ZoneError as error:  # told; the version that stands is a whole one
             self.remarks.append(str(error))
 
     def _take(self, entry: Entry) -> None:
         match entry:
-            case Snapshot(zones):
+            case ZoneSnapshot(zones):
                 for kept in zones:
                     self._keep(kept)
-            case Kept():
+            case StoredZone():
                 self._keep(entry)
-            case Changed():
+            case ZoneChanged():
                 zone = self._zone(entry.origin)
                 zone.replay(entry.difference)
-                zone.seen_ms = max(zone.seen_ms, entry.difference.at_ms)
-            case Seen(origin, at_ms):
+                zone.confirmed_ms = max(zone.confirmed_ms, entry.difference.accepted_ms)
+            case ZoneConfirmed(origin, at_ms):
                 zone = self._zone(origin)
-                zone.seen_ms = max(zone.seen_ms, at_ms)
+                zone.confirmed_ms = max(zone.confirmed_ms, at_ms)
 
-    def _keep(self, kept: Kept) -> None:
+    def _keep(self, kept: StoredZone) -> None:
         zone = self._zone(kept.origin)
-        zone.replay(between(zone.zone, zone_of(kept.origin, kept.records), kept.seen_ms))
+        zone.replay(
+            difference_between(zone.zone, build_zone(kept.origin, kept.records), kept.confirmed_ms)
+        )
         for each in kept.history:
             zone.history.add(each)
-        zone.seen_ms = kept.seen_ms
+        zone.confirmed_ms = kept.confirmed_ms
 
-    def _zone(self, origin: str) -> HeldZone:
+    def _zone(self, origin: str) -> ZoneState:
         if origin in self.zones:
             return self.zones[origin]
-        return self._others.setdefault(origin, HeldZone(origin, self._service, self._limits))
+        return self._others.setdefault(origin, ZoneState(origin, self._service, self._limits))
--- a/kelpcourse/zones/settings.py
+++ b/kelpcourse/zones/settings.py
@@ -18,9 +18,9 @@
 from kelpcourse.wire.errors import InvalidMessageError
 from kelpcourse.wire.fields import parse_address
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.errors import BadZone
-from kelpcourse.zones.grants import Grant, read_grant
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import is_under, labels, read_name
+from kelpcourse.zones.update_policy import UpdateGrant, read_grant
 
 Part = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=86_400)]
@@ -113,7 +113,7 @@
     origin: str
     file: Path | None
     primaries: tuple[Primary, ...]
-    grants: tuple[Grant, ...]
+    grants: tuple[UpdateGrant, ...]
     transfer_keys: frozenset[str]
     notify: tuple[Primary, ...]
 
@@ -189,7 +189,7 @@
     def _name(self, block: Block, text: str, field: str) -> str:
         try:
             return read_name(text, "")
-        except BadZone:
+        except ZoneError:
             self._note(block, field, f"is not a name: {text!r:.80}")
             return ""
 
@@ -263,13 +263,13 @@
         key = self._known(block, block.key, f"{field}.key") if block.key else ""
         return Primary(self._address(block, block.address, field), self._keys.get(key))
 
-    def _grant(self, block: UpdateBlock, origin: str) -> Grant | None:
+    def _grant(self, block: UpdateBlock, origin: str) -> UpdateGrant | None:
         key = self._known(block, block.key, "zones.zone.update.key")
         try:
             return read_grant(
                 key, origin, block.names, block.types, block.most, round(block.within * 1e6)
             )
-        except BadZone as error:
+        except ZoneError as error:
             self._note(block, "zones.zone.update", str(error))
             return None
 
@@ -284,5 +284,5 @@
 def _is_name(text: str) -> bool:
     try:
         return bool(labels(read_name(text, "")))
-    except BadZone:
+    except ZoneError:
         return False
--- a/kelpcourse/zones/source.py
+++ b/kelpcourse/zones/source.py
@@ -9,9 +9,9 @@
 from kelpcourse.wire.loop import Coroutine
 from kelpcourse.wire.runtime import Runtime
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.grants import HostClass
 from kelpcourse.zones.service import Around, Zones
 from kelpcourse.zones.settings import ZonesSettings
+from kelpcourse.zones.update_policy import EndpointClass
 
 
 class ZoneSource:
@@ -27,7 +27,8 @@
     ) -> None:
         self._parts = parts
         classes = tuple(
-            HostClass(cls.name, cls.allowed_zones, cls.allowed_kinds) for cls in settings.classes
+            EndpointClass(cls.name, cls.allowed_zones, cls.allowed_kinds)
+            for cls in settings.classes
         )
         around = Around(parts.loop, parts.limits, parts.counters, parts.log, keep)
         self.zones = Zones(zones, around, self, classes, settings.drain_grace_us)
@@ -52,7 +53,7 @@
         """Discovery has moved, which is not asked here."""
 
     def _tell(self) -> None:
-        union = self.zones.union
+        union = self.zones.merged_list
         if union.available:
             self.listed(list(union.members.values()), union.version, union.whole)
         else:
@@ -70,6 +71,6 @@
             "discovery_unavailable",
             call="zones",
             reason="no zone is there to be followed",
-            version=self.zones.union.version,
+            version=self.zones.merged_list.version,
         )
         self._parts.facade.report_list_unavailable()
--- a/kelpcourse/zones/transfer.py
+++ b/kelpcourse/zones/transfer.py
@@ -18,10 +18,18 @@
 import dns.xfr
 
 from kelpcourse.limits import Limits
-from kelpcourse.zones.belief import Version
-from kelpcourse.zones.content import SOA, Difference, Draft, Record, Zone, data_of, zone_of
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.content import (
+    SOA,
+    Difference,
+    PendingVersion,
+    Record,
+    Zone,
+    build_zone,
+    canonical_data,
+)
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under, labels, to_name
+from kelpcourse.zones.reconciliation import Version
 
 MESSAGE_BYTES = (
     16_000  # of records in one message going out: names can't point further (RFC 1035, 4.1.4), and
@@ -53,7 +61,7 @@
 
 
 def _soa_record(zone: Zone) -> Record:
-    held = zone.get(zone.origin, SOA)
+    held = zone.record_set(zone.origin, SOA)
     assert held is not None
     return Record(zone.origin, SOA, held.ttl, next(iter(held.data)))
 
@@ -112,7 +120,7 @@
 # In
 
 
-class Unfit(BadZone):
+class Unfit(ZoneError):
     """Differences that don't fit the version held: the whole zone is to be fetched."""
 
 
@@ -139,19 +147,19 @@
         )
 
     def take(self, wire: bytes, message: dns.message.Message) -> bool:
-        """True once it is whole. Raises BadZone, Unfit or dns.xfr.UseTCP."""
+        """True once it is whole. Raises ZoneError, Unfit or dns.xfr.UseTCP."""
         self._bytes += len(wire)
         if self._bytes > self._limits.max_incoming_transfer_bytes:
-            raise BadZone(f"a transfer over {self._limits.max_incoming_transfer_bytes} bytes")
+            raise ZoneError(f"a transfer over {self._limits.max_incoming_transfer_bytes} bytes")
         try:
             return bool(self._inbound.process_message(message))
-        except (dns.xfr.UseTCP, BadZone):
+        except (dns.xfr.UseTCP, ZoneError):
             raise
         except (dns.exception.DNSException, ValueError, KeyError) as error:
-            kind = Unfit if self._inbound.incremental else BadZone
+            kind = Unfit if self._inbound.incremental else ZoneError
             raise kind(f"{self._held.origin}: {type(error).__name__}: {error}") from None
 
-    def result(self) -> tuple[Zone | None, Draft | None]:
+    def result(self) -> tuple[Zone | None, PendingVersion | None]:
         """A whole zone, or a draft with differences; neither: nothing was newer."""
         return self._draft.result()
 
@@ -164,7 +172,7 @@
         self._limits = limits
         self._origin = dns.name.from_text(held.origin)
         self._records: list[Record] | None = None
-        self._draft: Draft | None = None
+        self._draft: PendingVersion | None = None
         self._done = False
 
     def origin_information(self) -> tuple[dns.name.Name, bool, dns.name.Name]:
@@ -178,19 +186,19 @@
 
     def writer(self, replacement: bool = False) -> Any:
         self._records = [] if replacement else None
-        self._draft = None if replacement else Draft(self._held)
+        self._draft = None if replacement else PendingVersion(self._held)
         return self
 
     def add(self, name: dns.name.Name, rdataset: dns.rdataset.Rdataset) -> None:
         owner = canonical(name)
         if not is_under(owner, self._held.origin):
-            raise BadZone(f"{owner} is not in {self._held.origin}")
+            raise ZoneError(f"{owner} is not in {self._held.origin}")
         for rdata in rdataset:
-            record = Record(owner, int(rdataset.rdtype), int(rdataset.ttl), data_of(rdata))
+            record = Record(owner, int(rdataset.rdtype), int(rdataset.ttl), canonical_data(rdata))
             if self._records is not None:
                 self._records.append(record)
                 if len(self._records) > self._limits.max_zone_records:
-                    raise BadZone(f"more than {self._limits.max_zone_records} records")
+                    raise ZoneError(f"more than {self._limits.max_zone_records} records")
             elif self._draft is not None:
                 self._draft.add(record)
 
@@ -203,7 +211,7 @@
     def delete_exact(self, name: dns.name.Name, rdataset: dns.rdataset.Rdataset) -> None:
         assert self._draft is not None
         for rdata in rdataset:
-            if not self._draft.remove(canonical(name), int(rdataset.rdtype), data_of(rdata)):
+            if not self._draft.remove(canonical(name), int(rdataset.rdtype), canonical_data(rdata)):
                 raise Unfit(f"{name}: no such record to be removed")
 
     def commit(self) -> None:
@@ -212,22 +220,22 @@
     def rollback(self) -> None:
         self._records = self._draft = None
 
-    def result(self) -> tuple[Zone | None, Draft | None]:
+    def result(self) -> tuple[Zone | None, PendingVersion | None]:
         if not self._done:
             return None, None
         if self._records is not None:
-            return zone_of(self._held.origin, self._records), None
+            return build_zone(self._held.origin, self._records), None
         return None, self._draft
 
 
-def offered(zone: Zone | None, draft: Draft | None) -> Version | None:
+def offered(zone: Zone | None, draft: PendingVersion | None) -> Version | None:
     """The version that came, to be judged before it is believed."""
     data = zone.soa_data if zone is not None else draft.soa_data if draft is not None else b""
     return Version(int.from_bytes(data[-20:-16], "big"), data) if data else None
 
 
 def check_fits(zone: Zone) -> None:
-    """A zone as it must be to be served. Raises BadZone."""
-    soa = zone.get(zone.origin, SOA)
+    """A zone as it must be to be served. Raises ZoneError."""
+    soa = zone.record_set(zone.origin, SOA)
     if soa is None or len(soa.data) != 1:
-        raise BadZone(f"{zone.origin} has not exactly one SOA")
+        raise ZoneError(f"{zone.origin} has not exactly one SOA")
--- a/tests/test_stored_zones.py
+++ b/tests/test_stored_zones.py
@@ -17,8 +17,8 @@
 from kelpcourse.store.frames import HEADER_BYTES, Kind, Record, frame, header
 from kelpcourse.store.journal import Journal
 from kelpcourse.store.recovery import Recovered, from_bytes
-from kelpcourse.zones.book import Replay, decode, encode, snapshot
-from kelpcourse.zones.held import HeldZone
+from kelpcourse.zones.persistence import ZoneReplay, decode_entry, encode_entry, encode_snapshot
+from kelpcourse.zones.zone_state import ZoneState
 from tests.zonerig import SECONDARY, World
 from tests.zoning import ORIGIN, SERVICE
 
@@ -42,7 +42,7 @@
     """What the files of one store hold."""
 
     found: Recovered
-    replay: Replay
+    replay: ZoneReplay
 
 
 def open_copy(folder: Path, files: dict[str, bytes] = FILES) -> Opened:
@@ -56,16 +56,16 @@
     return Opened(found, replayed(found))
 
 
-def replayed(found: Recovered, origins: list[str] = ALL_ZONES) -> Replay:
-    replay = Replay(origins, SERVICE, Limits())
+def replayed(found: Recovered, origins: list[str] = ALL_ZONES) -> ZoneReplay:
+    replay = ZoneReplay(origins, SERVICE, Limits())
     replay.run(found.snapshot, [record.payload for record in found.records])
     return replay
 
 
-def summary(replay: Replay) -> dict[str, list[int | None]]:
+def summary(replay: ZoneReplay) -> dict[str, list[int | None]]:
     """Of each zone: its serial, when its source last confirmed it, and the number of its records."""
     return {
-        origin: [held.zone.serial if held.zone.exists else None, held.seen_ms, len(held.zone)]
+        origin: [held.zone.serial if held.zone.exists else None, held.confirmed_ms, len(held.zone)]
         for origin, held in replay.zones.items()
     }
 
@@ -74,24 +74,24 @@
     return [[owner, type_, ttl, data.hex()] for owner, type_, ttl, data in records]
 
 
-def plain_state(held: HeldZone) -> dict[str, Any]:
+def plain_state(held: ZoneState) -> dict[str, Any]:
     return {
         "serial": held.zone.serial,
-        "confirmed_ms": held.seen_ms,
+        "confirmed_ms": held.confirmed_ms,
         "records": plain_records(held.zone.records()),
         "history": [
             {
-                "before": difference.before,
-                "after": difference.after,
+                "before": difference.old_serial,
+                "after": difference.new_serial,
                 "removed": plain_records(difference.removed),
                 "added": plain_records(difference.added),
-                "at_ms": difference.at_ms,
+                "at_ms": difference.accepted_ms,
             }
             for difference in held.history
         ],
         "endpoints": {
             name: [list(member.address), member.status.value]
-            for name, member in held.meaning.hosts.items()
+            for name, member in held.extractor.endpoints.items()
         },
     }
 
@@ -118,7 +118,7 @@
 def test_an_entry_is_encoded_to_the_bytes_it_was_read_from(entry: dict[str, Any]) -> None:
     payload = bytes.fromhex(entry["payload"])
     assert msgspec.msgpack.decode(payload)[0] == entry["tag"]
-    assert encode(decode(payload)) == payload
+    assert encode_entry(decode_entry(payload)) == payload
 
 
 def test_the_recorded_entries_have_every_tag() -> None:
@@ -138,7 +138,7 @@
 def test_the_next_snapshot_has_the_recorded_bytes() -> None:
     """Zones that the settings do not name stay in it."""
     replay = replayed(from_bytes(FILES), NAMED_ZONES)
-    written = snapshot(replay.zones.values(), replay.others())
+    written = encode_snapshot(replay.zones.values(), replay.others())
     assert written.hex() == RECORDED["snapshot_after"]
 
 
@@ -223,8 +223,8 @@
     part = world.part(path)
     try:
         recorded = RECORDED["zones"][ORIGIN]
-        held = part.zones.held[ORIGIN]
-        assert (part.serial, held.seen_ms) == (recorded["serial"], recorded["confirmed_ms"])
+        held = part.zones.zone_states[ORIGIN]
+        assert (part.serial, held.confirmed_ms) == (recorded["serial"], recorded["confirmed_ms"])
         assert {name: phase.value for name, phase in part.list.items()} == {
             name: phase for name, (_, phase) in recorded["endpoints"].items()
         }
--- a/tests/test_zone_content.py
+++ b/tests/test_zone_content.py
@@ -12,14 +12,27 @@
 
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.answer import look_up
-from kelpcourse.zones.book import Changed, Replay, decode, encode, snapshot
-from kelpcourse.zones.content import Draft, Record, Zone, between, soa_of, zone_of
-from kelpcourse.zones.errors import BadZone
-from kelpcourse.zones.history import History, put_back
-from kelpcourse.zones.meaning import SRV, A, Meaning
+from kelpcourse.zones.content import (
+    PendingVersion,
+    Record,
+    Zone,
+    build_zone,
+    difference_between,
+    parse_soa,
+)
+from kelpcourse.zones.endpoint_extraction import SRV, A, EndpointExtractor
+from kelpcourse.zones.errors import ZoneError
+from kelpcourse.zones.history import History, restore_version
 from kelpcourse.zones.names import is_under, labels, relative
-from kelpcourse.zones.serials import after
-from kelpcourse.zones.update import Rejected, evaluate
+from kelpcourse.zones.persistence import (
+    ZoneChanged,
+    ZoneReplay,
+    decode_entry,
+    encode_entry,
+    encode_snapshot,
+)
+from kelpcourse.zones.serials import next_serial
+from kelpcourse.zones.update import UpdateRejectedError, evaluate
 from tests.zoning import LIMITS, ORIGIN, SERVICE, draft_of, held, host, rec, rooms, soa, zone
 
 # Names
@@ -47,9 +60,9 @@
 # Meaning
 
 
-def meaning(*records: Record) -> Meaning:
-    made = Meaning(ORIGIN, SERVICE)
-    made.start(zone_of(ORIGIN, records))
+def meaning(*records: Record) -> EndpointExtractor:
+    made = EndpointExtractor(ORIGIN, SERVICE)
+    made.start(build_zone(ORIGIN, records))
     return made
 
 
@@ -57,7 +70,7 @@
     made = meaning(
         *host("s-1", txt='"kind=m2" "cell=3" "phase=draining" "started=1767225600000"', weight=7)
     )
-    (one,) = made.hosts.values()
+    (one,) = made.endpoints.values()
     assert (one.name, one.address, one.zone, one.kind, one.cell) == (
         "s-1",
         ("10.0.0.1", 5000),
@@ -75,11 +88,11 @@
 
 def test_a_host_is_announced_once_srv_and_address_both_stand() -> None:
     srv, address = host("s-1")
-    assert meaning(address).hosts == {}
+    assert meaning(address).endpoints == {}
     alone = meaning(srv)
-    assert alone.hosts == {}
+    assert alone.endpoints == {}
     assert [(p.owner, p.field) for p in alone.problems()] == [("s-1." + ORIGIN, "address")]
-    assert meaning(srv, rec("s-1", "AAAA", "::1")).hosts["s-1"].address == ("::1", 5000)
+    assert meaning(srv, rec("s-1", "AAAA", "::1")).endpoints["s-1"].address == ("::1", 5000)
 
 
 @pytest.mark.parametrize(
@@ -109,22 +122,22 @@
 ) -> None:
     made = meaning(*host("s-1"), *host("s-3"), record)
     assert [(p.owner, p.field) for p in made.problems()] == [(f"{owner}.{ORIGIN}", field)]
-    assert sorted(made.hosts) == ["s-1", "s-3"]
-    assert made.hosts["s-1"].status is EndpointStatus.READY
+    assert sorted(made.endpoints) == ["s-1", "s-3"]
+    assert made.endpoints["s-1"].status is EndpointStatus.READY
 
 
 def test_of_two_srv_for_one_target_the_same_counts_at_every_director() -> None:
     first, second = host("s-1", "room-a"), host("s-1", "room-b")
     for order in ([*first, *second], [*second, *first]):
-        assert meaning(*order).hosts["s-1"].zone == "room-a"
+        assert meaning(*order).endpoints["s-1"].zone == "room-a"
     backup = rec(f"{SERVICE}.room-0", "SRV", "9 1 5000 s-1." + ORIGIN)
     made = meaning(*first, backup)
-    assert (made.hosts["s-1"].zone, made.problems()) == ("room-a", [])
+    assert (made.endpoints["s-1"].zone, made.problems()) == ("room-a", [])
 
 
 def test_a_target_moved_to_another_address_is_one_change() -> None:
     start = zone(1, host("s-1"), host("s-2"))
-    made = Meaning(ORIGIN, SERVICE)
+    made = EndpointExtractor(ORIGIN, SERVICE)
     made.start(start)
     draft = draft_of(
         start,
@@ -133,7 +146,7 @@
     )
     step = draft.difference(0)
     start.apply(step)
-    changes = made.take(step, start)
+    changes = made.apply(step, start)
     assert list(changes) == ["s-1"]
     assert changes["s-1"] is not None
     assert (changes["s-1"].address[0], changes["s-1"].started_ms) == ("10.9.9.9", 7.0)
@@ -153,17 +166,17 @@
 
 def play(
     steps: Sequence[Sequence[tuple[bool, Record]]],
-) -> tuple[Zone, set[Record], Meaning, History, list[Zone]]:
+) -> tuple[Zone, set[Record], EndpointExtractor, History, list[Zone]]:
     """Steps on a zone by drafts, and beside it on a plain set of records."""
     one, plain = zone(1), set(zone(1).records())
     known, history, versions = (
-        Meaning(ORIGIN, SERVICE),
+        EndpointExtractor(ORIGIN, SERVICE),
         History(LIMITS.max_zone_history_records),
         [one.copy()],
     )
     known.start(one)
     for step in steps:
-        draft = Draft(one)
+        draft = PendingVersion(one)
         for add, record in step:
             if add:
                 draft.add(record)
@@ -174,11 +187,11 @@
         if not draft.changed():
             continue
         draft.advance()
-        plain = {r for r in plain if r.type != 6} | {soa(draft.difference(0).after)}
+        plain = {r for r in plain if r.type != 6} | {soa(draft.difference(0).new_serial)}
         done = draft.difference(0)
         one.apply(done)
         history.add(done)
-        known.take(done, one)
+        known.apply(done, one)
         versions.append(one.copy())
     return one, plain, known, history, versions
 
@@ -191,9 +204,9 @@
     one, plain, known, history, versions = play(steps)
     assert set(one.records()) == plain
     assert len(one) == len(plain)
-    fresh = Meaning(ORIGIN, SERVICE)
+    fresh = EndpointExtractor(ORIGIN, SERVICE)
     fresh.start(one)
-    assert known.hosts == fresh.hosts
+    assert known.endpoints == fresh.endpoints
     assert known.problems() == fresh.problems()
     for version in versions[:-1]:
         chain = history.since(version.serial)
@@ -202,8 +215,8 @@
         for step in chain:
             walked.apply(step)
         assert set(walked.records()) == plain
-        back = put_back(one, history, version.serial, 0)
-        assert back.after == after(one.serial)
+        back = restore_version(one, history, version.serial, 0)
+        assert back.new_serial == next_serial(one.serial)
         former = one.copy()
         former.apply(back)
         assert {r for r in former.records() if r.type != 6} == {
@@ -217,7 +230,7 @@
     step = draft_of(one, host("s-2"), host("s-1")).difference(0)
     one.take(host("s-1")[0])
     one.put(rec("x", "A", "10.0.0.3"))
-    with pytest.raises(BadZone, match="no such SRV"):
+    with pytest.raises(ZoneError, match="no such SRV"):
         one.apply(step)
     assert sorted(one.records()) != before
     assert one.owns("x." + ORIGIN)
@@ -226,12 +239,12 @@
 
 def test_a_ttl_changed_is_a_difference_of_all_the_set() -> None:
     one = zone(1, [rec("x", "A", "10.0.0.1"), rec("x", "A", "10.0.0.2")])
-    draft = Draft(one)
+    draft = PendingVersion(one)
     draft.add(rec("x", "A", "10.0.0.3", ttl=5))
     draft.advance()
     step = draft.difference(0)
     one.apply(step)
-    held_set = one.get("x." + ORIGIN, A)
+    held_set = one.record_set("x." + ORIGIN, A)
     assert held_set is not None
     assert (held_set.ttl, len(held_set.data)) == (5, 3)
     assert len([r for r in step.removed if r.type == A]) == 2
@@ -245,34 +258,34 @@
         history.add(step)
     assert history.serials() == [10, 9, 8][::-1][-2:]
     assert history.since(1) is None
-    with pytest.raises(BadZone, match="known: 9, 10"):
-        put_back(one, history, 3, 0)
+    with pytest.raises(ZoneError, match="known: 9, 10"):
+        restore_version(one, history, 3, 0)
 
 
 def test_entries_of_the_store_make_the_same_zones_again() -> None:
     one = held(zone(1, rooms()))
     payloads = []
-    first = between(Zone(ORIGIN), one.zone, 5)
-    payloads.append(encode(Changed(ORIGIN, first)))
+    first = difference_between(Zone(ORIGIN), one.zone, 5)
+    payloads.append(encode_entry(ZoneChanged(ORIGIN, first)))
     step = draft_of(one.zone, remove=host("s-0", address="127.0.0.10")).difference(9)
-    one.take(step, 0)
-    payloads.append(encode(Changed(ORIGIN, step)))
-    replay = Replay([ORIGIN], SERVICE, LIMITS)
+    one.apply(step, 0)
+    payloads.append(encode_entry(ZoneChanged(ORIGIN, step)))
+    replay = ZoneReplay([ORIGIN], SERVICE, LIMITS)
     replay.run(None, payloads)
     again = replay.zones[ORIGIN]
     assert sorted(again.zone.records()) == sorted(one.zone.records())
-    assert again.meaning.hosts == one.meaning.hosts
-    assert again.seen_ms == 9
-    from_snapshot = Replay([], SERVICE, LIMITS)
-    from_snapshot.run(snapshot([one], ()), [])
-    other = Replay(
+    assert again.extractor.endpoints == one.extractor.endpoints
+    assert again.confirmed_ms == 9
+    from_snapshot = ZoneReplay([], SERVICE, LIMITS)
+    from_snapshot.run(encode_snapshot([one], ()), [])
+    other = ZoneReplay(
         [ORIGIN], SERVICE, LIMITS
     )  # the settings had left the zone out, and name it again
-    other.run(snapshot([], from_snapshot.others()), [])
+    other.run(encode_snapshot([], from_snapshot.others()), [])
     assert other.zones[ORIGIN].history.serials() == [1]
     assert sorted(other.zones[ORIGIN].zone.records()) == sorted(one.zone.records())
-    with pytest.raises(BadZone):
-        decode(b"\xff\x00")
+    with pytest.raises(ZoneError):
+        decode_entry(b"\xff\x00")
 
 
 # Updates (RFC 2136)
@@ -289,7 +302,7 @@
 
 def made(start: Zone, *prepare: tuple[str, ...]) -> set[Record]:
     """What an update adds and takes away, without the SOA."""
-    draft = Draft(start)
+    draft = PendingVersion(start)
     evaluate(update(*prepare), draft)
     draft.advance()
     step = draft.difference(0)
@@ -314,11 +327,11 @@
 )
 def test_prerequisites(prepare: tuple[str, ...], rcode: dns.rcode.Rcode | None) -> None:
     start = zone(1, rooms())
-    draft = Draft(start)
+    draft = PendingVersion(start)
     if rcode is None:
         evaluate(update(prepare), draft)
     else:
-        with pytest.raises(Rejected) as error:
+        with pytest.raises(UpdateRejectedError) as error:
             evaluate(update(prepare, ("add", "y", "60", "A", "10.0.0.1")), draft)
         assert error.value.rcode == rcode
 
@@ -339,13 +352,13 @@
 def test_a_serial_moves_by_one_or_as_the_update_says_and_never_back() -> None:
     start = zone(7)
     for told, result in ((9, 9), (6, 8), (7, 8)):
-        draft = Draft(start)
+        draft = PendingVersion(start)
         text = f"ns.{ORIGIN} staff.{ORIGIN} {told} 60 10 600 30"
         evaluate(
             update(("add", "x", "60", "A", "10.0.0.1"), ("add", "@", "60", "SOA", text)), draft
         )
         draft.advance()
-        assert soa_of(draft.soa_data).serial == result
+        assert parse_soa(draft.soa_data).serial == result
 
 
 # Answers
--- a/tests/test_zone_decisions.py
+++ b/tests/test_zone_decisions.py
@@ -10,37 +10,54 @@
 
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.zones.belief import Belief, Verdict, Version, judge
 from kelpcourse.zones.content import Soa
-from kelpcourse.zones.errors import BadZone
-from kelpcourse.zones.grants import Grant, HostClass, Losses, bare, matches, read_grant, refusal
+from kelpcourse.zones.errors import ZoneError
+from kelpcourse.zones.merged_list import MergedEndpointList
+from kelpcourse.zones.reconciliation import Verdict, Version, VersionReconciler, compare_versions
 from kelpcourse.zones.refresh import SECOND_US, Refresh
-from kelpcourse.zones.serials import CIRCLE, HALF, Order, after, order
-from kelpcourse.zones.union import Union
+from kelpcourse.zones.serials import (
+    HALF_SERIAL_SPACE,
+    SERIAL_SPACE,
+    SerialOrder,
+    compare_serials,
+    next_serial,
+)
+from kelpcourse.zones.update_policy import (
+    EndpointClass,
+    RemovalHistory,
+    UpdateGrant,
+    classes_without_endpoints,
+    matches,
+    read_grant,
+    rejection_reason,
+)
 from tests.zoning import LIMITS, ORIGIN, draft_of, held, host, member, rec, rooms, zone
 
-serials = st.integers(0, CIRCLE - 1)
+serials = st.integers(0, SERIAL_SPACE - 1)
 MS = 1000
 
 
 # Serials (RFC 1982)
 
 
-@given(serials, st.integers(1, HALF - 1))
+@given(serials, st.integers(1, HALF_SERIAL_SPACE - 1))
 def test_a_serial_is_ahead_of_all_in_the_half_round_behind_it(serial: int, distance: int) -> None:
-    assert order((serial + distance) % CIRCLE, serial) is Order.AHEAD
-    assert order(serial, (serial + distance) % CIRCLE) is Order.BEHIND
+    assert compare_serials((serial + distance) % SERIAL_SPACE, serial) is SerialOrder.AHEAD
+    assert compare_serials(serial, (serial + distance) % SERIAL_SPACE) is SerialOrder.BEHIND
 
 
 @given(serials)
 def test_half_round_is_undefined_and_the_next_one_is_ahead_and_never_0(serial: int) -> None:
-    assert order((serial + HALF) % CIRCLE, serial) is Order.UNDEFINED
-    assert order(after(serial), serial) is Order.AHEAD
-    assert after(serial) != 0
-    assert order(serial, serial) is Order.SAME
+    assert (
+        compare_serials((serial + HALF_SERIAL_SPACE) % SERIAL_SPACE, serial)
+        is SerialOrder.UNDEFINED
+    )
+    assert compare_serials(next_serial(serial), serial) is SerialOrder.AHEAD
+    assert next_serial(serial) != 0
+    assert compare_serials(serial, serial) is SerialOrder.SAME
 
 
-# Belief
+# VersionReconciler
 
 
 def version(serial: int, soa: bytes = b"soa") -> Version:
@@ -53,41 +70,41 @@
         (version(101), Verdict.NEWER),
         (version(100), Verdict.SAME),
         (version(99), Verdict.BEHIND),
-        (version(100 + HALF), Verdict.UNDEFINED),
-        (version(101 + HALF), Verdict.BEHIND),
-        (version(99 + HALF), Verdict.NEWER),
+        (version(100 + HALF_SERIAL_SPACE), Verdict.UNDEFINED),
+        (version(101 + HALF_SERIAL_SPACE), Verdict.BEHIND),
+        (version(99 + HALF_SERIAL_SPACE), Verdict.NEWER),
         (version(100, b"other"), Verdict.DIFFERS),
     ],
 )
 def test_which_version_is_believed(offered: Version, verdict: Verdict) -> None:
-    assert judge(version(100), offered) is verdict
-    assert judge(None, offered) is Verdict.NEWER
+    assert compare_versions(version(100), offered) is verdict
+    assert compare_versions(None, offered) is Verdict.NEWER
 
 
 def test_a_primary_restored_from_a_backup_is_told_once_and_believed_when_the_zone_has_expired() -> (
     None
 ):
-    belief = Belief(version(100))
+    belief = VersionReconciler(version(100))
     verdict, told = belief.offer("p", version(40))
     assert verdict is Verdict.BEHIND
-    assert [(c.held, c.offered, c.begins) for c in told] == [(100, 40, True)]
+    assert [(c.accepted_serial, c.offered_serial, c.begins) for c in told] == [(100, 40, True)]
     assert belief.offer("p", version(40)) == (Verdict.BEHIND, [])
     assert belief.contradicted
     belief.expire()
     verdict, told = belief.offer("p", version(41))
     assert verdict is Verdict.NEWER
     assert [c.begins for c in told] == [False]
-    belief.take(version(41))
+    belief.accept(version(41))
     assert belief.offer("p", version(40))[0] is Verdict.BEHIND
 
 
 def test_two_primaries_that_differ_are_told_apart_and_one_may_fall_silent() -> None:
-    belief = Belief(version(100))
+    belief = VersionReconciler(version(100))
     assert belief.offer("a", version(100))[0] is Verdict.SAME
     assert belief.offer("b", version(100, b"another"))[0] is Verdict.DIFFERS
-    assert [c.begins for c in belief.forget("b")] == [False]
+    assert [c.begins for c in belief.source_silent("b")] == [False]
     assert not belief.contradicted
-    assert belief.forget("b") == []
+    assert belief.source_silent("b") == []
 
 
 # Refreshing
@@ -189,11 +206,13 @@
     assert not grant.allows_record("s-1." + ORIGIN, 16)
     assert grant.allows_record(ORIGIN, 6)  # the serial
     for names, types in ((["s-1.elsewhere."], []), ([], ["HOST"]), (["a..b"], [])):
-        with pytest.raises(BadZone):
+        with pytest.raises(ZoneError):
             read_grant("k", ORIGIN, names, types, 1.0, 0)
 
 
-def judged(most: float, taken: int, within_us: int = 0, classes: tuple[HostClass, ...] = ()) -> str:
+def judged(
+    most: float, taken: int, within_us: int = 0, classes: tuple[EndpointClass, ...] = ()
+) -> str:
     """An update that takes away so many of four hosts, s-0 and s-2 of room-a first."""
     start = held(zone(1, rooms()))
     names = ["s-0", "s-2", "s-1", "s-3"][:taken]
@@ -201,7 +220,12 @@
         start.head,
         remove=[r for r in rooms() if any(n in r.owner or n.encode() in r.data for n in names)],
     )
-    return start.judge(draft.difference(0), Grant("k", most=most, within_us=within_us), classes, 0)
+    return start.stage_update(
+        draft.difference(0),
+        UpdateGrant("k", max_removed_fraction=most, window_us=within_us),
+        classes,
+        0,
+    )
 
 
 def test_how_much_may_be_taken_away() -> None:
@@ -212,69 +236,75 @@
 
 
 def test_a_class_may_not_lose_more_than_its_part_either() -> None:
-    submit = HostClass("move-submit", frozenset({"room-a"}), frozenset())
+    submit = EndpointClass("move-submit", frozenset({"room-a"}), frozenset())
     assert "takes away 2 of 2 ready hosts of class move-submit" in judged(0.5, 2, classes=(submit,))
     assert judged(0.5, 1, classes=(submit,)) == ""
-    assert judged(0.5, 2, classes=(HostClass("x", frozenset({"room-b"}), frozenset()),)) == ""
+    assert judged(0.5, 2, classes=(EndpointClass("x", frozenset({"room-b"}), frozenset()),)) == ""
 
 
 def test_many_small_updates_do_not_add_up_to_a_large_one() -> None:
     hosts = {f"s-{k}": member(f"s-{k}") for k in range(10)}
-    losses = Losses(LIMITS.zone_removal_window_us)
-    grant = Grant("k", most=0.3, within_us=60 * SECOND_US)
+    losses = RemovalHistory(LIMITS.zone_removal_window_us)
+    grant = UpdateGrant("k", max_removed_fraction=0.3, window_us=60 * SECOND_US)
     start = held(zone(1, rooms()))
     nothing = draft_of(start.head).difference(0)
 
     def take(name: str, now_us: int, to: ListedEndpoint | None = None) -> str:
-        why = refusal(grant, nothing, hosts, {name: to}, losses, (), now_us)
+        why = rejection_reason(grant, nothing, hosts, {name: to}, losses, (), now_us)
         if not why:
-            losses.note({name: hosts[name]}, {name: to}, now_us)
+            losses.record({name: hosts[name]}, {name: to}, now_us)
             del hosts[name]
         return why
 
     assert [take(f"s-{k}", k) for k in range(3)] == ["", "", ""]
     assert "takes away 4 of 10" in take("s-3", 3)
     assert take("s-3", 60 * SECOND_US + 3) == ""  # what was lost before is no longer counted
-    losses.note({"s-0": None}, {"s-0": member("s-0")}, 60 * SECOND_US + 4)
-    assert losses.since(0).keys() == {"s-1", "s-2", "s-3"}
+    losses.record({"s-0": None}, {"s-0": member("s-0")}, 60 * SECOND_US + 4)
+    assert losses.removed_since(0).keys() == {"s-1", "s-2", "s-3"}
 
 
 def test_a_drain_counts_as_taking_away_and_putting_back_never_does() -> None:
     hosts = {"a": member("a"), "b": member("b", phase=EndpointStatus.DRAINING)}
     start = held(zone(1, rooms()))
     nothing = draft_of(start.head).difference(0)
-    grant = Grant("k", most=0.0)
-    losses = Losses(0)
-    assert refusal(
+    grant = UpdateGrant("k", max_removed_fraction=0.0)
+    losses = RemovalHistory(0)
+    assert rejection_reason(
         grant, nothing, hosts, {"a": member("a", phase=EndpointStatus.DRAINING)}, losses, (), 0
     )
-    assert refusal(grant, nothing, hosts, {"b": member("b")}, losses, (), 0) == ""
-    assert refusal(grant, nothing, hosts, {"b": None}, losses, (), 0) == ""
+    assert rejection_reason(grant, nothing, hosts, {"b": member("b")}, losses, (), 0) == ""
+    assert rejection_reason(grant, nothing, hosts, {"b": None}, losses, (), 0) == ""
 
 
 def test_a_refused_update_leaves_the_head_as_it_was() -> None:
     start = held(zone(1, rooms()))
     draft = draft_of(start.head, remove=host("s-0", address="127.0.0.10")[1:])
-    assert start.judge(draft.difference(0), Grant("k", most=0.0), (), 0)
+    assert start.stage_update(
+        draft.difference(0), UpdateGrant("k", max_removed_fraction=0.0), (), 0
+    )
     assert sorted(start.head.records()) == sorted(start.zone.records())
-    assert start.staged == 0
+    assert start.staged_updates == 0
 
 
 def test_classes_without_a_host_are_named() -> None:
     classes = (
-        HostClass("any", frozenset(), frozenset()),
-        HostClass("submit", frozenset({"room-a"}), frozenset()),
-        HostClass("big", frozenset(), frozenset({"m8"})),
+        EndpointClass("any", frozenset(), frozenset()),
+        EndpointClass("submit", frozenset({"room-a"}), frozenset()),
+        EndpointClass("big", frozenset(), frozenset({"m8"})),
     )
-    assert bare(classes, [member("s", "room-b")]) == ["submit", "big"]
-    assert bare(classes, [member("s", phase=EndpointStatus.DRAINING)]) == ["any", "submit", "big"]
+    assert classes_without_endpoints(classes, [member("s", "room-b")]) == ["submit", "big"]
+    assert classes_without_endpoints(classes, [member("s", phase=EndpointStatus.DRAINING)]) == [
+        "any",
+        "submit",
+        "big",
+    ]
 
 
 # Union
 
 
-def union(*sources: str, grace_us: int = 2 * SECOND_US) -> Union:
-    return Union(sources or ("z",), grace_us, 100)
+def union(*sources: str, grace_us: int = 2 * SECOND_US) -> MergedEndpointList:
+    return MergedEndpointList(sources or ("z",), grace_us, 100)
 
 
 def test_a_return_within_the_grace_is_the_same_host_and_after_it_a_started_one() -> None:
--- a/tests/test_zone_follower.py
+++ b/tests/test_zone_follower.py
@@ -10,7 +10,7 @@
 import pytest
 
 from kelpcourse.zones.content import Record, Zone
-from kelpcourse.zones.serials import HALF
+from kelpcourse.zones.serials import HALF_SERIAL_SPACE
 from kelpcourse.zones.transfer import incremental
 from tests.zoneprimary import ScriptedPrimary
 from tests.zonerig import MS, OTHER, SECOND, Part, World
@@ -50,7 +50,8 @@
 
 
 @pytest.mark.parametrize(
-    ("serial", "verdict"), [(99, "behind"), (100 + HALF, "undefined"), (101 + HALF, "behind")]
+    ("serial", "verdict"),
+    [(99, "behind"), (100 + HALF_SERIAL_SPACE, "undefined"), (101 + HALF_SERIAL_SPACE, "behind")],
 )
 def test_a_serial_that_goes_backwards_is_not_followed_and_told_once(
     world: World, serial: int, verdict: str
@@ -122,7 +123,7 @@
     world.until(lambda: part.log.named("zone_expired"))
     assert part.losses == 1
     assert len(part.list) == 4  # silence takes nothing away
-    answer = part.zones.union
+    answer = part.zones.merged_list
     assert not answer.available
     primary.silent, primary.zone = (
         False,
--- a/tests/zoning.py
+++ b/tests/zoning.py
@@ -11,8 +11,8 @@
 from kelpcourse.limits import Limits
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.zones.content import Draft, Record, Zone, data_of, zone_of
-from kelpcourse.zones.held import HeldZone
+from kelpcourse.zones.content import PendingVersion, Record, Zone, build_zone, canonical_data
+from kelpcourse.zones.zone_state import ZoneState
 
 ORIGIN = "games.example.org."
 SERVICE = "_game._tcp"
@@ -26,7 +26,7 @@
         full.lower(),
         int(number),
         ttl,
-        data_of(dns.rdata.from_text(dns.rdataclass.IN, number, text)),
+        canonical_data(dns.rdata.from_text(dns.rdataclass.IN, number, text)),
     )
 
 
@@ -60,7 +60,7 @@
 
 def zone(serial: int, *records: Iterable[Record], origin: str = ORIGIN) -> Zone:
     ns = rec("@", "NS", f"ns.{origin}", origin=origin)
-    return zone_of(origin, [soa(serial, origin), ns, *(r for some in records for r in some)])
+    return build_zone(origin, [soa(serial, origin), ns, *(r for some in records for r in some)])
 
 
 def rooms(count: int = 4) -> list[Record]:
@@ -74,14 +74,16 @@
     ]
 
 
-def held(start: Zone, limits: Limits = LIMITS) -> HeldZone:
-    made = HeldZone(start.origin, SERVICE, limits)
-    made.take(made.replace(start, 0), 0)
+def held(start: Zone, limits: Limits = LIMITS) -> ZoneState:
+    made = ZoneState(start.origin, SERVICE, limits)
+    made.apply(made.difference_to(start, 0), 0)
     return made
 
 
-def draft_of(start: Zone, add: Iterable[Record] = (), remove: Iterable[Record] = ()) -> Draft:
-    draft = Draft(start)
+def draft_of(
+    start: Zone, add: Iterable[Record] = (), remove: Iterable[Record] = ()
+) -> PendingVersion:
+    draft = PendingVersion(start)
     for record in remove:
         assert draft.remove(record.owner, record.type, record.data)
     for record in add:
