--- a/kelpcourse/zones/desk.py
+++ b/kelpcourse/zones/desk.py
@@ -339,7 +339,7 @@
         def tell(rcode: dns.rcode.Rcode) -> None:
             self._say(request, rcode)
 
-        if not self._deduplicator.meet(mac, self._backstage.clock(), tell):
+        if not self._deduplicator.register(mac, self._backstage.clock(), tell):
             self._counters.add("zone_updates_deduplicated")
             return
         self._make(request, zone, grant, mac)
@@ -353,7 +353,7 @@
         backstage, now_us = self._backstage, self._backstage.clock()
 
         def done(rcode: dns.rcode.Rcode) -> None:
-            self._deduplicator.answered(mac, rcode, backstage.clock())
+            self._deduplicator.complete(mac, rcode, backstage.clock())
 
         if not zone.head.exists:
             done(dns.rcode.SERVFAIL)
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -30,7 +30,7 @@
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import to_name
 from kelpcourse.zones.reconciliation import Contradiction, Verdict, Version
-from kelpcourse.zones.refresh import Refresh
+from kelpcourse.zones.refresh import RefreshTimer
 from kelpcourse.zones.server import MESSAGE, READ_LEAST
 from kelpcourse.zones.settings import Primary
 from kelpcourse.zones.transfer import AXFR, IXFR, Incoming, Unfit, check_fits, offered
@@ -198,28 +198,29 @@
         self._asker = asker
         self._held = held
         self._primaries = {str(p): p for p in primaries}
-        self._refresh = Refresh(asker.limits, list(self._primaries), asker.loop.clock())
+        self._refresh = RefreshTimer(asker.limits, list(self._primaries), asker.loop.clock())
         if held.zone.exists:
-            self._refresh.hold(held.zone.soa, confirmed_us)
+            self._refresh.set_soa(held.zone.soa, confirmed_us)
         self._adopt = adopt
         self._confirmed = confirmed
         self._expired = expired
         self._notified = Signal()
 
     def notified(self) -> None:
-        self._refresh.notified(self._asker.loop.clock())
+        self._refresh.notify(self._asker.loop.clock())
         self._notified.set()
 
     def run(self) -> Coroutine[None]:
         clock = self._asker.loop.clock
         while True:
             self._check_expiry()
-            name = self._refresh.begin(clock())
+            name = self._refresh.begin_query(clock())
             if name is None:
                 ends = None if self._held.reconciler.expired else self._refresh.expires_us()
                 yield Wait(
                     min(
-                        self._refresh.due_us(), ends if ends is not None else self._refresh.due_us()
+                        self._refresh.next_due_us(),
+                        ends if ends is not None else self._refresh.next_due_us(),
                     ),
                     signal=self._notified,
                 )
@@ -228,9 +229,9 @@
             yield from self._round(self._primaries[name])
 
     def _check_expiry(self) -> None:
-        if self._refresh.expired(self._asker.loop.clock()) and not self._held.reconciler.expired:
+        if self._refresh.is_expired(self._asker.loop.clock()) and not self._held.reconciler.expired:
             self._held.reconciler.expire()
-            self._refresh.notified(
+            self._refresh.notify(
                 self._asker.loop.clock()
             )  # whatever its primaries have is news now
             self._expired(self._held)
@@ -252,14 +253,14 @@
                 primary=str(peer),
                 reason=str(error),
             )
-            self._refresh.failed(clock())
+            self._refresh.query_failed(clock())
             return
         if verdict.contradicts:
-            self._refresh.failed(clock())  # another primary may know better
+            self._refresh.query_failed(clock())  # another primary may know better
             return
         if self._held.zone.exists:
-            self._refresh.hold(self._held.zone.soa, clock())
-        self._refresh.answered(clock(), True)
+            self._refresh.set_soa(self._held.zone.soa, clock())
+        self._refresh.query_succeeded(clock(), confirmed=True)
         self._confirmed(self._held)
 
     def _follow(self, peer: Primary) -> Coroutine[Verdict]:
--- a/kelpcourse/zones/merged_list.py
+++ b/kelpcourse/zones/merged_list.py
@@ -1,9 +1,9 @@
-"""One host list out of several zones, and what is told of it as it changes. Pure.
+"""The merged endpoint list of several zones, and its changes. Pure.
 
-A host is known by its id, the target without the origin, so that a zone and its double elsewhere name the same
-hosts. It is in the list while any zone announces it. Where zones differ, the first in the order of the settings tells
-address, zone, kind, cell and size; it drains if any of them says so, as a drain must be kept; and it started
-when the latest of them says. A zone that can't be reached keeps its hosts: silence takes nothing away.
+An endpoint is identified by its name relative to the origin, so that a zone and its copy under another origin announce
+the same endpoints. It is in the list while any zone announces it. Where zones disagree, the first in the order of the
+settings decides on address, zone, kind, cell and weight; the endpoint is draining if any zone says so; and it started
+when the latest of them says. A zone that cannot be reached keeps its endpoints.
 """
 
 from __future__ import annotations
@@ -17,128 +17,155 @@
 
 @dataclass(frozen=True)
 class EndpointConflict:
-    """Zones that differ on a host in more than its phase and start."""
+    """The beginning or the end of a disagreement on more than an endpoint's status and start."""
 
-    host: str
-    sources: tuple[str, ...]
+    endpoint: str
+    zones: tuple[str, ...]
     begins: bool
 
 
 class MergedEndpointList:
-    """The merged list. A host that comes back after it was gone for longer than the grace did no work meanwhile
-    and carries none now: it counts as started when it came back, whatever its record says, so that the rule on
-    cold hosts covers it. Within the grace proxies may still be using it, and it is what it was."""
-
-    def __init__(self, sources: Sequence[str], grace_us: int, remember: int) -> None:
-        self._sources = list(sources)
+    """The merged list, with a version that grows with each change.
+
+    An endpoint that comes back after it was gone for longer than the grace did no work meanwhile:
+    it counts as started when it came back, whatever its record says, so that it warms up. Within
+    the grace proxies may still be using it, and its start stays as it was.
+    """
+
+    def __init__(self, zones: Sequence[str], grace_us: int, max_remembered: int) -> None:
+        """Starts empty, with no zone loaded.
+
+        Args:
+            zones: the origins, the one that decides first.
+            grace_us: how long an endpoint may be gone without counting as started anew.
+            max_remembered: how many endpoints that are gone are remembered.
+        """
+        self._zones = list(zones)
         self._grace_us = grace_us
-        self._remember = remember
-        self._told: dict[str, dict[str, ListedEndpoint]] = {source: {} for source in sources}
-        self.members: dict[str, ListedEndpoint] = {}
+        self._max_remembered = max_remembered
+        self._announced: dict[str, dict[str, ListedEndpoint]] = {zone: {} for zone in zones}
+        self.endpoints: dict[str, ListedEndpoint] = {}
         self._gone_us: dict[str, int] = {}  # in the order they went
         self._returned_ms: dict[str, int] = {}
         self._conflicts: dict[str, tuple[str, ...]] = {}
         self._loaded: set[str] = set()
-        self._unavailable: set[str] = set(sources)
+        self._unavailable: set[str] = set(zones)
         self.version = 0
 
     @property
-    def whole(self) -> bool:
-        """Whether every zone has been had once. Until then the list may add hosts and takes none away: what a
-        zone that was never had would name is not known to be gone."""
-        return len(self._loaded) == len(self._sources)
+    def is_complete(self) -> bool:
+        """Whether every zone has been loaded once.
+
+        Until then the list may add endpoints but removes none: what a zone that was never loaded
+        announces is not known to be gone.
+        """
+        return len(self._loaded) == len(self._zones)
 
     @property
-    def available(self) -> bool:
-        """Whether any zone is there to be followed. One that is lost leaves the others' news as they are."""
-        return len(self._unavailable) < len(self._sources)
-
-    def loaded(self, source: str) -> bool:
-        """A version of the zone is held and confirmed. Tells whether the list became whole by it."""
-        self._unavailable.discard(source)
-        if source in self._loaded:
+    def is_available(self) -> bool:
+        """Whether any zone is loaded and not expired."""
+        return len(self._unavailable) < len(self._zones)
+
+    def zone_loaded(self, zone: str) -> bool:
+        """Notes that a version of a zone is accepted and confirmed.
+
+        Returns whether the list became complete by it.
+        """
+        self._unavailable.discard(zone)
+        if zone in self._loaded:
             return False
-        self._loaded.add(source)
-        return self.whole
+        self._loaded.add(zone)
+        return self.is_complete
 
-    def lost(self, source: str) -> None:
-        """The zone has expired. Its hosts stay: silence takes nothing away."""
-        self._unavailable.add(source)
+    def zone_expired(self, zone: str) -> None:
+        """Notes that a zone has expired; its endpoints stay in the list."""
+        self._unavailable.add(zone)
 
-    def take(
-        self, source: str, changes: Mapping[str, ListedEndpoint | None], now_us: int, unix_ms: int
+    def update(
+        self, zone: str, changes: Mapping[str, ListedEndpoint | None], now_us: int, unix_ms: int
     ) -> tuple[list[ListedEndpoint], list[EndpointConflict]]:
-        """What the list's readers are told, as one change: entries as they are now, or as gone."""
-        told = self._told[source]
-        for name, member in changes.items():
-            if member is None:
-                told.pop(name, None)
+        """Merges the changes of one zone: endpoints by name, None for one that is gone.
+
+        Returns the entries of the list that changed, as one change, with the status GONE for those
+        that were removed; and the conflicts that began or ended.
+        """
+        announced = self._announced[zone]
+        for name, endpoint in changes.items():
+            if endpoint is None:
+                announced.pop(name, None)
             else:
-                told[name] = member
-        out: list[ListedEndpoint] = []
+                announced[name] = endpoint
+        changed: list[ListedEndpoint] = []
         conflicts: list[EndpointConflict] = []
         for name in changes:
-            out += self._settle(name, now_us, unix_ms, conflicts)
-        self.version += bool(out)
-        return out, conflicts
+            changed += self._merge(name, now_us, unix_ms, conflicts)
+        if changed:
+            self.version += 1
+        return changed, conflicts
 
-    def _settle(
+    def _merge(
         self, name: str, now_us: int, unix_ms: int, conflicts: list[EndpointConflict]
     ) -> Iterable[ListedEndpoint]:
-        views = [(source, told[name]) for source, told in self._told.items() if name in told]
-        self._note_conflict(name, views, conflicts)
-        was = self.members.get(name)
-        if not views:
-            if was is None:
+        """Updates one entry of the list; returns it if it changed."""
+        announcements = {
+            zone: announced[name]
+            for zone, announced in self._announced.items()
+            if name in announced
+        }
+        self._check_conflict(name, announcements, conflicts)
+        previous = self.endpoints.get(name)
+        if not announcements:
+            if previous is None:
                 return ()
-            del self.members[name]
-            self._went(name, now_us)
-            return (replace(was, status=EndpointStatus.GONE),)
-        if was is None:
-            self._came(name, now_us, unix_ms)
-        merged = self._merged(name, [member for _, member in views])
-        if merged == was:
+            del self.endpoints[name]
+            self._note_removal(name, now_us)
+            return (replace(previous, status=EndpointStatus.GONE),)
+        if previous is None:
+            self._note_arrival(name, now_us, unix_ms)
+        merged = self._merged(name, list(announcements.values()))
+        if merged == previous:
             return ()
-        self.members[name] = merged
+        self.endpoints[name] = merged
         return (merged,)
 
-    def _merged(self, name: str, views: Sequence[ListedEndpoint]) -> ListedEndpoint:
-        drains = any(view.status is EndpointStatus.DRAINING for view in views)
-        started = max(max(view.started_ms for view in views), self._returned_ms.get(name, 0))
+    def _merged(self, name: str, announcements: Sequence[ListedEndpoint]) -> ListedEndpoint:
+        draining = any(each.status is EndpointStatus.DRAINING for each in announcements)
+        latest_start_ms = max(each.started_ms for each in announcements)
         return replace(
-            views[0],
-            status=EndpointStatus.DRAINING if drains else EndpointStatus.READY,
-            started_ms=started,
+            announcements[0],
+            status=EndpointStatus.DRAINING if draining else EndpointStatus.READY,
+            started_ms=max(latest_start_ms, self._returned_ms.get(name, 0)),
         )
 
-    def _went(self, name: str, now_us: int) -> None:
+    def _note_removal(self, name: str, now_us: int) -> None:
         self._gone_us[name] = now_us
-        while len(self._gone_us) > self._remember:
+        while len(self._gone_us) > self._max_remembered:
             oldest = next(iter(self._gone_us))
             del self._gone_us[oldest]
             self._returned_ms.pop(oldest, None)
 
-    def _came(self, name: str, now_us: int, unix_ms: int) -> None:
+    def _note_arrival(self, name: str, now_us: int, unix_ms: int) -> None:
         gone_us = self._gone_us.pop(name, None)
         if gone_us is not None and now_us - gone_us > self._grace_us:
             self._returned_ms[name] = unix_ms
 
-    def _note_conflict(
+    def _check_conflict(
         self,
         name: str,
-        views: Sequence[tuple[str, ListedEndpoint]],
+        announcements: Mapping[str, ListedEndpoint],
         conflicts: list[EndpointConflict],
     ) -> None:
-        alike = {
-            replace(member, status=EndpointStatus.READY, started_ms=0.0) for _, member in views
+        """Appends to `conflicts` if one on this endpoint begins, ends or concerns other zones."""
+        distinct = {
+            replace(each, status=EndpointStatus.READY, started_ms=0.0)
+            for each in announcements.values()
         }
-        sources = tuple(source for source, _ in views) if len(alike) > 1 else ()
-        if sources == self._conflicts.get(name, ()):
+        zones = tuple(announcements) if len(distinct) > 1 else ()
+        if zones == self._conflicts.get(name, ()):
             return
-        if sources:
-            self._conflicts[name] = sources
+        if zones:
+            self._conflicts[name] = zones
+            conflicts.append(EndpointConflict(name, zones, begins=True))
         else:
-            sources_before = self._conflicts.pop(name)
-            conflicts.append(EndpointConflict(name, sources_before, False))
-            return
-        conflicts.append(EndpointConflict(name, sources, True))
+            former_zones = self._conflicts.pop(name)
+            conflicts.append(EndpointConflict(name, former_zones, begins=False))
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -66,8 +66,8 @@
     known = list(zones)
     union = MergedEndpointList([zone.origin for zone in known], 0, 1 << 20)
     for zone in known:
-        union.take(zone.origin, dict(zone.extractor.endpoints), 0, 0)
-    return sorted(union.members.values(), key=lambda m: m.name)
+        union.update(zone.origin, dict(zone.extractor.endpoints), 0, 0)
+    return sorted(union.endpoints.values(), key=lambda m: m.name)
 
 
 def entry(member: ListedEndpoint) -> dict[str, object]:
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -316,8 +316,8 @@
     def _announce(self, held: ZoneState, changes: EndpointChanges) -> None:
         """One change of the list, however many hosts it concerns."""
         origin, around = held.origin, self._around
-        members, conflicts = self.merged_list.take(origin, changes, self.clock(), self.unix_ms())
-        became_whole = self.merged_list.loaded(origin)
+        members, conflicts = self.merged_list.update(origin, changes, self.clock(), self.unix_ms())
+        became_whole = self.merged_list.zone_loaded(origin)
         self._tell_conflicts(conflicts)
         self._tell_problems(held)
         for notifier in self._notifiers[origin]:
@@ -325,7 +325,7 @@
         around.counters.add("zone_changes")
         if became_whole:
             self._sink.listed(
-                list(self.merged_list.members.values()), self.merged_list.version, True
+                list(self.merged_list.endpoints.values()), self.merged_list.version, True
             )
         elif members:
             self._sink.listed(members, self.merged_list.version, False)
@@ -335,8 +335,8 @@
         for conflict in conflicts:
             self._around.log.event(
                 "zone_conflict" if conflict.begins else "zone_conflict_resolved",
-                endpoint=conflict.host,
-                zones=conflict.sources,
+                endpoint=conflict.endpoint,
+                zones=conflict.zones,
             )
 
     def _tell_problems(self, held: ZoneState) -> None:
@@ -352,7 +352,7 @@
 
     def _check_bare(self) -> None:
         """Nothing is held back for it, but somebody must be told."""
-        now = set(classes_without_endpoints(self.classes, self.merged_list.members.values()))
+        now = set(classes_without_endpoints(self.classes, self.merged_list.endpoints.values()))
         if now != self._bare:
             self._around.log.always(
                 "zone_classes_without_endpoints", classes=sorted(now), were=sorted(self._bare)
@@ -362,13 +362,13 @@
     def _confirmed(self, held: ZoneState) -> None:
         now_us = self.clock()
         held.confirmed_ms = self.unix_ms()
-        was_available = self.merged_list.available
-        self.merged_list.loaded(held.origin)
+        was_available = self.merged_list.is_available
+        self.merged_list.zone_loaded(held.origin)
         if not was_available:
             self._sink.listed(
-                list(self.merged_list.members.values()),
+                list(self.merged_list.endpoints.values()),
                 self.merged_list.version,
-                self.merged_list.whole,
+                self.merged_list.is_complete,
             )
         if (
             now_us - self._seen_us.get(held.origin, -1 << 62)
@@ -385,9 +385,9 @@
             serial=held.zone.serial,
             endpoints=len(held.extractor.endpoints),
         )
-        was = self.merged_list.available
-        self.merged_list.lost(held.origin)
-        if was and not self.merged_list.available:
+        was = self.merged_list.is_available
+        self.merged_list.zone_expired(held.origin)
+        if was and not self.merged_list.is_available:
             self._sink.lost()
 
     # Files
--- a/kelpcourse/zones/source.py
+++ b/kelpcourse/zones/source.py
@@ -54,8 +54,8 @@
 
     def _tell(self) -> None:
         union = self.zones.merged_list
-        if union.available:
-            self.listed(list(union.members.values()), union.version, union.whole)
+        if union.is_available:
+            self.listed(list(union.endpoints.values()), union.version, union.is_complete)
         else:
             self.lost()
 
--- a/tests/test_zone_decisions.py
+++ b/tests/test_zone_decisions.py
@@ -14,7 +14,7 @@
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.merged_list import MergedEndpointList
 from kelpcourse.zones.reconciliation import Verdict, Version, VersionReconciler, compare_versions
-from kelpcourse.zones.refresh import SECOND_US, Refresh
+from kelpcourse.zones.refresh import SECOND_US, RefreshTimer
 from kelpcourse.zones.serials import (
     HALF_SERIAL_SPACE,
     SERIAL_SPACE,
@@ -113,71 +113,71 @@
 
 
 def test_a_round_asks_each_primary_and_then_waits_for_the_retry() -> None:
-    refresh = Refresh(LIMITS, ["a", "b"], 0)
-    refresh.hold(SOA, 0)
-    assert refresh.begin(0) == "a"
-    assert refresh.failed(1)
-    assert refresh.begin(1) == "b"
-    assert not refresh.failed(2)
-    assert refresh.due_us() == 2 + 10 * SECOND_US
-    assert refresh.begin(3) is None
+    refresh = RefreshTimer(LIMITS, ["a", "b"], 0)
+    refresh.set_soa(SOA, 0)
+    assert refresh.begin_query(0) == "a"
+    assert refresh.query_failed(1)
+    assert refresh.begin_query(1) == "b"
+    assert not refresh.query_failed(2)
+    assert refresh.next_due_us() == 2 + 10 * SECOND_US
+    assert refresh.begin_query(3) is None
 
 
 def test_who_answered_last_is_asked_first_and_an_answer_moves_the_end_on() -> None:
-    refresh = Refresh(LIMITS, ["a", "b"], 0)
-    refresh.hold(SOA, 0)
-    refresh.begin(0)
-    refresh.failed(0)
-    refresh.begin(0)
-    refresh.answered(7, True)
-    assert refresh.due_us() == 7 + 60 * SECOND_US
+    refresh = RefreshTimer(LIMITS, ["a", "b"], 0)
+    refresh.set_soa(SOA, 0)
+    refresh.begin_query(0)
+    refresh.query_failed(0)
+    refresh.begin_query(0)
+    refresh.query_succeeded(7, confirmed=True)
+    assert refresh.next_due_us() == 7 + 60 * SECOND_US
     assert refresh.expires_us() == 7 + 600 * SECOND_US
-    assert refresh.begin(refresh.due_us()) == "b"
+    assert refresh.begin_query(refresh.next_due_us()) == "b"
 
 
 def test_what_does_not_confirm_does_not_move_the_end() -> None:
-    refresh = Refresh(LIMITS, ["a"], 0)
-    refresh.hold(SOA, 0)
-    refresh.begin(0)
-    refresh.answered(500 * SECOND_US, False)
-    assert not refresh.expired(600 * SECOND_US - 1)
-    assert refresh.expired(600 * SECOND_US)
+    refresh = RefreshTimer(LIMITS, ["a"], 0)
+    refresh.set_soa(SOA, 0)
+    refresh.begin_query(0)
+    refresh.query_succeeded(500 * SECOND_US, confirmed=False)
+    assert not refresh.is_expired(600 * SECOND_US - 1)
+    assert refresh.is_expired(600 * SECOND_US)
 
 
 def test_a_flood_of_notify_makes_no_flood_of_questions() -> None:
-    refresh = Refresh(LIMITS, ["a"], 0)
-    refresh.hold(SOA, 0)
+    refresh = RefreshTimer(LIMITS, ["a"], 0)
+    refresh.set_soa(SOA, 0)
     asked = 0
     for now in range(0, 10 * SECOND_US, 1000):
-        refresh.notified(now)
-        if refresh.begin(now):
+        refresh.notify(now)
+        if refresh.begin_query(now):
             asked += 1
-            refresh.answered(now, True)
+            refresh.query_succeeded(now, confirmed=True)
     assert asked == 10 * SECOND_US // LIMITS.notify_batching_us
 
 
 def test_a_notify_during_a_round_is_not_lost() -> None:
-    refresh = Refresh(LIMITS, ["a"], 0)
-    refresh.hold(SOA, 0)
-    refresh.begin(0)
-    refresh.notified(5)
-    refresh.answered(10, True)
-    assert refresh.due_us() == 10 + LIMITS.notify_batching_us
+    refresh = RefreshTimer(LIMITS, ["a"], 0)
+    refresh.set_soa(SOA, 0)
+    refresh.begin_query(0)
+    refresh.notify(5)
+    refresh.query_succeeded(10, confirmed=True)
+    assert refresh.next_due_us() == 10 + LIMITS.notify_batching_us
 
 
 def test_times_of_a_silly_soa_are_bounded() -> None:
-    refresh = Refresh(LIMITS, ["a"], 0)
-    refresh.hold(replace(SOA, refresh=0, retry=0), 0)
-    refresh.begin(0)
-    refresh.answered(0, True)
-    assert refresh.due_us() == LIMITS.min_zone_refresh_us
-    refresh.begin(refresh.due_us())
-    refresh.failed(refresh.due_us())
-    assert refresh.due_us() >= 2 * LIMITS.min_zone_retry_us
-    refresh.hold(replace(SOA, refresh=1 << 31), 0)
-    refresh.begin(refresh.due_us())
-    refresh.answered(0, True)
-    assert refresh.due_us() == LIMITS.max_zone_refresh_us
+    refresh = RefreshTimer(LIMITS, ["a"], 0)
+    refresh.set_soa(replace(SOA, refresh=0, retry=0), 0)
+    refresh.begin_query(0)
+    refresh.query_succeeded(0, confirmed=True)
+    assert refresh.next_due_us() == LIMITS.min_zone_refresh_us
+    refresh.begin_query(refresh.next_due_us())
+    refresh.query_failed(refresh.next_due_us())
+    assert refresh.next_due_us() >= 2 * LIMITS.min_zone_retry_us
+    refresh.set_soa(replace(SOA, refresh=1 << 31), 0)
+    refresh.begin_query(refresh.next_due_us())
+    refresh.query_succeeded(0, confirmed=True)
+    assert refresh.next_due_us() == LIMITS.max_zone_refresh_us
 
 
 # Grants
@@ -309,15 +309,15 @@
 
 def test_a_return_within_the_grace_is_the_same_host_and_after_it_a_started_one() -> None:
     one = union()
-    one.take("z", {"s": member("s", started=5.0)}, 0, 1_000)
-    gone, _ = one.take("z", {"s": None}, 10 * MS, 1_010)
+    one.update("z", {"s": member("s", started=5.0)}, 0, 1_000)
+    gone, _ = one.update("z", {"s": None}, 10 * MS, 1_010)
     assert [m.status for m in gone] == [EndpointStatus.GONE]
-    back, _ = one.take("z", {"s": member("s", started=5.0)}, 60 * MS, 1_060)
+    back, _ = one.update("z", {"s": member("s", started=5.0)}, 60 * MS, 1_060)
     assert back == [member("s", started=5.0)]
-    one.take("z", {"s": None}, 100 * MS, 1_100)
-    back, _ = one.take("z", {"s": member("s", started=5.0)}, 100 * MS + 2 * SECOND_US + 1, 3_101)
+    one.update("z", {"s": None}, 100 * MS, 1_100)
+    back, _ = one.update("z", {"s": member("s", started=5.0)}, 100 * MS + 2 * SECOND_US + 1, 3_101)
     assert [m.started_ms for m in back] == [3_101.0]
-    drained, _ = one.take(
+    drained, _ = one.update(
         "z", {"s": member("s", phase=EndpointStatus.DRAINING)}, 9 * SECOND_US, 9_000
     )
     assert [(m.status, m.started_ms) for m in drained] == [(EndpointStatus.DRAINING, 3_101.0)]
@@ -325,37 +325,37 @@
 
 def test_a_host_is_there_while_any_zone_names_it_and_drains_if_any_says_so() -> None:
     both = union("a", "b")
-    both.take("a", {"s": member("s", started=5.0)}, 0, 0)
-    assert both.take("b", {"s": member("s", started=9.0)}, 0, 0)[0] == [member("s", started=9.0)]
-    out, _ = both.take("b", {"s": member("s", phase=EndpointStatus.DRAINING)}, 0, 0)
+    both.update("a", {"s": member("s", started=5.0)}, 0, 0)
+    assert both.update("b", {"s": member("s", started=9.0)}, 0, 0)[0] == [member("s", started=9.0)]
+    out, _ = both.update("b", {"s": member("s", phase=EndpointStatus.DRAINING)}, 0, 0)
     assert [m.status for m in out] == [EndpointStatus.DRAINING]
     assert (
-        both.take("a", {"s": None}, 0, 0)[0] != []
+        both.update("a", {"s": None}, 0, 0)[0] != []
     )  # it started long ago now, and drains as before
-    assert both.members["s"].status is EndpointStatus.DRAINING
-    assert [m.status for m in both.take("b", {"s": None}, 0, 0)[0]] == [EndpointStatus.GONE]
+    assert both.endpoints["s"].status is EndpointStatus.DRAINING
+    assert [m.status for m in both.update("b", {"s": None}, 0, 0)[0]] == [EndpointStatus.GONE]
 
 
 def test_zones_that_differ_on_a_host_are_told_once_and_the_first_counts() -> None:
     both = union("a", "b")
-    both.take("b", {"s": member("s", address="10.0.0.2")}, 0, 0)
-    out, conflicts = both.take("a", {"s": member("s", address="10.0.0.1")}, 0, 0)
+    both.update("b", {"s": member("s", address="10.0.0.2")}, 0, 0)
+    out, conflicts = both.update("a", {"s": member("s", address="10.0.0.1")}, 0, 0)
     assert [m.address[0] for m in out] == ["10.0.0.1"]
-    assert [(c.host, c.begins) for c in conflicts] == [("s", True)]
-    assert both.take("a", {"s": member("s", address="10.0.0.1", started=1.0)}, 0, 0)[1] == []
-    out, conflicts = both.take("a", {"s": None}, 0, 0)
+    assert [(c.endpoint, c.begins) for c in conflicts] == [("s", True)]
+    assert both.update("a", {"s": member("s", address="10.0.0.1", started=1.0)}, 0, 0)[1] == []
+    out, conflicts = both.update("a", {"s": None}, 0, 0)
     assert [m.address[0] for m in out] == ["10.0.0.2"]
     assert [c.begins for c in conflicts] == [False]
 
 
 def test_a_change_is_one_change_and_none_moves_no_version() -> None:
     one = union()
-    out, _ = one.take("z", {f"s-{k}": member(f"s-{k}") for k in range(5)}, 0, 0)
+    out, _ = one.update("z", {f"s-{k}": member(f"s-{k}") for k in range(5)}, 0, 0)
     assert (len(out), one.version) == (5, 1)
-    assert one.take("z", {"s-0": member("s-0")}, 0, 0) == ([], [])
+    assert one.update("z", {"s-0": member("s-0")}, 0, 0) == ([], [])
     assert one.version == 1
-    out, _ = one.take("z", {f"s-{k}": None for k in range(5)}, 0, 0)
-    assert (len(out), one.version, one.members) == (5, 2, {})
+    out, _ = one.update("z", {f"s-{k}": None for k in range(5)}, 0, 0)
+    assert (len(out), one.version, one.endpoints) == (5, 2, {})
 
 
 phases = st.sampled_from([EndpointStatus.READY, EndpointStatus.DRAINING])
@@ -383,7 +383,7 @@
         said[source].pop(name, None)
         if phase is not None:
             said[source][name] = phase
-        out, _ = both.take(source, {name: member(name, phase=phase) if phase else None}, now, now)
+        out, _ = both.update(source, {name: member(name, phase=phase) if phase else None}, now, now)
         for told in out:
             listed.pop(told.name, None)
             if told.status is not EndpointStatus.GONE:
--- a/tests/test_zone_follower.py
+++ b/tests/test_zone_follower.py
@@ -124,13 +124,13 @@
     assert part.losses == 1
     assert len(part.list) == 4  # silence takes nothing away
     answer = part.zones.merged_list
-    assert not answer.available
+    assert not answer.is_available
     primary.silent, primary.zone = (
         False,
         zone(7, rooms(), host("s-9")),
     )  # and what it has then is believed
     world.until(lambda: part.serial == 7)
-    assert answer.available
+    assert answer.is_available
     assert "s-9" in part.list
 
 
