--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -35,23 +35,18 @@
 from kelpcourse.store.frames import Record as Entry
 from kelpcourse.store.journal import Journal
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.content import (
-    SOA,
-    PendingVersion,
-    Record,
-    Zone,
-    canonical_data,
-    difference_between,
-)
+from kelpcourse.zones.pending_version import PendingVersion
 from kelpcourse.zones.persistence import (
     ZoneChanged,
     ZoneReplay,
     encode_entry,
     garbage_collection_paused,
 )
+from kelpcourse.zones.records import SOA, Record, canonical_data
 from kelpcourse.zones.settings import read_settings, shown
 from kelpcourse.zones.standalone import Host
 from kelpcourse.zones.transfer import AXFR, Incoming, messages, whole
+from kelpcourse.zones.versions import Zone, difference_between
 from kelpcourse.zones.zone_state import ZoneState
 from kelpcourse.zones.zonefile import read_text
 
@@ -103,12 +98,16 @@
     other = zone.copy()
     moved = [record for record in other.records() if record.owner.startswith("s-77.")]
     for record in moved:
-        other.take(record)
-    other.take(soa_record(other))
-    other.put(soa_record(zone)._replace(data=next_soa(zone)))
+        other.remove(record)
+    other.remove(soa_record(other))
+    other.add(soa_record(zone)._replace(data=next_soa(zone)))
     ours, difference = timed(lambda: difference_between(zone, other, 0))
     theirs, _ = timed(lambda: library_difference(library), 1)
-    row(f"difference of two versions ({difference.size} records)", f"{ours:.0f}", f"{theirs:.0f}")
+    row(
+        f"difference of two versions ({difference.record_count} records)",
+        f"{ours:.0f}",
+        f"{theirs:.0f}",
+    )
     held = held_of(zone)
     ours = statistics.median(one_change(held, k) for k in range(100)) * 1e3
     theirs, _ = timed(lambda: library_change(library), 3)
@@ -129,7 +128,7 @@
 
 def next_soa(zone: Zone) -> bytes:
     draft = PendingVersion(zone)
-    draft.advance()
+    draft.advance_serial()
     return draft.soa_data
 
 
@@ -140,7 +139,7 @@
     draft = held.new_pending_version()
     draft.remove_set(owner, 1)
     draft.add(Record(owner, 1, 60, b"\x7f\x09\x09\x09"))
-    draft.advance()
+    draft.advance_serial()
     held.apply(draft.difference(0), 0)
     return time.perf_counter() - began
 
@@ -312,10 +311,10 @@
         for k in range(changes):
             draft = held.new_pending_version()
             owner = f"s-{k % 1000}.{ORIGIN}"
-            for data in list(draft.data(owner, 1)):
+            for data in list(draft.record_data(owner, 1)):
                 draft.remove(owner, 1, data)
             draft.add(Record(owner, 1, 60, (0x7F080000 + k).to_bytes(4, "big")))
-            draft.advance()
+            draft.advance_serial()
             difference = draft.difference(0)
             held.apply(difference, 0)
             entries.append(Entry(k + 1, encode_entry(ZoneChanged(ORIGIN, difference))))
--- a/kelpcourse/cli/main.py
+++ b/kelpcourse/cli/main.py
@@ -167,7 +167,7 @@
         raise ZoneError(f"{file}: no state is named, there or by --state")
     replay = read_state(settings, settings.state, Limits())
     _show(hosts_of(replay.zones.values()), as_json)
-    _end_with(replay.remarks)
+    _end_with(replay.warnings)
 
 
 @zones.command("restore")
--- a/kelpcourse/zones/answer.py
+++ b/kelpcourse/zones/answer.py
@@ -14,9 +14,10 @@
 import dns.rdatatype
 import dns.rrset
 
-from kelpcourse.zones.content import CNAME, NS, SOA, RecordSet, Zone, parse_record_data, parse_soa
 from kelpcourse.zones.endpoint_extraction import AAAA, SRV, A
 from kelpcourse.zones.names import canonical, to_name
+from kelpcourse.zones.records import CNAME, NS, SOA, RecordSet, parse_record_data, parse_soa
+from kelpcourse.zones.versions import Zone
 
 ANY = int(dns.rdatatype.ANY)
 
@@ -55,7 +56,7 @@
         if held is not None:
             out.answer.append(rrset(target, type_, held))
     if not out.answer:
-        out.rcode = dns.rcode.NOERROR if zone.reaches(owner) else dns.rcode.NXDOMAIN
+        out.rcode = dns.rcode.NOERROR if zone.name_exists(owner) else dns.rcode.NXDOMAIN
         out.authority.append(_negative(zone))
     _add_addresses(zone, out)
     return out
--- a/kelpcourse/zones/desk.py
+++ b/kelpcourse/zones/desk.py
@@ -28,14 +28,15 @@
 from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.answer import fill, look_up
-from kelpcourse.zones.content import SOA, Difference, canonical_data, parse_soa
 from kelpcourse.zones.deduplication import UpdateDeduplicator
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under
+from kelpcourse.zones.records import SOA, canonical_data, parse_soa
 from kelpcourse.zones.settings import ZoneSettings, shown
 from kelpcourse.zones.transfer import AXFR, IXFR, incremental, messages, whole
 from kelpcourse.zones.update import UpdateRejectedError, evaluate
 from kelpcourse.zones.update_policy import EndpointClass, UpdateGrant
+from kelpcourse.zones.versions import Difference
 from kelpcourse.zones.zone_state import ZoneState
 
 Reply = Callable[[Iterable[bytes]], None]
@@ -270,7 +271,9 @@
             serial = known[0][0].serial if known else None
             if serial == zone.zone.serial:
                 records = whole(zone.zone)[:1]
-            elif serial is not None and (steps := zone.history.since(serial)) is not None:
+            elif (
+                serial is not None and (steps := zone.history.differences_since(serial)) is not None
+            ):
                 records = incremental(zone.zone, steps)
         kind = "ixfr" if records is not None else "axfr"
         if records is None:
@@ -372,10 +375,10 @@
             )
             done(error.rcode)
             return
-        if not draft.changed():  # all of it stands already (RFC 2136, section 3.4.2.7)
+        if not draft.is_changed():  # all of it stands already (RFC 2136, section 3.4.2.7)
             done(dns.rcode.NOERROR)
             return
-        draft.advance()
+        draft.advance_serial()
         difference = draft.difference(backstage.unix_ms())
         try:
             why = zone.stage_update(difference, grant, backstage.classes, now_us)
--- a/kelpcourse/zones/endpoint_extraction.py
+++ b/kelpcourse/zones/endpoint_extraction.py
@@ -21,10 +21,11 @@
 import dns.rdatatype
 
 from kelpcourse.memory.endpoints import ListedEndpoint
-from kelpcourse.zones.content import Difference, Record, Zone
 from kelpcourse.zones.endpoint_attributes import RecordProblem, read_attributes
 from kelpcourse.zones.errors import InvalidAnnouncementError
 from kelpcourse.zones.names import canonical, is_under, labels, read_name, relative
+from kelpcourse.zones.records import Record
+from kelpcourse.zones.versions import Difference, Zone
 
 SRV = int(dns.rdatatype.SRV)
 A = int(dns.rdatatype.A)
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -25,15 +25,16 @@
 from kelpcourse.wire.stream import address_family, connect
 from kelpcourse.wire.worker import run_in_thread
 from kelpcourse.zones.answer import rrset_of
-from kelpcourse.zones.content import SOA, Difference, Zone
 from kelpcourse.zones.desk import serial_of
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import to_name
 from kelpcourse.zones.reconciliation import Contradiction, Verdict, Version
+from kelpcourse.zones.records import SOA
 from kelpcourse.zones.refresh import RefreshTimer
 from kelpcourse.zones.server import MESSAGE, READ_LEAST
 from kelpcourse.zones.settings import Primary
 from kelpcourse.zones.transfer import AXFR, IXFR, Incoming, Unfit, check_fits, offered
+from kelpcourse.zones.versions import Difference, Zone
 from kelpcourse.zones.zone_state import ZoneState
 
 TOLD = (dns.exception.DNSException, ValueError, IndexError)
--- a/kelpcourse/zones/history.py
+++ b/kelpcourse/zones/history.py
@@ -5,9 +5,10 @@
 from collections import deque
 from collections.abc import Iterator
 
-from kelpcourse.zones.content import SOA, Difference, Record, Zone, difference_between, with_serial
 from kelpcourse.zones.errors import UnknownVersionError
+from kelpcourse.zones.records import SOA, Record, with_serial
 from kelpcourse.zones.serials import next_serial
+from kelpcourse.zones.versions import Difference, Zone, difference_between
 
 
 class History:
@@ -37,11 +38,11 @@
             if difference.old_serial is None:
                 return
         self._differences.append(difference)
-        self._records += difference.size
+        self._records += difference.record_count
         while self._records > self._most and self._differences:
-            self._records -= self._differences.popleft().size
+            self._records -= self._differences.popleft().record_count
 
-    def since(self, serial: int) -> list[Difference] | None:
+    def differences_since(self, serial: int) -> list[Difference] | None:
         """What leads from that version to the one held; None: that is no longer known."""
         out: list[Difference] = []
         for difference in reversed(self._differences):
@@ -53,7 +54,7 @@
 
 def version_at(zone: Zone, history: History, serial: int) -> Zone | None:
     """The version with that serial; None: it is no longer known."""
-    steps = history.since(serial)
+    steps = history.differences_since(serial)
     if steps is None:
         return None
     former = zone.copy()
@@ -70,6 +71,6 @@
     soa = former.record_set(zone.origin, SOA)
     assert soa is not None
     ttl, data = soa.ttl, next(iter(soa.data))
-    former.take(Record(zone.origin, SOA, ttl, data))
-    former.put(Record(zone.origin, SOA, ttl, with_serial(data, next_serial(zone.serial))))
+    former.remove(Record(zone.origin, SOA, ttl, data))
+    former.add(Record(zone.origin, SOA, ttl, with_serial(data, next_serial(zone.serial))))
     return difference_between(zone, former, at_ms)
--- a/kelpcourse/zones/persistence.py
+++ b/kelpcourse/zones/persistence.py
@@ -9,8 +9,9 @@
 import msgspec
 
 from kelpcourse.limits import Limits
-from kelpcourse.zones.content import Difference, Record, build_zone, difference_between
 from kelpcourse.zones.errors import StoredEntryError, ZoneError
+from kelpcourse.zones.records import Record
+from kelpcourse.zones.versions import Difference, build_zone, difference_between
 from kelpcourse.zones.zone_state import ZoneState
 
 
@@ -90,9 +91,9 @@
         self._others: dict[str, ZoneState] = {}
         self._service = service
         self._limits = limits
-        self.remarks: list[str] = []
+        self.warnings: list[str] = []
 
-    def others(self) -> tuple[StoredZone, ...]:
+    def unconfigured_zones(self) -> tuple[StoredZone, ...]:
         entry = decode_entry(encode_snapshot(self._others.values(), ()))
         assert isinstance(entry, ZoneSnapshot)
         return entry.zones
@@ -107,7 +108,7 @@
         try:
             self._take(decode_entry(payload))
         except ZoneError as error:  # told; the version that stands is a whole one
-            self.remarks.append(str(error))
+            self.warnings.append(str(error))
 
     def _take(self, entry: Entry) -> None:
         match entry:
--- a/kelpcourse/zones/refresh.py
+++ b/kelpcourse/zones/refresh.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 
 from kelpcourse.limits import Limits
-from kelpcourse.zones.content import Soa
+from kelpcourse.zones.records import Soa
 
 SECOND_US = 1_000_000
 
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -22,7 +22,6 @@
 from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.storage import DurableWriter, StorageThread
 from kelpcourse.wire.worker import run_in_thread
-from kelpcourse.zones.content import Difference, Zone
 from kelpcourse.zones.desk import Desk, Ticket
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.follower import Asker, Follower, Notifier, same
@@ -42,6 +41,7 @@
 from kelpcourse.zones.server import Server, pair
 from kelpcourse.zones.settings import ZoneSettings, ZonesSettings, shown
 from kelpcourse.zones.update_policy import EndpointClass, UpdateGrant, classes_without_endpoints
+from kelpcourse.zones.versions import Difference, Zone
 from kelpcourse.zones.zone_state import EndpointChanges, ZoneState
 from kelpcourse.zones.zonefile import read_file
 
@@ -85,7 +85,7 @@
         self._writer: DurableWriter[Ticket | Saved] | None = None
         replay = self._open_store()
         self.zone_states = replay.zones
-        self._others = replay.others()
+        self._others = replay.unconfigured_zones()
         self.merged_list = MergedEndpointList(
             list(self.zone_states), grace_us, around.limits.max_endpoint_names
         )
@@ -113,7 +113,7 @@
         with garbage_collection_paused():
             found = journal.open()
             replay.run(found.snapshot, (record.payload for record in found.records))
-        journal.begin(found, encode_snapshot(replay.zones.values(), replay.others()))
+        journal.begin(found, encode_snapshot(replay.zones.values(), replay.unconfigured_zones()))
         for warning in found.warnings:
             around.log.always(
                 "store_warning",
@@ -122,7 +122,7 @@
                 lost_bytes=warning.lost_bytes,
                 alarming=warning.alarming,
             )
-        for text in replay.remarks:
+        for text in replay.warnings:
             around.log.always("store_warning", file="", problem=text, lost_bytes=0, alarming=True)
         around.log.always(
             "store_opened",
--- a/kelpcourse/zones/transfer.py
+++ b/kelpcourse/zones/transfer.py
@@ -18,18 +18,12 @@
 import dns.xfr
 
 from kelpcourse.limits import Limits
-from kelpcourse.zones.content import (
-    SOA,
-    Difference,
-    PendingVersion,
-    Record,
-    Zone,
-    build_zone,
-    canonical_data,
-)
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under, labels, to_name
+from kelpcourse.zones.pending_version import PendingVersion
 from kelpcourse.zones.reconciliation import Version
+from kelpcourse.zones.records import SOA, Record, canonical_data
+from kelpcourse.zones.versions import Difference, Zone, build_zone
 
 MESSAGE_BYTES = (
     16_000  # of records in one message going out: names can't point further (RFC 1035, 4.1.4), and
--- a/kelpcourse/zones/update.py
+++ b/kelpcourse/zones/update.py
@@ -10,16 +10,9 @@
 import dns.rrset
 import dns.update
 
-from kelpcourse.zones.content import (
-    CNAME,
-    NS,
-    SOA,
-    PendingVersion,
-    Record,
-    canonical_data,
-    parse_soa,
-)
 from kelpcourse.zones.names import canonical, is_under
+from kelpcourse.zones.pending_version import PendingVersion
+from kelpcourse.zones.records import CNAME, NS, SOA, Record, canonical_data, parse_soa
 from kelpcourse.zones.serials import SerialOrder, compare_serials
 
 ANY = int(dns.rdatatype.ANY)
@@ -74,7 +67,7 @@
             case _:
                 wanted.setdefault((owner, type_), set()).update(_data(rrset))
     for (owner, type_), data in wanted.items():
-        if set(draft.data(owner, type_)) != data:
+        if set(draft.record_data(owner, type_)) != data:
             raise UpdateRejectedError(dns.rcode.NXRRSET, f"{owner} holds other records")
 
 
@@ -82,7 +75,7 @@
     if type_ == ANY:
         if not draft.types(owner):
             raise UpdateRejectedError(dns.rcode.NXDOMAIN, f"{owner} is not there")
-    elif not draft.size(owner, type_):
+    elif not draft.record_count(owner, type_):
         raise UpdateRejectedError(dns.rcode.NXRRSET, f"{owner} has no such records")
 
 
@@ -90,7 +83,7 @@
     if type_ == ANY:
         if draft.types(owner):
             raise UpdateRejectedError(dns.rcode.YXDOMAIN, f"{owner} is there")
-    elif draft.size(owner, type_):
+    elif draft.record_count(owner, type_):
         raise UpdateRejectedError(dns.rcode.YXRRSET, f"{owner} has such records")
 
 
@@ -121,7 +114,7 @@
                 draft.remove_set(owner, each)
     elif type_ != SOA:
         for data in _data(rrset):
-            if not (apex and type_ == NS and draft.size(owner, NS) == 1):
+            if not (apex and type_ == NS and draft.record_count(owner, NS) == 1):
                 draft.remove(owner, type_, data)
 
 
--- a/kelpcourse/zones/update_policy.py
+++ b/kelpcourse/zones/update_policy.py
@@ -15,9 +15,10 @@
 
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.zones.content import SOA, Difference, type_name
 from kelpcourse.zones.errors import InvalidGrantError
 from kelpcourse.zones.names import is_under, labels, read_name
+from kelpcourse.zones.records import SOA, type_name
+from kelpcourse.zones.versions import Difference
 
 
 @dataclass(frozen=True)
--- a/kelpcourse/zones/zone_state.py
+++ b/kelpcourse/zones/zone_state.py
@@ -8,10 +8,10 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.endpoints import ListedEndpoint
-from kelpcourse.zones.content import Difference, PendingVersion, Zone, difference_between
 from kelpcourse.zones.endpoint_extraction import EndpointExtractor
 from kelpcourse.zones.errors import TooManyRecordsError, VersionSequenceError
 from kelpcourse.zones.history import History
+from kelpcourse.zones.pending_version import PendingVersion
 from kelpcourse.zones.reconciliation import Version, VersionReconciler
 from kelpcourse.zones.update_policy import (
     EndpointClass,
@@ -19,6 +19,7 @@
     UpdateGrant,
     rejection_reason,
 )
+from kelpcourse.zones.versions import Difference, Zone, difference_between
 
 EndpointChanges = dict[str, ListedEndpoint | None]
 
--- a/kelpcourse/zones/zonefile.py
+++ b/kelpcourse/zones/zonefile.py
@@ -14,18 +14,11 @@
 import dns.zonefile
 
 from kelpcourse.limits import Limits
-from kelpcourse.zones.content import (
-    CNAME,
-    Record,
-    Zone,
-    build_zone,
-    canonical_data,
-    parse_record_data,
-    type_name,
-)
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under, to_name
+from kelpcourse.zones.records import CNAME, Record, canonical_data, parse_record_data, type_name
 from kelpcourse.zones.transfer import check_fits
+from kelpcourse.zones.versions import Zone, build_zone
 
 
 def read_file(path: Path, origin: str, limits: Limits) -> Zone:
--- a/tests/test_stored_zones.py
+++ b/tests/test_stored_zones.py
@@ -101,7 +101,7 @@
     assert not opened.found.needs_generation
     assert opened.found.generation == RECORDED["generation"]
     assert opened.found.next_number == RECORDED["next_number"]
-    assert opened.replay.remarks == []
+    assert opened.replay.warnings == []
     for origin in ALL_ZONES:
         assert plain_state(opened.replay.zones[origin]) == RECORDED["zones"][origin]
 
@@ -137,7 +137,7 @@
 def test_the_next_snapshot_has_the_recorded_bytes() -> None:
     """Zones that the settings do not name stay in it."""
     replay = replayed(from_bytes(FILES), NAMED_ZONES)
-    written = encode_snapshot(replay.zones.values(), replay.others())
+    written = encode_snapshot(replay.zones.values(), replay.unconfigured_zones())
     assert written.hex() == RECORDED["snapshot_after"]
 
 
@@ -191,7 +191,7 @@
     found = from_bytes({**FILES, SNAPSHOT: bytes(data)})
     assert [(warning.file, warning.alarming) for warning in found.warnings] == [(SNAPSHOT, True)]
     replay = replayed(found)
-    assert replay.remarks == []
+    assert replay.warnings == []
     for origin in ALL_ZONES:
         assert plain_state(replay.zones[origin]) == RECORDED["zones"][origin]
 
@@ -208,8 +208,8 @@
 ) -> None:
     extra = frame(Record(RECORDED["next_number"], payload))
     opened = open_copy(tmp_path / "store", {**FILES, JOURNAL: FILES[JOURNAL] + extra})
-    assert len(opened.replay.remarks) == 1
-    assert named in opened.replay.remarks[0]
+    assert len(opened.replay.warnings) == 1
+    assert named in opened.replay.warnings[0]
     assert summary(opened.replay) == RECORDED["after_entries"][-1]
 
 
--- a/tests/test_zone_content.py
+++ b/tests/test_zone_content.py
@@ -12,18 +12,11 @@
 
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.answer import look_up
-from kelpcourse.zones.content import (
-    PendingVersion,
-    Record,
-    Zone,
-    build_zone,
-    difference_between,
-    parse_soa,
-)
 from kelpcourse.zones.endpoint_extraction import SRV, A, EndpointExtractor
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.history import History, restore_version
 from kelpcourse.zones.names import is_under, labels, relative
+from kelpcourse.zones.pending_version import PendingVersion
 from kelpcourse.zones.persistence import (
     ZoneChanged,
     ZoneReplay,
@@ -31,8 +24,10 @@
     encode_entry,
     encode_snapshot,
 )
+from kelpcourse.zones.records import Record, parse_soa
 from kelpcourse.zones.serials import next_serial
 from kelpcourse.zones.update import UpdateRejectedError, evaluate
+from kelpcourse.zones.versions import Zone, build_zone, difference_between
 from tests.zoning import LIMITS, ORIGIN, SERVICE, draft_of, held, host, rec, rooms, soa, zone
 
 # Names
@@ -184,9 +179,9 @@
             else:
                 assert draft.remove(record.owner, record.type, record.data) is (record in plain)
                 plain.discard(record)
-        if not draft.changed():
+        if not draft.is_changed():
             continue
-        draft.advance()
+        draft.advance_serial()
         plain = {r for r in plain if r.type != 6} | {soa(draft.difference(0).new_serial)}
         done = draft.difference(0)
         one.apply(done)
@@ -209,7 +204,7 @@
     assert known.endpoints == fresh.endpoints
     assert known.problems() == fresh.problems()
     for version in versions[:-1]:
-        chain = history.since(version.serial)
+        chain = history.differences_since(version.serial)
         assert chain is not None
         walked = version.copy()
         for step in chain:
@@ -228,20 +223,20 @@
     one = zone(1, host("s-1"))
     before = sorted(one.records())
     step = draft_of(one, host("s-2"), host("s-1")).difference(0)
-    one.take(host("s-1")[0])
-    one.put(rec("x", "A", "10.0.0.3"))
+    one.remove(host("s-1")[0])
+    one.add(rec("x", "A", "10.0.0.3"))
     with pytest.raises(ZoneError, match="no such SRV"):
         one.apply(step)
     assert sorted(one.records()) != before
-    assert one.owns("x." + ORIGIN)
-    assert not one.owns("s-2." + ORIGIN)
+    assert one.has_records("x." + ORIGIN)
+    assert not one.has_records("s-2." + ORIGIN)
 
 
 def test_a_ttl_changed_is_a_difference_of_all_the_set() -> None:
     one = zone(1, [rec("x", "A", "10.0.0.1"), rec("x", "A", "10.0.0.2")])
     draft = PendingVersion(one)
     draft.add(rec("x", "A", "10.0.0.3", ttl=5))
-    draft.advance()
+    draft.advance_serial()
     step = draft.difference(0)
     one.apply(step)
     held_set = one.record_set("x." + ORIGIN, A)
@@ -257,7 +252,7 @@
         one.apply(step)
         history.add(step)
     assert history.serials() == [10, 9, 8][::-1][-2:]
-    assert history.since(1) is None
+    assert history.differences_since(1) is None
     with pytest.raises(ZoneError, match="known: 9, 10"):
         restore_version(one, history, 3, 0)
 
@@ -281,7 +276,7 @@
     other = ZoneReplay(
         [ORIGIN], SERVICE, LIMITS
     )  # the settings had left the zone out, and name it again
-    other.run(encode_snapshot([], from_snapshot.others()), [])
+    other.run(encode_snapshot([], from_snapshot.unconfigured_zones()), [])
     assert other.zones[ORIGIN].history.serials() == [1]
     assert sorted(other.zones[ORIGIN].zone.records()) == sorted(one.zone.records())
     with pytest.raises(ZoneError):
@@ -304,7 +299,7 @@
     """What an update adds and takes away, without the SOA."""
     draft = PendingVersion(start)
     evaluate(update(*prepare), draft)
-    draft.advance()
+    draft.advance_serial()
     step = draft.difference(0)
     return {r for r in (*step.removed, *step.added) if r.type != 6}
 
@@ -357,7 +352,7 @@
         evaluate(
             update(("add", "x", "60", "A", "10.0.0.1"), ("add", "@", "60", "SOA", text)), draft
         )
-        draft.advance()
+        draft.advance_serial()
         assert parse_soa(draft.soa_data).serial == result
 
 
--- a/tests/test_zone_decisions.py
+++ b/tests/test_zone_decisions.py
@@ -10,10 +10,10 @@
 
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.zones.content import Soa
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.merged_list import MergedEndpointList
 from kelpcourse.zones.reconciliation import Verdict, Version, VersionReconciler, compare_versions
+from kelpcourse.zones.records import Soa
 from kelpcourse.zones.refresh import SECOND_US, RefreshTimer
 from kelpcourse.zones.serials import (
     HALF_SERIAL_SPACE,
--- a/tests/test_zone_files.py
+++ b/tests/test_zone_files.py
@@ -52,4 +52,4 @@
 
 def test_names_are_relative_to_the_origin_of_the_place() -> None:
     made = read_text(HEAD + "$ORIGIN room.games.example.org.\ns-1 A 10.0.0.1\n", ORIGIN, LIMITS)
-    assert made.owns("s-1.room." + ORIGIN)
+    assert made.has_records("s-1.room." + ORIGIN)
--- a/tests/test_zone_follower.py
+++ b/tests/test_zone_follower.py
@@ -9,9 +9,10 @@
 import dns.message
 import pytest
 
-from kelpcourse.zones.content import Record, Zone
+from kelpcourse.zones.records import Record
 from kelpcourse.zones.serials import HALF_SERIAL_SPACE
 from kelpcourse.zones.transfer import incremental
+from kelpcourse.zones.versions import Zone
 from tests.zoneprimary import ScriptedPrimary
 from tests.zonerig import MS, OTHER, SECOND, Part, World
 from tests.zoning import ORIGIN, draft_of, host, rooms, soa, zone
@@ -27,8 +28,8 @@
 def with_soa(start: Zone, record: Record) -> Zone:
     made = start.copy()
     for each in [r for r in start.records() if r.type == 6]:
-        made.take(each)
-    made.put(record)
+        made.remove(each)
+    made.add(record)
     return made
 
 
--- a/tests/test_zone_server.py
+++ b/tests/test_zone_server.py
@@ -253,7 +253,7 @@
         assert {f"n-{k}" for k in range(serial - 1)} == {
             h for h in known.extractor.endpoints if h[0] == "n"
         }
-        assert replay.remarks == []
+        assert replay.warnings == []
     assert len(records) == 4  # the file, and three updates
     assert versions == {count: count for count in range(5)}
     assert sorted(known.zone.records()) == final
--- a/tests/zoneprimary.py
+++ b/tests/zoneprimary.py
@@ -13,9 +13,10 @@
 from kelpcourse.wire.loop import READ, Coroutine, Loop, Wait
 from kelpcourse.wire.stream import Address, Stream
 from kelpcourse.zones.answer import rrset_of
-from kelpcourse.zones.content import SOA, Record, Zone
+from kelpcourse.zones.records import SOA, Record
 from kelpcourse.zones.server import pair
 from kelpcourse.zones.transfer import messages, whole
+from kelpcourse.zones.versions import Zone
 from tests.zonerig import KEY
 
 FAR_US = 1 << 60
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -23,10 +23,10 @@
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.wire.loop import Coroutine, Loop
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.content import Zone
 from kelpcourse.zones.service import Around, Zones
 from kelpcourse.zones.settings import read_settings, shown
 from kelpcourse.zones.update_policy import EndpointClass
+from kelpcourse.zones.versions import Zone
 from kelpcourse.zones.zonefile import write_text
 from tests.standins import FakeClock, RecordingLog
 from tests.zoning import ORIGIN
--- a/tests/zoning.py
+++ b/tests/zoning.py
@@ -11,7 +11,9 @@
 from kelpcourse.limits import Limits
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.zones.content import PendingVersion, Record, Zone, build_zone, canonical_data
+from kelpcourse.zones.pending_version import PendingVersion
+from kelpcourse.zones.records import Record, canonical_data
+from kelpcourse.zones.versions import Zone, build_zone
 from kelpcourse.zones.zone_state import ZoneState
 
 ORIGIN = "games.example.org."
@@ -88,7 +90,7 @@
         assert draft.remove(record.owner, record.type, record.data)
     for record in add:
         draft.add(record)
-    draft.advance()
+    draft.advance_serial()
     return draft
 
 
