--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -183,7 +183,7 @@
     done = run("zones", "restore", folder / "z.kdl", "games.example.org", "--serial", 1, "--json")
     assert orjson.loads(done.stdout) == {
         "origin": "games.example.org",
-        "version_at": 1,
+        "as_at": 1,
         "serial": 3,
         "hosts": 4,
     }
