--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -35,6 +35,7 @@
 from kelpcourse.store.frames import Record as Entry
 from kelpcourse.store.journal import Journal
 from kelpcourse.wire.stream import Address
+from kelpcourse.zones.incoming_transfer import IncomingTransfer
 from kelpcourse.zones.pending_version import PendingVersion
 from kelpcourse.zones.persistence import (
     ZoneChanged,
@@ -44,8 +45,8 @@
 )
 from kelpcourse.zones.records import SOA, Record, canonical_data
 from kelpcourse.zones.settings import read_settings, shown
-from kelpcourse.zones.standalone import Host
-from kelpcourse.zones.transfer import AXFR, Incoming, messages, whole
+from kelpcourse.zones.standalone import StandaloneZones
+from kelpcourse.zones.transfer import AXFR, axfr_records, transfer_messages
 from kelpcourse.zones.versions import Zone, difference_between
 from kelpcourse.zones.zone_state import ZoneState
 from kelpcourse.zones.zonefile import read_text
@@ -170,10 +171,10 @@
 
 def transferred(zone: Zone) -> int:
     query = dns.message.make_query(ORIGIN, "AXFR")
-    incoming = Incoming(Zone(ORIGIN), query, AXFR, False, LIMITS)
-    for wire in messages(query, whole(zone)):
-        if incoming.take(wire, dns.message.from_wire(wire, one_rr_per_rrset=True, xfr=True)):
-            new, _ = incoming.result()
+    incoming = IncomingTransfer(Zone(ORIGIN), AXFR, LIMITS)
+    for wire in transfer_messages(query, axfr_records(zone)):
+        if incoming.add_message(wire, dns.message.from_wire(wire, one_rr_per_rrset=True, xfr=True)):
+            new = incoming.result().zone
             assert new is not None
             return len(new)
     raise AssertionError("not whole")
@@ -209,10 +210,10 @@
         (folder / "games.zone").write_text(zone_text(hosts(count)))
         way = f'file "games.zone"\n        update key="staff.{ORIGIN}"'
         settings = read_settings(write_settings(folder, "served", free_address(), way))
-        self.host = Host(settings, LIMITS, os.open(os.devnull, os.O_WRONLY))
+        self.host = StandaloneZones(settings, LIMITS, os.open(os.devnull, os.O_WRONLY))
         self.host.zones.start()
-        assert self.host.zones.server is not None
-        self.address = self.host.zones.server.address
+        assert self.host.zones.server_address is not None
+        self.address = self.host.zones.server_address
         self._ends = False
         self._thread = threading.Thread(target=self._run)
         self._thread.start()
--- a/kelpcourse/cli/main.py
+++ b/kelpcourse/cli/main.py
@@ -59,7 +59,7 @@
         if zone.file is not None:
             checked = check_file(zone.file, zone.origin, settings.service, Limits())
             problems += checked.problems
-            click.echo(f"{zone.origin} {len(checked.hosts)} hosts")
+            click.echo(f"{zone.origin} {len(checked.endpoints)} hosts")
     exit_with_problems(problems)
 
 
--- a/kelpcourse/cli/zone_commands.py
+++ b/kelpcourse/cli/zone_commands.py
@@ -47,7 +47,7 @@
         checked = check_file(zonefile, origin, service, Limits())
     except ZoneError as error:
         exit_with_problems([str(error)])
-    _show(checked.hosts, as_json)
+    _show(checked.endpoints, as_json)
     exit_with_problems(checked.problems)
 
 
@@ -73,14 +73,14 @@
     """List what the policy would be given, from the state alone."""
     from kelpcourse.limits import Limits
     from kelpcourse.zones.errors import ZoneError
-    from kelpcourse.zones.offline import hosts_of, read_state
+    from kelpcourse.zones.offline import merged_endpoints, read_state
     from kelpcourse.zones.settings import read_settings
 
     settings = read_settings(file, "", state)
     if settings.state is None:
         raise ZoneError(f"{file}: no state is named, there or by --state")
     replay = read_state(settings, settings.state, Limits())
-    _show(hosts_of(replay.zones.values()), as_json)
+    _show(merged_endpoints(replay.zones.values()), as_json)
     exit_with_problems(replay.warnings)
 
 
@@ -108,14 +108,14 @@
         raise ZoneError(restored.error)
     if not as_json:
         click.echo(
-            f"{origin} is as it was at {serial}, now serial {restored.serial}, {restored.hosts} hosts"
+            f"{origin} is as it was at {serial}, now serial {restored.serial}, {restored.endpoint_count} hosts"
         )
         return
     answer = {
         "origin": origin,
         "as_at": serial,
         "serial": restored.serial,
-        "hosts": restored.hosts,
+        "hosts": restored.endpoint_count,
     }
     click.echo(orjson.dumps(answer).decode())
 
@@ -124,9 +124,9 @@
     """Prints endpoints, as discovery's JSON or one a line."""
     import orjson
 
-    from kelpcourse.zones.offline import entry
+    from kelpcourse.zones.offline import discovery_entry
 
-    entries = [entry(endpoint) for endpoint in endpoints]
+    entries = [discovery_entry(endpoint) for endpoint in endpoints]
     if as_json:
         click.echo(orjson.dumps(entries, option=orjson.OPT_INDENT_2).decode())
         return
--- a/kelpcourse/lab/primary.py
+++ b/kelpcourse/lab/primary.py
@@ -20,7 +20,9 @@
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.wire.loop import READ, Coroutine, Loop, Wait
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.service import Around, Restore, Restored, Zones
+from kelpcourse.zones.restore import RestoreCommand, RestoreResult
+from kelpcourse.zones.runtime import ZoneRuntime
+from kelpcourse.zones.service import ZoneService
 from kelpcourse.zones.settings import read_settings, shown
 
 ORIGIN = "games.example.org."
@@ -105,10 +107,10 @@
             f'file "games.zone"\n        update key="{KEY_NAME}"\n        notify "{shown(notify)}"'
         )
         settings = read_settings(write_settings(folder, "primary", listen, way))
-        around = Around(
+        runtime = ZoneRuntime(
             loop, replace(Limits(), zone_file_poll_us=1 << 40), Counters(), Silent(), self._keep
         )
-        self._zones = Zones(settings, around, self)
+        self._zones = ZoneService(settings, runtime, self)
 
     def start(self) -> None:
         self._zones.start()
@@ -116,22 +118,24 @@
     def _keep(self, name: str, make: Callable[[], Coroutine[None]]) -> None:
         self._loop.start(name, make())
 
-    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
-        self._on_list(members)
+    def list_changed(
+        self, endpoints: Sequence[ListedEndpoint], version: int, complete: bool
+    ) -> None:
+        self._on_list(endpoints)
 
-    def lost(self) -> None:
+    def list_unavailable(self) -> None:
         pass
 
     @property
     def ready(self) -> bool:
-        return not self._zones.settling
+        return not self._zones.store.is_recovering
 
     @property
     def serial(self) -> int:
         return self._zones.zone_states[ORIGIN].zone.serial
 
-    def restore(self, serial: int, answer: Callable[[Restored], None]) -> None:
-        self._zones.restore(Restore(ORIGIN, serial), answer)
+    def restore(self, serial: int, answer: Callable[[RestoreResult], None]) -> None:
+        self._zones.restore(RestoreCommand(ORIGIN, serial), answer)
 
     def update(
         self,
@@ -147,9 +151,9 @@
     def _send(
         self, message: dns.update.UpdateMessage, answered: Callable[[dns.rcode.Rcode], None]
     ) -> Coroutine[None]:
-        assert self._zones.server is not None
+        assert self._zones.server_address is not None
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK) as sock:
-            sock.connect(self._zones.server.address)
+            sock.connect(self._zones.server_address)
             sock.send(message.to_wire())
             yield Wait(fd=sock.fileno(), event_mask=READ)
             answer = dns.message.from_wire(
--- a/kelpcourse/lab/story.py
+++ b/kelpcourse/lab/story.py
@@ -17,7 +17,7 @@
 from kelpcourse.lab.world import Lab, free_address, now_us
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.zones.service import Restored
+from kelpcourse.zones.restore import RestoreResult
 from kelpcourse.zones.settings import shown
 
 Say = Callable[[str], None]
@@ -160,7 +160,7 @@
         )
 
     def _put_back(self) -> None:
-        answers: list[Restored] = []
+        answers: list[RestoreResult] = []
         self._say("restore puts the zone back as it was at serial 1")
         began = now_us()
         self.primary.restore(1, answers.append)
--- a/kelpcourse/zones/answer.py
+++ b/kelpcourse/zones/answer.py
@@ -1,20 +1,23 @@
 """Answers to questions out of a zone (RFC 1034, section 4.3.2). Pure.
 
-Neither wildcards nor delegations are followed: a zone of hosts needs none, and the design note says so.
+Neither wildcards nor delegations are followed: a zone of endpoints needs none, and the design note says so.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import Any
 
 import dns.flags
 import dns.message
 import dns.rcode
+import dns.rdataclass
 import dns.rdatatype
 import dns.rrset
 
 from kelpcourse.zones.endpoint_extraction import AAAA, SRV, A
+from kelpcourse.zones.errors import MissingSoaError
 from kelpcourse.zones.names import canonical, to_name
 from kelpcourse.zones.records import CNAME, NS, SOA, RecordSet, parse_record_data, parse_soa
 from kelpcourse.zones.versions import Zone
@@ -24,73 +27,90 @@
 
 @dataclass
 class Answer:
+    """The response code and the sections of a response."""
+
     rcode: dns.rcode.Rcode = dns.rcode.NOERROR
     answer: list[dns.rrset.RRset] = field(default_factory=list)
     authority: list[dns.rrset.RRset] = field(default_factory=list)
     additional: list[dns.rrset.RRset] = field(default_factory=list)
 
 
-def rrset(owner: str, type_: int, held: RecordSet) -> dns.rrset.RRset:
-    return rrset_of(owner, type_, held.ttl, held.data)
+def build_rrset(owner: str, type_: int, ttl: int, data: Iterable[bytes]) -> dns.rrset.RRset:
+    """Builds dnspython's record set out of record data in wire form."""
+    rrset = dns.rrset.RRset(to_name(owner), dns.rdataclass.IN, dns.rdatatype.RdataType.make(type_))
+    rrset.update_ttl(ttl)
+    for record_data in data:
+        rrset.add(parse_record_data(type_, record_data))
+    return rrset
 
 
-def rrset_of(owner: str, type_: int, ttl: int, data: Iterable[bytes]) -> dns.rrset.RRset:
-    made = dns.rrset.RRset(to_name(owner), dns.rdataclass.IN, dns.rdatatype.RdataType.make(type_))
-    made.update_ttl(ttl)
-    for each in data:
-        made.add(parse_record_data(type_, each))
-    return made
+def soa_rrset(zone: Zone) -> dns.rrset.RRset:
+    """Returns the zone's SOA without a TTL, as IXFR queries and NOTIFY messages carry it."""
+    return build_rrset(zone.origin, SOA, 0, (zone.soa_data,))
 
 
 def look_up(zone: Zone, owner: str, type_: int) -> Answer:
-    out = Answer()
-    for held_type in list(zone.types(owner)) if type_ == ANY else [type_]:
-        held = zone.record_set(owner, held_type)
-        if held is not None:
-            out.answer.append(rrset(owner, held_type, held))
+    """Answers a question; a CNAME is followed once, within the zone."""
+    answer = Answer()
+    types = list(zone.types(owner)) if type_ == ANY else [type_]
+    for asked_type in types:
+        record_set = zone.record_set(owner, asked_type)
+        if record_set is not None:
+            answer.answer.append(_rrset_of(owner, asked_type, record_set))
+    if not answer.answer:
+        _follow_alias(zone, owner, type_, answer)
+    if not answer.answer:
+        answer.rcode = dns.rcode.NOERROR if zone.name_exists(owner) else dns.rcode.NXDOMAIN
+        answer.authority.append(_negative_soa(zone))
+    _add_addresses(zone, answer)
+    return answer
+
+
+def fill_response(response: dns.message.Message, answer: Answer) -> None:
+    """Puts an answer into an authoritative response."""
+    response.set_rcode(answer.rcode)
+    response.flags |= dns.flags.AA
+    response.answer = answer.answer
+    response.authority = answer.authority
+    response.additional = answer.additional
+
+
+def _rrset_of(owner: str, type_: int, record_set: RecordSet) -> dns.rrset.RRset:
+    return build_rrset(owner, type_, record_set.ttl, record_set.data)
+
+
+def _follow_alias(zone: Zone, owner: str, type_: int, answer: Answer) -> None:
     alias = zone.record_set(owner, CNAME)
-    if not out.answer and alias is not None:
-        out.answer.append(rrset(owner, CNAME, alias))
-        target = canonical(parse_record_data(CNAME, next(iter(alias.data))).target)  # type: ignore[attr-defined]
-        held = zone.record_set(target, type_)
-        if held is not None:
-            out.answer.append(rrset(target, type_, held))
-    if not out.answer:
-        out.rcode = dns.rcode.NOERROR if zone.name_exists(owner) else dns.rcode.NXDOMAIN
-        out.authority.append(_negative(zone))
-    _add_addresses(zone, out)
-    return out
-
-
-def _negative(zone: Zone) -> dns.rrset.RRset:
-    """The SOA with the time for which "no" may be remembered (RFC 2308, section 3)."""
-    held = zone.record_set(zone.origin, SOA)
-    assert held is not None
-    made = rrset(zone.origin, SOA, held)
-    made.ttl = min(held.ttl, parse_soa(next(iter(held.data))).minimum)
-    return made
-
-
-def _add_addresses(zone: Zone, out: Answer) -> None:
-    """Addresses of SRV and NS targets, which the asker wants next; they are cut first where room is short."""
-    seen = {(str(r.name), int(r.rdtype)) for r in out.answer}
-    for answered in out.answer:
-        if int(answered.rdtype) not in (SRV, NS):
+    if alias is None:
+        return
+    answer.answer.append(_rrset_of(owner, CNAME, alias))
+    alias_data: Any = parse_record_data(CNAME, next(iter(alias.data)))
+    target = canonical(alias_data.target)
+    record_set = zone.record_set(target, type_)
+    if record_set is not None:
+        answer.answer.append(_rrset_of(target, type_, record_set))
+
+
+def _negative_soa(zone: Zone) -> dns.rrset.RRset:
+    """The SOA, whose TTL is the time to cache a negative answer (RFC 2308, section 3)."""
+    record_set = zone.record_set(zone.origin, SOA)
+    if record_set is None:
+        raise MissingSoaError(zone.origin)
+    rrset = _rrset_of(zone.origin, SOA, record_set)
+    rrset.ttl = min(record_set.ttl, parse_soa(next(iter(record_set.data))).minimum)
+    return rrset
+
+
+def _add_addresses(zone: Zone, answer: Answer) -> None:
+    """Adds the addresses of SRV and NS targets; truncation omits them first (RFC 2782)."""
+    included = {(str(rrset.name), int(rrset.rdtype)) for rrset in answer.answer}
+    for rrset in answer.answer:
+        if int(rrset.rdtype) not in (SRV, NS):
             continue
-        for rdata in answered:
+        for rdata in rrset:
             target = canonical(rdata.target)
-            for type_ in (A, AAAA):
-                held = zone.record_set(target, type_)
-                if held is not None and (target, type_) not in seen:
-                    seen.add((target, type_))
-                    out.additional.append(rrset(target, type_, held))
-
-
-def fill(response: dns.message.Message, out: Answer) -> None:
-    response.set_rcode(out.rcode)
-    response.flags |= dns.flags.AA
-    response.answer, response.authority, response.additional = (
-        out.answer,
-        out.authority,
-        out.additional,
-    )
+            for address_type in (A, AAAA):
+                record_set = zone.record_set(target, address_type)
+                if record_set is not None and (target, address_type) not in included:
+                    included.add((target, address_type))
+                    answer.additional.append(_rrset_of(target, address_type, record_set))
--- /dev/null
+++ b/kelpcourse/zones/dns_client.py
@@ -0,0 +1,240 @@
+"""Queries to other DNS servers: over UDP, over TCP, and the check of the response."""
+
+from __future__ import annotations
+
+import socket
+from dataclasses import dataclass
+from functools import partial
+from typing import Any
+
+import dns.exception
+import dns.flags
+import dns.message
+import dns.rdatatype
+
+from kelpcourse.limits import Limits
+from kelpcourse.memory.counters import Counters
+from kelpcourse.wire.errors import MessageTooLongError, StreamError
+from kelpcourse.wire.loop import READ, Coroutine, Loop, Wait, WakeReason
+from kelpcourse.wire.runtime import EventLog
+from kelpcourse.wire.stream import Stream, address_family, connect
+from kelpcourse.wire.worker import run_in_thread
+from kelpcourse.zones.dns_request import MAX_MESSAGE_BYTES
+from kelpcourse.zones.errors import InvalidResponseError
+from kelpcourse.zones.names import canonical, to_name
+from kelpcourse.zones.reconciliation import Version
+from kelpcourse.zones.records import canonical_data, soa_serial
+from kelpcourse.zones.settings import Primary
+from kelpcourse.zones.tcp_framing import frame, new_read_buffer
+from kelpcourse.zones.transfer import AXFR, IXFR
+
+UDP_ATTEMPTS = 2  # before TCP is used
+UNREADABLE_ERRORS = (dns.exception.DNSException, ValueError, IndexError)
+
+
+def make_query(origin: str, rdtype: dns.rdatatype.RdataType, peer: Primary) -> dns.message.Message:
+    """Returns a query, signed if the peer has a key."""
+    query = dns.message.make_query(to_name(origin), rdtype, flags=0)
+    if peer.key is not None:
+        query.use_tsig(peer.key)
+    return query
+
+
+def soa_version(message: dns.message.Message, origin: str) -> Version | None:
+    """Returns the version that the SOA in a response names; None without one."""
+    for rrset in message.answer:
+        is_soa = rrset.rdtype == dns.rdatatype.SOA and canonical(rrset.name) == origin
+        if is_soa and len(rrset) == 1:
+            data = canonical_data(rrset[0])
+            return Version(soa_serial(data), data)
+    return None
+
+
+class DnsClient:
+    """Sends queries to other servers."""
+
+    def __init__(self, loop: Loop, limits: Limits, counters: Counters, log: EventLog) -> None:
+        """Takes the parts that the queries need and that the users of the client share."""
+        self.loop = loop
+        self.limits = limits
+        self.counters = counters
+        self.log = log
+
+    def query(self, query: dns.message.Message, peer: Primary) -> Coroutine[dns.message.Message]:
+        """Returns the response over UDP, or over TCP if none came or it was truncated.
+
+        Raises:
+            StreamError: The connection over TCP failed.
+            ZoneError: The response over TCP cannot be used.
+        """
+        for _ in range(UDP_ATTEMPTS):
+            message = yield from self.query_udp(query, peer)
+            if message is None:
+                continue
+            if not message.flags & dns.flags.TC:
+                return message
+            break
+        exchange = TcpExchange(self, peer, query)
+        try:
+            yield from exchange.open()
+            response = yield from exchange.receive()
+            return response.message
+        finally:
+            exchange.close()
+
+    def query_udp(
+        self, query: dns.message.Message, peer: Primary
+    ) -> Coroutine[dns.message.Message | None]:
+        """Returns the response over UDP; None if none came in time.
+
+        The port is fresh and the socket receives from its peer alone. Datagrams with another id,
+        question or signature are taken for forged, and the true response is waited for (RFC 5452).
+
+        Raises:
+            StreamError: No socket could be opened.
+        """
+        try:
+            sock = socket.socket(
+                address_family(peer.address), socket.SOCK_DGRAM | socket.SOCK_NONBLOCK
+            )
+        except OSError as error:
+            raise StreamError(f"no socket: {error.strerror}") from error
+        try:
+            sock.connect(peer.address)
+            sock.send(query.to_wire())
+            return (yield from self._receive_udp(sock, query, peer))
+        except OSError:  # an ICMP error: nothing listens there
+            return None
+        finally:
+            sock.close()
+
+    def _receive_udp(
+        self, sock: socket.socket, query: dns.message.Message, peer: Primary
+    ) -> Coroutine[dns.message.Message | None]:
+        deadline_us = self.loop.clock() + self.limits.soa_query_timeout_us
+        while True:
+            woken = yield Wait(deadline_us, sock.fileno(), READ)
+            if woken is WakeReason.TIMED_OUT:
+                return None
+            message = _verified_response(sock.recv(MAX_MESSAGE_BYTES), query, peer)
+            if message is not None:
+                return message
+            self.counters.add("zone_answers_unverified")
+
+
+@dataclass(frozen=True)
+class TcpResponse:
+    """One message of the response to a query over TCP."""
+
+    wire: bytes
+    message: dns.message.Message
+
+
+class TcpExchange:
+    """A query over TCP and the messages of its response, of which a transfer has many."""
+
+    def __init__(self, client: DnsClient, peer: Primary, query: dns.message.Message) -> None:
+        """Connects in `open`."""
+        self._loop = client.loop
+        self._limits = client.limits
+        self._peer = peer
+        self._query = query
+        self._buffer = new_read_buffer()
+        self._stream: Stream | None = None
+        self._signing_context: Any = None  # dnspython's, over the messages so far
+
+    def open(self) -> Coroutine[None]:
+        """Connects and sends the query.
+
+        Raises:
+            StreamError: The connection failed.
+        """
+        connect_deadline_us = self._loop.clock() + self._limits.soa_query_timeout_us
+        self._stream = yield from connect(self._peer.address, connect_deadline_us)
+        wire = self._query.to_wire()
+        send_deadline_us = self._loop.clock() + self._limits.send_timeout_us
+        yield from self._stream.send(frame(wire), send_deadline_us)
+
+    def receive(self) -> Coroutine[TcpResponse]:
+        """Returns the next message; a large one is parsed in a thread.
+
+        Raises:
+            StreamError: The connection failed or was silent for too long.
+            ZoneError: The message cannot be used.
+        """
+        wire = yield from self._receive_frame()
+        if len(wire) <= self._limits.max_inline_zone_bytes:
+            return self._parse(wire)
+        return (yield from run_in_thread(partial(self._parse, wire)))
+
+    def close(self) -> None:
+        """Closes the connection."""
+        if self._stream is not None:
+            self._stream.close()
+
+    def _receive_frame(self) -> Coroutine[bytes]:
+        if self._stream is None:
+            raise StreamError("not connected")
+        deadline_us = self._loop.clock() + self._limits.transfer_silence_us
+        while True:
+            for message in self._buffer.length_prefixed_messages():
+                return bytes(message)
+            try:
+                space = self._buffer.writable()
+            except MessageTooLongError as error:
+                raise StreamError("a message over its limit") from error
+            count = yield from self._stream.recv_into(space, deadline_us)
+            if not count:
+                raise StreamError("closed before the end")
+            self._buffer.commit(count)
+
+    def _parse(self, wire: bytes) -> TcpResponse:
+        is_transfer = self._query.question[0].rdtype in (AXFR, IXFR)
+        try:
+            message = _read_response(
+                wire, self._query, self._peer, self._signing_context, is_transfer
+            )
+        except UNREADABLE_ERRORS as error:
+            raise InvalidResponseError(
+                f"an answer that can't be used: {type(error).__name__}: {error}"
+            ) from error
+        if message.id != self._query.id or not message.flags & dns.flags.QR:
+            raise InvalidResponseError("an answer to another question")
+        self._signing_context = message.tsig_ctx
+        return TcpResponse(wire, message)
+
+
+def _read_response(
+    wire: bytes,
+    query: dns.message.Message,
+    peer: Primary,
+    signing_context: Any = None,
+    is_transfer: bool = False,
+) -> dns.message.Message:
+    """Parses a response and checks its signature; raises what dnspython does.
+
+    In a transfer not every message has to be signed (RFC 8945, section 5.3.1).
+    """
+    keyring = {peer.key.name: peer.key} if peer.key is not None else None
+    message = dns.message.from_wire(
+        wire,
+        keyring=keyring,
+        request_mac=query.mac or b"",
+        one_rr_per_rrset=True,
+        tsig_ctx=signing_context,
+        multi=is_transfer,
+        xfr=is_transfer,
+    )
+    if peer.key is not None and not is_transfer and not message.had_tsig:
+        raise InvalidResponseError("an unsigned answer to a signed question")
+    return message
+
+
+def _verified_response(
+    wire: bytes, query: dns.message.Message, peer: Primary
+) -> dns.message.Message | None:
+    try:
+        message = _read_response(wire, query, peer)
+        return message if query.is_response(message) else None
+    except UNREADABLE_ERRORS:
+        return None
--- a/kelpcourse/zones/errors.py
+++ b/kelpcourse/zones/errors.py
@@ -133,3 +133,84 @@
         super().__init__(reason)
         self.field = field
         self.reason = reason
+
+
+class SoaCountError(ZoneError):
+    """A zone does not have exactly one SOA record (RFC 1035, section 5.2)."""
+
+    def __init__(self, origin: str) -> None:
+        """Keeps the origin of the zone."""
+        super().__init__(f"{origin} has not exactly one SOA")
+        self.origin = origin
+
+
+class TransferError(ZoneError):
+    """An incoming zone transfer cannot be used."""
+
+
+class TransferTooLargeError(TransferError):
+    """An incoming zone transfer is larger than the limit."""
+
+    def __init__(self, max_bytes: int) -> None:
+        """Keeps the limit."""
+        super().__init__(f"a transfer over {max_bytes} bytes")
+        self.max_bytes = max_bytes
+
+
+class InvalidTransferError(TransferError):
+    """The messages of an incoming transfer do not make a zone."""
+
+    def __init__(self, origin: str, reason: str) -> None:
+        """Keeps the origin of the zone and what is wrong."""
+        super().__init__(f"{origin}: {reason}")
+        self.origin = origin
+        self.reason = reason
+
+
+class IncrementalTransferError(InvalidTransferError):
+    """Incoming differences do not fit the current version, so the whole zone is to be transferred."""
+
+
+class NoNewerVersionError(TransferError):
+    """An incoming transfer brought no version."""
+
+    def __init__(self, origin: str) -> None:
+        """Keeps the origin of the zone."""
+        super().__init__("the transfer brought nothing newer")
+        self.origin = origin
+
+
+class InvalidResponseError(ZoneError):
+    """A response of another server cannot be used."""
+
+
+class SoaQueryError(ZoneError):
+    """A primary answered a query for the SOA without one."""
+
+    def __init__(self, origin: str, rcode: str) -> None:
+        """Keeps the origin of the zone and the mnemonic of the response code."""
+        super().__init__(f"no SOA of {origin}: {rcode}")
+        self.origin = origin
+        self.rcode = rcode
+
+
+class RejectedFileVersionError(ZoneError):
+    """A zone file holds a version that is not accepted over the current one."""
+
+    def __init__(self, path: str, serial: int, current_serial: int, reason: str) -> None:
+        """Keeps the file, its serial, the current serial and why it is not accepted."""
+        super().__init__(
+            f"{path}: serial {serial} is not believed beside {current_serial}: {reason}"
+        )
+        self.path = path
+        self.serial = serial
+        self.current_serial = current_serial
+        self.reason = reason
+
+
+class NoStateFolderError(ZoneError):
+    """The settings name no state folder, so no former version is kept."""
+
+    def __init__(self) -> None:
+        """The message is the same for all settings."""
+        super().__init__("the settings name no state: no former version is kept")
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -1,396 +1,225 @@
-"""A secondary's side: asks primaries for the SOA, fetches what is newer, and tells secondaries of changes."""
+"""The secondary's side of a zone: queries primaries for the SOA and transfers newer versions."""
 
 from __future__ import annotations
 
-import socket
-from collections.abc import Callable
 from functools import partial
-from typing import Any
+from typing import Protocol
 
-import dns.exception
-import dns.flags
-import dns.message
-import dns.opcode
 import dns.rcode
 import dns.rdatatype
-import dns.tsig
 import dns.xfr
 
-from kelpcourse.limits import Limits
-from kelpcourse.memory.counters import Counters
-from kelpcourse.wire.buffers import ReadBuffer
-from kelpcourse.wire.errors import MessageTooLongError, StreamError, StreamTimeoutError
-from kelpcourse.wire.loop import READ, Coroutine, Loop, Signal, Wait, WakeReason
-from kelpcourse.wire.runtime import EventLog
-from kelpcourse.wire.stream import address_family, connect
+from kelpcourse.wire.errors import StreamError, StreamTimeoutError
+from kelpcourse.wire.loop import Coroutine, Signal, Wait
 from kelpcourse.wire.worker import run_in_thread
-from kelpcourse.zones.answer import rrset_of
-from kelpcourse.zones.desk import serial_of
-from kelpcourse.zones.errors import ZoneError
-from kelpcourse.zones.names import to_name
-from kelpcourse.zones.reconciliation import Contradiction, Verdict, Version
-from kelpcourse.zones.records import SOA
+from kelpcourse.zones.answer import soa_rrset
+from kelpcourse.zones.dns_client import DnsClient, TcpExchange, TcpResponse, make_query, soa_version
+from kelpcourse.zones.errors import (
+    NoNewerVersionError,
+    SoaQueryError,
+    ZoneError,
+)
+from kelpcourse.zones.incoming_transfer import (
+    IncomingTransfer,
+    TransferredVersion,
+    check_servable,
+)
+from kelpcourse.zones.reconciliation import Contradiction, Verdict
 from kelpcourse.zones.refresh import RefreshTimer
-from kelpcourse.zones.server import MESSAGE, READ_LEAST
 from kelpcourse.zones.settings import Primary
-from kelpcourse.zones.transfer import AXFR, IXFR, Incoming, Unfit, check_fits, offered
-from kelpcourse.zones.versions import Difference, Zone
+from kelpcourse.zones.transfer import AXFR, IXFR
+from kelpcourse.zones.versions import Difference
 from kelpcourse.zones.zone_state import ZoneState
 
-TOLD = (dns.exception.DNSException, ValueError, IndexError)
-ASK_TRIES = 2  # over UDP before TCP is tried
 
+class FollowerListener(Protocol):
+    """Takes what a follower finds out."""
 
-class Asker:
-    """Questions to other servers."""
+    def version_received(self, zone: ZoneState, difference: Difference, source: str) -> None:
+        """A newer version was received in full."""
 
-    def __init__(self, loop: Loop, limits: Limits, counters: Counters, log: EventLog) -> None:
-        self.loop = loop
-        self.limits = limits
-        self.counters = counters
-        self.log = log
+    def zone_confirmed(self, zone: ZoneState) -> None:
+        """A primary has the current version."""
 
-    def ask(self, query: dns.message.Message, peer: Primary) -> Coroutine[dns.message.Message]:
-        """The answer over UDP, or over TCP where UDP brings none. Raises Broken or ZoneError."""
-        for _ in range(ASK_TRIES):
-            message = yield from self.ask_udp(query, peer)
-            if message is not None and not message.flags & dns.flags.TC:
-                return message
-            if message is not None:
-                break
-        session = Session(self, peer, query)
-        try:
-            yield from session.open()
-            return (yield from session.next())[1]
-        finally:
-            session.close()
-
-    def ask_udp(
-        self, query: dns.message.Message, peer: Primary
-    ) -> Coroutine[dns.message.Message | None]:
-        """None: no answer came. The port is fresh, and a connected socket hears its peer alone; what comes from
-        there with another id, question or signature is somebody's guess, and the true answer is waited for."""
-        try:
-            sock = socket.socket(
-                address_family(peer.address), socket.SOCK_DGRAM | socket.SOCK_NONBLOCK
-            )
-        except OSError as error:
-            raise StreamError(f"no socket: {error.strerror}") from None
-        try:
-            sock.connect(peer.address)
-            sock.send(query.to_wire())
-            until_us = self.loop.clock() + self.limits.soa_query_timeout_us
-            while (yield Wait(until_us, sock.fileno(), READ)) is not WakeReason.TIMED_OUT:
-                message = self._believed(sock.recv(65_535), query, peer)
-                if message is not None:
-                    return message
-                self.counters.add("zone_answers_unverified")
-            return None
-        except OSError:  # nobody listens there
-            return None
-        finally:
-            sock.close()
-
-    def _believed(
-        self, wire: bytes, query: dns.message.Message, peer: Primary
-    ) -> dns.message.Message | None:
-        try:
-            message = read_answer(wire, query, peer)
-            return message if query.is_response(message) else None
-        except TOLD:
-            return None
-
-
-def read_answer(
-    wire: bytes, query: dns.message.Message, peer: Primary, context: Any = None, multi: bool = False
-) -> dns.message.Message:
-    """An answer with its signature checked, if the question had one. Raises what dnspython does."""
-    ring = {peer.key.name: peer.key} if peer.key is not None else None
-    message = dns.message.from_wire(
-        wire,
-        keyring=ring,
-        request_mac=query.mac or b"",
-        one_rr_per_rrset=True,
-        tsig_ctx=context,
-        multi=multi,
-        xfr=multi,
-    )
-    if peer.key is not None and not multi and not message.had_tsig:
-        raise ZoneError("an unsigned answer to a signed question")
-    return message
-
-
-def question(origin: str, rdtype: dns.rdatatype.RdataType, peer: Primary) -> dns.message.Message:
-    query = dns.message.make_query(to_name(origin), rdtype, flags=0)
-    if peer.key is not None:
-        query.use_tsig(peer.key)
-    return query
-
-
-class Session:
-    """A question over TCP and the messages that answer it."""
-
-    def __init__(self, asker: Asker, peer: Primary, query: dns.message.Message) -> None:
-        self._asker = asker
-        self._peer = peer
-        self._query = query
-        self._buffer = ReadBuffer(READ_LEAST, MESSAGE)
-        self._stream: Any = None
-        self._context: Any = None
-
-    def open(self) -> Coroutine[None]:
-        clock, limits = self._asker.loop.clock, self._asker.limits
-        self._stream = yield from connect(self._peer.address, clock() + limits.soa_query_timeout_us)
-        wire = self._query.to_wire()
-        yield from self._stream.send(
-            len(wire).to_bytes(2, "big") + wire, clock() + limits.send_timeout_us
-        )
-
-    def next(self) -> Coroutine[tuple[bytes, dns.message.Message]]:
-        """Raises Broken or ZoneError."""
-        limits = self._asker.limits
-        until_us = self._asker.loop.clock() + limits.transfer_silence_us
-        while True:
-            for slice_ in self._buffer.length_prefixed_messages():
-                wire = bytes(slice_)
-                if len(wire) <= limits.max_inline_zone_bytes:
-                    return self._read(wire)
-                return (yield from run_in_thread(partial(self._read, wire)))
-            try:
-                room = self._buffer.writable()
-            except MessageTooLongError:
-                raise StreamError("a message over its limit") from None
-            count = yield from self._stream.recv_into(room, until_us)
-            if not count:
-                raise StreamError("closed before the end")
-            self._buffer.commit(count)
-
-    def _read(self, wire: bytes) -> tuple[bytes, dns.message.Message]:
-        multi = self._query.question[0].rdtype in (AXFR, IXFR)
-        try:
-            message = read_answer(wire, self._query, self._peer, self._context, multi)
-        except TOLD as error:
-            raise ZoneError(
-                f"an answer that can't be used: {type(error).__name__}: {error}"
-            ) from None
-        if message.id != self._query.id or not message.flags & dns.flags.QR:
-            raise ZoneError("an answer to another question")
-        self._context = message.tsig_ctx
-        return wire, message
-
-    def close(self) -> None:
-        if self._stream is not None:
-            self._stream.close()
+    def zone_expired(self, zone: ZoneState) -> None:
+        """No primary confirmed the zone within the SOA's expire time."""
 
 
-class Follower:
-    """Keeps one zone up with its primaries."""
+class ZoneFollower:
+    """Keeps one zone up to date with its primaries (RFC 1034, section 4.3.5)."""
 
     def __init__(
         self,
-        asker: Asker,
-        held: ZoneState,
+        client: DnsClient,
+        zone: ZoneState,
         primaries: tuple[Primary, ...],
         confirmed_us: int,
-        adopt: Callable[[ZoneState, Difference, str], None],
-        confirmed: Callable[[ZoneState], None],
-        expired: Callable[[ZoneState], None],
+        listener: FollowerListener,
     ) -> None:
-        self._asker = asker
-        self._held = held
-        self._primaries = {str(p): p for p in primaries}
-        self._refresh = RefreshTimer(asker.limits, list(self._primaries), asker.loop.clock())
-        if held.zone.exists:
-            self._refresh.set_soa(held.zone.soa, confirmed_us)
-        self._adopt = adopt
-        self._confirmed = confirmed
-        self._expired = expired
+        """Creates a follower; `run` is its coroutine.
+
+        Args:
+            client: Sends the queries.
+            zone: The zone, with the version that the store had.
+            primaries: The servers to query.
+            confirmed_us: When a primary last confirmed the version, on the loop's clock.
+            listener: Takes versions, confirmations and the expiry.
+        """
+        self._client = client
+        self._clock = client.loop.clock
+        self._zone = zone
+        self._primaries = {str(primary): primary for primary in primaries}
+        self._timer = RefreshTimer(client.limits, list(self._primaries), self._clock())
+        if zone.zone.exists:
+            self._timer.set_soa(zone.zone.soa, confirmed_us)
+        self._listener = listener
         self._notified = Signal()
 
-    def notified(self) -> None:
-        self._refresh.notify(self._asker.loop.clock())
+    def notify(self) -> None:
+        """Takes in that a primary announced a new version."""
+        self._timer.notify(self._clock())
         self._notified.set()
 
     def run(self) -> Coroutine[None]:
-        clock = self._asker.loop.clock
+        """Queries the primaries whenever it is due."""
         while True:
             self._check_expiry()
-            name = self._refresh.begin_query(clock())
-            if name is None:
-                ends = None if self._held.reconciler.expired else self._refresh.expires_us()
-                yield Wait(
-                    min(
-                        self._refresh.next_due_us(),
-                        ends if ends is not None else self._refresh.next_due_us(),
-                    ),
-                    signal=self._notified,
-                )
+            primary_name = self._timer.begin_query(self._clock())
+            if primary_name is None:
+                yield Wait(self._next_wakeup_us(), signal=self._notified)
                 self._notified.clear()
-                continue
-            yield from self._round(self._primaries[name])
+            else:
+                yield from self._refresh_from(self._primaries[primary_name])
+
+    def _next_wakeup_us(self) -> int:
+        expires_us = self._timer.expires_us()
+        if self._zone.reconciler.expired or expires_us is None:
+            return self._timer.next_due_us()
+        return min(self._timer.next_due_us(), expires_us)
 
     def _check_expiry(self) -> None:
-        if self._refresh.is_expired(self._asker.loop.clock()) and not self._held.reconciler.expired:
-            self._held.reconciler.expire()
-            self._refresh.notify(
-                self._asker.loop.clock()
-            )  # whatever its primaries have is news now
-            self._expired(self._held)
+        if self._zone.reconciler.expired or not self._timer.is_expired(self._clock()):
+            return
+        self._zone.reconciler.expire()
+        self._timer.notify(self._clock())  # any version of the primaries is accepted now
+        self._listener.zone_expired(self._zone)
 
-    def _round(self, peer: Primary) -> Coroutine[None]:
-        log, clock = self._asker.log, self._asker.loop.clock
+    def _refresh_from(self, primary: Primary) -> Coroutine[None]:
         try:
-            verdict = yield from self._follow(peer)
+            verdict = yield from self._query_and_transfer(primary)
         except (StreamError, ZoneError, dns.xfr.UseTCP) as error:
-            self._asker.counters.add("zone_soa_queries_failed")
-            self._tell(
-                self._held.reconciler.source_silent(str(peer))
-                if isinstance(error, StreamTimeoutError)
-                else []
-            )
-            log.event(
-                "zone_soa_query_failed",
-                zone=self._held.origin,
-                primary=str(peer),
-                reason=str(error),
-            )
-            self._refresh.query_failed(clock())
+            self._note_failure(primary, error)
+            self._timer.query_failed(self._clock())
             return
         if verdict.contradicts:
-            self._refresh.query_failed(clock())  # another primary may know better
+            self._timer.query_failed(self._clock())  # another primary may have a newer version
             return
-        if self._held.zone.exists:
-            self._refresh.set_soa(self._held.zone.soa, clock())
-        self._refresh.query_succeeded(clock(), confirmed=True)
-        self._confirmed(self._held)
+        if self._zone.zone.exists:
+            self._timer.set_soa(self._zone.zone.soa, self._clock())
+        self._timer.query_succeeded(self._clock(), confirmed=True)
+        self._listener.zone_confirmed(self._zone)
+
+    def _note_failure(self, primary: Primary, error: Exception) -> None:
+        self._client.counters.add("zone_soa_queries_failed")
+        if isinstance(error, StreamTimeoutError):
+            self._report(self._zone.reconciler.source_silent(str(primary)))
+        self._client.log.event(
+            "zone_soa_query_failed",
+            zone=self._zone.origin,
+            primary=str(primary),
+            reason=str(error),
+        )
 
-    def _follow(self, peer: Primary) -> Coroutine[Verdict]:
-        """Asks for the SOA; fetches the zone if that is newer. What it makes of the version."""
-        self._asker.counters.add("zone_soa_queries")
-        query = question(self._held.origin, dns.rdatatype.SOA, peer)
-        message = yield from self._asker.ask(query, peer)
-        told = serial_of(message, self._held.origin)
-        if message.rcode() != dns.rcode.NOERROR or told is None:
-            raise ZoneError(f"no SOA of {self._held.origin}: {dns.rcode.to_text(message.rcode())}")
-        verdict, contradictions = self._held.reconciler.offer(str(peer), Version(*told))
-        self._tell(contradictions)
+    def _query_and_transfer(self, primary: Primary) -> Coroutine[Verdict]:
+        """Queries the SOA, and transfers the zone if the primary has a newer version."""
+        self._client.counters.add("zone_soa_queries")
+        origin = self._zone.origin
+        query = make_query(origin, dns.rdatatype.SOA, primary)
+        response = yield from self._client.query(query, primary)
+        version = soa_version(response, origin)
+        if response.rcode() != dns.rcode.NOERROR or version is None:
+            raise SoaQueryError(origin, dns.rcode.to_text(response.rcode()))
+        verdict, contradictions = self._zone.reconciler.offer(str(primary), version)
+        self._report(contradictions)
         if verdict is Verdict.NEWER:
-            return (yield from self._fetch(peer))
+            return (yield from self._transfer_newer(primary))
         return verdict
 
-    def _fetch(self, peer: Primary) -> Coroutine[Verdict]:
-        held = self._held
-        if held.zone.exists and not held.reconciler.expired:
+    def _transfer_newer(self, primary: Primary) -> Coroutine[Verdict]:
+        """Transfers differences, or the whole zone if they cannot be used."""
+        if self._zone.zone.exists and not self._zone.reconciler.expired:
             try:
-                return (yield from self._transfer(peer, IXFR))
-            except (Unfit, ZoneError, StreamError) as error:
-                self._asker.counters.add("zone_ixfr_failed")
-                self._asker.log.event(
-                    "zone_ixfr_failed", zone=held.origin, primary=str(peer), reason=str(error)
+                return (yield from self._transfer(primary, IXFR))
+            except (ZoneError, StreamError) as error:
+                self._client.counters.add("zone_ixfr_failed")
+                self._client.log.event(
+                    "zone_ixfr_failed",
+                    zone=self._zone.origin,
+                    primary=str(primary),
+                    reason=str(error),
                 )
-        return (yield from self._transfer(peer, AXFR))
+        return (yield from self._transfer(primary, AXFR))
 
-    def _transfer(self, peer: Primary, rdtype: dns.rdatatype.RdataType) -> Coroutine[Verdict]:
-        held, clock, limits = self._held, self._asker.loop.clock, self._asker.limits
-        query = question(held.origin, rdtype, peer)
+    def _transfer(self, primary: Primary, rdtype: dns.rdatatype.RdataType) -> Coroutine[Verdict]:
+        query = make_query(self._zone.origin, rdtype, primary)
         if rdtype == IXFR:
-            query.authority.append(rrset_of(held.origin, SOA, 0, (held.zone.soa_data,)))
-        incoming = Incoming(held.zone, query, rdtype, False, limits)
-        session = Session(self._asker, peer, query)
-        until_us = clock() + limits.incoming_transfer_timeout_us
+            query.authority.append(soa_rrset(self._zone.zone))
+        transfer = IncomingTransfer(self._zone.zone, rdtype, self._client.limits)
+        exchange = TcpExchange(self._client, primary, query)
+        deadline_us = self._clock() + self._client.limits.incoming_transfer_timeout_us
         try:
-            yield from session.open()
-            whole = False
-            while not whole:
-                wire, message = yield from session.next()
-                # The zone held is read meanwhile and not changed: this routine alone changes it.
-                whole = (
-                    incoming.take(wire, message)
-                    if len(wire) <= limits.max_inline_zone_bytes
-                    else (yield from run_in_thread(partial(incoming.take, wire, message)))
-                )
-                if clock() > until_us:
+            yield from exchange.open()
+            is_complete = False
+            while not is_complete:
+                response = yield from exchange.receive()
+                is_complete = yield from self._add_message(transfer, response)
+                if self._clock() > deadline_us:
                     raise StreamTimeoutError("the transfer took too long")
         finally:
-            session.close()
-        return self._take(peer, incoming)
-
-    def _take(self, peer: Primary, incoming: Incoming) -> Verdict:
-        """The version that came is judged by itself: behind one address may stand several servers."""
-        zone, draft = incoming.result()
-        version = offered(zone, draft)
+            exchange.close()
+        return self._accept(primary, transfer.result())
+
+    def _add_message(self, transfer: IncomingTransfer, response: TcpResponse) -> Coroutine[bool]:
+        """A large message is taken in by a thread; only this coroutine changes the zone meanwhile."""
+        if len(response.wire) <= self._client.limits.max_inline_zone_bytes:
+            return transfer.add_message(response.wire, response.message)
+        add_message = partial(transfer.add_message, response.wire, response.message)
+        return (yield from run_in_thread(add_message))
+
+    def _accept(self, primary: Primary, received: TransferredVersion) -> Verdict:
+        """The received version is compared anew, as several servers may share one address."""
+        version = received.version()
         if version is None:
-            raise ZoneError("the transfer brought nothing newer")
-        verdict, contradictions = self._held.reconciler.offer(str(peer), version)
-        self._tell(contradictions)
+            raise NoNewerVersionError(self._zone.origin)
+        verdict, contradictions = self._zone.reconciler.offer(str(primary), version)
+        self._report(contradictions)
         if verdict is not Verdict.NEWER:
             return verdict
-        at_ms = 0
-        if zone is not None:
-            check_fits(zone)
-            difference = self._held.difference_to(zone, at_ms)
-        else:
-            assert draft is not None
-            difference = draft.difference(at_ms)
-        self._asker.counters.add("zone_transfers_in")
-        self._adopt(self._held, difference, str(peer))
+        difference = self._difference_to(received)
+        self._client.counters.add("zone_transfers_in")
+        self._listener.version_received(self._zone, difference, str(primary))
         return verdict
 
-    def _tell(self, contradictions: list[Contradiction]) -> None:
-        for c in contradictions:
-            self._asker.counters.add("zone_version_inconsistencies", int(c.begins))
-            self._asker.log.always(
-                "zone_versions_inconsistent" if c.begins else "zone_versions_consistent",
-                zone=self._held.origin,
-                primary=c.source,
-                verdict=c.verdict.value,
-                current=c.accepted_serial,
-                received=c.offered_serial,
+    def _difference_to(self, received: TransferredVersion) -> Difference:
+        """The listener sets the time of the difference."""
+        accepted_ms = 0
+        if received.zone is not None:
+            check_servable(received.zone)
+            return self._zone.difference_to(received.zone, accepted_ms)
+        if received.pending_version is not None:
+            return received.pending_version.difference(accepted_ms)
+        raise NoNewerVersionError(self._zone.origin)
+
+    def _report(self, contradictions: list[Contradiction]) -> None:
+        for contradiction in contradictions:
+            self._client.counters.add("zone_version_inconsistencies", int(contradiction.begins))
+            self._client.log.always(
+                "zone_versions_inconsistent"
+                if contradiction.begins
+                else "zone_versions_consistent",
+                zone=self._zone.origin,
+                primary=contradiction.source,
+                verdict=contradiction.verdict.value,
+                current=contradiction.accepted_serial,
+                received=contradiction.offered_serial,
             )
-
-
-class Notifier:
-    """Tells one secondary of each new version, until it says that it heard (RFC 1996, section 3.6)."""
-
-    def __init__(self, asker: Asker, held: ZoneState, peer: Primary) -> None:
-        self._asker = asker
-        self._held = held
-        self._peer = peer
-        self._changed = Signal()
-
-    def changed(self) -> None:
-        self._changed.set()
-
-    def run(self) -> Coroutine[None]:
-        while True:
-            yield Wait(signal=self._changed)
-            self._changed.clear()
-            yield from self._tell()
-
-    def _tell(self) -> Coroutine[None]:
-        wait_us = self._asker.limits.notify_retry_us
-        for _ in range(self._asker.limits.max_notify_attempts):
-            query = question(self._held.origin, dns.rdatatype.SOA, self._peer)
-            query.set_opcode(dns.opcode.NOTIFY)
-            query.flags |= dns.flags.AA
-            query.answer.append(rrset_of(self._held.origin, SOA, 0, (self._held.zone.soa_data,)))
-            self._asker.counters.add("zone_notifies_sent")
-            try:
-                if (yield from self._asker.ask_udp(query, self._peer)) is not None:
-                    return
-            except StreamError:
-                pass
-            woken = yield Wait(self._asker.loop.clock() + wait_us, signal=self._changed)
-            if woken is WakeReason.SIGNALLED:
-                return
-            wait_us *= 2
-        self._asker.log.event(
-            "zone_notify_failed", zone=self._held.origin, secondary=str(self._peer)
-        )
-
-
-def same(old: Zone, new: Zone) -> bool:
-    """Whether two versions hold the same records, whatever their serials."""
-    return {r for r in old.records() if r.type != SOA} == {
-        r for r in new.records() if r.type != SOA
-    }
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -1,9 +1,9 @@
-"""What commands do with zones when no server runs, or by a word to the one that does."""
+"""What commands do with zones when no server runs, or through the server that runs on the same state folder."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from pathlib import Path
 
 import msgspec
@@ -15,133 +15,175 @@
 from kelpcourse.service.process import supervised
 from kelpcourse.store.errors import FolderInUseError
 from kelpcourse.store.folder import Folder
-from kelpcourse.store.recovery import recover
+from kelpcourse.store.recovery import Recovered, recover
 from kelpcourse.store.spool import send_command
 from kelpcourse.wire.loop import Loop
-from kelpcourse.zones.errors import ZoneError
+from kelpcourse.zones.errors import NoStateFolderError
 from kelpcourse.zones.merged_list import MergedEndpointList
 from kelpcourse.zones.names import read_name
 from kelpcourse.zones.persistence import ZoneReplay
-from kelpcourse.zones.service import Around, Restore, Restored, Zones
+from kelpcourse.zones.restore import RestoreCommand, RestoreResult
+from kelpcourse.zones.runtime import CoroutineFactory, ZoneRuntime
+from kelpcourse.zones.service import ZoneService
 from kelpcourse.zones.settings import ZonesSettings, shown
 from kelpcourse.zones.zone_state import ZoneState
 from kelpcourse.zones.zonefile import read_file
 
-READ_TRIES = 5  # of a folder that a server compacts meanwhile
+MAX_READ_ATTEMPTS = 5  # a server may replace the files meanwhile
+MAX_REMEMBERED_NAMES = 1 << 20
 
 
 @dataclass(frozen=True)
-class Checked:
-    hosts: list[ListedEndpoint]
+class CheckedFile:
+    """What a zone file announces, and what is wrong with it."""
+
+    endpoints: list[ListedEndpoint]
     problems: list[str]
 
 
-def check_file(path: Path, origin: str, service: str, limits: Limits) -> Checked:
-    """The hosts that a zone file announces, and each record that can't be used. Raises ZoneError if none can."""
-    held = ZoneState(read_name(origin, "origin"), service, limits)
-    held.apply(held.difference_to(read_file(path, held.origin, limits), 0), 0)
-    return Checked(
-        sorted(held.extractor.endpoints.values(), key=lambda m: m.name),
-        [f"{path}: {problem}" for problem in held.extractor.problems()],
+def check_file(path: Path, origin: str, service: str, limits: Limits) -> CheckedFile:
+    """Returns the endpoints of a zone file, and a problem for each record that cannot be used.
+
+    Raises:
+        ZoneError: The file as a whole cannot be used.
+    """
+    zone = ZoneState(read_name(origin, "origin"), service, limits)
+    version = read_file(path, zone.origin, limits)
+    zone.apply(zone.difference_to(version, 0), 0)
+    return CheckedFile(
+        sorted(zone.extractor.endpoints.values(), key=_endpoint_name),
+        [f"{path}: {problem}" for problem in zone.extractor.problems()],
     )
 
 
 def read_state(settings: ZonesSettings, state: Path, limits: Limits) -> ZoneReplay:
-    """What the folder holds, read beside a server that may be writing there. Raises ZoneError or OSError."""
-    folder = Folder(state)
-    for attempt in range(READ_TRIES):
-        try:
-            found = recover(folder.names(), folder.read)
-            break
-        except FileNotFoundError:
-            if attempt == READ_TRIES - 1 or not state.is_dir():
-                raise
+    """Replays a state folder without locking it, beside a server that may be writing there.
+
+    Raises:
+        OSError: The folder cannot be read.
+    """
+    found = _recover(state)
     replay = ZoneReplay([zone.origin for zone in settings.zones], settings.service, limits)
     replay.run(found.snapshot, (record.payload for record in found.records))
     return replay
 
 
-def hosts_of(zones: Iterable[ZoneState]) -> list[ListedEndpoint]:
-    """The list as the decision module would be told it."""
-    known = list(zones)
-    union = MergedEndpointList([zone.origin for zone in known], 0, 1 << 20)
-    for zone in known:
-        union.update(zone.origin, dict(zone.extractor.endpoints), 0, 0)
-    return sorted(union.endpoints.values(), key=lambda m: m.name)
+def merged_endpoints(zones: Iterable[ZoneState]) -> list[ListedEndpoint]:
+    """Returns the merged endpoint list as the routing policy takes it, sorted by name."""
+    zone_list = list(zones)
+    merged = MergedEndpointList([zone.origin for zone in zone_list], 0, MAX_REMEMBERED_NAMES)
+    for zone in zone_list:
+        merged.update(zone.origin, dict(zone.extractor.endpoints), 0, 0)
+    return sorted(merged.endpoints.values(), key=_endpoint_name)
 
 
-def entry(member: ListedEndpoint) -> dict[str, object]:
-    """As discovery has it."""
-    since = int(member.started_ms) if member.started_ms.is_integer() else member.started_ms
+def discovery_entry(endpoint: ListedEndpoint) -> dict[str, object]:
+    """Returns an endpoint as the JSON of the discovery protocol has it.
+
+    JSON name to internal name: id = name, host_port = address, locality = zone, flavor = kind,
+    phase = status, size = weight, up_since_ms = started_ms.
+    """
+    started_ms: float = endpoint.started_ms
     return {
-        "id": member.name,
-        "host_port": shown(member.address),
-        "locality": member.zone,
-        "flavor": member.kind,
-        "cell": member.cell,
-        "phase": member.status.value,
-        "size": member.weight,
-        "up_since_ms": since,
+        "id": endpoint.name,
+        "host_port": shown(endpoint.address),
+        "locality": endpoint.zone,
+        "flavor": endpoint.kind,
+        "cell": endpoint.cell,
+        "phase": endpoint.status.value,
+        "size": endpoint.weight,
+        "up_since_ms": int(started_ms) if started_ms.is_integer() else started_ms,
     }
 
 
-def restore(settings: ZonesSettings, origin: str, serial: int) -> Restored:
-    """By the server that runs on this state, or, if none does, here. Raises ZoneError or OSError."""
+def restore(settings: ZonesSettings, origin: str, serial: int) -> RestoreResult:
+    """Restores a zone through the server that runs on this state, or in this process if none does.
+
+    Raises:
+        ZoneError: The settings name no state folder, or the origin is not a name.
+        OSError: The state folder cannot be read or written.
+    """
     if settings.state is None:
-        raise ZoneError("the settings name no state: no former version is kept")
-    command = Restore(read_name(origin, "ORIGIN"), serial)
+        raise NoStateFolderError
+    command = RestoreCommand(read_name(origin, "ORIGIN"), serial)
     folder = Folder(settings.state)
     try:
         folder.lock()
     except FolderInUseError:
-        return _by_server(settings.state, command)
+        return _restore_by_server(settings.state, command)
     folder.close()
-    return _by_ourselves(settings, command)
+    return _restore_in_process(settings, command)
 
 
-def _by_server(state: Path, command: Restore) -> Restored:
-    return msgspec.json.decode(send_command(state, msgspec.json.encode(command)), type=Restored)
+def _endpoint_name(endpoint: ListedEndpoint) -> str:
+    return endpoint.name
 
 
-class _Quiet:
-    """A log and a reader of lists for a short-lived service."""
+def _recover(state: Path) -> Recovered:
+    folder = Folder(state)
+    for _ in range(MAX_READ_ATTEMPTS - 1):
+        try:
+            return recover(folder.names(), folder.read)
+        except FileNotFoundError:
+            if not state.is_dir():
+                raise
+    return recover(folder.names(), folder.read)
+
+
+def _restore_by_server(state: Path, command: RestoreCommand) -> RestoreResult:
+    result = send_command(state, msgspec.json.encode(command))
+    return msgspec.json.decode(result, type=RestoreResult)
+
+
+class _Discard:
+    """A log and an endpoint list listener that discard everything."""
 
     def event(self, name: str, **fields: object) -> None:
         pass
 
-    always = event
+    def always(self, name: str, **fields: object) -> None:
+        pass
 
-    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
+    def list_changed(
+        self, endpoints: Sequence[ListedEndpoint], version: int, complete: bool
+    ) -> None:
         pass
 
-    def lost(self) -> None:
+    def list_unavailable(self) -> None:
         pass
 
 
-def _by_ourselves(settings: ZonesSettings, command: Restore) -> Restored:
-    """The service itself, without listening and asking, until the command is carried out."""
-    alone = ZonesSettings(
-        settings.path, None, settings.state, settings.service, settings.keys, settings.zones
-    )
-    quiet, limits, failed = _Quiet(), Limits(), list[Exception]()
-    loop = Loop(Clock(), lambda _, error: failed.append(error))
-    around = Around(loop, limits, Counters(), quiet, lambda name, make: None)
-    zones = Zones(alone, around, quiet)
-    answers: list[Restored] = []
+def _start_nothing(name: str, factory: CoroutineFactory) -> None:
+    """Takes coroutines that a short-lived service does not need."""
+
+
+def _restore_in_process(settings: ZonesSettings, command: RestoreCommand) -> RestoreResult:
+    """Runs the service with its store alone until the command is carried out."""
+    errors: list[Exception] = []
+    results: list[RestoreResult] = []
+    limits = Limits()
+
+    def on_error(name: str, error: Exception) -> None:
+        errors.append(error)
+
+    loop = Loop(Clock(), on_error)
+    discard = _Discard()
+    runtime = ZoneRuntime(loop, limits, Counters(), discard, _start_nothing)
+    service = ZoneService(replace(settings, listen=None), runtime, discard)
+
+    def start_coroutine(name: str, factory: CoroutineFactory) -> None:
+        loop.start(name, supervised(loop, limits, name, factory, on_error))
+
     try:
-        zones.start_store(
-            lambda name, make: loop.start(
-                name, supervised(loop, limits, name, make, lambda _, error: failed.append(error))
-            )
-        )
-        while zones.settling:
+        service.start_store(start_coroutine)
+        while service.store.is_recovering:
             loop.run_once(None)
-        zones.restore(command, answers.append)
-        while not answers and not failed:
+        service.restore(command, results.append)
+        while not results and not errors:
             loop.run_once(None)
     finally:
         loop.close()
-        zones.close()
-    if failed:
-        raise failed[0]
-    return answers[0]
+        service.close()
+    if errors:
+        raise errors[0]
+    return results[0]
--- /dev/null
+++ b/kelpcourse/zones/request_handler.py
@@ -0,0 +1,139 @@
+"""The handler of DNS requests, without sockets: reads a message and passes it to the handler of its kind.
+
+A request is answered immediately, or, an update, once its outcome is known: through the function that came with the
+request. Responses are made from the durable version of a zone.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+import dns.exception
+import dns.message
+import dns.opcode
+import dns.rcode
+import dns.tsig
+import dns.update
+
+from kelpcourse.limits import Limits
+from kelpcourse.memory.counters import Counters
+from kelpcourse.wire.runtime import EventLog
+from kelpcourse.wire.stream import Address
+from kelpcourse.zones.dns_request import (
+    HEADER_BYTES,
+    RESPONSE_FLAG,
+    DnsRequest,
+    Responder,
+    SendMessages,
+    header_response,
+)
+from kelpcourse.zones.handler_context import HandlerContext
+from kelpcourse.zones.notify_handler import NotifyHandler
+from kelpcourse.zones.query_handler import QueryHandler
+from kelpcourse.zones.settings import ZoneSettings, shown
+from kelpcourse.zones.signatures import (
+    SIGNATURE_ERRORS,
+    signature_error_response,
+    signature_rcode,
+)
+from kelpcourse.zones.transfer_handler import TransferHandler
+from kelpcourse.zones.update_handler import UpdateHandler
+from kelpcourse.zones.zone_state import ZoneState
+
+
+class DnsRequestHandler:
+    """Reads requests and has them answered."""
+
+    def __init__(
+        self,
+        zones: Mapping[str, ZoneState],
+        settings: Mapping[str, ZoneSettings],
+        keys: Mapping[str, dns.tsig.Key],
+        limits: Limits,
+        counters: Counters,
+        log: EventLog,
+        context: HandlerContext,
+    ) -> None:
+        """Creates the handlers.
+
+        Args:
+            zones: The zones by origin.
+            settings: The settings of the zones by origin.
+            keys: The TSIG keys by name.
+            limits: Limits on responses, transfers and pending updates.
+            counters: Counts requests and their outcomes.
+            log: Takes rejections.
+            context: The service around the handlers.
+        """
+        self._key_ring = {key.name: key for key in keys.values()}
+        self._counters = counters
+        self._log = log
+        self._responder = Responder(limits, counters)
+        transfers = TransferHandler(settings, limits, counters, log, self._responder)
+        self._queries = QueryHandler(zones, counters, self._responder, transfers)
+        self._notifies = NotifyHandler(settings, counters, context, self._responder)
+        self._updates = UpdateHandler(
+            zones, settings, limits, counters, log, context, self._responder
+        )
+
+    def handle(self, wire: bytes, peer: Address, over_tcp: bool, send: SendMessages) -> None:
+        """Takes a message in; `send` is called once with the messages of the response, if any.
+
+        A response is dropped, as an answer to it could be answered without end.
+        """
+        self._counters.add("dns_messages")
+        if len(wire) < HEADER_BYTES or wire[2] & RESPONSE_FLAG:
+            self._counters.add("dns_dropped")
+            send(())
+            return
+        if _is_unsigned_update(wire):
+            self._updates.note_denied("", "not signed", "")
+            send([header_response(wire, dns.rcode.REFUSED)])
+            return
+        try:
+            message = dns.message.from_wire(wire, keyring=self._key_ring, one_rr_per_rrset=True)
+        except SIGNATURE_ERRORS as error:
+            self._reject_signature(wire, error, peer, send)
+            return
+        except (dns.exception.DNSException, ValueError, IndexError) as error:
+            self._counters.add("dns_messages_rejected")
+            self._log.event(
+                "dns_message_rejected", peer=shown(peer), reason=f"{type(error).__name__}: {error}"
+            )
+            send([header_response(wire, dns.rcode.FORMERR)])
+            return
+        self._dispatch(DnsRequest(message, peer, over_tcp, send))
+
+    def _dispatch(self, request: DnsRequest) -> None:
+        message = request.message
+        if message.edns > 0:
+            self._responder.reject(request, dns.rcode.BADVERS)
+        elif isinstance(message, dns.update.UpdateMessage):
+            self._updates.handle(request, message)
+        elif message.opcode() == dns.opcode.NOTIFY:
+            self._notifies.handle(request)
+        elif message.opcode() != dns.opcode.QUERY:
+            self._responder.reject(request, dns.rcode.NOTIMP)
+        elif len(message.question) != 1:
+            self._responder.reject(request, dns.rcode.FORMERR)
+        else:
+            self._queries.handle(request, message.question[0])
+
+    def _reject_signature(
+        self, wire: bytes, error: Exception, peer: Address, send: SendMessages
+    ) -> None:
+        rcode = signature_rcode(error)
+        self._counters.add("dns_signatures_rejected")
+        self._log.event("dns_signature_rejected", peer=shown(peer), reason=dns.rcode.to_text(rcode))
+        response = signature_error_response(wire, rcode, self._key_ring)
+        send([response] if response is not None else ())
+
+
+def _is_unsigned_update(wire: bytes) -> bool:
+    """Whether the header announces an update without additional records, so without a signature.
+
+    Such a message is not parsed, so that a flood of them costs little.
+    """
+    opcode = wire[2] >> 3 & 15
+    has_no_additional_records = wire[10:12] == b"\0\0"
+    return opcode == dns.opcode.UPDATE and has_no_additional_records
--- a/kelpcourse/zones/source.py
+++ b/kelpcourse/zones/source.py
@@ -1,76 +1,98 @@
-"""Zones in place of discovery: the list that steers a director, told through the same door."""
+"""Zones in place of discovery: passes the merged endpoint list to the routing policy of a controller."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.settings import Settings
-from kelpcourse.wire.loop import Coroutine
 from kelpcourse.wire.runtime import Runtime
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.service import Around, Zones
+from kelpcourse.zones.runtime import StartCoroutine, ZoneRuntime
+from kelpcourse.zones.service import ZoneService
 from kelpcourse.zones.settings import ZonesSettings
 from kelpcourse.zones.update_policy import EndpointClass
 
 
 class ZoneSource:
-    """Answers the module's calls for the list as discovery does. Changes are told as they come, asked for or not:
-    nothing of the network lies between."""
+    """Serves the calls for an endpoint list that a discovery client serves otherwise.
+
+    Changes are passed on as they come, whether a watch is enabled or not, as no network lies
+    between.
+    """
 
     def __init__(
         self,
-        parts: Runtime,
+        runtime: Runtime,
         settings: Settings,
         zones: ZonesSettings,
-        keep: Callable[[str, Callable[[], Coroutine[None]]], None],
+        start_coroutine: StartCoroutine,
     ) -> None:
-        self._parts = parts
+        """Opens the store of the zones.
+
+        Raises:
+            FolderInUseError: Another process has the state folder open.
+            OSError: The state folder cannot be read or written.
+        """
+        self._runtime = runtime
         classes = tuple(
-            EndpointClass(cls.name, cls.allowed_zones, cls.allowed_kinds)
-            for cls in settings.classes
+            EndpointClass(
+                request_class.name, request_class.allowed_zones, request_class.allowed_kinds
+            )
+            for request_class in settings.classes
         )
-        around = Around(parts.loop, parts.limits, parts.counters, parts.log, keep)
-        self.zones = Zones(zones, around, self, classes, settings.drain_grace_us)
+        zone_runtime = ZoneRuntime(
+            runtime.loop, runtime.limits, runtime.counters, runtime.log, start_coroutine
+        )
+        self.zones = ZoneService(zones, zone_runtime, self, classes, settings.drain_grace_us)
 
     def start(self) -> None:
+        """Starts the zones."""
         self.zones.start()
 
     def close(self) -> None:
+        """Closes the zones."""
         self.zones.close()
 
     def reread(self) -> None:
-        self.zones.reread()
+        """Reads the zone files now."""
+        self.zones.reload()
 
     def watch(self, enabled: bool) -> None:
+        """Passes the whole list on if the watch is enabled."""
         if enabled:
-            self._tell()
+            self._pass_whole_list()
 
     def fetch(self) -> None:
-        self._tell()
+        """Passes the whole list on."""
+        self._pass_whole_list()
 
     def reconnect_to(self, address: Address) -> None:
-        """Discovery has moved, which is not asked here."""
-
-    def _tell(self) -> None:
-        union = self.zones.merged_list
-        if union.is_available:
-            self.listed(list(union.endpoints.values()), union.version, union.is_complete)
-        else:
-            self.lost()
+        """Does nothing, as there is no connection to a discovery service."""
 
-    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
-        self._parts.log.event(
-            "endpoints_updated", version=version, complete=whole, endpoints=len(members)
+    def list_changed(
+        self, endpoints: Sequence[ListedEndpoint], version: int, complete: bool
+    ) -> None:
+        """Reports a change of the list, or the whole list, to the facade."""
+        self._runtime.log.event(
+            "endpoints_updated", version=version, complete=complete, endpoints=len(endpoints)
         )
-        self._parts.facade.report_list(members, version, whole)
+        self._runtime.facade.report_list(endpoints, version, complete)
 
-    def lost(self) -> None:
-        self._parts.counters.add("discovery_lost")
-        self._parts.log.event(
+    def list_unavailable(self) -> None:
+        """Reports to the facade that every zone has expired."""
+        self._runtime.counters.add("discovery_lost")
+        self._runtime.log.event(
             "discovery_unavailable",
             call="zones",
             reason="no zone is there to be followed",
             version=self.zones.merged_list.version,
         )
-        self._parts.facade.report_list_unavailable()
+        self._runtime.facade.report_list_unavailable()
+
+    def _pass_whole_list(self) -> None:
+        merged = self.zones.merged_list
+        if merged.is_available:
+            self.list_changed(list(merged.endpoints.values()), merged.version, merged.is_complete)
+        else:
+            self.list_unavailable()
--- a/kelpcourse/zones/standalone.py
+++ b/kelpcourse/zones/standalone.py
@@ -1,4 +1,4 @@
-"""Zones without a director: a primary or secondary of its own, from start to SIGTERM."""
+"""Zones without a controller: a primary or secondary in a process of its own, until SIGTERM."""
 
 from __future__ import annotations
 
@@ -9,31 +9,51 @@
 from kelpcourse.limits import Limits
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.service.process import Process
-from kelpcourse.zones.service import Around, Zones
+from kelpcourse.zones.runtime import ZoneRuntime
+from kelpcourse.zones.service import ZoneService
 from kelpcourse.zones.settings import ZonesSettings
 
+STDOUT_FD = 1
 
-class Host:
-    def __init__(self, settings: ZonesSettings, limits: Limits, fd: int = 1) -> None:
-        self._process = Process("zones", limits, fd)
-        self.loop, self.log = self._process.loop, self._process.log
-        around = Around(
+
+class StandaloneZones:
+    """The process; it logs changes of the merged endpoint list."""
+
+    def __init__(self, settings: ZonesSettings, limits: Limits, log_fd: int = STDOUT_FD) -> None:
+        """Opens the store of the zones.
+
+        Raises:
+            FolderInUseError: Another process has the state folder open.
+            OSError: The state folder cannot be read or written.
+        """
+        self._process = Process("zones", limits, log_fd)
+        self.loop = self._process.loop
+        self.log = self._process.log
+        runtime = ZoneRuntime(
             self.loop, limits, self._process.counters, self.log, self._process.supervise
         )
-        self.zones = Zones(settings, around, self)
-
-    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
-        self.log.event("endpoints_updated", version=version, complete=whole, endpoints=len(members))
+        self.zones = ZoneService(settings, runtime, self)
+
+    def list_changed(
+        self, endpoints: Sequence[ListedEndpoint], version: int, complete: bool
+    ) -> None:
+        """Logs a change of the list."""
+        self.log.event(
+            "endpoints_updated", version=version, complete=complete, endpoints=len(endpoints)
+        )
 
-    def lost(self) -> None:
+    def list_unavailable(self) -> None:
+        """Logs that every zone has expired."""
         self.log.always(
             "discovery_unavailable", call="zones", reason="every zone has expired", version=0
         )
 
     def run(self) -> int:
-        return self._process.run(self.zones.start, self.zones.close, self.zones.reread)
+        """Runs until a signal asks for the end; returns the exit code."""
+        return self._process.run(self.zones.start, self.zones.close, self.zones.reload)
 
 
 def serve(settings: ZonesSettings) -> int:
+    """Runs the zones of the settings; returns the exit code."""
     os.set_blocking(sys.stdout.fileno(), False)
-    return Host(settings, Limits()).run()
+    return StandaloneZones(settings, Limits()).run()
--- a/kelpcourse/zones/transfer.py
+++ b/kelpcourse/zones/transfer.py
@@ -1,4 +1,4 @@
-"""Zone transfers in both directions: messages of AXFR (RFC 5936) and IXFR (RFC 1995). No I/O."""
+"""The messages of outgoing zone transfers: AXFR (RFC 5936) and IXFR (RFC 1995). No I/O."""
 
 from __future__ import annotations
 
@@ -6,230 +6,114 @@
 from collections.abc import Iterator, Sequence
 from typing import Any
 
-import dns.exception
 import dns.flags
 import dns.message
-import dns.name
-import dns.rcode
-import dns.rdataset
+import dns.rdataclass
 import dns.rdatatype
 import dns.renderer
-import dns.transaction
-import dns.xfr
-
-from kelpcourse.limits import Limits
-from kelpcourse.zones.errors import ZoneError
-from kelpcourse.zones.names import canonical, is_under, labels, to_name
-from kelpcourse.zones.pending_version import PendingVersion
-from kelpcourse.zones.reconciliation import Version
-from kelpcourse.zones.records import SOA, Record, canonical_data
-from kelpcourse.zones.versions import Difference, Zone, build_zone
-
-MESSAGE_BYTES = (
-    16_000  # of records in one message going out: names can't point further (RFC 1035, 4.1.4), and
-)
-# whoever reads it is done with it soon
-RR = struct.Struct(">HHIH")
-Renderer: Any = dns.renderer.Renderer
+
+from kelpcourse.zones.errors import MissingSoaError
+from kelpcourse.zones.names import canonical, labels, to_name
+from kelpcourse.zones.records import SOA, Record
+from kelpcourse.zones.versions import Difference, Zone
+
 AXFR = dns.rdatatype.AXFR
 IXFR = dns.rdatatype.IXFR
 
+# Names beyond 16 383 bytes cannot be pointed to (RFC 1035, section 4.1.4), and small messages
+# keep the reader's turns short.
+MESSAGE_RECORD_BYTES = 16_000
+RECORD_HEADER = struct.Struct(">HHIH")  # type, class, TTL, length of the data
+ORIGIN_POINTER = b"\xc0\x0c"  # to the name in the question, which follows the 12-byte header
 
-# Out
+_Renderer: Any = dns.renderer.Renderer  # its methods are not typed in full
 
 
-def whole(zone: Zone) -> list[Record]:
-    """The records of an AXFR: the SOA first and last."""
+def axfr_records(zone: Zone) -> list[Record]:
+    """Returns the records of an AXFR response, which begins and ends with the SOA."""
     soa = _soa_record(zone)
-    return [soa, *(r for r in zone.records() if r.type != SOA or r.owner != zone.origin), soa]
-
+    others = [
+        record for record in zone.records() if record.type != SOA or record.owner != zone.origin
+    ]
+    return [soa, *others, soa]
 
-def incremental(zone: Zone, differences: Sequence[Difference]) -> list[Record]:
-    """The records of an IXFR answer: the SOA held, each difference between its two SOAs, the SOA held."""
-    now = _soa_record(zone)
-    out = [now]
-    for step in differences:
-        for records in (step.removed, step.added):
-            out += sorted(records, key=lambda r: r.type != SOA)  # its SOA begins each part
-    return [*out, now]
 
+def ixfr_records(zone: Zone, differences: Sequence[Difference]) -> list[Record]:
+    """Returns the records of an incremental IXFR response (RFC 1995, section 4).
 
-def _soa_record(zone: Zone) -> Record:
-    held = zone.record_set(zone.origin, SOA)
-    assert held is not None
-    return Record(zone.origin, SOA, held.ttl, next(iter(held.data)))
+    The current SOA encloses the differences; each part of a difference begins with its own SOA.
+    """
+    current_soa = _soa_record(zone)
+    records = [current_soa]
+    for difference in differences:
+        records += _soa_first(difference.removed)
+        records += _soa_first(difference.added)
+    return [*records, current_soa]
 
 
-def messages(query: dns.message.Message, records: Sequence[Record]) -> Iterator[bytes]:
-    """The answer in wire form, message by message; with a signed question all are signed (RFC 8945, 5.3.1)."""
-    head = dns.message.make_response(query)
+def transfer_messages(query: dns.message.Message, records: Sequence[Record]) -> Iterator[bytes]:
+    """Yields the response in wire form; to a signed query all are signed (RFC 8945, section 5.3.1)."""
+    response = dns.message.make_response(query)
     origin = canonical(query.question[0].name)
-    context: Any = None
-    at = 0
-    while at < len(records):
-        renderer = Renderer(query.id, int(head.flags | dns.flags.AA))
+    signing_context: Any = None
+    for encoded_records in _batches(records, origin):
+        renderer = _Renderer(query.id, int(response.flags | dns.flags.AA))
         renderer.add_question(query.question[0].name, query.question[0].rdtype)
-        parts, size, start = list[bytes](), 0, at
-        while at < len(records) and (not parts or size < MESSAGE_BYTES):
-            parts.append(_wire(records[at], origin))
-            size += len(parts[-1])
-            at += 1
-        # Records are kept as they go over the wire: they need not be read to be written again.
-        renderer.output.write(b"".join(parts))
-        renderer.counts[dns.renderer.ANSWER] += at - start
+        # Records are stored in wire form, so they are appended without being parsed again.
+        renderer.output.write(b"".join(encoded_records))
+        renderer.counts[dns.renderer.ANSWER] += len(encoded_records)
         renderer.write_header()
-        if head.want_tsig_sign:
-            context = _sign(renderer, head, context)
+        if response.want_tsig_sign:
+            signing_context = _sign(renderer, response, signing_context)
         yield renderer.get_wire()
 
 
-def _wire(record: Record, origin: str) -> bytes:
-    """The origin stands in the question, right behind the header: names end there (RFC 1035, section 4.1.4)."""
-    name = b"".join(
-        bytes((len(label),)) + label
-        for label in to_name(record.owner).labels[: len(labels(record.owner)) - len(labels(origin))]
-    )
-    return b"%b\xc0\x0c%b%b" % (
-        name,
-        RR.pack(record.type, 1, record.ttl, len(record.data)),
-        record.data,
-    )
-
-
-def _sign(renderer: Any, head: dns.message.Message, context: Any) -> Any:
-    asked: Any = head.tsig[0] if head.tsig is not None else None
+def _soa_record(zone: Zone) -> Record:
+    record_set = zone.record_set(zone.origin, SOA)
+    if record_set is None:
+        raise MissingSoaError(zone.origin)
+    return Record(zone.origin, SOA, record_set.ttl, next(iter(record_set.data)))
+
+
+def _soa_first(records: Sequence[Record]) -> list[Record]:
+    return sorted(records, key=lambda record: record.type != SOA)
+
+
+def _batches(records: Sequence[Record], origin: str) -> Iterator[list[bytes]]:
+    """Yields the encoded records of each message; the last of them may pass the size."""
+    batch: list[bytes] = []
+    batch_bytes = 0
+    for record in records:
+        if batch_bytes >= MESSAGE_RECORD_BYTES:
+            yield batch
+            batch = []
+            batch_bytes = 0
+        encoded = _encode(record, origin)
+        batch.append(encoded)
+        batch_bytes += len(encoded)
+    if batch:
+        yield batch
+
+
+def _encode(record: Record, origin: str) -> bytes:
+    """Owners end in a pointer to the origin in the question (RFC 1035, section 4.1.4)."""
+    label_count = len(labels(record.owner)) - len(labels(origin))
+    owner_labels = to_name(record.owner).labels[:label_count]
+    owner = b"".join(bytes((len(label),)) + label for label in owner_labels)
+    header = RECORD_HEADER.pack(record.type, dns.rdataclass.IN, record.ttl, len(record.data))
+    return owner + ORIGIN_POINTER + header + record.data
+
+
+def _sign(renderer: Any, response: dns.message.Message, context: Any) -> Any:
+    request_tsig: Any = response.tsig[0] if response.tsig is not None else None
     return renderer.add_multi_tsig(
         context,
-        head.keyname,
-        head.keyring,
-        asked.fudge,
-        head.id,
+        response.keyname,
+        response.keyring,
+        request_tsig.fudge,
+        response.id,
         0,
         b"",
-        head.request_mac,
-        asked.algorithm,
+        response.request_mac,
+        request_tsig.algorithm,
     )
-
-
-# In
-
-
-class Unfit(ZoneError):
-    """Differences that don't fit the version held: the whole zone is to be fetched."""
-
-
-class Incoming:
-    """One transfer coming in, message by message, into a zone or a difference of its own: until it is whole,
-    nothing of it is to be seen anywhere."""
-
-    def __init__(
-        self,
-        held: Zone,
-        query: dns.message.Message,
-        rdtype: dns.rdatatype.RdataType,
-        is_udp: bool,
-        limits: Limits,
-    ) -> None:
-        self._held = held
-        self._limits = limits
-        self._draft = _Sink(held, limits)
-        self._bytes = 0
-        self.query = query
-        serial = held.serial if held.exists and rdtype == IXFR else None
-        self._inbound = dns.xfr.Inbound(
-            self._draft, rdtype, serial, is_udp, raise_on_serial_went_backwards=False
-        )
-
-    def take(self, wire: bytes, message: dns.message.Message) -> bool:
-        """True once it is whole. Raises ZoneError, Unfit or dns.xfr.UseTCP."""
-        self._bytes += len(wire)
-        if self._bytes > self._limits.max_incoming_transfer_bytes:
-            raise ZoneError(f"a transfer over {self._limits.max_incoming_transfer_bytes} bytes")
-        try:
-            return bool(self._inbound.process_message(message))
-        except (dns.xfr.UseTCP, ZoneError):
-            raise
-        except (dns.exception.DNSException, ValueError, KeyError) as error:
-            kind = Unfit if self._inbound.incremental else ZoneError
-            raise kind(f"{self._held.origin}: {type(error).__name__}: {error}") from None
-
-    def result(self) -> tuple[Zone | None, PendingVersion | None]:
-        """A whole zone, or a draft with differences; neither: nothing was newer."""
-        return self._draft.result()
-
-
-class _Sink(dns.transaction.TransactionManager):
-    """What dnspython's transfer writes into: the few calls of a transaction that it makes."""
-
-    def __init__(self, held: Zone, limits: Limits) -> None:
-        self._held = held
-        self._limits = limits
-        self._origin = dns.name.from_text(held.origin)
-        self._records: list[Record] | None = None
-        self._draft: PendingVersion | None = None
-        self._done = False
-
-    def origin_information(self) -> tuple[dns.name.Name, bool, dns.name.Name]:
-        return self._origin, False, self._origin
-
-    def get_class(self) -> dns.rdataclass.RdataClass:
-        return dns.rdataclass.IN
-
-    def reader(self) -> dns.transaction.Transaction:
-        raise NotImplementedError
-
-    def writer(self, replacement: bool = False) -> Any:
-        self._records = [] if replacement else None
-        self._draft = None if replacement else PendingVersion(self._held)
-        return self
-
-    def add(self, name: dns.name.Name, rdataset: dns.rdataset.Rdataset) -> None:
-        owner = canonical(name)
-        if not is_under(owner, self._held.origin):
-            raise ZoneError(f"{owner} is not in {self._held.origin}")
-        for rdata in rdataset:
-            record = Record(owner, int(rdataset.rdtype), int(rdataset.ttl), canonical_data(rdata))
-            if self._records is not None:
-                self._records.append(record)
-                if len(self._records) > self._limits.max_zone_records:
-                    raise ZoneError(f"more than {self._limits.max_zone_records} records")
-            elif self._draft is not None:
-                self._draft.add(record)
-
-    def replace(self, name: dns.name.Name, rdataset: dns.rdataset.Rdataset) -> None:
-        """Only ever the SOA of the new version."""
-        if self._draft is not None:
-            self._draft.remove_set(canonical(name), int(rdataset.rdtype))
-        self.add(name, rdataset)
-
-    def delete_exact(self, name: dns.name.Name, rdataset: dns.rdataset.Rdataset) -> None:
-        assert self._draft is not None
-        for rdata in rdataset:
-            if not self._draft.remove(canonical(name), int(rdataset.rdtype), canonical_data(rdata)):
-                raise Unfit(f"{name}: no such record to be removed")
-
-    def commit(self) -> None:
-        self._done = True
-
-    def rollback(self) -> None:
-        self._records = self._draft = None
-
-    def result(self) -> tuple[Zone | None, PendingVersion | None]:
-        if not self._done:
-            return None, None
-        if self._records is not None:
-            return build_zone(self._held.origin, self._records), None
-        return None, self._draft
-
-
-def offered(zone: Zone | None, draft: PendingVersion | None) -> Version | None:
-    """The version that came, to be judged before it is believed."""
-    data = zone.soa_data if zone is not None else draft.soa_data if draft is not None else b""
-    return Version(int.from_bytes(data[-20:-16], "big"), data) if data else None
-
-
-def check_fits(zone: Zone) -> None:
-    """A zone as it must be to be served. Raises ZoneError."""
-    soa = zone.record_set(zone.origin, SOA)
-    if soa is None or len(soa.data) != 1:
-        raise ZoneError(f"{zone.origin} has not exactly one SOA")
--- /dev/null
+++ b/kelpcourse/zones/transfer_handler.py
@@ -0,0 +1,129 @@
+"""Outgoing zone transfers: who may have one, and whether it is incremental (RFC 5936 and RFC 1995)."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping, Sequence
+from dataclasses import dataclass
+
+import dns.message
+import dns.rcode
+import dns.rdatatype
+
+from kelpcourse.limits import Limits
+from kelpcourse.memory.counters import Counters
+from kelpcourse.wire.runtime import EventLog
+from kelpcourse.zones.answer import fill_response, look_up
+from kelpcourse.zones.dns_request import DnsRequest, Responder
+from kelpcourse.zones.records import SOA, Record
+from kelpcourse.zones.settings import ZoneSettings, shown
+from kelpcourse.zones.transfer import (
+    AXFR,
+    IXFR,
+    axfr_records,
+    ixfr_records,
+    transfer_messages,
+)
+from kelpcourse.zones.zone_state import ZoneState
+
+
+@dataclass(frozen=True)
+class _TransferContent:
+    kind: str  # "axfr" or "ixfr"
+    records: Sequence[Record]
+
+
+class TransferHandler:
+    """Answers requests for a transfer, a limited number of them at a time."""
+
+    def __init__(
+        self,
+        settings: Mapping[str, ZoneSettings],
+        limits: Limits,
+        counters: Counters,
+        log: EventLog,
+        responder: Responder,
+    ) -> None:
+        """Takes the settings of the zones by origin, which name the keys that are allowed."""
+        self._settings = settings
+        self._limits = limits
+        self._counters = counters
+        self._log = log
+        self._responder = responder
+        self._running_transfers = 0
+
+    def handle(self, request: DnsRequest, zone: ZoneState, owner: str) -> None:
+        """Answers a query for AXFR or IXFR."""
+        rdtype = request.message.question[0].rdtype
+        if owner != zone.origin:
+            self._responder.reject(request, dns.rcode.NOTAUTH)
+        elif not self._is_allowed(request, zone):
+            self._log.event(
+                "zone_transfer_rejected",
+                zone=zone.origin,
+                peer=shown(request.peer),
+                key=request.key_name,
+            )
+            self._responder.reject(request, dns.rcode.REFUSED)
+        elif not request.over_tcp and rdtype == AXFR:
+            self._responder.reject(request, dns.rcode.FORMERR)  # RFC 5936, section 4.2
+        elif not request.over_tcp:
+            self._send_soa(request, zone)
+        elif self._running_transfers >= self._limits.max_outgoing_zone_transfers:
+            self._responder.reject(request, dns.rcode.REFUSED)
+        else:
+            request.send(self._start_transfer(request, zone))
+
+    def _is_allowed(self, request: DnsRequest, zone: ZoneState) -> bool:
+        if not request.key_name:
+            return False
+        return request.key_name in self._settings[zone.origin].transfer_keys
+
+    def _send_soa(self, request: DnsRequest, zone: ZoneState) -> None:
+        """The SOA alone makes the client come back over TCP (RFC 1995, section 2)."""
+        response = dns.message.make_response(request.message)
+        fill_response(response, look_up(zone.zone, zone.origin, SOA))
+        self._responder.send(request, response)
+
+    def _start_transfer(self, request: DnsRequest, zone: ZoneState) -> Iterator[bytes]:
+        """All records are collected at once, as the zone may change while a slow client reads."""
+        content = _select_content(request.message, zone)
+        self._counters.add(f"zone_{content.kind}_out")
+        self._log.event(
+            "zone_transfer_sent",
+            zone=zone.origin,
+            kind=content.kind,
+            serial=zone.zone.serial,
+            records=len(content.records),
+            peer=shown(request.peer),
+        )
+        return self._count_running(transfer_messages(request.message, content.records))
+
+    def _count_running(self, messages: Iterator[bytes]) -> Iterator[bytes]:
+        self._running_transfers += 1
+        try:
+            yield from messages
+        finally:
+            self._running_transfers -= 1
+
+
+def _select_content(message: dns.message.Message, zone: ZoneState) -> _TransferContent:
+    """IXFR falls back to the whole zone if the client's version is no longer in the history."""
+    serial = _client_serial(message)
+    if serial is not None:
+        if serial == zone.zone.serial:
+            return _TransferContent("ixfr", axfr_records(zone.zone)[:1])
+        differences = zone.history.differences_since(serial)
+        if differences is not None:
+            return _TransferContent("ixfr", ixfr_records(zone.zone, differences))
+    return _TransferContent("axfr", axfr_records(zone.zone))
+
+
+def _client_serial(message: dns.message.Message) -> int | None:
+    """Returns the serial of the SOA in the authority section; None for AXFR or without an SOA."""
+    if message.question[0].rdtype != IXFR:
+        return None
+    for record_set in message.authority:
+        if record_set.rdtype == dns.rdatatype.SOA and len(record_set):
+            serial: int = record_set[0].serial
+            return serial
+    return None
--- /dev/null
+++ b/kelpcourse/zones/udp_server.py
@@ -0,0 +1,56 @@
+"""DNS requests over UDP: reads datagrams and sends the responses of the request handler."""
+
+from __future__ import annotations
+
+import contextlib
+import socket
+from collections.abc import Iterable
+from functools import partial
+
+from kelpcourse.limits import Limits
+from kelpcourse.memory.counters import Counters
+from kelpcourse.wire.loop import READ, Coroutine, Wait
+from kelpcourse.wire.stream import Address
+from kelpcourse.zones.dns_request import MAX_MESSAGE_BYTES
+from kelpcourse.zones.request_handler import DnsRequestHandler
+
+
+class UdpServer:
+    """One UDP socket."""
+
+    def __init__(
+        self, sock: socket.socket, limits: Limits, counters: Counters, handler: DnsRequestHandler
+    ) -> None:
+        """Takes the bound socket over."""
+        self._socket = sock
+        self._limits = limits
+        self._counters = counters
+        self._handler = handler
+
+    def run(self) -> Coroutine[None]:
+        """Serves requests, a limited number before other coroutines have their turn."""
+        while True:
+            yield Wait(fd=self._socket.fileno(), event_mask=READ)
+            self._handle_pending()
+
+    def close(self) -> None:
+        """Closes the socket."""
+        self._socket.close()
+
+    def _handle_pending(self) -> None:
+        for _ in range(self._limits.max_dns_datagrams_per_read):
+            try:
+                wire, peer = self._socket.recvfrom(MAX_MESSAGE_BYTES)
+            except BlockingIOError:
+                return
+            except OSError:  # an ICMP error on an earlier response
+                continue
+            self._handler.handle(wire, peer[:2], False, partial(self._send_first, peer))
+
+    def _send_first(self, peer: Address, messages: Iterable[bytes]) -> None:
+        """A response that the full socket buffer does not take is lost; the client retries."""
+        for message in messages:
+            with contextlib.suppress(OSError):
+                self._socket.sendto(message, peer)
+                return
+            self._counters.add("dns_answers_lost")
--- /dev/null
+++ b/kelpcourse/zones/zone_store.py
@@ -0,0 +1,184 @@
+"""The store of the zones: replays them at the start, and makes new versions durable.
+
+A dynamic update is committed once it is durable. A version from a primary or a file is in force already when it is
+saved, as it can be fetched again. If saving one fails, later differences do not follow on from what the store has, so
+the zone counts as unsaved until the whole zone is saved.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+from pathlib import Path
+
+from kelpcourse.store.commit import Settled
+from kelpcourse.store.folder import Folder
+from kelpcourse.store.journal import Journal
+from kelpcourse.wire.storage import DurableWriter, StorageThread
+from kelpcourse.zones.handler_context import PendingUpdate
+from kelpcourse.zones.persistence import (
+    Entry,
+    ZoneChanged,
+    ZoneReplay,
+    encode_entry,
+    encode_snapshot,
+    garbage_collection_paused,
+    stored_zone,
+)
+from kelpcourse.zones.runtime import StartCoroutine, ZoneRuntime
+from kelpcourse.zones.settings import ZonesSettings
+from kelpcourse.zones.zone_state import EndpointChanges, ZoneState
+
+OnCommitted = Callable[[ZoneState, EndpointChanges], None]
+
+
+@dataclass(frozen=True)
+class SavedVersion:
+    """The ticket of a version that is in force already."""
+
+    origin: str
+
+
+class ZoneStore:
+    """Keeps the zones in the state folder, or in memory alone if the settings name none."""
+
+    def __init__(
+        self, settings: ZonesSettings, runtime: ZoneRuntime, on_committed: OnCommitted
+    ) -> None:
+        """Opens the state folder and replays what it holds.
+
+        Args:
+            settings: Name the zones and the state folder.
+            runtime: The shared parts.
+            on_committed: Called with each zone that an update changed, once that is durable.
+
+        Raises:
+            FolderInUseError: Another process has the folder open.
+            OSError: The folder cannot be read or written.
+        """
+        self._runtime = runtime
+        self._on_committed = on_committed
+        self._unsaved_origins: set[str] = set()
+        self._in_snapshot: set[str] = set()  # unsaved zones that the snapshot being written has
+        replay = ZoneReplay(
+            [zone.origin for zone in settings.zones], settings.service, runtime.limits
+        )
+        self._writer: DurableWriter[PendingUpdate | SavedVersion] | None = None
+        if settings.state is not None:
+            self._writer = self._open(settings.state, replay)
+        self.zone_states = replay.zones
+        self._unconfigured_zones = replay.unconfigured_zones()
+
+    @property
+    def writer(self) -> DurableWriter[PendingUpdate | SavedVersion] | None:
+        """The writer to the state folder; None without a folder."""
+        return self._writer
+
+    @property
+    def is_recovering(self) -> bool:
+        """Whether the store cannot take a change yet, though no write has failed."""
+        return (
+            self._writer is not None
+            and self._writer.broken
+            and not self._runtime.counters["store_failures"]
+        )
+
+    def start(self, start_coroutine: StartCoroutine) -> None:
+        """Starts writing."""
+        if self._writer is not None:
+            start_coroutine("store", self._writer.run)
+
+    def close(self) -> None:
+        """Waits for the write that is running and closes the files."""
+        if self._writer is not None:
+            self._writer.close()
+
+    def stage(self, update: PendingUpdate) -> bool:
+        """Queues an update to be made durable; False if it cannot be taken now."""
+        max_pending = self._runtime.limits.max_pending_dns_updates
+        if self._writer is None or self._writer.waiting >= max_pending:
+            return False
+        origin = update.zone.origin
+        if origin in self._unsaved_origins:
+            self.save(update.zone, stored_zone(update.zone))
+            if origin in self._unsaved_origins:
+                return False
+        return self._writer.stage(encode_entry(ZoneChanged(origin, update.difference)), update)
+
+    def save(self, zone: ZoneState, entry: Entry) -> None:
+        """Queues an entry on a version that is in force already, or the whole zone if unsaved."""
+        if self._writer is None:
+            return
+        origin = zone.origin
+        if origin in self._unsaved_origins:
+            entry = stored_zone(zone)
+        self._mark_unsaved(origin)
+        if self._writer.stage(encode_entry(entry), SavedVersion(origin)):
+            self._unsaved_origins.discard(origin)
+
+    def _open(self, path: Path, replay: ZoneReplay) -> DurableWriter[PendingUpdate | SavedVersion]:
+        runtime = self._runtime
+        journal = Journal(Folder(path))
+        started_s = time.monotonic()
+        with garbage_collection_paused():
+            found = journal.open()
+            replay.run(found.snapshot, (record.payload for record in found.records))
+        journal.begin(found, encode_snapshot(replay.zones.values(), replay.unconfigured_zones()))
+        for warning in found.warnings:
+            runtime.log.always(
+                "store_warning",
+                file=warning.file,
+                problem=warning.problem,
+                lost_bytes=warning.lost_bytes,
+                alarming=warning.alarming,
+            )
+        for problem in replay.warnings:
+            runtime.log.always(
+                "store_warning", file="", problem=problem, lost_bytes=0, alarming=True
+            )
+        runtime.log.always(
+            "store_opened",
+            changes=len(found.records),
+            took_ms=round((time.monotonic() - started_s) * 1e3),
+        )
+        return DurableWriter(
+            runtime.loop,
+            runtime.limits,
+            journal,
+            found,
+            StorageThread(),
+            self._encode_snapshot,
+            self._on_settled,
+            self._on_failed,
+        )
+
+    def _encode_snapshot(self) -> bytes:
+        self._in_snapshot = set(self._unsaved_origins)
+        return encode_snapshot(self.zone_states.values(), self._unconfigured_zones)
+
+    def _on_settled(self, settled: Settled[PendingUpdate | SavedVersion]) -> None:
+        if settled.compacted:
+            self._unsaved_origins -= self._in_snapshot
+        for ticket in settled.durable:
+            if isinstance(ticket, PendingUpdate):
+                self._commit(ticket)
+        for ticket in reversed(settled.undone):
+            if isinstance(ticket, PendingUpdate):
+                ticket.zone.undo_update(ticket.difference)
+                ticket.on_settled(False)
+            else:
+                self._mark_unsaved(ticket.origin)
+
+    def _commit(self, update: PendingUpdate) -> None:
+        changes = update.zone.commit_update(update.difference, self._runtime.now_us())
+        self._on_committed(update.zone, changes)
+        update.on_settled(True)
+
+    def _on_failed(self, reason: str, broken: bool) -> None:
+        self._runtime.counters.add("store_failures")
+        self._runtime.log.event("store_failed", reason=reason, rejects_changes=broken)
+
+    def _mark_unsaved(self, origin: str) -> None:
+        self._unsaved_origins.add(origin)
+        self._in_snapshot.discard(origin)
--- a/kelpcourse/zones/zonefile.py
+++ b/kelpcourse/zones/zonefile.py
@@ -15,9 +15,9 @@
 
 from kelpcourse.limits import Limits
 from kelpcourse.zones.errors import ZoneError
+from kelpcourse.zones.incoming_transfer import check_servable
 from kelpcourse.zones.names import canonical, is_under, to_name
 from kelpcourse.zones.records import CNAME, Record, canonical_data, parse_record_data, type_name
-from kelpcourse.zones.transfer import check_fits
 from kelpcourse.zones.versions import Zone, build_zone
 
 
@@ -49,7 +49,7 @@
         raise ZoneError(f"{name}:{_line(tokens, text)}: {what}") from None
     zone = build_zone(origin, sink.records)
     try:
-        check_fits(zone)
+        check_servable(zone)
         _check_aliases(zone)
     except ZoneError as error:
         raise ZoneError(f"{name}: {error}") from None
--- a/tests/test_zone_follower.py
+++ b/tests/test_zone_follower.py
@@ -11,7 +11,7 @@
 
 from kelpcourse.zones.records import Record
 from kelpcourse.zones.serials import HALF_SERIAL_SPACE
-from kelpcourse.zones.transfer import incremental
+from kelpcourse.zones.transfer import ixfr_records
 from kelpcourse.zones.versions import Zone
 from tests.zoneprimary import ScriptedPrimary
 from tests.zonerig import MS, OTHER, SECOND, Part, World
@@ -45,7 +45,7 @@
 
 def ask_again(world: World, part: Part, primary: ScriptedPrimary) -> None:
     asked = len(primary.asked)
-    part.zones.notified(ORIGIN)
+    part.zones.notify_received(ORIGIN)
     world.until(lambda: len(primary.asked) > asked)
     world.pass_us(100 * MS)
 
@@ -86,7 +86,7 @@
     primary, part = following(world)
     new = zone(101, rooms(3), host("s-9"))
     stranger = draft_of(zone(100, host("nobody")), host("s-9"), host("nobody")).difference(0)
-    primary.zone, primary.ixfr = new, lambda _: incremental(new, [stranger])
+    primary.zone, primary.ixfr = new, lambda _: ixfr_records(new, [stranger])
     ask_again(world, part, primary)
     assert primary.asked == ["SOA", "IXFR", "AXFR"]
     assert sorted(part.list) == ["s-0", "s-1", "s-2", "s-9"]
@@ -99,7 +99,7 @@
     step = draft.difference(0)
     new = primary.zone.copy()
     new.apply(step)
-    primary.zone, primary.ixfr = new, lambda _: incremental(new, [step])
+    primary.zone, primary.ixfr = new, lambda _: ixfr_records(new, [step])
     ask_again(world, part, primary)
     assert primary.asked == ["SOA", "IXFR"]
     assert part.told[-1] == ({"s-0": "gone", "s-9": "ready"}, False)
@@ -113,7 +113,7 @@
     ask_again(world, part, primary)
     assert (part.serial, len(part.list)) == (100, 4)
     primary.cut_after = 1 << 30
-    part.zones.notified(ORIGIN)
+    part.zones.notify_received(ORIGIN)
     world.until(lambda: part.serial == 101)
     assert len(part.list) == 500
 
@@ -189,11 +189,11 @@
     part = world.secondary(("127.0.0.1", 9), behind.address, ahead.address)
     world.until(lambda: part.serial == 100)
     behind.silent = True
-    part.zones.notified(ORIGIN)
+    part.zones.notify_received(ORIGIN)
     world.until(lambda: part.serial == 101)
     behind.silent = False
     ahead.silent = True
-    part.zones.notified(ORIGIN)
+    part.zones.notify_received(ORIGIN)
     world.until(lambda: part.log.named("zone_versions_inconsistent"))
     assert (part.serial, "s-9" in part.list) == (101, True)
 
@@ -211,12 +211,14 @@
     part = world.secondary(primary.address, more='state "state"')
     world.until(
         lambda: (
-            part.serial == 100 and part.zones._writer is not None and not part.zones._writer.broken
+            part.serial == 100
+            and part.zones.store.writer is not None
+            and not part.zones.store.writer.broken
         )
     )
     primary.zone = zone(101, rooms(), host("s-9"))
     ask_again(world, part, primary)
-    world.until(lambda: part.zones._writer is not None and not part.zones._writer.waiting)
+    world.until(lambda: part.zones.store.writer is not None and not part.zones.store.writer.waiting)
     part.kill()
     primary.silent = True
     again = world.part(part.path)
--- a/tests/test_zone_server.py
+++ b/tests/test_zone_server.py
@@ -21,9 +21,9 @@
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.frames import HEADER_BYTES, Kind, read
 from kelpcourse.store.recovery import from_bytes
-from kelpcourse.zones.desk import Desk
 from kelpcourse.zones.persistence import ZoneReplay
-from kelpcourse.zones.service import Restored
+from kelpcourse.zones.request_handler import DnsRequestHandler
+from kelpcourse.zones.restore import RestoreResult
 from kelpcourse.zones.update_policy import EndpointClass
 from tests.standins import RecordingLog
 from tests.zonerig import (
@@ -60,7 +60,7 @@
     classes: tuple[EndpointClass, ...] = (),
 ) -> tuple[Part, Client]:
     part = world.primary(zone(1, rooms()), update=update, more=more, classes=classes)
-    world.until(lambda: part.zones._writer is not None and not part.zones._writer.broken)
+    world.until(lambda: part.zones.store.writer is not None and not part.zones.store.writer.broken)
     return part, Client(world, part)
 
 
@@ -193,7 +193,7 @@
     )
     answer = part.path / "state" / "answer-1.json"
     world.until(answer.exists)
-    assert msgspec.json.decode(answer.read_bytes(), type=Restored) == Restored(3, 4)
+    assert msgspec.json.decode(answer.read_bytes(), type=RestoreResult) == RestoreResult(3, 4)
     assert set(part.list) == {f"s-{k}" for k in range(4)}
     assert part.serial == 3
     assert (
@@ -213,7 +213,7 @@
         (part.path / "state" / f"command-{number}.json").write_bytes(body)
         answer = part.path / "state" / f"answer-{number}.json"
         world.until(answer.exists)
-        assert msgspec.json.decode(answer.read_bytes(), type=Restored).error
+        assert msgspec.json.decode(answer.read_bytes(), type=RestoreResult).error
     assert part.serial == 1
 
 
@@ -276,7 +276,7 @@
 def test_a_full_disk_turns_updates_away_and_serves_on(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("kelpcourse.zones.service.Folder", Full)
+    monkeypatch.setattr("kelpcourse.zones.zone_store.Folder", Full)
     part, client = started(world)
     monkeypatch.setattr(Full, "full", True)
     assert client.update(*host_added("s-9")) == dns.rcode.SERVFAIL
@@ -291,14 +291,14 @@
 def test_a_failed_sync_takes_back_all_that_was_built_on_it(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("kelpcourse.zones.service.Folder", Full)
+    monkeypatch.setattr("kelpcourse.zones.zone_store.Folder", Full)
     part, client = started(world)
     monkeypatch.setattr(Full, "deaf", True)
     codes = client.all_of([update_of(*host_added(f"n-{k}")) for k in range(5)])
     assert codes == [dns.rcode.SERVFAIL] * 5
     assert client.update(*host_added("s-9")) == dns.rcode.SERVFAIL  # no new generation stands yet
     monkeypatch.setattr(Full, "deaf", False)
-    world.until(lambda: not part.zones._writer.broken if part.zones._writer else False)
+    world.until(lambda: not part.zones.store.writer.broken if part.zones.store.writer else False)
     assert client.update(*host_added("s-9")) == NOERROR
     assert (part.serial, len(part.list)) == (2, 5)
     part.kill()
@@ -333,7 +333,7 @@
 def test_updates_outlive_the_file_that_they_started_from(world: World) -> None:
     part, client = started(world)
     assert client.update(*host_added("s-9")) == NOERROR
-    part.zones.reread()
+    part.zones.reload()
     world.pass_us(100 * MS)
     assert "s-9" in part.list
     part.kill()
@@ -354,7 +354,7 @@
     world.until(lambda: follower.serial == 1)
     assert follower.list == part.list
     assert client.update(*host_added("s-9")) == NOERROR
-    follower.zones.notified(ORIGIN)
+    follower.zones.notify_received(ORIGIN)
     world.until(lambda: follower.serial == 2)
     assert "s-9" in follower.list
     assert part.counters["zone_ixfr_out"] == 1
@@ -486,12 +486,12 @@
     assert part.counters["zone_updates_denied"] == 1000
 
 
-class Nobody:
-    """A backstage for the desk alone."""
+class RejectingContext:
+    """A context for the request handler alone."""
 
     classes: tuple[EndpointClass, ...] = ()
 
-    def clock(self) -> int:
+    def now_us(self) -> int:
         return 0
 
     def unix_ms(self) -> int:
@@ -500,7 +500,7 @@
     def stage(self, ticket: object) -> bool:
         raise AssertionError("nothing that is not signed comes so far")
 
-    def notified(self, origin: str) -> None:
+    def notify_received(self, origin: str) -> None:
         pass
 
 
@@ -534,8 +534,10 @@
 ) -> None:
     start = held(zone(1, rooms()))
     said: list[bytes] = []
-    desk = Desk({ORIGIN: start}, {}, {"k": OTHER}, LIMITS, Counters(), RecordingLog(), Nobody())
-    desk.handle(wire, ("127.0.0.1", 9), tcp, lambda wires: said.extend(wires))
+    handler = DnsRequestHandler(
+        {ORIGIN: start}, {}, {"k": OTHER}, LIMITS, Counters(), RecordingLog(), RejectingContext()
+    )
+    handler.handle(wire, ("127.0.0.1", 9), tcp, lambda wires: said.extend(wires))
     assert len(said) <= 1
     assert all(answer[:2] == wire[:2] and answer[2] & 0x80 for answer in said)
     assert (start.zone.serial, len(start.extractor.endpoints), start.staged_updates) == (1, 4, 0)
--- a/tests/zoneprimary.py
+++ b/tests/zoneprimary.py
@@ -12,10 +12,10 @@
 from kelpcourse.wire.errors import StreamError
 from kelpcourse.wire.loop import READ, Coroutine, Loop, Wait
 from kelpcourse.wire.stream import Address, Stream
-from kelpcourse.zones.answer import rrset_of
+from kelpcourse.zones.answer import build_rrset
 from kelpcourse.zones.records import SOA, Record
-from kelpcourse.zones.server import pair
-from kelpcourse.zones.transfer import messages, whole
+from kelpcourse.zones.sockets import bind_udp_and_tcp
+from kelpcourse.zones.transfer import axfr_records, transfer_messages
 from kelpcourse.zones.versions import Zone
 from tests.zonerig import KEY
 
@@ -37,7 +37,7 @@
         )  # forged by somebody else
         self.asked: list[str] = []
         self._ring = {KEY.name: KEY} if signed else None
-        self._udp, self._tcp = pair(("127.0.0.1", 0), 16)
+        self._udp, self._tcp = bind_udp_and_tcp(("127.0.0.1", 0), 16)
         self.address: Address = self._tcp.getsockname()
         loop.start("primary udp", self._run_udp())
         loop.start("primary tcp", self._run_tcp())
@@ -60,7 +60,7 @@
     def soa_answer(self, query: dns.message.Message, zone: Zone) -> dns.message.Message:
         response = dns.message.make_response(query)
         response.flags |= dns.flags.AA
-        response.answer.append(rrset_of(zone.origin, SOA, 60, (zone.soa_data,)))
+        response.answer.append(build_rrset(zone.origin, SOA, 60, (zone.soa_data,)))
         return response
 
     def _run_tcp(self) -> Coroutine[None]:
@@ -97,10 +97,10 @@
         rdtype = query.question[0].rdtype
         if rdtype == dns.rdatatype.SOA:
             return [self.soa_answer(query, self.zone).to_wire()]
-        records: Sequence[Record] = whole(self.sent or self.zone)
+        records: Sequence[Record] = axfr_records(self.sent or self.zone)
         if rdtype == dns.rdatatype.IXFR and self.ixfr is not None:
             records = self.ixfr(query.authority[0][0].serial)
-        return list(messages(query, records))
+        return list(transfer_messages(query, records))
 
     def close(self) -> None:
         self._udp.close()
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -23,7 +23,8 @@
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.wire.loop import Coroutine, Loop
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.service import Around, Zones
+from kelpcourse.zones.runtime import ZoneRuntime
+from kelpcourse.zones.service import ZoneService
 from kelpcourse.zones.settings import read_settings, shown
 from kelpcourse.zones.update_policy import EndpointClass
 from kelpcourse.zones.versions import Zone
@@ -173,39 +174,41 @@
         self.members: dict[str, ListedEndpoint] = {}
         self.losses = 0
         self._tasks: list[Any] = []
-        around = Around(world.loop, limits, self.counters, self.log, self._keep)
+        runtime = ZoneRuntime(world.loop, limits, self.counters, self.log, self._keep)
         settings = read_settings(path / "z.kdl")
         if settings.listen is not None:  # port 0 can't be written down: any free one
             settings = replace(settings, listen=(settings.listen[0], 0))
-        self.zones = Zones(settings, around, self, classes, 2 * SECOND)
+        self.zones = ZoneService(settings, runtime, self, classes, 2 * SECOND)
         self.zones.start()
 
     def _keep(self, name: str, make: Callable[[], Coroutine[None]]) -> None:
         self._tasks.append(self.world.loop.start(name, make()))
 
-    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
-        self.told.append(({m.name: m.status.value for m in members}, whole))
-        if whole:
+    def list_changed(
+        self, endpoints: Sequence[ListedEndpoint], version: int, complete: bool
+    ) -> None:
+        self.told.append(({m.name: m.status.value for m in endpoints}, complete))
+        if complete:
             self.list.clear()
-        for m in members:
+        for m in endpoints:
             self.list.pop(m.name, None)
             self.members[m.name] = m
             if m.status is not EndpointStatus.GONE:
                 self.list[m.name] = m.status
 
-    def lost(self) -> None:
+    def list_unavailable(self) -> None:
         self.losses += 1
 
     @property
     def waits(self) -> bool:
         """Whether the disk has a job of its: time stands still for it."""
-        writer = self.zones._writer
+        writer = self.zones.store.writer
         return writer is not None and writer._commit.busy
 
     @property
     def address(self) -> Address:
-        assert self.zones.server is not None
-        return self.zones.server.address
+        assert self.zones.server_address is not None
+        return self.zones.server_address
 
     @property
     def serial(self) -> int:
