--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -36,8 +36,8 @@
     with tempfile.TemporaryDirectory() as name:
         lab = Lab(Path(name), 60)
         for k in range(30):
-            lab.add_host(f"s-{k}", f"room-{'ab'[k % 2]}")
-        lab.list_hosts(
+            lab.add_endpoint(f"s-{k}", f"room-{'ab'[k % 2]}")
+        lab.discovery.publish(
             [
                 {
                     "id": h,
@@ -49,7 +49,7 @@
                     "size": 1.0,
                     "up_since_ms": 0,
                 }
-                for h, at in lab.hosts.items()
+                for h, at in lab.endpoints.items()
             ]
         )
         config = Path(name) / "config.json"
@@ -60,11 +60,11 @@
             stdout=subprocess.DEVNULL,
             env={**os.environ, "NODE_CONFIG": str(config), "PYTHONPATH": str(tree)},
         )
-        lab.loop.start("requests", lab.run_requests())
-        if not lab.until(lambda: all(f.lines(READ) for f in lab.forwarders)):
+        lab.loop.start("requests", lab.traffic.run())
+        if not lab.run_until(lambda: all(f.weights(READ) for f in lab.proxies)):
             raise SystemExit("the director does not steer")
         before, _ = figures(process.pid)
-        lab.for_s(SECONDS)
+        lab.run_for(SECONDS)
         after, memory = figures(process.pid)
         process.kill()
         process.wait()
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from benchmarks.hashing import place_by_jump, place_by_ring
-from kelpcourse.lab.world import free_address
+from kelpcourse.lab.loopback import free_address
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
 from kelpcourse.shared.controller_events import ControllerOptions
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -15,7 +15,7 @@
 import threading
 import time
 import tracemalloc
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Callable, Iterable
 from functools import partial
 from pathlib import Path
 from typing import Any
@@ -28,9 +28,11 @@
 from hdrh.histogram import HdrHistogram
 
 from kelpcourse.lab.config import READ
+from kelpcourse.lab.loopback import free_address, now_us
 from kelpcourse.lab.primary import ORIGIN, SERVICE, Primary, make_key, write_settings, zone_text
-from kelpcourse.lab.world import Lab, free_address, now_us
+from kelpcourse.lab.world import Lab
 from kelpcourse.limits import Limits
+from kelpcourse.memory.orders import Order, WithdrawEndpoint
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.frames import Record as Entry
 from kelpcourse.store.journal import Journal
@@ -354,11 +356,11 @@
     def _measure(self, folder: Path) -> HdrHistogram:
         lab, out = Lab(folder, 4), dict[str, int]()
 
-        def ordered(order: Mapping[str, Any]) -> None:
-            if order["verb"] == "OUT":
-                out.setdefault(order["host"], now_us())
+        def ordered(order: Order) -> None:
+            if isinstance(order, WithdrawEndpoint):
+                out.setdefault(order.endpoint, now_us())
 
-        lab.on_order = ordered
+        lab.relay.on_order = ordered
         listen, second = free_address(), free_address()
         primary = None
         if self._follows:
@@ -370,9 +372,9 @@
             key = make_key(folder)
             (folder / "games.zone").write_text(zone_text(hosts(self._count)))
             way = f'file "games.zone"\n        update key="staff.{ORIGIN}"'
-        lab.start_director(write_settings(folder, "director", second, way))
-        assert lab.until(lambda: all(f.lines(READ) for f in lab.forwarders))
-        lab.for_s(3)
+        controller = lab.start_controller(write_settings(folder, "controller", second, way))
+        assert lab.run_until(lambda: all(f.weights(READ) for f in lab.proxies))
+        lab.run_for(3)
         target = listen if self._follows else second
         times = HdrHistogram(1, 60_000_000, 3)
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -385,11 +387,11 @@
             wire = message.to_wire()
             began = now_us()
             sock.send(wire)
-            assert lab.until(partial(out.__contains__, name), 20.0), (name, lab.log[-3:])
+            assert lab.run_until(partial(out.__contains__, name), 20.0), (name, controller.log[-3:])
             times.record_value(max(1, out[name] - began))
-            lab.for_s(0.06)
+            lab.run_for(0.06)
         sock.close()
-        lab.stop_director()
+        lab.stop_controller(controller)
         lab.close()
         if primary is not None:
             primary.close()
--- a/kelpcourse/cli/main.py
+++ b/kelpcourse/cli/main.py
@@ -70,6 +70,6 @@
 
     A room is removed by an update and put back. Under a minute.
     """
-    from kelpcourse.lab.view import demo
+    from kelpcourse.lab.terminal_view import demo
 
     sys.exit(demo())
--- a/kelpcourse/lab/__init__.py
+++ b/kelpcourse/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what is round a director, on loopback: a relay with forwarders, hosts, discovery, a DNS primary."""
+"""Stand-ins for the surroundings of a controller, on loopback: relay, proxies, endpoints, discovery, DNS primary."""
--- a/kelpcourse/lab/config.py
+++ b/kelpcourse/lab/config.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
-from typing import Any
+from collections.abc import Mapping, Sequence
 
 import orjson
 
@@ -11,12 +10,20 @@
 from kelpcourse.zones.settings import shown
 
 ROOMS = ("room-a", "room-b")
-READ, SUBMIT = "board-read", "move-submit"
-GRACE_US = 3_400_000
-BARE_US = 7_200_000
+SUBMIT_ROOM = "room-a"
+READ = "board-read"
+SUBMIT = "move-submit"
+DRAIN_GRACE_US = 3_400_000
+MAX_WITHOUT_ENDPOINT_US = 7_200_000
 
 
-def settings(forwarders: int) -> dict[str, Any]:
+def room_of(index: int) -> str:
+    """Proxies and endpoints are dealt to the rooms in turn."""
+    return ROOMS[index % len(ROOMS)]
+
+
+def settings(proxy_count: int) -> dict[str, object]:
+    """The settings as the simulator names them."""
     return {
         "az": "room-a",
         "bounds": {"probing": True, "peers": False},
@@ -24,7 +31,7 @@
         "family": "control",
         "family_info": {
             "admission": "fraction",
-            "blackhole_us": BARE_US,
+            "blackhole_us": MAX_WITHOUT_ENDPOINT_US,
             "class_writes": [False, True],
             "egress_per_s": 3000.0,
             "head": 6.0,
@@ -34,7 +41,7 @@
             "pending_max": 3000.0,
             "period_us": 1_000_000,
             "propagation_us": 50_000,
-            "proxy_count": forwarders,
+            "proxy_count": proxy_count,
             "transit_max_us": 200_000,
             "usual_how": 1,
             "zone_bound": [False, False],
@@ -46,29 +53,9 @@
             "fall_us": 2_000_000,
             "full_may_have_run": True,
             "overload_factor": 3.0,
-            "stop_sending_within_us": GRACE_US,
+            "stop_sending_within_us": DRAIN_GRACE_US,
         },
-        "lanes": [
-            {
-                "aim_us": 750_000,
-                "effect": "read_like",
-                "group": "all",
-                "hard_limit_us": 2_000_000,
-                "name": READ,
-                "window_us": 5_000_000,
-                "worth": 1.0,
-            },
-            {
-                "aim_us": 800_000,
-                "effect": "non_idempotent",
-                "group": "all",
-                "hard_limit_us": 2_000_000,
-                "name": SUBMIT,
-                "only_zones": ["room-a"],
-                "window_us": 5_000_000,
-                "worth": 3.0,
-            },
-        ],
+        "lanes": [_read_class(), _submit_class()],
         "me": 0,
         "siblings": 1,
         "stats": {"how": "none", "names": []},
@@ -76,13 +63,47 @@
     }
 
 
+def _read_class() -> dict[str, object]:
+    return {
+        "aim_us": 750_000,
+        "effect": "read_like",
+        "group": "all",
+        "hard_limit_us": 2_000_000,
+        "name": READ,
+        "window_us": 5_000_000,
+        "worth": 1.0,
+    }
+
+
+def _submit_class() -> dict[str, object]:
+    return {
+        "aim_us": 800_000,
+        "effect": "non_idempotent",
+        "group": "all",
+        "hard_limit_us": 2_000_000,
+        "name": SUBMIT,
+        "only_zones": [SUBMIT_ROOM],
+        "window_us": 5_000_000,
+        "worth": 3.0,
+    }
+
+
 def node_config(
     listen: Address,
     discovery: Address,
     relay: Address,
-    forwarders: int,
-    known: Sequence[dict[str, object]] = (),
+    proxy_count: int,
+    known: Sequence[Mapping[str, object]] = (),
 ) -> bytes:
+    """The configuration file of a controller.
+
+    Args:
+        listen: where the controller listens.
+        discovery: address of discovery.
+        relay: address of the relay.
+        proxy_count: proxies of the settings.
+        known: entries of the cached endpoint list.
+    """
     return orjson.dumps(
         {
             "name": "lab",
@@ -92,6 +113,6 @@
             "limits": {"memory_mb": 192, "sockets": 1024},
             "registry": {"address": shown(relay)},
             "known": {"revision": 0, "complete": True, "members": list(known)},
-            "settings": settings(forwarders),
+            "settings": settings(proxy_count),
         }
     )
--- /dev/null
+++ b/kelpcourse/lab/controller_process.py
@@ -0,0 +1,84 @@
+"""A controller in a process of its own, and what it logs."""
+
+from __future__ import annotations
+
+import contextlib
+import os
+import signal
+import subprocess
+import sys
+from collections.abc import Callable, Mapping
+from pathlib import Path
+from typing import Any
+
+import orjson
+
+from kelpcourse.wire.loop import READ, Coroutine, Loop, Wait
+
+READ_BYTES = 65_536
+
+
+class ControllerProcess:
+    """`kelpcourse run` with settings for DNS zones."""
+
+    def __init__(self, loop: Loop, config: Path, zones: Path) -> None:
+        """Starts it.
+
+        Args:
+            loop: reads its log.
+            config: the file for NODE_CONFIG.
+            zones: the settings in KDL.
+        """
+        self.log: list[dict[str, Any]] = []
+        self.on_log: Callable[[Mapping[str, Any]], None] = lambda _: None
+        self._process = subprocess.Popen(
+            [sys.executable, "-m", "kelpcourse.cli", "run", str(zones)],
+            env={**os.environ, "NODE_CONFIG": str(config)},
+            stdout=subprocess.PIPE,
+        )
+        if self._process.stdout is None:
+            raise OSError("no pipe to the controller")
+        self._output = self._process.stdout
+        os.set_blocking(self._output.fileno(), False)
+        loop.start("controller log", self._read_log())
+
+    def _read_log(self) -> Coroutine[None]:
+        incomplete = b""
+        while True:
+            yield Wait(fd=self._output.fileno(), event_mask=READ)
+            try:
+                data = os.read(self._output.fileno(), READ_BYTES)
+            except BlockingIOError:
+                continue
+            if not data:
+                return
+            *lines, incomplete = (incomplete + data).split(b"\n")
+            for line in lines:
+                fields = orjson.loads(line)
+                self.log.append(fields)
+                self.on_log(fields)
+
+    @property
+    def is_running(self) -> bool:
+        """Whether the process has not ended."""
+        return self._process.poll() is None
+
+    def terminate(self) -> None:
+        """Asks it to end."""
+        self._process.send_signal(signal.SIGTERM)
+
+    def exit_code(self) -> int:
+        """Its exit code; it is killed if it runs still."""
+        self.kill()
+        return self._process.wait()
+
+    def kill(self) -> None:
+        """Ends it, if it runs still."""
+        if self.is_running:
+            with contextlib.suppress(ProcessLookupError):
+                self._process.kill()
+        self._process.wait()
+
+    def close(self) -> None:
+        """Closes the pipe of its log; the loop must not read it any more."""
+        self._output.close()
--- /dev/null
+++ b/kelpcourse/lab/discovery.py
@@ -0,0 +1,40 @@
+"""Discovery: streams the endpoint list and what changes in it."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+
+import orjson
+
+from kelpcourse.lab.http import Caller, StandIn
+from kelpcourse.lab.loopback import now_us
+from kelpcourse.wire.loop import Coroutine, Loop, Wait
+
+POLL_US = 50_000
+
+
+class Discovery:
+    """Lists that were published, each with the next revision."""
+
+    def __init__(self, loop: Loop) -> None:
+        """Listens at once, with nothing published."""
+        self._lists: list[bytes] = []
+        self._server = StandIn(loop, self._serve)
+        self.address = self._server.address
+
+    def publish(self, entries: Sequence[Mapping[str, object]], complete: bool = True) -> None:
+        """Sends entries to every watch, as the complete list or as changes."""
+        revision = len(self._lists) + 1
+        fields = {"revision": revision, "complete": complete, "members": list(entries)}
+        self._lists.append(orjson.dumps(fields))
+
+    def _serve(self, caller: Caller) -> Coroutine[None]:
+        yield from caller.request()
+        yield from caller.open_body()
+        sent_count = 0
+        while True:
+            for line in self._lists[sent_count:]:
+                yield from caller.line(line)
+            sent_count = len(self._lists)
+            yield from caller.line(b"")
+            yield Wait(now_us() + POLL_US)
--- a/kelpcourse/lab/http.py
+++ b/kelpcourse/lab/http.py
@@ -1,4 +1,4 @@
-"""The far side of HTTP/1.1, for stand-ins: what is said on each connection is up to whoever makes one."""
+"""The server side of HTTP/1.1, for stand-ins: what is sent on each connection is up to its handler."""
 
 from __future__ import annotations
 
@@ -11,23 +11,33 @@
 from kelpcourse.wire.loop import READ, Coroutine, Loop, Wait
 from kelpcourse.wire.stream import Address, Stream
 
+NEVER_US = 3_600_000_000
+READ_BYTES = 65_536
+SILENT_READ_BYTES = 4_096
+# Linger for no time: closing sends a reset.
+RESET_ON_CLOSE = b"\x01\0\0\0\0\0\0\0"
+
 
 class Caller:
     """The stand-in's side of one HTTP connection."""
 
     def __init__(self, stream: Stream, loop: Loop) -> None:
+        """Takes an accepted connection."""
         self.stream = stream
         self._loop = loop
         self._parser = h11.Connection(h11.SERVER)
 
-    def _far(self) -> int:
-        return self._loop.clock() + 3_600_000_000
+    def _deadline_us(self) -> int:
+        return self._loop.clock() + NEVER_US
 
     def event(self) -> Coroutine[object]:
-        while (event := self._parser.next_event()) is h11.NEED_DATA:
-            room = memoryview(bytearray(65536))
-            count = yield from self.stream.recv_into(room, self._far())
-            self._parser.receive_data(bytes(room[:count]))
+        """The next event of the parser."""
+        event = self._parser.next_event()
+        while event is h11.NEED_DATA:
+            buffer = memoryview(bytearray(READ_BYTES))
+            count = yield from self.stream.recv_into(buffer, self._deadline_us())
+            self._parser.receive_data(bytes(buffer[:count]))
+            event = self._parser.next_event()
         return event
 
     def request(self) -> Coroutine[tuple[str, bytes] | None]:
@@ -38,35 +48,41 @@
         if not isinstance(head, h11.Request):
             return None
         body = b""
-        while isinstance(event := (yield from self.event()), h11.Data):
+        event = yield from self.event()
+        while isinstance(event, h11.Data):
             body += event.data
+            event = yield from self.event()
         return head.target.decode(), body
 
     def say(self, *events: h11.Event) -> Coroutine[None]:
+        """Sends events."""
         data = b"".join(self._parser.send(event) or b"" for event in events)
-        yield from self.stream.send(data, self._far())
+        yield from self.stream.send(data, self._deadline_us())
 
     def answer(self, status: int, body: bytes) -> Coroutine[None]:
+        """Sends a complete answer."""
         head = h11.Response(status_code=status, headers=[("Content-Length", str(len(body)))])
         yield from self.say(head, h11.Data(data=body), h11.EndOfMessage())
 
     def open_body(self) -> Coroutine[None]:
+        """Begins an answer whose body goes on."""
         yield from self.say(
             h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")])
         )
 
     def line(self, text: bytes) -> Coroutine[None]:
+        """Sends a line of the body."""
         yield from self.say(h11.Data(data=text + b"\n"))
 
     def silence(self) -> Coroutine[None]:
-        """Says nothing until the other side closes."""
-        room = memoryview(bytearray(4096))
-        while (yield from self.stream.recv_into(room, self._far())):
+        """Sends nothing until the other side closes."""
+        buffer = memoryview(bytearray(SILENT_READ_BYTES))
+        while (yield from self.stream.recv_into(buffer, self._deadline_us())):
             pass
 
     def reset(self) -> None:
         """Ends as a process that dies does."""
-        self.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
+        self.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.stream.close()
 
 
@@ -77,6 +93,7 @@
     """A server on an ephemeral loopback port."""
 
     def __init__(self, loop: Loop, serve: Serve) -> None:
+        """Listens at once; `serve` runs on each connection."""
         self._loop = loop
         self._serve = serve
         self._sock = socket.create_server(("127.0.0.1", 0))
@@ -103,5 +120,6 @@
             caller.stream.close()
 
     def close(self) -> None:
+        """Accepts no more connections."""
         self._loop.stop(self._accepting)
         self._sock.close()
--- a/kelpcourse/lab/primary.py
+++ b/kelpcourse/lab/primary.py
@@ -26,13 +26,16 @@
 ORIGIN = "games.example.org."
 SERVICE = "_game._tcp"
 KEY_NAME = f"staff.{ORIGIN}"
+KEY_BYTES = 32
+NEVER_US = 1 << 40
+MAX_UDP_BYTES = 65_535
 SETTINGS = """zones {{
     listen "{listen}"
     state "{state}"
     service "{service}"
     key "{key}" secret-file="staff.key"
     zone "{origin}" {{
-        {way}
+        {source}
         transfer key="{key}"
     }}
 }}
@@ -41,7 +44,7 @@
 
 def make_key(folder: Path) -> dns.tsig.Key:
     """A new secret in a file that only its owner may read."""
-    secret = base64.b64encode(os.urandom(32))
+    secret = base64.b64encode(os.urandom(KEY_BYTES))
     with open(
         os.open(folder / "staff.key", os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb"
     ) as file:
@@ -51,10 +54,10 @@
     )
 
 
-def zone_text(hosts: Iterable[tuple[str, str, Address]], serial: int = 1) -> str:
-    """A zone file of hosts: id, room, address."""
+def zone_text(endpoints: Iterable[tuple[str, str, Address]], serial: int = 1) -> str:
+    """A zone file of endpoints: name, room, address."""
     lines = ["$TTL 60", f"@ SOA ns staff {serial} 30 5 600 30", "@ NS ns", "ns A 127.0.0.1"]
-    for name, room, (address, port) in hosts:
+    for name, room, (address, port) in endpoints:
         lines += [
             f"{SERVICE}.{room} SRV 0 1 {port} {name}",
             f"{name} A {address}",
@@ -63,7 +66,15 @@
     return "\n".join(lines) + "\n"
 
 
-def write_settings(folder: Path, name: str, listen: Address, way: str) -> Path:
+def write_settings(folder: Path, name: str, listen: Address, source: str) -> Path:
+    """Writes settings for zones and returns their file.
+
+    Args:
+        folder: for settings and state.
+        name: of the file and of the state's folder.
+        listen: address for DNS.
+        source: lines of the zone that say where it comes from.
+    """
     path = folder / f"{name}.kdl"
     path.write_text(
         SETTINGS.format(
@@ -72,65 +83,87 @@
             service=SERVICE,
             key=KEY_NAME,
             origin=ORIGIN,
-            way=way,
+            source=source,
         )
     )
     return path
 
 
-class Silent:
-    """A log that nobody reads."""
+class DiscardingLog:
+    """A log that keeps nothing."""
 
     def event(self, name: str, **fields: object) -> None:
-        pass
+        """Discards an event."""
 
-    always = event
+    def always(self, name: str, **fields: object) -> None:
+        """Discards an event."""
 
 
 class Primary:
+    """A zone with a file and updates, which notifies one secondary."""
+
     def __init__(
         self,
         loop: Loop,
         folder: Path,
         listen: Address,
-        hosts: Sequence[tuple[str, str, Address]],
+        endpoints: Sequence[tuple[str, str, Address]],
         notify: Address,
         on_list: Callable[[Sequence[ListedEndpoint]], None],
     ) -> None:
+        """Writes a key, a zone file and settings; nothing is answered before `start`.
+
+        Args:
+            loop: runs it.
+            folder: for files and state.
+            listen: address for DNS.
+            endpoints: name, room and address of each.
+            notify: the secondary's address.
+            on_list: is given what the zone announces.
+        """
         self._loop = loop
         self._key = make_key(folder)
         self._on_list = on_list
-        (folder / "games.zone").write_text(zone_text(hosts))
-        way = (
+        (folder / "games.zone").write_text(zone_text(endpoints))
+        source = (
             f'file "games.zone"\n        update key="{KEY_NAME}"\n        notify "{shown(notify)}"'
         )
-        settings = read_settings(write_settings(folder, "primary", listen, way))
+        settings = read_settings(write_settings(folder, "primary", listen, source))
         around = Around(
-            loop, replace(Limits(), zone_file_poll_us=1 << 40), Counters(), Silent(), self._keep
+            loop,
+            replace(Limits(), zone_file_poll_us=NEVER_US),
+            Counters(),
+            DiscardingLog(),
+            self._keep,
         )
         self._zones = Zones(settings, around, self)
 
     def start(self) -> None:
+        """Announces the zone and answers from now on."""
         self._zones.start()
 
-    def _keep(self, name: str, make: Callable[[], Coroutine[None]]) -> None:
-        self._loop.start(name, make())
+    def _keep(self, name: str, factory: Callable[[], Coroutine[None]]) -> None:
+        self._loop.start(name, factory())
 
     def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
+        """Takes what the zone announces."""
         self._on_list(members)
 
     def lost(self) -> None:
-        pass
+        """The zone is unavailable, which a primary's own zone never is."""
 
     @property
     def ready(self) -> bool:
+        """Whether updates are accepted."""
         return not self._zones.settling
 
     @property
     def serial(self) -> int:
+        """The zone's current serial."""
         return self._zones.held[ORIGIN].zone.serial
 
     def restore(self, serial: int, answer: Callable[[Restored], None]) -> None:
+        """Restores the zone as it was at a serial."""
         self._zones.restore(Restore(ORIGIN, serial), answer)
 
     def update(
@@ -147,17 +180,20 @@
     def _send(
         self, message: dns.update.UpdateMessage, answered: Callable[[dns.rcode.Rcode], None]
     ) -> Coroutine[None]:
-        assert self._zones.server is not None
+        server = self._zones.server
+        if server is None:
+            raise RuntimeError("a primary without an address")
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK) as sock:
-            sock.connect(self._zones.server.address)
+            sock.connect(server.address)
             sock.send(message.to_wire())
             yield Wait(fd=sock.fileno(), event_mask=READ)
             answer = dns.message.from_wire(
-                sock.recv(65_535),
+                sock.recv(MAX_UDP_BYTES),
                 keyring={self._key.name: self._key},
                 request_mac=message.mac or b"",
             )
         answered(answer.rcode())
 
     def close(self) -> None:
+        """Ends it; what is durable stays."""
         self._zones.close()
--- a/kelpcourse/lab/rules.py
+++ b/kelpcourse/lab/rules.py
@@ -1,6 +1,6 @@
-"""Whether forwarders kept the rules, from what crossed the sockets alone: announcements, orders, picks. Pure.
+"""Whether proxies kept the rules, from what crossed the sockets alone: announcements, orders, picks. No I/O.
 
-Independent of the decision module's own books. Times in microseconds on one clock.
+Independent of the policy's own records. Times in microseconds on one clock.
 """
 
 from __future__ import annotations
@@ -8,73 +8,99 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+MAX_VIOLATIONS = 20  # that are kept
+
 
 @dataclass
-class Checker:
-    """`grace_us`: from when a director hears of a drain or removal. `bare_us`: for which a forwarder may be
-    without a host while one is ready."""
-
-    grace_us: int
-    bare_us: int
-    ready_us: dict[str, int] = field(default_factory=dict)  # since when
-    stopped_us: dict[str, int] = field(default_factory=dict)  # drained or gone, since when
-    out_at: dict[int, set[str]] = field(
-        default_factory=dict
-    )  # by forwarder: hosts that it was told to leave
-    breaks: list[str] = field(default_factory=list)
-    picks: int = 0
-    worst_us: int = 0  # the longest that a host was still picked after it had stopped
-    _bare_us: dict[tuple[int, str], int] = field(default_factory=dict)
-
-    def announced(self, host: str, now_us: int) -> None:
-        self.stopped_us.pop(host, None)
-        self.ready_us.setdefault(host, now_us)
-
-    def stopped(self, host: str, now_us: int) -> None:
-        self.ready_us.pop(host, None)
-        self.stopped_us.setdefault(host, now_us)
-
-    def applied(self, forwarder: int, host: str, out: bool) -> None:
-        held = self.out_at.setdefault(forwarder, set())
-        (held.add if out else held.discard)(host)
+class RuleChecker:
+    """Checks every pick of a proxy.
+
+    Attributes:
+        drain_grace_us: for which an endpoint may be picked after its drain or removal was announced.
+        max_without_endpoint_us: for which a proxy may be without an endpoint while one is ready.
+        ready_since_us: endpoints that are ready, and since when.
+        stopped_since_us: endpoints that drain or are gone, and since when.
+        withdrawn: endpoints that a proxy was ordered to leave, by proxy.
+        violations: what broke a rule.
+        pick_count: picks that were checked.
+        max_late_us: the longest that an endpoint was still picked after it had stopped.
+    """
+
+    drain_grace_us: int
+    max_without_endpoint_us: int
+    ready_since_us: dict[str, int] = field(default_factory=dict)
+    stopped_since_us: dict[str, int] = field(default_factory=dict)
+    withdrawn: dict[int, set[str]] = field(default_factory=dict)
+    violations: list[str] = field(default_factory=list)
+    pick_count: int = 0
+    max_late_us: int = 0
+    _without_endpoint_since_us: dict[tuple[int, str], int] = field(default_factory=dict)
+
+    def endpoint_ready(self, endpoint: str, now_us: int) -> None:
+        """An endpoint is announced as ready."""
+        self.stopped_since_us.pop(endpoint, None)
+        self.ready_since_us.setdefault(endpoint, now_us)
+
+    def endpoint_stopped(self, endpoint: str, now_us: int) -> None:
+        """An endpoint is announced as draining or gone."""
+        self.ready_since_us.pop(endpoint, None)
+        self.stopped_since_us.setdefault(endpoint, now_us)
+
+    def withdrawal_applied(self, proxy: int, endpoint: str) -> None:
+        """A proxy has applied that it is to leave an endpoint."""
+        self.withdrawn.setdefault(proxy, set()).add(endpoint)
+
+    def restoration_applied(self, proxy: int, endpoint: str) -> None:
+        """A proxy has applied that it may use an endpoint again."""
+        self.withdrawn.setdefault(proxy, set()).discard(endpoint)
 
     def picked(
         self,
-        forwarder: int,
-        cls: str,
-        host: str | None,
+        proxy: int,
+        request_class: str,
+        endpoint: str | None,
         now_us: int,
-        able: Iterable[str] | None = None,
+        serving: Iterable[str] | None = None,
     ) -> None:
-        """`able`: hosts that serve the class, if not all do."""
-        self.picks += 1
-        if host is None:
-            self._bare(forwarder, cls, now_us, set(self.ready_us if able is None else able))
+        """Checks a pick.
+
+        Args:
+            proxy: that picks.
+            request_class: of the request.
+            endpoint: None: the proxy has none.
+            now_us: the time.
+            serving: endpoints that serve the class, if not all do.
+        """
+        self.pick_count += 1
+        if endpoint is None:
+            ready = self.ready_since_us if serving is None else serving
+            self._check_without_endpoint(proxy, request_class, now_us, set(ready))
             return
-        self._bare_us.pop((forwarder, cls), None)
-        if host in self.out_at.get(forwarder, ()):
-            self._break(f"forwarder {forwarder} picks {host}, which it was told to leave")
-        if host in self.ready_us:
+        self._without_endpoint_since_us.pop((proxy, request_class), None)
+        if endpoint in self.withdrawn.get(proxy, ()):
+            self._add(f"proxy {proxy} picks {endpoint}, which it was told to leave")
+        if endpoint in self.ready_since_us:
             return
-        if host not in self.stopped_us:
-            self._break(f"forwarder {forwarder} picks {host}, which was never announced")
+        if endpoint not in self.stopped_since_us:
+            self._add(f"proxy {proxy} picks {endpoint}, which was never announced")
             return
-        late_us = now_us - self.stopped_us[host]
-        self.worst_us = max(self.worst_us, late_us)
-        if late_us > self.grace_us:
-            self._break(
-                f"forwarder {forwarder} picks {host} {late_us / 1e6:.3f} s after it stopped"
-            )
-
-    def _bare(self, forwarder: int, cls: str, now_us: int, able: set[str]) -> None:
-        since = max((when for host, when in self.ready_us.items() if host in able), default=None)
-        if since is None:  # nobody could serve it
-            self._bare_us.pop((forwarder, cls), None)
+        late_us = now_us - self.stopped_since_us[endpoint]
+        self.max_late_us = max(self.max_late_us, late_us)
+        if late_us > self.drain_grace_us:
+            self._add(f"proxy {proxy} picks {endpoint} {late_us / 1e6:.3f} s after it stopped")
+
+    def _check_without_endpoint(
+        self, proxy: int, request_class: str, now_us: int, serving: set[str]
+    ) -> None:
+        key = proxy, request_class
+        ready_us = [since for endpoint, since in self.ready_since_us.items() if endpoint in serving]
+        if not ready_us:  # no endpoint could serve it
+            self._without_endpoint_since_us.pop(key, None)
             return
-        began = self._bare_us.setdefault((forwarder, cls), now_us)
-        if now_us - max(began, since) > self.bare_us:
-            self._break(f"forwarder {forwarder} has no host for {cls} though some are ready")
+        without_since_us = self._without_endpoint_since_us.setdefault(key, now_us)
+        if now_us - max(without_since_us, *ready_us) > self.max_without_endpoint_us:
+            self._add(f"proxy {proxy} has no host for {request_class} though some are ready")
 
-    def _break(self, text: str) -> None:
-        if len(self.breaks) < 20:
-            self.breaks.append(text)
+    def _add(self, violation: str) -> None:
+        if len(self.violations) < MAX_VIOLATIONS:
+            self.violations.append(violation)
--- a/tests/memberrig.py
+++ b/tests/memberrig.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from kelpcourse.lab.world import LISTEN_HOST, free_address
+from kelpcourse.lab.loopback import LISTEN_HOST, free_address
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
 from kelpcourse.shared import certificates
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,7 +17,7 @@
 from click.testing import CliRunner, Result
 
 from kelpcourse.cli.main import cli
-from kelpcourse.lab.world import free_address
+from kelpcourse.lab.loopback import free_address
 from kelpcourse.zones.zonefile import write_text
 from tests.zonerig import KEY, PRIMARY, SECRET, host_added, update_of
 from tests.zoning import ORIGIN, rec, rooms, zone
--- a/tests/test_group_controller.py
+++ b/tests/test_group_controller.py
@@ -10,9 +10,11 @@
 
 from kelpcourse.fields import Fields
 from kelpcourse.lab.config import READ, settings
-from kelpcourse.lab.world import LISTEN_HOST, Lab, free_address, now_us
+from kelpcourse.lab.loopback import LISTEN_HOST, free_address, now_us
+from kelpcourse.lab.world import Lab
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
+from kelpcourse.memory.orders import WithdrawEndpoint
 from kelpcourse.settings import read_settings
 from kelpcourse.shared.controller_events import ControllerOptions
 from kelpcourse.shared.errors import RequestRejectedError
@@ -34,8 +36,8 @@
     """Three controllers with directors behind them, a relay that fences, six forwarders, discovery, four hosts."""
 
     def __init__(self, folder: Path) -> None:
-        self.lab = Lab(folder, FORWARDERS, grace_us=1 << 40, bare_us=1 << 40)
-        self.lab.groups = GROUPS
+        self.lab = Lab(folder, FORWARDERS, drain_grace_us=1 << 40, max_without_endpoint_us=1 << 40)
+        self.lab.relay.group_count = GROUPS
         self.folder = folder
         self.log = RecordingLog()
         self.addresses = {f"n{k}": free_address(LISTEN_HOST) for k in range(3)}
@@ -43,17 +45,17 @@
         self.group_controllers: dict[str, GroupControllers] = {}
         self.tasks: dict[str, list[Task]] = {}
         for k in range(4):
-            self.lab.add_host(f"s-{k}", f"room-{'ab'[k % 2]}")
-            self.lab.checker.announced(f"s-{k}", 0)
-        self.lab.list_hosts([self.entry(f"s-{k}") for k in range(4)])
-        self.lab.loop.start("requests", self.lab.run_requests())
+            self.lab.add_endpoint(f"s-{k}", f"room-{'ab'[k % 2]}")
+            self.lab.checker.endpoint_ready(f"s-{k}", 0)
+        self.lab.discovery.publish([self.entry(f"s-{k}") for k in range(4)])
+        self.lab.loop.start("requests", self.lab.traffic.run())
         for name in self.addresses:
             self.start(name)
 
     def entry(self, host: str, phase: str = "ready") -> dict[str, object]:
         return {
             "id": host,
-            "host_port": shown(self.lab.hosts[host]),
+            "host_port": shown(self.lab.endpoints[host]),
             "locality": self.lab.rooms[host],
             "flavor": "m2",
             "cell": 0,
@@ -115,8 +117,8 @@
 
     def until(self, what: str, done: object) -> None:
         assert callable(done)
-        assert self.lab.until(done), (what, self.log.lines[-5:], self.lab.defects)
-        assert not self.lab.defects, self.lab.defects
+        assert self.lab.run_until(done), (what, self.log.lines[-5:], self.lab.errors)
+        assert not self.lab.errors, self.lab.errors
 
     def grow(self) -> None:
         for name in ("n1", "n2"):
@@ -140,10 +142,10 @@
         }
 
     def steered(self) -> bool:
-        return all(set(f.lines(READ)) == {"s-0", "s-1", "s-2", "s-3"} for f in self.lab.forwarders)
+        return all(set(f.weights(READ)) == {"s-0", "s-1", "s-2", "s-3"} for f in self.lab.proxies)
 
     def left(self, host: str) -> bool:
-        return all(host in f.out and host not in f.lines(READ) for f in self.lab.forwarders)
+        return all(host in f.withdrawn and host not in f.weights(READ) for f in self.lab.proxies)
 
     def close(self) -> None:
         self.lab.close()
@@ -163,30 +165,30 @@
 ) -> None:
     fleet.grow()
     fleet.until("all are steered", fleet.steered)
-    assert {group for group, _ in fleet.lab.calls} == set(range(GROUPS))
+    assert {group for group, _ in fleet.lab.relay.calls} == set(range(GROUPS))
     leader = next(n for n, m in fleet.members.items() if m.status()["role"] == "leader")
     group = fleet.held()[leader][0]
     epoch_before = fleet.members[leader].epoch(group) or 0
     # The holder learns of the drain, and dies before its relay has heard a word of it.
-    fleet.lab.list_hosts([fleet.entry("s-1", "draining")], whole=False)
+    fleet.lab.discovery.publish([fleet.entry("s-1", "draining")], complete=False)
     other = next(m for n, m in fleet.members.items() if n != leader)
     fleet.until("the fleet knows", lambda: other.status()["withdrawn"] == ["s-1"])
     fleet.kill(leader)
-    fleet.lab.checker.stopped("s-1", now_us())
+    fleet.lab.checker.endpoint_stopped("s-1", now_us())
     fleet.until("every forwarder has left the host", lambda: fleet.left("s-1"))
     fleet.until(
         "the group has a holder", lambda: any(group in groups for groups in fleet.held().values())
     )
-    fleet.until("its holder orders it", lambda: (group, epoch_before + 1) in fleet.lab.calls)
+    fleet.until("its holder orders it", lambda: (group, epoch_before + 1) in fleet.lab.relay.calls)
     highest: dict[int | None, int] = {}
     for (
         called,
         epoch,
-    ) in fleet.lab.calls:  # no forwarder ever acted on a lower epoch after a higher one
+    ) in fleet.lab.relay.calls:  # no forwarder ever acted on a lower epoch after a higher one
         assert epoch >= highest.get(called, 0)
         highest[called] = epoch
-    assert fleet.lab.checker.breaks == []
-    assert fleet.lab.checker.picks > 0
+    assert fleet.lab.checker.violations == []
+    assert fleet.lab.checker.pick_count > 0
 
 
 def test_a_holder_that_wakes_late_is_fenced(fleet: Fleet) -> None:
@@ -198,8 +200,8 @@
     group = held[victim][0]
     epoch = fleet.members[victim].epoch(group) or 0
     fleet.kill(victim)
-    fleet.until("another orders it", lambda: (group, epoch + 1) in fleet.lab.calls)
-    before, answers = len(fleet.lab.orders), list[int]()
+    fleet.until("another orders it", lambda: (group, epoch + 1) in fleet.lab.relay.calls)
+    before, answers = len(fleet.lab.relay.orders), list[int]()
 
     def wake() -> Coroutine[None]:
         client = yield from connect_http(fleet.lab.relay.address, Limits(), now_us() + 1_000 * MS)
@@ -211,9 +213,9 @@
     fleet.lab.loop.start("a late holder", wake())
     fleet.until("it is answered", lambda: answers)
     assert answers == [409]
-    assert fleet.lab.fenced == 1
-    assert not any(o["verb"] == "OUT" for o in fleet.lab.orders[before:])
-    assert all("s-0" not in f.out for f in fleet.lab.forwarders)
+    assert fleet.lab.relay.fenced_count == 1
+    assert not any(isinstance(o, WithdrawEndpoint) for o in fleet.lab.relay.orders[before:])
+    assert all("s-0" not in f.withdrawn for f in fleet.lab.proxies)
 
 
 def test_a_controller_that_loses_its_majority_stops_ordering(fleet: Fleet) -> None:
@@ -224,8 +226,8 @@
         fleet.kill(name)
     fleet.until("its leases are over", lambda: fleet.held() == {alone: []})
     fleet.until("its directors are gone", lambda: fleet.group_controllers[alone].groups == {})
-    calls = len(fleet.lab.calls)
-    fleet.lab.list_hosts([fleet.entry("s-1", "draining")], whole=False)
-    fleet.lab.for_s(0.3)
-    assert len(fleet.lab.calls) == calls
+    calls = len(fleet.lab.relay.calls)
+    fleet.lab.discovery.publish([fleet.entry("s-1", "draining")], complete=False)
+    fleet.lab.run_for(0.3)
+    assert len(fleet.lab.relay.calls) == calls
     assert fleet.steered()  # proxies go on with what they hold
--- a/tests/test_shared_processes.py
+++ b/tests/test_shared_processes.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner, Result
 
 from kelpcourse.cli.main import cli
-from kelpcourse.lab.world import free_address
+from kelpcourse.lab.loopback import free_address
 from kelpcourse.shared import certificates
 
 
