--- a/kelpcourse/lab/primary.py
+++ b/kelpcourse/lab/primary.py
@@ -160,7 +160,7 @@
     @property
     def serial(self) -> int:
         """The zone's current serial."""
-        return self._zones.held[ORIGIN].zone.serial
+        return self._zones.zone_states[ORIGIN].zone.serial
 
     def restore(self, serial: int, answer: Callable[[Restored], None]) -> None:
         """Restores the zone as it was at a serial."""
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -22,27 +22,27 @@
 from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.storage import DurableWriter, StorageThread
 from kelpcourse.wire.worker import run_in_thread
-from kelpcourse.zones.belief import Verdict, Version
-from kelpcourse.zones.book import (
-    Changed,
-    Entry,
-    Replay,
-    Seen,
-    collecting_nothing,
-    encode,
-    keep,
-    snapshot,
-)
 from kelpcourse.zones.content import Difference, Zone
 from kelpcourse.zones.desk import Desk, Ticket
-from kelpcourse.zones.errors import BadZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.follower import Asker, Follower, Notifier, same
-from kelpcourse.zones.grants import Grant, HostClass, bare
-from kelpcourse.zones.held import Changes, HeldZone
-from kelpcourse.zones.history import as_at, put_back
+from kelpcourse.zones.history import restore_version, version_at
+from kelpcourse.zones.merged_list import EndpointConflict, MergedEndpointList
+from kelpcourse.zones.persistence import (
+    Entry,
+    ZoneChanged,
+    ZoneConfirmed,
+    ZoneReplay,
+    encode_entry,
+    encode_snapshot,
+    garbage_collection_paused,
+    stored_zone,
+)
+from kelpcourse.zones.reconciliation import Verdict, Version
 from kelpcourse.zones.server import Server, pair
 from kelpcourse.zones.settings import ZoneSettings, ZonesSettings, shown
-from kelpcourse.zones.union import Conflict, Union
+from kelpcourse.zones.update_policy import EndpointClass, UpdateGrant, classes_without_endpoints
+from kelpcourse.zones.zone_state import EndpointChanges, ZoneState
 from kelpcourse.zones.zonefile import read_file
 
 
@@ -66,7 +66,7 @@
 
 
 class Zones:
-    """Made and started by whoever hosts it. Raises BadSettings, FolderInUseError, BadZone or OSError at the
+    """Made and started by whoever hosts it. Raises BadSettings, FolderInUseError, ZoneError or OSError at the
     start; later trouble is logged and lived with."""
 
     def __init__(
@@ -74,7 +74,7 @@
         settings: ZonesSettings,
         around: Around,
         sink: Sink,
-        classes: tuple[HostClass, ...] = (),
+        classes: tuple[EndpointClass, ...] = (),
         grace_us: int = 0,
     ) -> None:
         self.settings = settings
@@ -84,32 +84,36 @@
         self._by_origin = {zone.origin: zone for zone in settings.zones}
         self._writer: DurableWriter[Ticket | Saved] | None = None
         replay = self._open_store()
-        self.held = replay.zones
+        self.zone_states = replay.zones
         self._others = replay.others()
-        self.union = Union(list(self.held), grace_us, around.limits.max_endpoint_names)
+        self.merged_list = MergedEndpointList(
+            list(self.zone_states), grace_us, around.limits.max_endpoint_names
+        )
         self._bare: set[str] = set()
         self._unsaved: set[str] = set()  # zones whose last version the store does not have
         self._covered: set[str] = set()  # those of them that the snapshot being written holds
         self._seen_us: dict[str, int] = {}
         self._followers: dict[str, Follower] = {}
-        self._notifiers: dict[str, list[Notifier]] = {origin: [] for origin in self.held}
+        self._notifiers: dict[str, list[Notifier]] = {origin: [] for origin in self.zone_states}
         self._files: dict[str, tuple[int, ...]] = {}  # as a file last was
         self._look = Signal()
         self.server: Server | None = None
 
     # Start
 
-    def _open_store(self) -> Replay:
+    def _open_store(self) -> ZoneReplay:
         around, settings = self._around, self.settings
-        replay = Replay([zone.origin for zone in settings.zones], settings.service, around.limits)
+        replay = ZoneReplay(
+            [zone.origin for zone in settings.zones], settings.service, around.limits
+        )
         if settings.state is None:
             return replay
         journal = Journal(Folder(settings.state))
         began = time.monotonic()
-        with collecting_nothing():
+        with garbage_collection_paused():
             found = journal.open()
             replay.run(found.snapshot, (record.payload for record in found.records))
-        journal.begin(found, snapshot(replay.zones.values(), replay.others()))
+        journal.begin(found, encode_snapshot(replay.zones.values(), replay.others()))
         for warning in found.warnings:
             around.log.always(
                 "store_warning",
@@ -142,12 +146,12 @@
         around = self._around
         for origin, zone in self._by_origin.items():
             for peer in zone.notify:
-                notifier = Notifier(self._asker(), self.held[origin], peer)
+                notifier = Notifier(self._asker(), self.zone_states[origin], peer)
                 self._notifiers[origin].append(notifier)
                 around.keep("zone notify", notifier.run)
-        for held in self.held.values():
+        for held in self.zone_states.values():
             if held.zone.exists:
-                self._announce(held, dict(held.meaning.hosts))
+                self._announce(held, dict(held.extractor.endpoints))
         for origin, zone in self._by_origin.items():
             if zone.file is not None:
                 self._read_file(zone, zone.file)
@@ -183,7 +187,7 @@
         around = self._around
         assert self.settings.listen is not None
         desk = Desk(
-            self.held,
+            self.zone_states,
             self._by_origin,
             self.settings.keys,
             around.limits,
@@ -204,8 +208,8 @@
         around.log.always("dns_ready", listen=shown(self.server.address))
 
     def _follow(self, origin: str, zone: ZoneSettings) -> None:
-        held, around = self.held[origin], self._around
-        confirmed_us = around.loop.clock() - max(0, self.unix_ms() - held.seen_ms) * 1000
+        held, around = self.zone_states[origin], self._around
+        confirmed_us = around.loop.clock() - max(0, self.unix_ms() - held.confirmed_ms) * 1000
         follower = Follower(
             self._asker(),
             held,
@@ -239,10 +243,12 @@
         ):
             return False
         if ticket.zone.origin in self._unsaved:
-            self._save(ticket.zone, keep(ticket.zone))
+            self._save(ticket.zone, stored_zone(ticket.zone))
             if ticket.zone.origin in self._unsaved:
                 return False
-        return self._writer.stage(encode(Changed(ticket.zone.origin, ticket.difference)), ticket)
+        return self._writer.stage(
+            encode_entry(ZoneChanged(ticket.zone.origin, ticket.difference)), ticket
+        )
 
     def notified(self, origin: str) -> None:
         self._followers[origin].notified()
@@ -254,11 +260,13 @@
             self._unsaved -= self._covered
         for ticket in settled.durable:
             if isinstance(ticket, Ticket):
-                self._announce(ticket.zone, ticket.zone.settle(ticket.difference, self.clock()))
+                self._announce(
+                    ticket.zone, ticket.zone.commit_update(ticket.difference, self.clock())
+                )
                 ticket.settle(True)
         for ticket in reversed(settled.undone):
             if isinstance(ticket, Ticket):
-                ticket.zone.undo(ticket.difference)
+                ticket.zone.undo_update(ticket.difference)
                 ticket.settle(False)
             else:
                 self._miss(ticket.origin)
@@ -269,59 +277,61 @@
 
     def _snapshot(self) -> bytes:
         self._covered = set(self._unsaved)
-        return snapshot(self.held.values(), self._others)
+        return encode_snapshot(self.zone_states.values(), self._others)
 
-    def _adopt(self, held: HeldZone, difference: Difference, source: str) -> None:
+    def _adopt(self, held: ZoneState, difference: Difference, source: str) -> None:
         """A version that came whole from its source and can be had there again: announced at once, and kept as
         soon as the disk takes it."""
-        difference = msgspec.structs.replace(difference, at_ms=self.unix_ms())
-        changes = held.take(difference, self.clock())
-        held.drop_head()
-        held.seen_ms = self.unix_ms()
+        difference = msgspec.structs.replace(difference, accepted_ms=self.unix_ms())
+        changes = held.apply(difference, self.clock())
+        held.discard_head()
+        held.confirmed_ms = self.unix_ms()
         self._around.log.always(
             "zone_updated",
             zone=held.origin,
             serial=held.zone.serial,
             source=source,
             records=len(held.zone),
-            hosts=len(held.meaning.hosts),
+            hosts=len(held.extractor.endpoints),
         )
         self._announce(held, changes)
-        self._save(held, Changed(held.origin, difference))
+        self._save(held, ZoneChanged(held.origin, difference))
 
-    def _save(self, held: HeldZone, entry: Entry) -> None:
+    def _save(self, held: ZoneState, entry: Entry) -> None:
         """Keeps a version that is announced already. Once that has failed, only the whole zone follows on from
         what the store has."""
         if self._writer is None:
             return
         origin = held.origin
         if origin in self._unsaved:
-            entry = keep(held)
+            entry = stored_zone(held)
         self._miss(origin)
-        if self._writer.stage(encode(entry), Saved(origin)):
+        if self._writer.stage(encode_entry(entry), Saved(origin)):
             self._unsaved.discard(origin)
 
     def _miss(self, origin: str) -> None:
         self._unsaved.add(origin)
         self._covered.discard(origin)
 
-    def _announce(self, held: HeldZone, changes: Changes) -> None:
+    def _announce(self, held: ZoneState, changes: EndpointChanges) -> None:
         """One change of the list, however many hosts it concerns."""
         origin, around = held.origin, self._around
-        members, conflicts = self.union.take(origin, changes, self.clock(), self.unix_ms())
-        became_whole = self.union.loaded(origin)
+        members, conflicts = self.merged_list.take(origin, changes, self.clock(), self.unix_ms())
+        became_whole = self.merged_list.loaded(origin)
         self._tell_conflicts(conflicts)
         self._tell_problems(held)
         for notifier in self._notifiers[origin]:
             notifier.changed()
         around.counters.add("zone_changes")
         if became_whole:
-            self._sink.listed(list(self.union.members.values()), self.union.version, True)
+            self._sink.listed(
+                list(self.merged_list.members.values()), self.merged_list.version, True
+            )
         elif members:
-            self._sink.listed(members, self.union.version, False)
+            self._sink.listed(members, self.merged_list.version, False)
         self._check_bare()
 
-    def _tell_conflicts(self, conflicts: Iterable[Conflict]) -> None:
+    def _tell_conflicts(self, conflicts: Iterable[EndpointConflict]) -> None:
         for conflict in conflicts:
             self._around.log.event(
                 "zone_conflict" if conflict.begins else "zone_conflict_resolved",
@@ -329,8 +339,8 @@
                 zones=conflict.sources,
             )
 
-    def _tell_problems(self, held: HeldZone) -> None:
-        problems = held.meaning.problems()
+    def _tell_problems(self, held: ZoneState) -> None:
+        problems = held.extractor.problems()
         if problems:
             most = self._around.limits.max_logged_zone_problems
             self._around.log.event(
@@ -342,40 +352,42 @@
 
     def _check_bare(self) -> None:
         """Nothing is held back for it, but somebody must be told."""
-        now = set(bare(self.classes, self.union.members.values()))
+        now = set(classes_without_endpoints(self.classes, self.merged_list.members.values()))
         if now != self._bare:
             self._around.log.always(
                 "zone_classes_without_endpoints", classes=sorted(now), were=sorted(self._bare)
             )
             self._bare = now
 
-    def _confirmed(self, held: HeldZone) -> None:
+    def _confirmed(self, held: ZoneState) -> None:
         now_us = self.clock()
-        held.seen_ms = self.unix_ms()
-        was_available = self.union.available
-        self.union.loaded(held.origin)
+        held.confirmed_ms = self.unix_ms()
+        was_available = self.merged_list.available
+        self.merged_list.loaded(held.origin)
         if not was_available:
             self._sink.listed(
-                list(self.union.members.values()), self.union.version, self.union.whole
+                list(self.merged_list.members.values()),
+                self.merged_list.version,
+                self.merged_list.whole,
             )
         if (
             now_us - self._seen_us.get(held.origin, -1 << 62)
             >= self._around.limits.zone_confirmation_interval_us
         ):
             self._seen_us[held.origin] = now_us
-            self._save(held, Seen(held.origin, held.seen_ms))
+            self._save(held, ZoneConfirmed(held.origin, held.confirmed_ms))
 
-    def _expired(self, held: HeldZone) -> None:
+    def _expired(self, held: ZoneState) -> None:
         self._around.counters.add("zone_expiries")
         self._around.log.always(
             "zone_expired",
             zone=held.origin,
             serial=held.zone.serial,
-            endpoints=len(held.meaning.hosts),
+            endpoints=len(held.extractor.endpoints),
         )
-        was = self.union.available
-        self.union.lost(held.origin)
-        if was and not self.union.available:
+        was = self.merged_list.available
+        self.merged_list.lost(held.origin)
+        if was and not self.merged_list.available:
             self._sink.lost()
 
     # Files
@@ -399,10 +411,12 @@
         read = partial(read_file, path, zone.origin, self._around.limits)
         try:
             new = yield from run_in_thread(read)
-        except BadZone as error:
+        except ZoneError as error:
             self._bad_file(zone, error)
             return
-        while self.held[zone.origin].staged:  # updates that wait for the disk come first
+        while self.zone_states[
+            zone.origin
+        ].staged_updates:  # updates that wait for the disk come first
             yield Wait(self.clock() + self._around.limits.zone_command_poll_us)
         self._take_file(zone, path, new)
 
@@ -418,26 +432,28 @@
         self._moved(zone, path)
         try:
             new = read_file(path, zone.origin, self._around.limits)
-        except BadZone as error:
+        except ZoneError as error:
             self._bad_file(zone, error)
             return
         self._take_file(zone, path, new)
 
-    def _bad_file(self, zone: ZoneSettings, error: BadZone) -> None:
+    def _bad_file(self, zone: ZoneSettings, error: ZoneError) -> None:
         """The zone that stands serves on."""
         self._around.counters.add("zone_files_rejected")
         self._around.log.always("zone_file_rejected", zone=zone.origin, reason=str(error))
 
     def _take_file(self, zone: ZoneSettings, path: Path, new: Zone) -> None:
-        held = self.held[zone.origin]
-        verdict, contradictions = held.belief.offer("file", Version(new.serial, new.soa_data))
+        held = self.zone_states[zone.origin]
+        verdict, contradictions = held.reconciler.offer("file", Version(new.serial, new.soa_data))
         if verdict is Verdict.NEWER:
-            self._adopt(held, held.replace(new, 0), str(path))
+            self._adopt(held, held.difference_to(new, 0), str(path))
             return
         if verdict is Verdict.SAME and same(held.zone, new):
             return
         # Updates have moved a zone on since its file was written: that is how it is, and needs no word.
-        former = as_at(held.zone, held.history, new.serial) if verdict is Verdict.BEHIND else None
+        former = (
+            version_at(held.zone, held.history, new.serial) if verdict is Verdict.BEHIND else None
+        )
         if former is not None and same(former, new):
             return
         if contradictions or verdict is Verdict.SAME:
@@ -446,7 +462,7 @@
             )
             self._bad_file(
                 zone,
-                BadZone(
+                ZoneError(
                     f"{path}: serial {new.serial} is not believed beside {held.zone.serial}: {text}"
                 ),
             )
@@ -474,19 +490,19 @@
 
     def restore(self, command: Restore, answer: Callable[[Restored], None]) -> None:
         """Puts a zone back as it was, as its next version; `answer` hears once that is durable or can't be."""
-        held = self.held.get(command.origin)
+        held = self.zone_states.get(command.origin)
         if held is None:
             answer(Restored(error=f"no zone {command.origin} is in the settings"))
             return
         if self._by_origin[command.origin].primaries:
             answer(Restored(error=f"{command.origin} follows a primary: put it back there"))
             return
-        if held.staged:
+        if held.staged_updates:
             answer(Restored(error="updates are under way: try again"))
             return
         try:
-            difference = put_back(held.zone, held.history, command.serial, self.unix_ms())
-        except BadZone as error:
+            difference = restore_version(held.zone, held.history, command.serial, self.unix_ms())
+        except ZoneError as error:
             answer(Restored(error=str(error)))
             return
 
@@ -498,17 +514,17 @@
                     zone=held.origin,
                     restored_serial=command.serial,
                     serial=held.zone.serial,
-                    endpoints=len(held.meaning.hosts),
+                    endpoints=len(held.extractor.endpoints),
                 )
             answer(
-                Restored(held.zone.serial, len(held.meaning.hosts))
+                Restored(held.zone.serial, len(held.extractor.endpoints))
                 if durable
                 else Restored(error="the state can't be written")
             )
 
-        held.judge(difference, Grant(""), (), self.clock())
+        held.stage_update(difference, UpdateGrant(""), (), self.clock())
         if not self.stage(Ticket(held, difference, settle)):
-            held.undo(difference)
+            held.undo_update(difference)
             settle(False)
 
 
--- a/tests/test_zone_server.py
+++ b/tests/test_zone_server.py
@@ -21,10 +21,10 @@
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.frames import HEADER_BYTES, Kind, read
 from kelpcourse.store.recovery import from_bytes
-from kelpcourse.zones.book import Replay
 from kelpcourse.zones.desk import Desk
-from kelpcourse.zones.grants import HostClass
+from kelpcourse.zones.persistence import ZoneReplay
 from kelpcourse.zones.service import Restored
+from kelpcourse.zones.update_policy import EndpointClass
 from tests.standins import RecordingLog
 from tests.zonerig import (
     KEY,
@@ -41,7 +41,7 @@
 )
 from tests.zoning import LIMITS, ORIGIN, SERVICE, held, host, rec, rooms, zone
 
-SUBMIT = HostClass("move-submit", frozenset({"room-a"}), frozenset())
+SUBMIT = EndpointClass("move-submit", frozenset({"room-a"}), frozenset())
 NOERROR, REFUSED = dns.rcode.NOERROR, dns.rcode.REFUSED
 
 
@@ -57,7 +57,7 @@
     *records: object,
     update: str = "",
     more: str = "",
-    classes: tuple[HostClass, ...] = (),
+    classes: tuple[EndpointClass, ...] = (),
 ) -> tuple[Part, Client]:
     part = world.primary(zone(1, rooms()), update=update, more=more, classes=classes)
     world.until(lambda: part.zones._writer is not None and not part.zones._writer.broken)
@@ -233,7 +233,7 @@
     part, client = started(world)
     for k in range(3):
         assert client.update(*host_added(f"n-{k}")) == NOERROR
-    final = sorted(part.zones.held[ORIGIN].zone.records())
+    final = sorted(part.zones.zone_states[ORIGIN].zone.records())
     part.kill()
     folder = Folder(part.path / "state")
     files = {name: folder.read(name) for name in folder.names()}
@@ -245,13 +245,13 @@
         found = from_bytes({**files, journal: data[:cut]})
         if cut % 7 and cut < len(data) - 40 and len(found.records) in versions:
             continue  # the store's own tests look at each byte; here each version and the last record's tail
-        replay = Replay([ORIGIN], SERVICE, LIMITS)
+        replay = ZoneReplay([ORIGIN], SERVICE, LIMITS)
         replay.run(found.snapshot, [r.payload for r in found.records])
         known = replay.zones[ORIGIN]
         serial = known.zone.serial if known.zone.exists else 0
         versions[len(found.records)] = serial
         assert {f"n-{k}" for k in range(serial - 1)} == {
-            h for h in known.meaning.hosts if h[0] == "n"
+            h for h in known.extractor.endpoints if h[0] == "n"
         }
         assert replay.remarks == []
     assert len(records) == 4  # the file, and three updates
@@ -358,8 +358,8 @@
     world.until(lambda: follower.serial == 2)
     assert "s-9" in follower.list
     assert part.counters["zone_ixfr_out"] == 1
-    assert sorted(follower.zones.held[ORIGIN].zone.records()) == sorted(
-        part.zones.held[ORIGIN].zone.records()
+    assert sorted(follower.zones.zone_states[ORIGIN].zone.records()) == sorted(
+        part.zones.zone_states[ORIGIN].zone.records()
     )
 
 
@@ -489,7 +489,7 @@
 class Nobody:
     """A backstage for the desk alone."""
 
-    classes: tuple[HostClass, ...] = ()
+    classes: tuple[EndpointClass, ...] = ()
 
     def clock(self) -> int:
         return 0
@@ -538,7 +538,7 @@
     desk.handle(wire, ("127.0.0.1", 9), tcp, lambda wires: said.extend(wires))
     assert len(said) <= 1
     assert all(answer[:2] == wire[:2] and answer[2] & 0x80 for answer in said)
-    assert (start.zone.serial, len(start.meaning.hosts), start.staged) == (1, 4, 0)
+    assert (start.zone.serial, len(start.extractor.endpoints), start.staged_updates) == (1, 4, 0)
 
 
 def test_records_of_other_types_are_carried_along(world: World) -> None:
