--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -0,0 +1,1 @@
+"""Measurements beside earlier versions and beside libraries; each module is run with `python -m`."""
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -42,9 +42,10 @@
 
 
 class Fleet:
-    """A director with its fleet; what its steps took is summed up."""
+    """A policy with its fleet; the processor time of its steps is summed up."""
 
-    def __init__(self, make: Callable[[Settings], Any], proxies: int, hosts: int) -> None:
+    def __init__(self, factory: Callable[[Settings], Any], proxies: int, hosts: int) -> None:
+        """Steps the policy with a complete list."""
         self.hosts: list[Endpoint] = [host(1_000 + k, f"z{k % 8}") for k in range(hosts)]
         self.proxies = range(proxies)
         settings = replace(
@@ -57,17 +58,21 @@
             drain_grace_us=13_700_000,
             max_messages_per_proxy=12,
         )
-        self.director, self.now, self.took_s = make(settings), 50 * SECOND, 0.0
+        self.policy = factory(settings)
+        self.now_us = 50 * SECOND
+        self.took_s = 0.0
         self.step(full(self.hosts))
 
     def step(self, *events: Event) -> None:
-        self.now += SECOND // 100
-        began = time.process_time()
-        actions = self.director.step(self.now, events)
-        self.took_s += time.process_time() - began
-        self.marks = [a.checkpoint_id for a in actions if isinstance(a, Checkpoint)]
+        """Steps the policy 10 ms later."""
+        self.now_us += SECOND // 100
+        began_s = time.process_time()
+        actions = self.policy.step(self.now_us, events)
+        self.took_s += time.process_time() - began_s
+        self.checkpoints = [a.checkpoint_id for a in actions if isinstance(a, Checkpoint)]
 
     def joined(self) -> Fleet:
+        """Lets all proxies join; returns itself."""
         self.step(*(ProxyJoined(p, f"z{p % 8}", 2.0, True) for p in self.proxies))
         return self
 
@@ -75,7 +80,7 @@
         """A hundred steps; whatever was ordered is answered in the next."""
         for _ in range(100):
             self.step(
-                *(OrdersAcknowledged(p, n, 200_000) for n in self.marks for p in self.proxies)
+                *(OrdersAcknowledged(p, n, 200_000) for n in self.checkpoints for p in self.proxies)
             )
 
 
@@ -122,18 +127,20 @@
 
 
 def cost_ms(
-    kind: Callable[[Fleet], None], make: Callable[[Settings], Any], proxies: int, hosts: int
+    kind: Callable[[Fleet], None], factory: Callable[[Settings], Any], proxies: int, hosts: int
 ) -> float:
-    fleet = Fleet(make, proxies, hosts)
+    """Milliseconds of processor time that a scenario's steps take."""
+    fleet = Fleet(factory, proxies, hosts)
     gc.collect()
     fleet.took_s = 0.0
     kind(fleet)
     return fleet.took_s * 1000
 
 
-def memory_mb(make: Callable[[Settings], Any], proxies: int, hosts: int) -> float:
+def memory_mb(factory: Callable[[Settings], Any], proxies: int, hosts: int) -> float:
+    """The peak of Python's allocator in a mass join, in MB."""
     tracemalloc.start()
-    a_mass_join(Fleet(make, proxies, hosts))
+    a_mass_join(Fleet(factory, proxies, hosts))
     peak_bytes = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     return peak_bytes / 1e6
--- a/benchmarks/loop_turn.py
+++ b/benchmarks/loop_turn.py
@@ -11,7 +11,7 @@
 import statistics
 import time
 from collections.abc import Generator
-from typing import Any
+from types import ModuleType
 
 from benchmarks.before import module_at
 from kelpcourse.wire import loop as today
@@ -22,17 +22,19 @@
 
 
 def now_us() -> int:
+    """The monotonic clock, in microseconds."""
     return time.monotonic_ns() // 1000
 
 
-def turn_us(module: Any, tasks: int, turns: int) -> float:
+def turn_us(module: ModuleType, tasks: int, turns: int) -> float:
+    """Microseconds a turn of a version's loop takes with so many waiting tasks."""
     loop = module.Loop(now_us, print)
 
-    def far() -> Generator[Any, Any, None]:
+    def far() -> Generator[object, object, None]:
         while True:
             yield module.Wait(now_us() + FAR_US)
 
-    def busy() -> Generator[Any, Any, None]:
+    def busy() -> Generator[object, object, None]:
         while True:
             yield module.Wait(0)
 
@@ -40,15 +42,16 @@
         loop.start("far", far())
     loop.start("busy", busy())
     run_once = loop.run_once if hasattr(loop, "run_once") else loop.turn  # its name at BEFORE
-    began = time.perf_counter_ns()
+    began_ns = time.perf_counter_ns()
     for _ in range(turns):
         run_once(None)
-    took = time.perf_counter_ns() - began
+    took_ns = time.perf_counter_ns() - began_ns
     loop.close()
-    return took / turns / 1000
+    return took_ns / turns / 1000
 
 
 def main() -> None:
+    """Prints a table of both versions."""
     before = module_at(BEFORE, "kelpcourse/wire/loop.py")
     print("| waiting tasks | before, us a turn | now, us a turn | ratio |")
     print("| ---: | ---: | ---: | ---: |")
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -1,8 +1,8 @@
 """How groups are spread and moved by several hashes, and how long a takeover takes: `python -m benchmarks.shared`.
 
 Takeovers are played by controllers on loopback sockets with their disks, in one process; the holder that dies also
-leads, which is the worst case. No director is behind them yet: what is timed is from the kill until every group has a
-holder again.
+leads, which is the worst case. No group controllers are behind them yet: what is timed is
+from the kill until every group has a holder again.
 """
 
 from __future__ import annotations
@@ -27,10 +27,13 @@
 from kelpcourse.wire.storage import StorageThread
 
 GROUPS = 240
+TAKEOVER_GROUPS = 24
+PATIENCE_S = 30
 LEASE_MS = 1_200
 
 
 def placement() -> None:
+    """Prints how evenly hashes place groups, and how many groups move."""
     print(f"## {GROUPS} groups on five controllers, one of which leaves and comes back\n")
     print(
         "| hash | most on one (even: 48) | least | moved when one of five leaves | moved when it is back |"
@@ -65,14 +68,20 @@
 
 
 class NullEventLog:
+    """A log that keeps nothing."""
+
     def event(self, name: str, **fields: object) -> None:
-        pass
+        """Discards an event."""
 
-    always = event
+    def always(self, name: str, **fields: object) -> None:
+        """Discards an event."""
 
 
 class Fleet:
+    """Members on loopback, in one process."""
+
     def __init__(self, folder: Path, count: int) -> None:
+        """Starts `count` members and waits until every group has a holder."""
         self.loop = Loop(
             lambda: time.monotonic_ns() // 1000,
             lambda _, error: sys.exit(f"an unexpected error: {error!r}"),
@@ -89,6 +98,7 @@
         self.run_until(self.are_all_groups_held)
 
     def start(self, name: str) -> None:
+        """Starts a member with what its disk holds."""
         others = {n: at for n, at in self.addresses.items() if n != name}
         settings = MemberSettings(
             name, self.addresses[name], others, self.folder / name, name == "n0", lambda: None
@@ -100,7 +110,8 @@
             NullEventLog(),
             settings,
             ControllerOptions(
-                24, lease=LeaseTiming(LEASE_MS * 1000, 0.05, LEASE_MS * 250, LEASE_MS * 750)
+                TAKEOVER_GROUPS,
+                lease=LeaseTiming(LEASE_MS * 1000, 0.05, LEASE_MS * 250, LEASE_MS * 750),
             ),
             StorageThread(),
             lambda _: None,
@@ -110,17 +121,25 @@
         self.members[name] = member
 
     def kill(self, name: str) -> None:
+        """Ends a member without notice."""
         for task in self.tasks.pop(name):
             self.loop.stop(task)
         self.members.pop(name).close()
 
     def leader(self) -> str | None:
+        """The name of a member that leads, if there is one."""
         return next(
             (n for n, m in self.members.items() if m.status().get("role") == "leader"), None
         )
 
     def are_all_groups_held(self) -> bool:
-        return sum(m.epoch(g) is not None for m in self.members.values() for g in range(24)) == 24
+        """Whether every group has a lease holder."""
+        epochs = [
+            member.epoch(group)
+            for member in self.members.values()
+            for group in range(TAKEOVER_GROUPS)
+        ]
+        return sum(epoch is not None for epoch in epochs) == TAKEOVER_GROUPS
 
     def _add(self, name: str) -> bool:
         leader = self.leader()
@@ -130,19 +149,22 @@
             return False
 
     def run_until(self, condition: Callable[[], object]) -> None:
-        ends = time.monotonic() + 30
+        """Runs the loop until a condition holds, or ends the program."""
+        deadline_s = time.monotonic() + PATIENCE_S
         while not condition():
-            if time.monotonic() > ends:
+            if time.monotonic() > deadline_s:
                 sys.exit("the condition did not become true in time")
             self.loop.run_once(time.monotonic_ns() // 1000 + 2_000)
 
     def close(self) -> None:
+        """Ends all members."""
         self.loop.close()
         for member in self.members.values():
             member.close()
 
 
 def takeovers(rounds: int = 20) -> None:
+    """Prints how long groups are without a holder when the leader is killed."""
     print(
         f"\n## From the kill of leader and holder until every group is held again, lease {LEASE_MS} ms, s\n"
     )
@@ -171,6 +193,7 @@
 
 
 def main() -> None:
+    """Prints both tables; an argument is the number of kills."""
     placement()
     takeovers(int(sys.argv[1]) if len(sys.argv) > 1 else 20)
 
