--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -16,7 +16,7 @@
 from benchmarks.before import ROOT, tree_at
 from kelpcourse.lab.config import READ, node_config
 from kelpcourse.lab.world import Lab
-from kelpcourse.zones.settings import shown
+from kelpcourse.zones.settings import format_address
 
 BEFORE = "5b4a458"
 SECONDS = 8.0
@@ -41,7 +41,7 @@
             [
                 {
                     "id": h,
-                    "host_port": shown(at),
+                    "host_port": format_address(at),
                     "locality": lab.rooms[h],
                     "flavor": "m2",
                     "cell": 0,
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -43,12 +43,12 @@
     garbage_collection_paused,
 )
 from kelpcourse.zones.records import SOA, Record, canonical_data
-from kelpcourse.zones.settings import read_settings, shown
+from kelpcourse.zones.settings import format_address, read_settings
 from kelpcourse.zones.standalone import Host
 from kelpcourse.zones.transfer import AXFR, Incoming, messages, whole
 from kelpcourse.zones.versions import Zone, difference_between
 from kelpcourse.zones.zone_state import ZoneState
-from kelpcourse.zones.zonefile import read_text
+from kelpcourse.zones.zonefile import parse_zone_text
 
 HOSTS = 10_000
 LIMITS = Limits()
@@ -87,7 +87,7 @@
     print(f"\n## A zone of {HOSTS:,} hosts ({len(text.splitlines()):,} records)\n")
     print("| what | ours, ms | dnspython's own zone, ms |")
     print("| --- | ---: | ---: |")
-    ours, zone = timed(lambda: read_text(text, ORIGIN, LIMITS))
+    ours, zone = timed(lambda: parse_zone_text(text, ORIGIN, LIMITS))
     theirs, library = timed(
         lambda: dns.zone.from_text(text, ORIGIN, relativize=False, zone_factory=dns.versioned.Zone),
         1,
@@ -185,7 +185,7 @@
     print("| what | MB |")
     print("| --- | ---: |")
     for what, make in (
-        ("zone, hosts and history", lambda: held_of(read_text(text, ORIGIN, LIMITS))),
+        ("zone, hosts and history", lambda: held_of(parse_zone_text(text, ORIGIN, LIMITS))),
         (
             "dnspython's own zone, records alone",
             lambda: dns.zone.from_text(text, ORIGIN, relativize=False),
@@ -301,7 +301,7 @@
     print("| what | s |")
     print("| --- | ---: |")
     with tempfile.TemporaryDirectory() as folder:
-        held = held_of(read_text(zone_text(hosts(1000)), ORIGIN, LIMITS))
+        held = held_of(parse_zone_text(zone_text(hosts(1000)), ORIGIN, LIMITS))
         journal = Journal(Folder(Path(folder)))
         journal.open()
         journal.compact(
@@ -378,7 +378,7 @@
             primary = Primary(lab.loop, folder, listen, hosts(self._count), second, lambda _: None)
             primary.start()
             key = primary._key
-            way = f'primary "{shown(listen)}" key="staff.{ORIGIN}"'
+            way = f'primary "{format_address(listen)}" key="staff.{ORIGIN}"'
         else:
             key = make_key(folder)
             (folder / "games.zone").write_text(zone_text(hosts(self._count)))
--- a/kelpcourse/lab/config.py
+++ b/kelpcourse/lab/config.py
@@ -8,7 +8,7 @@
 import orjson
 
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.settings import shown
+from kelpcourse.zones.settings import format_address
 
 ROOMS = ("room-a", "room-b")
 READ, SUBMIT = "board-read", "move-submit"
@@ -86,11 +86,11 @@
     return orjson.dumps(
         {
             "name": "lab",
-            "listen": shown(listen),
-            "discovery": shown(discovery),
+            "listen": format_address(listen),
+            "discovery": format_address(discovery),
             "seed": "8c1f30d27a5be964",
             "limits": {"memory_mb": 192, "sockets": 1024},
-            "registry": {"address": shown(relay)},
+            "registry": {"address": format_address(relay)},
             "known": {"revision": 0, "complete": True, "members": list(known)},
             "settings": settings(forwarders),
         }
--- a/kelpcourse/lab/primary.py
+++ b/kelpcourse/lab/primary.py
@@ -21,7 +21,7 @@
 from kelpcourse.wire.loop import READ, Coroutine, Loop, Wait
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.service import Around, Restore, Restored, Zones
-from kelpcourse.zones.settings import read_settings, shown
+from kelpcourse.zones.settings import format_address, read_settings
 
 ORIGIN = "games.example.org."
 SERVICE = "_game._tcp"
@@ -67,7 +67,7 @@
     path = folder / f"{name}.kdl"
     path.write_text(
         SETTINGS.format(
-            listen=shown(listen),
+            listen=format_address(listen),
             state=f"{name}-state",
             service=SERVICE,
             key=KEY_NAME,
@@ -101,9 +101,7 @@
         self._key = make_key(folder)
         self._on_list = on_list
         (folder / "games.zone").write_text(zone_text(hosts))
-        way = (
-            f'file "games.zone"\n        update key="{KEY_NAME}"\n        notify "{shown(notify)}"'
-        )
+        way = f'file "games.zone"\n        update key="{KEY_NAME}"\n        notify "{format_address(notify)}"'
         settings = read_settings(write_settings(folder, "primary", listen, way))
         around = Around(
             loop, replace(Limits(), zone_file_poll_us=1 << 40), Counters(), Silent(), self._keep
--- a/kelpcourse/lab/story.py
+++ b/kelpcourse/lab/story.py
@@ -18,7 +18,7 @@
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.service import Restored
-from kelpcourse.zones.settings import shown
+from kelpcourse.zones.settings import format_address
 
 Say = Callable[[str], None]
 
@@ -65,7 +65,7 @@
             folder,
             "director",
             notify,
-            f'primary "{shown(dns_listen)}" key="staff.games.example.org."',
+            f'primary "{format_address(dns_listen)}" key="staff.games.example.org."',
         )
         self.lab.on_order = self._ordered
         self.lab.on_log = self._logged
--- a/kelpcourse/zones/desk.py
+++ b/kelpcourse/zones/desk.py
@@ -32,7 +32,7 @@
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under
 from kelpcourse.zones.records import SOA, canonical_data, parse_soa
-from kelpcourse.zones.settings import ZoneSettings, shown
+from kelpcourse.zones.settings import ZoneSettings, format_address
 from kelpcourse.zones.transfer import AXFR, IXFR, incremental, messages, whole
 from kelpcourse.zones.update import UpdateRejectedError, evaluate
 from kelpcourse.zones.update_policy import EndpointClass, UpdateGrant
@@ -136,7 +136,9 @@
         except (dns.exception.DNSException, ValueError, IndexError) as error:
             self._counters.add("dns_messages_rejected")
             self._log.event(
-                "dns_message_rejected", peer=shown(peer), reason=f"{type(error).__name__}: {error}"
+                "dns_message_rejected",
+                peer=format_address(peer),
+                reason=f"{type(error).__name__}: {error}",
             )
             reply([wire[:2] + bytes([QR | wire[2] & 0x79, dns.rcode.FORMERR]) + bytes(8)])
             return
@@ -164,7 +166,9 @@
         does not know the secret learns nothing else."""
         code = next(code for kind, code in ERRORS if isinstance(error, kind))
         self._counters.add("dns_signatures_rejected")
-        self._log.event("dns_signature_rejected", peer=shown(peer), reason=dns.rcode.to_text(code))
+        self._log.event(
+            "dns_signature_rejected", peer=format_address(peer), reason=dns.rcode.to_text(code)
+        )
         try:
             query = dns.message.from_wire(wire, keyring=False)
         except (dns.exception.DNSException, ValueError):
@@ -244,7 +248,7 @@
             self._log.event(
                 "zone_transfer_rejected",
                 zone=zone.origin,
-                peer=shown(request.peer),
+                peer=format_address(request.peer),
                 key=request.key,
             )
             self._say(request, dns.rcode.REFUSED)
@@ -285,7 +289,7 @@
             kind=kind,
             serial=zone.zone.serial,
             records=len(records),
-            peer=shown(request.peer),
+            peer=format_address(request.peer),
         )
         return self._counted(messages(request.message, records))
 
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -32,7 +32,7 @@
 from kelpcourse.zones.records import SOA
 from kelpcourse.zones.refresh import RefreshTimer
 from kelpcourse.zones.server import MESSAGE, READ_LEAST
-from kelpcourse.zones.settings import Primary
+from kelpcourse.zones.settings import DnsPeer
 from kelpcourse.zones.transfer import AXFR, IXFR, Incoming, Unfit, check_fits, offered
 from kelpcourse.zones.versions import Difference, Zone
 from kelpcourse.zones.zone_state import ZoneState
@@ -50,7 +50,7 @@
         self.counters = counters
         self.log = log
 
-    def ask(self, query: dns.message.Message, peer: Primary) -> Coroutine[dns.message.Message]:
+    def ask(self, query: dns.message.Message, peer: DnsPeer) -> Coroutine[dns.message.Message]:
         """The answer over UDP, or over TCP where UDP brings none. Raises Broken or ZoneError."""
         for _ in range(ASK_TRIES):
             message = yield from self.ask_udp(query, peer)
@@ -66,7 +66,7 @@
             session.close()
 
     def ask_udp(
-        self, query: dns.message.Message, peer: Primary
+        self, query: dns.message.Message, peer: DnsPeer
     ) -> Coroutine[dns.message.Message | None]:
         """None: no answer came. The port is fresh, and a connected socket hears its peer alone; what comes from
         there with another id, question or signature is somebody's guess, and the true answer is waited for."""
@@ -92,7 +92,7 @@
             sock.close()
 
     def _believed(
-        self, wire: bytes, query: dns.message.Message, peer: Primary
+        self, wire: bytes, query: dns.message.Message, peer: DnsPeer
     ) -> dns.message.Message | None:
         try:
             message = read_answer(wire, query, peer)
@@ -102,7 +102,7 @@
 
 
 def read_answer(
-    wire: bytes, query: dns.message.Message, peer: Primary, context: Any = None, multi: bool = False
+    wire: bytes, query: dns.message.Message, peer: DnsPeer, context: Any = None, multi: bool = False
 ) -> dns.message.Message:
     """An answer with its signature checked, if the question had one. Raises what dnspython does."""
     ring = {peer.key.name: peer.key} if peer.key is not None else None
@@ -120,7 +120,7 @@
     return message
 
 
-def question(origin: str, rdtype: dns.rdatatype.RdataType, peer: Primary) -> dns.message.Message:
+def question(origin: str, rdtype: dns.rdatatype.RdataType, peer: DnsPeer) -> dns.message.Message:
     query = dns.message.make_query(to_name(origin), rdtype, flags=0)
     if peer.key is not None:
         query.use_tsig(peer.key)
@@ -130,7 +130,7 @@
 class Session:
     """A question over TCP and the messages that answer it."""
 
-    def __init__(self, asker: Asker, peer: Primary, query: dns.message.Message) -> None:
+    def __init__(self, asker: Asker, peer: DnsPeer, query: dns.message.Message) -> None:
         self._asker = asker
         self._peer = peer
         self._query = query
@@ -190,7 +190,7 @@
         self,
         asker: Asker,
         held: ZoneState,
-        primaries: tuple[Primary, ...],
+        primaries: tuple[DnsPeer, ...],
         confirmed_us: int,
         adopt: Callable[[ZoneState, Difference, str], None],
         confirmed: Callable[[ZoneState], None],
@@ -237,7 +237,7 @@
             )  # whatever its primaries have is news now
             self._expired(self._held)
 
-    def _round(self, peer: Primary) -> Coroutine[None]:
+    def _round(self, peer: DnsPeer) -> Coroutine[None]:
         log, clock = self._asker.log, self._asker.loop.clock
         try:
             verdict = yield from self._follow(peer)
@@ -264,7 +264,7 @@
         self._refresh.query_succeeded(clock(), confirmed=True)
         self._confirmed(self._held)
 
-    def _follow(self, peer: Primary) -> Coroutine[Verdict]:
+    def _follow(self, peer: DnsPeer) -> Coroutine[Verdict]:
         """Asks for the SOA; fetches the zone if that is newer. What it makes of the version."""
         self._asker.counters.add("zone_soa_queries")
         query = question(self._held.origin, dns.rdatatype.SOA, peer)
@@ -278,7 +278,7 @@
             return (yield from self._fetch(peer))
         return verdict
 
-    def _fetch(self, peer: Primary) -> Coroutine[Verdict]:
+    def _fetch(self, peer: DnsPeer) -> Coroutine[Verdict]:
         held = self._held
         if held.zone.exists and not held.reconciler.expired:
             try:
@@ -290,7 +290,7 @@
                 )
         return (yield from self._transfer(peer, AXFR))
 
-    def _transfer(self, peer: Primary, rdtype: dns.rdatatype.RdataType) -> Coroutine[Verdict]:
+    def _transfer(self, peer: DnsPeer, rdtype: dns.rdatatype.RdataType) -> Coroutine[Verdict]:
         held, clock, limits = self._held, self._asker.loop.clock, self._asker.limits
         query = question(held.origin, rdtype, peer)
         if rdtype == IXFR:
@@ -315,7 +315,7 @@
             session.close()
         return self._take(peer, incoming)
 
-    def _take(self, peer: Primary, incoming: Incoming) -> Verdict:
+    def _take(self, peer: DnsPeer, incoming: Incoming) -> Verdict:
         """The version that came is judged by itself: behind one address may stand several servers."""
         zone, draft = incoming.result()
         version = offered(zone, draft)
@@ -352,7 +352,7 @@
 class Notifier:
     """Tells one secondary of each new version, until it says that it heard (RFC 1996, section 3.6)."""
 
-    def __init__(self, asker: Asker, held: ZoneState, peer: Primary) -> None:
+    def __init__(self, asker: Asker, held: ZoneState, peer: DnsPeer) -> None:
         self._asker = asker
         self._held = held
         self._peer = peer
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -23,9 +23,9 @@
 from kelpcourse.zones.names import read_name
 from kelpcourse.zones.persistence import ZoneReplay
 from kelpcourse.zones.service import Around, Restore, Restored, Zones
-from kelpcourse.zones.settings import ZonesSettings, shown
+from kelpcourse.zones.settings import ZonesSettings, format_address
 from kelpcourse.zones.zone_state import ZoneState
-from kelpcourse.zones.zonefile import read_file
+from kelpcourse.zones.zonefile import read_zone_file
 
 READ_TRIES = 5  # of a folder that a server compacts meanwhile
 
@@ -39,7 +39,7 @@
 def check_file(path: Path, origin: str, service: str, limits: Limits) -> Checked:
     """The hosts that a zone file announces, and each record that can't be used. Raises ZoneError if none can."""
     held = ZoneState(read_name(origin, "origin"), service, limits)
-    held.apply(held.difference_to(read_file(path, held.origin, limits), 0), 0)
+    held.apply(held.difference_to(read_zone_file(path, held.origin, limits), 0), 0)
     return Checked(
         sorted(held.extractor.endpoints.values(), key=lambda m: m.name),
         [f"{path}: {problem}" for problem in held.extractor.problems()],
@@ -75,7 +75,7 @@
     since = int(member.started_ms) if member.started_ms.is_integer() else member.started_ms
     return {
         "id": member.name,
-        "host_port": shown(member.address),
+        "host_port": format_address(member.address),
         "locality": member.zone,
         "flavor": member.kind,
         "cell": member.cell,
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -39,11 +39,11 @@
 )
 from kelpcourse.zones.reconciliation import Verdict, Version
 from kelpcourse.zones.server import Server, pair
-from kelpcourse.zones.settings import ZoneSettings, ZonesSettings, shown
+from kelpcourse.zones.settings import ZoneSettings, ZonesSettings, format_address
 from kelpcourse.zones.update_policy import EndpointClass, UpdateGrant, classes_without_endpoints
 from kelpcourse.zones.versions import Difference, Zone
 from kelpcourse.zones.zone_state import EndpointChanges, ZoneState
-from kelpcourse.zones.zonefile import read_file
+from kelpcourse.zones.zonefile import read_zone_file
 
 
 class Sink(Protocol):
@@ -205,7 +205,7 @@
         )
         around.keep("dns udp", self.server.run_udp)
         around.keep("dns tcp", self.server.run_tcp)
-        around.log.always("dns_ready", listen=shown(self.server.address))
+        around.log.always("dns_ready", listen=format_address(self.server.address))
 
     def _follow(self, origin: str, zone: ZoneSettings) -> None:
         held, around = self.zone_states[origin], self._around
@@ -408,7 +408,7 @@
     def _reread_file(self, zone: ZoneSettings, path: Path) -> Coroutine[None]:
         if not self._moved(zone, path):
             return
-        read = partial(read_file, path, zone.origin, self._around.limits)
+        read = partial(read_zone_file, path, zone.origin, self._around.limits)
         try:
             new = yield from run_in_thread(read)
         except ZoneError as error:
@@ -431,7 +431,7 @@
         """At the start, when nobody waits for anything else."""
         self._moved(zone, path)
         try:
-            new = read_file(path, zone.origin, self._around.limits)
+            new = read_zone_file(path, zone.origin, self._around.limits)
         except ZoneError as error:
             self._bad_file(zone, error)
             return
--- a/kelpcourse/zones/settings.py
+++ b/kelpcourse/zones/settings.py
@@ -100,22 +100,22 @@
 
 
 @dataclass(frozen=True)
-class Primary:
+class DnsPeer:
     address: Address
     key: dns.tsig.Key | None
 
     def __str__(self) -> str:
-        return shown(self.address)
+        return format_address(self.address)
 
 
 @dataclass(frozen=True)
 class ZoneSettings:
     origin: str
     file: Path | None
-    primaries: tuple[Primary, ...]
+    primaries: tuple[DnsPeer, ...]
     grants: tuple[UpdateGrant, ...]
     transfer_keys: frozenset[str]
-    notify: tuple[Primary, ...]
+    notify: tuple[DnsPeer, ...]
 
 
 @dataclass(frozen=True)
@@ -128,7 +128,7 @@
     zones: tuple[ZoneSettings, ...]
 
 
-def shown(at: Address) -> str:
+def format_address(at: Address) -> str:
     return f"[{at[0]}]:{at[1]}" if ":" in at[0] else f"{at[0]}:{at[1]}"
 
 
@@ -259,9 +259,9 @@
             tuple(self._peer(n, "zones.zone.notify") for n in block.notify),
         )
 
-    def _peer(self, block: PrimaryBlock | NotifyBlock, field: str) -> Primary:
+    def _peer(self, block: PrimaryBlock | NotifyBlock, field: str) -> DnsPeer:
         key = self._known(block, block.key, f"{field}.key") if block.key else ""
-        return Primary(self._address(block, block.address, field), self._keys.get(key))
+        return DnsPeer(self._address(block, block.address, field), self._keys.get(key))
 
     def _grant(self, block: UpdateBlock, origin: str) -> UpdateGrant | None:
         key = self._known(block, block.key, "zones.zone.update.key")
--- a/kelpcourse/zones/zonefile.py
+++ b/kelpcourse/zones/zonefile.py
@@ -21,7 +21,7 @@
 from kelpcourse.zones.versions import Zone, build_zone
 
 
-def read_file(path: Path, origin: str, limits: Limits) -> Zone:
+def read_zone_file(path: Path, origin: str, limits: Limits) -> Zone:
     """Raises ZoneError with file and line."""
     try:
         text = path.read_text(encoding="utf-8")
@@ -29,10 +29,10 @@
         raise ZoneError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
         raise ZoneError(f"{path}: not UTF-8") from None
-    return read_text(text, origin, limits, str(path))
+    return parse_zone_text(text, origin, limits, str(path))
 
 
-def read_text(text: str, origin: str, limits: Limits, name: str = "zone") -> Zone:
+def parse_zone_text(text: str, origin: str, limits: Limits, name: str = "zone") -> Zone:
     """A zone as it stands in a file. $INCLUDE is refused: one file is read, and read again, as a whole."""
     sink = _Sink(origin, limits)
     tokens = dns.tokenizer.Tokenizer(text, filename=name)
@@ -98,7 +98,7 @@
         self.records.append(Record(owner, int(rdata.rdtype), ttl, canonical_data(rdata)))
 
 
-def write_text(zone: Zone) -> str:
+def format_zone(zone: Zone) -> str:
     """The zone as a file again, in an order that is the same each time."""
     lines = [f"$ORIGIN {zone.origin}"]
     for r in sorted(
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -18,7 +18,7 @@
 
 from kelpcourse.cli.main import cli
 from kelpcourse.lab.world import free_address
-from kelpcourse.zones.zonefile import write_text
+from kelpcourse.zones.zonefile import format_zone
 from tests.zonerig import KEY, PRIMARY, SECRET, host_added, update_of
 from tests.zoning import ORIGIN, rec, rooms, zone
 
@@ -30,7 +30,7 @@
     key = tmp_path / "staff.key"
     key.write_bytes(SECRET)
     key.chmod(0o600)
-    (tmp_path / "games.zone").write_text(write_text(zone(1, rooms())))
+    (tmp_path / "games.zone").write_text(format_zone(zone(1, rooms())))
     listen = free_address()
     (tmp_path / "z.kdl").write_text(
         PRIMARY.format(update="", more="").replace("127.0.0.1:1", f"127.0.0.1:{listen[1]}")
@@ -67,7 +67,7 @@
         rooms(),
         [rec("s-9", "TXT", '"cell=x"'), rec("_game._tcp.room-a", "SRV", f"0 1 5 s-9.{ORIGIN}")],
     )
-    (folder / "games.zone").write_text(write_text(bad))
+    (folder / "games.zone").write_text(format_zone(bad))
     done = run("zones", "check", folder / "games.zone", "--origin", ORIGIN)
     assert (done.exit_code, len(done.stdout.splitlines())) == (1, 4)
     assert done.stderr == (
--- a/tests/test_group_controller.py
+++ b/tests/test_group_controller.py
@@ -23,7 +23,7 @@
 from kelpcourse.wire.http import connect_http
 from kelpcourse.wire.loop import Coroutine, Task
 from kelpcourse.wire.storage import StorageThread
-from kelpcourse.zones.settings import shown
+from kelpcourse.zones.settings import format_address
 from tests.standins import RecordingLog
 
 MS = 1000
@@ -53,7 +53,7 @@
     def entry(self, host: str, phase: str = "ready") -> dict[str, object]:
         return {
             "id": host,
-            "host_port": shown(self.lab.hosts[host]),
+            "host_port": format_address(self.lab.hosts[host]),
             "locality": self.lab.rooms[host],
             "flavor": "m2",
             "cell": 0,
--- a/tests/test_zone_files.py
+++ b/tests/test_zone_files.py
@@ -5,7 +5,7 @@
 import pytest
 
 from kelpcourse.zones.errors import ZoneError
-from kelpcourse.zones.zonefile import read_text, write_text
+from kelpcourse.zones.zonefile import format_zone, parse_zone_text
 from tests.zoning import LIMITS, ORIGIN, rec, rooms, zone
 
 HEAD = "$TTL 60\n@ SOA ns staff 1 60 10 600 30\n@ NS ns\n"
@@ -26,7 +26,7 @@
 )
 def test_a_mistake_is_told_with_its_line(text: str, line: int, what: str) -> None:
     with pytest.raises(ZoneError) as error:
-        read_text(HEAD + text, ORIGIN, LIMITS, "games.zone")
+        parse_zone_text(HEAD + text, ORIGIN, LIMITS, "games.zone")
     assert str(error.value).startswith(f"games.zone:{line}: ")
     assert what in str(error.value)
 
@@ -40,16 +40,20 @@
 )
 def test_a_zone_that_can_not_be_served_is_refused(text: str, what: str) -> None:
     with pytest.raises(ZoneError, match=what):
-        read_text("$TTL 60\n" + text, ORIGIN, LIMITS)
+        parse_zone_text("$TTL 60\n" + text, ORIGIN, LIMITS)
 
 
 def test_a_zone_written_out_is_the_same_zone() -> None:
     start = zone(
         7, rooms(), [rec("x", "TXT", '"a b" "c;d"'), rec("*", "MX", "5 mail.example.org.")]
     )
-    assert sorted(read_text(write_text(start), ORIGIN, LIMITS).records()) == sorted(start.records())
+    assert sorted(parse_zone_text(format_zone(start), ORIGIN, LIMITS).records()) == sorted(
+        start.records()
+    )
 
 
 def test_names_are_relative_to_the_origin_of_the_place() -> None:
-    made = read_text(HEAD + "$ORIGIN room.games.example.org.\ns-1 A 10.0.0.1\n", ORIGIN, LIMITS)
+    made = parse_zone_text(
+        HEAD + "$ORIGIN room.games.example.org.\ns-1 A 10.0.0.1\n", ORIGIN, LIMITS
+    )
     assert made.has_records("s-1.room." + ORIGIN)
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -24,10 +24,10 @@
 from kelpcourse.wire.loop import Coroutine, Loop
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.service import Around, Zones
-from kelpcourse.zones.settings import read_settings, shown
+from kelpcourse.zones.settings import format_address, read_settings
 from kelpcourse.zones.update_policy import EndpointClass
 from kelpcourse.zones.versions import Zone
-from kelpcourse.zones.zonefile import write_text
+from kelpcourse.zones.zonefile import format_zone
 from tests.standins import FakeClock, RecordingLog
 from tests.zoning import ORIGIN
 
@@ -115,7 +115,7 @@
         key.write_bytes(SECRET)
         key.chmod(0o600)
         if zone is not None:
-            (path / "games.zone").write_text(write_text(zone))
+            (path / "games.zone").write_text(format_zone(zone))
         return path
 
     def primary(
@@ -141,7 +141,7 @@
     ) -> Part:
         path = self.folder_of(name, None)
         signed = ' key="staff.games.example.org"' if key else ""
-        lines = "\n".join(f'primary "{shown(p)}"{signed}' for p in primaries)
+        lines = "\n".join(f'primary "{format_address(p)}"{signed}' for p in primaries)
         (path / "z.kdl").write_text(SECONDARY.format(primaries=lines, more=more))
         return self.part(path, (), limits)
 
