--- a/kelpcourse/zones/history.py
+++ b/kelpcourse/zones/history.py
@@ -1,4 +1,4 @@
-"""The differences that led to the version held: for IXFR (RFC 1995) and for putting a zone back. Pure."""
+"""The differences that led to the current version: for IXFR (RFC 1995) and for restoring a former version. Pure."""
 
 from __future__ import annotations
 
@@ -12,65 +12,80 @@
 
 
 class History:
-    """Bounded by records, not by versions: a whole-zone change weighs as much as it is."""
+    """The latest differences of a zone, bounded by the number of records in them."""
 
-    def __init__(self, most_records: int) -> None:
-        self._most = most_records
+    def __init__(self, max_records: int) -> None:
+        """Starts empty; forgets the oldest differences beyond `max_records` records."""
+        self._max_records = max_records
         self._differences: deque[Difference] = deque()
-        self._records = 0
+        self._record_count = 0
 
     def __iter__(self) -> Iterator[Difference]:
+        """Yields the differences, oldest first."""
         return iter(self._differences)
 
     def __len__(self) -> int:
+        """Returns the number of differences."""
         return len(self._differences)
 
     def serials(self) -> list[int]:
-        """Versions that can be told of, oldest first, without the one held."""
-        return [d.old_serial for d in self._differences if d.old_serial is not None]
+        """Returns the former versions that can be restored, oldest first."""
+        return [
+            difference.old_serial
+            for difference in self._differences
+            if difference.old_serial is not None
+        ]
 
     def add(self, difference: Difference) -> None:
-        if difference.old_serial is None or (
-            self._differences and self._differences[-1].new_serial != difference.old_serial
-        ):
-            self._differences.clear()
-            self._records = 0
-            if difference.old_serial is None:
-                return
+        """Adds the latest difference; one that does not follow on replaces all before it."""
+        if difference.old_serial is None:
+            self._clear()
+            return
+        if self._differences and self._differences[-1].new_serial != difference.old_serial:
+            self._clear()
         self._differences.append(difference)
-        self._records += difference.record_count
-        while self._records > self._most and self._differences:
-            self._records -= self._differences.popleft().record_count
+        self._record_count += difference.record_count
+        while self._record_count > self._max_records and self._differences:
+            self._record_count -= self._differences.popleft().record_count
 
     def differences_since(self, serial: int) -> list[Difference] | None:
-        """What leads from that version to the one held; None: that is no longer known."""
-        out: list[Difference] = []
+        """Returns what leads from a version to the current one; None if it is not known any more."""
+        differences: list[Difference] = []
         for difference in reversed(self._differences):
-            out.append(difference)
+            differences.append(difference)
             if difference.old_serial == serial:
-                return out[::-1]
+                differences.reverse()
+                return differences
         return None
 
+    def _clear(self) -> None:
+        self._differences.clear()
+        self._record_count = 0
+
 
 def version_at(zone: Zone, history: History, serial: int) -> Zone | None:
-    """The version with that serial; None: it is no longer known."""
-    steps = history.differences_since(serial)
-    if steps is None:
+    """Returns the version with a serial; None if it is not known any more."""
+    differences = history.differences_since(serial)
+    if differences is None:
         return None
     former = zone.copy()
-    for step in reversed(steps):
-        former.apply(step.inverse(0))
+    for difference in reversed(differences):
+        former.apply(difference.inverse(0))
     return former
 
 
-def restore_version(zone: Zone, history: History, serial: int, at_ms: int) -> Difference:
-    """The zone as it was at `serial`, as the version after the one held. Raises ZoneError with what is known."""
-    former = version_at(zone, history, serial)
-    if former is None:
+def restore_version(zone: Zone, history: History, serial: int, accepted_ms: int) -> Difference:
+    """Returns the step to a new version with the records of a former one and the next serial.
+
+    Raises:
+        UnknownVersionError: the former version is not known any more.
+    """
+    restored = version_at(zone, history, serial)
+    if restored is None:
         raise UnknownVersionError(zone.origin, serial, history.serials())
-    soa = former.record_set(zone.origin, SOA)
-    assert soa is not None
-    ttl, data = soa.ttl, next(iter(soa.data))
-    former.remove(Record(zone.origin, SOA, ttl, data))
-    former.add(Record(zone.origin, SOA, ttl, with_serial(data, next_serial(zone.serial))))
-    return difference_between(zone, former, at_ms)
+    soa_records = restored.record_set(zone.origin, SOA)
+    assert soa_records is not None  # every version in the history has an SOA record
+    soa = Record(zone.origin, SOA, soa_records.ttl, next(iter(soa_records.data)))
+    restored.remove(soa)
+    restored.add(soa._replace(data=with_serial(soa.data, next_serial(zone.serial))))
+    return difference_between(zone, restored, accepted_ms)
--- a/kelpcourse/zones/names.py
+++ b/kelpcourse/zones/names.py
@@ -1,4 +1,4 @@
-"""Names of the DNS as plain keys: absolute, lower case, as in a zone file. Pure."""
+"""Domain names as keys: absolute, lower case, in the form of zone files. Pure."""
 
 from __future__ import annotations
 
@@ -9,19 +9,28 @@
 
 from kelpcourse.zones.errors import InvalidNameError
 
+MAX_CACHED_NAMES = 16_384
+ORIGIN_SIGN = "@"  # the origin in a zone file (RFC 1035, section 5.1)
+ROOT = "."
+
 
 def canonical(name: dns.name.Name) -> str:
-    """The key of an absolute name; case does not tell names apart (RFC 4343)."""
+    """Returns the key of an absolute name; names are equal whatever their case (RFC 4343)."""
     return name.to_text().lower()
 
 
-@lru_cache(maxsize=16_384)
+@lru_cache(maxsize=MAX_CACHED_NAMES)
 def to_name(key: str) -> dns.name.Name:
+    """Returns the name of a key."""
     return dns.name.from_text(key)
 
 
 def read_name(text: str, field: str) -> str:
-    """The key of a name that a person wrote; a missing last dot is meant."""
+    """Returns the key of a name that a person wrote, with or without the last dot.
+
+    Raises:
+        InvalidNameError: it is not a name; `field` says where it was written.
+    """
     try:
         return canonical(dns.name.from_text(text))
     except (dns.exception.DNSException, UnicodeError) as error:
@@ -29,22 +38,30 @@
 
 
 def labels(key: str) -> tuple[str, ...]:
-    """Its labels from the left, without the root."""
-    if "\\" not in key:
-        return tuple(key[:-1].split(".")) if key != "." else ()
-    return tuple(dns.name.Name((label,)).to_text() for label in to_name(key).labels[:-1])
+    """Returns the labels of a name from the left, without the root."""
+    if "\\" in key:  # dots may be escaped
+        return tuple(dns.name.Name((label,)).to_text() for label in to_name(key).labels[:-1])
+    if key == ROOT:
+        return ()
+    return tuple(key[:-1].split("."))
 
 
 def is_under(key: str, origin: str) -> bool:
     """Whether a name is the origin or below it."""
-    parts, end = labels(key), labels(origin)
-    return len(parts) >= len(end) and parts[len(parts) - len(end) :] == end
+    name_labels = labels(key)
+    origin_labels = labels(origin)
+    start = len(name_labels) - len(origin_labels)
+    return start >= 0 and name_labels[start:] == origin_labels
 
 
 def relative(key: str, origin: str) -> str:
-    """Without the origin and its dot; `@` for the origin itself, the whole name if it lies elsewhere."""
+    """Returns a name without the origin.
+
+    It is `@` for the origin itself, and the whole name for one that is not below the origin.
+    """
     if key == origin:
-        return "@"
+        return ORIGIN_SIGN
     if not is_under(key, origin):
         return key
-    return ".".join(labels(key)[: len(labels(key)) - len(labels(origin))])
+    name_labels = labels(key)
+    return ".".join(name_labels[: len(name_labels) - len(labels(origin))])
--- a/kelpcourse/zones/serials.py
+++ b/kelpcourse/zones/serials.py
@@ -1,4 +1,4 @@
-"""Serial numbers of zones: arithmetic on a circle of 2^32 (RFC 1982). Pure."""
+"""Arithmetic on the serial numbers of zones, which wrap around at 2^32 (RFC 1982). Pure."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 
 
 class SerialOrder(Enum):
+    """How one serial compares with another."""
+
     SAME = "same"
     AHEAD = "ahead"
     BEHIND = "behind"
-    UNDEFINED = "undefined"  # exactly half round: neither is ahead (RFC 1982, section 3.2)
+    UNDEFINED = "undefined"  # exactly half the space apart (RFC 1982, section 3.2)
 
 
 def compare_serials(serial: int, other: int) -> SerialOrder:
-    """Where `serial` stands beside `other`."""
+    """Tells where `serial` is relative to `other` (RFC 1982, section 3.2)."""
     distance = (serial - other) % SERIAL_SPACE
     if distance == 0:
         return SerialOrder.SAME
@@ -26,5 +28,5 @@
 
 
 def next_serial(serial: int) -> int:
-    """The next one; 0 is left out, as some servers take it for none."""
+    """Increments a serial (RFC 1982, section 3.1); leaves out 0, which some servers take for none."""
     return (serial + 1) % SERIAL_SPACE or 1
