--- a/kelpcourse/cli/zone_commands.py
+++ b/kelpcourse/cli/zone_commands.py
@@ -81,7 +81,7 @@
         raise ZoneError(f"{file}: no state is named, there or by --state")
     replay = read_state(settings, settings.state, Limits())
     _show(hosts_of(replay.zones.values()), as_json)
-    exit_with_problems(replay.remarks)
+    exit_with_problems(replay.warnings)
 
 
 @zones.command("restore")
--- a/kelpcourse/lab/config.py
+++ b/kelpcourse/lab/config.py
@@ -7,7 +7,7 @@
 import orjson
 
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.settings import shown
+from kelpcourse.zones.settings import format_address
 
 ROOMS = ("room-a", "room-b")
 SUBMIT_ROOM = "room-a"
@@ -107,11 +107,11 @@
     return orjson.dumps(
         {
             "name": "lab",
-            "listen": shown(listen),
-            "discovery": shown(discovery),
+            "listen": format_address(listen),
+            "discovery": format_address(discovery),
             "seed": "8c1f30d27a5be964",
             "limits": {"memory_mb": 192, "sockets": 1024},
-            "registry": {"address": shown(relay)},
+            "registry": {"address": format_address(relay)},
             "known": {"revision": 0, "complete": True, "members": list(known)},
             "settings": settings(proxy_count),
         }
--- a/kelpcourse/lab/scenario.py
+++ b/kelpcourse/lab/scenario.py
@@ -20,7 +20,7 @@
 from kelpcourse.memory.orders import Order, RestoreEndpoint, WithdrawEndpoint
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.service import Restored
-from kelpcourse.zones.settings import shown
+from kelpcourse.zones.settings import format_address
 
 FIRST_SERIAL = 1
 Say = Callable[[str], None]
@@ -96,7 +96,7 @@
         self.primary = Primary(
             self.lab.loop, folder, dns_address, entries, notify_address, self._announced
         )
-        source = f'primary "{shown(dns_address)}" key="{KEY_NAME}"'
+        source = f'primary "{format_address(dns_address)}" key="{KEY_NAME}"'
         self._zones = write_settings(folder, "controller", notify_address, source)
         self.lab.relay.on_order = self._ordered
 
--- a/kelpcourse/zones/desk.py
+++ b/kelpcourse/zones/desk.py
@@ -28,14 +28,15 @@
 from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.answer import fill, look_up
-from kelpcourse.zones.content import SOA, Difference, canonical_data, parse_soa
 from kelpcourse.zones.deduplication import UpdateDeduplicator
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under
-from kelpcourse.zones.settings import ZoneSettings, shown
+from kelpcourse.zones.records import SOA, canonical_data, parse_soa
+from kelpcourse.zones.settings import ZoneSettings, format_address
 from kelpcourse.zones.transfer import AXFR, IXFR, incremental, messages, whole
 from kelpcourse.zones.update import UpdateRejectedError, evaluate
 from kelpcourse.zones.update_policy import EndpointClass, UpdateGrant
+from kelpcourse.zones.versions import Difference
 from kelpcourse.zones.zone_state import ZoneState
 
 Reply = Callable[[Iterable[bytes]], None]
@@ -135,7 +136,9 @@
         except (dns.exception.DNSException, ValueError, IndexError) as error:
             self._counters.add("dns_messages_rejected")
             self._log.event(
-                "dns_message_rejected", peer=shown(peer), reason=f"{type(error).__name__}: {error}"
+                "dns_message_rejected",
+                peer=format_address(peer),
+                reason=f"{type(error).__name__}: {error}",
             )
             reply([wire[:2] + bytes([QR | wire[2] & 0x79, dns.rcode.FORMERR]) + bytes(8)])
             return
@@ -163,7 +166,9 @@
         does not know the secret learns nothing else."""
         code = next(code for kind, code in ERRORS if isinstance(error, kind))
         self._counters.add("dns_signatures_rejected")
-        self._log.event("dns_signature_rejected", peer=shown(peer), reason=dns.rcode.to_text(code))
+        self._log.event(
+            "dns_signature_rejected", peer=format_address(peer), reason=dns.rcode.to_text(code)
+        )
         try:
             query = dns.message.from_wire(wire, keyring=False)
         except (dns.exception.DNSException, ValueError):
@@ -243,7 +248,7 @@
             self._log.event(
                 "zone_transfer_rejected",
                 zone=zone.origin,
-                peer=shown(request.peer),
+                peer=format_address(request.peer),
                 key=request.key,
             )
             self._say(request, dns.rcode.REFUSED)
@@ -270,7 +275,9 @@
             serial = known[0][0].serial if known else None
             if serial == zone.zone.serial:
                 records = whole(zone.zone)[:1]
-            elif serial is not None and (steps := zone.history.since(serial)) is not None:
+            elif (
+                serial is not None and (steps := zone.history.differences_since(serial)) is not None
+            ):
                 records = incremental(zone.zone, steps)
         kind = "ixfr" if records is not None else "axfr"
         if records is None:
@@ -282,7 +289,7 @@
             kind=kind,
             serial=zone.zone.serial,
             records=len(records),
-            peer=shown(request.peer),
+            peer=format_address(request.peer),
         )
         return self._counted(messages(request.message, records))
 
@@ -339,7 +346,7 @@
         def tell(rcode: dns.rcode.Rcode) -> None:
             self._say(request, rcode)
 
-        if not self._deduplicator.meet(mac, self._backstage.clock(), tell):
+        if not self._deduplicator.register(mac, self._backstage.clock(), tell):
             self._counters.add("zone_updates_deduplicated")
             return
         self._make(request, zone, grant, mac)
@@ -353,7 +360,7 @@
         backstage, now_us = self._backstage, self._backstage.clock()
 
         def done(rcode: dns.rcode.Rcode) -> None:
-            self._deduplicator.answered(mac, rcode, backstage.clock())
+            self._deduplicator.complete(mac, rcode, backstage.clock())
 
         if not zone.head.exists:
             done(dns.rcode.SERVFAIL)
@@ -372,10 +379,10 @@
             )
             done(error.rcode)
             return
-        if not draft.changed():  # all of it stands already (RFC 2136, section 3.4.2.7)
+        if not draft.is_changed():  # all of it stands already (RFC 2136, section 3.4.2.7)
             done(dns.rcode.NOERROR)
             return
-        draft.advance()
+        draft.advance_serial()
         difference = draft.difference(backstage.unix_ms())
         try:
             why = zone.stage_update(difference, grant, backstage.classes, now_us)
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -22,7 +22,6 @@
 from kelpcourse.wire.runtime import EventLog
 from kelpcourse.wire.storage import DurableWriter, StorageThread
 from kelpcourse.wire.worker import run_in_thread
-from kelpcourse.zones.content import Difference, Zone
 from kelpcourse.zones.desk import Desk, Ticket
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.follower import Asker, Follower, Notifier, same
@@ -40,10 +39,11 @@
 )
 from kelpcourse.zones.reconciliation import Verdict, Version
 from kelpcourse.zones.server import Server, pair
-from kelpcourse.zones.settings import ZoneSettings, ZonesSettings, shown
+from kelpcourse.zones.settings import ZoneSettings, ZonesSettings, format_address
 from kelpcourse.zones.update_policy import EndpointClass, UpdateGrant, classes_without_endpoints
+from kelpcourse.zones.versions import Difference, Zone
 from kelpcourse.zones.zone_state import EndpointChanges, ZoneState
-from kelpcourse.zones.zonefile import read_file
+from kelpcourse.zones.zonefile import read_zone_file
 
 
 class Sink(Protocol):
@@ -85,7 +85,7 @@
         self._writer: DurableWriter[Ticket | Saved] | None = None
         replay = self._open_store()
         self.zone_states = replay.zones
-        self._others = replay.others()
+        self._others = replay.unconfigured_zones()
         self.merged_list = MergedEndpointList(
             list(self.zone_states), grace_us, around.limits.max_endpoint_names
         )
@@ -113,7 +113,7 @@
         with garbage_collection_paused():
             found = journal.open()
             replay.run(found.snapshot, (record.payload for record in found.records))
-        journal.begin(found, encode_snapshot(replay.zones.values(), replay.others()))
+        journal.begin(found, encode_snapshot(replay.zones.values(), replay.unconfigured_zones()))
         for warning in found.warnings:
             around.log.always(
                 "store_warning",
@@ -122,7 +122,7 @@
                 lost_bytes=warning.lost_bytes,
                 alarming=warning.alarming,
             )
-        for text in replay.remarks:
+        for text in replay.warnings:
             around.log.always("store_warning", file="", problem=text, lost_bytes=0, alarming=True)
         around.log.always(
             "store_opened",
@@ -205,7 +205,7 @@
         )
         around.keep("dns udp", self.server.run_udp)
         around.keep("dns tcp", self.server.run_tcp)
-        around.log.always("dns_ready", listen=shown(self.server.address))
+        around.log.always("dns_ready", listen=format_address(self.server.address))
 
     def _follow(self, origin: str, zone: ZoneSettings) -> None:
         held, around = self.zone_states[origin], self._around
@@ -316,8 +316,8 @@
     def _announce(self, held: ZoneState, changes: EndpointChanges) -> None:
         """One change of the list, however many hosts it concerns."""
         origin, around = held.origin, self._around
-        members, conflicts = self.merged_list.take(origin, changes, self.clock(), self.unix_ms())
-        became_whole = self.merged_list.loaded(origin)
+        members, conflicts = self.merged_list.update(origin, changes, self.clock(), self.unix_ms())
+        became_whole = self.merged_list.zone_loaded(origin)
         self._tell_conflicts(conflicts)
         self._tell_problems(held)
         for notifier in self._notifiers[origin]:
@@ -325,7 +325,7 @@
         around.counters.add("zone_changes")
         if became_whole:
             self._sink.listed(
-                list(self.merged_list.members.values()), self.merged_list.version, True
+                list(self.merged_list.endpoints.values()), self.merged_list.version, True
             )
         elif members:
             self._sink.listed(members, self.merged_list.version, False)
@@ -335,8 +335,8 @@
         for conflict in conflicts:
             self._around.log.event(
                 "zone_conflict" if conflict.begins else "zone_conflict_resolved",
-                endpoint=conflict.host,
-                zones=conflict.sources,
+                endpoint=conflict.endpoint,
+                zones=conflict.zones,
             )
 
     def _tell_problems(self, held: ZoneState) -> None:
@@ -352,7 +352,7 @@
 
     def _check_bare(self) -> None:
         """Nothing is held back for it, but somebody must be told."""
-        now = set(classes_without_endpoints(self.classes, self.merged_list.members.values()))
+        now = set(classes_without_endpoints(self.classes, self.merged_list.endpoints.values()))
         if now != self._bare:
             self._around.log.always(
                 "zone_classes_without_endpoints", classes=sorted(now), were=sorted(self._bare)
@@ -362,13 +362,13 @@
     def _confirmed(self, held: ZoneState) -> None:
         now_us = self.clock()
         held.confirmed_ms = self.unix_ms()
-        was_available = self.merged_list.available
-        self.merged_list.loaded(held.origin)
+        was_available = self.merged_list.is_available
+        self.merged_list.zone_loaded(held.origin)
         if not was_available:
             self._sink.listed(
-                list(self.merged_list.members.values()),
+                list(self.merged_list.endpoints.values()),
                 self.merged_list.version,
-                self.merged_list.whole,
+                self.merged_list.is_complete,
             )
         if (
             now_us - self._seen_us.get(held.origin, -1 << 62)
@@ -385,9 +385,9 @@
             serial=held.zone.serial,
             endpoints=len(held.extractor.endpoints),
         )
-        was = self.merged_list.available
-        self.merged_list.lost(held.origin)
-        if was and not self.merged_list.available:
+        was = self.merged_list.is_available
+        self.merged_list.zone_expired(held.origin)
+        if was and not self.merged_list.is_available:
             self._sink.lost()
 
     # Files
@@ -408,7 +408,7 @@
     def _reread_file(self, zone: ZoneSettings, path: Path) -> Coroutine[None]:
         if not self._moved(zone, path):
             return
-        read = partial(read_file, path, zone.origin, self._around.limits)
+        read = partial(read_zone_file, path, zone.origin, self._around.limits)
         try:
             new = yield from run_in_thread(read)
         except ZoneError as error:
@@ -431,7 +431,7 @@
         """At the start, when nobody waits for anything else."""
         self._moved(zone, path)
         try:
-            new = read_file(path, zone.origin, self._around.limits)
+            new = read_zone_file(path, zone.origin, self._around.limits)
         except ZoneError as error:
             self._bad_file(zone, error)
             return
--- a/tests/test_zone_follower.py
+++ b/tests/test_zone_follower.py
@@ -9,9 +9,10 @@
 import dns.message
 import pytest
 
-from kelpcourse.zones.content import Record, Zone
+from kelpcourse.zones.records import Record
 from kelpcourse.zones.serials import HALF_SERIAL_SPACE
 from kelpcourse.zones.transfer import incremental
+from kelpcourse.zones.versions import Zone
 from tests.zoneprimary import ScriptedPrimary
 from tests.zonerig import MS, OTHER, SECOND, Part, World
 from tests.zoning import ORIGIN, draft_of, host, rooms, soa, zone
@@ -27,8 +28,8 @@
 def with_soa(start: Zone, record: Record) -> Zone:
     made = start.copy()
     for each in [r for r in start.records() if r.type == 6]:
-        made.take(each)
-    made.put(record)
+        made.remove(each)
+    made.add(record)
     return made
 
 
@@ -124,13 +125,13 @@
     assert part.losses == 1
     assert len(part.list) == 4  # silence takes nothing away
     answer = part.zones.merged_list
-    assert not answer.available
+    assert not answer.is_available
     primary.silent, primary.zone = (
         False,
         zone(7, rooms(), host("s-9")),
     )  # and what it has then is believed
     world.until(lambda: part.serial == 7)
-    assert answer.available
+    assert answer.is_available
     assert "s-9" in part.list
 
 
