--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -16,7 +16,7 @@
 from benchmarks.before import ROOT, tree_at
 from kelpcourse.lab.config import READ, node_config, room_of
 from kelpcourse.lab.world import Lab
-from kelpcourse.zones.settings import shown
+from kelpcourse.zones.settings import format_address
 
 BEFORE = "5b4a458"
 SECONDS = 8.0
@@ -37,7 +37,7 @@
     """An endpoint as discovery lists it."""
     return {
         "id": name,
-        "host_port": shown(lab.endpoints[name]),
+        "host_port": format_address(lab.endpoints[name]),
         "locality": lab.rooms[name],
         "flavor": "m2",
         "cell": 0,
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -25,15 +25,16 @@
 from kelpcourse.wire.stream import address_family, connect
 from kelpcourse.wire.worker import run_in_thread
 from kelpcourse.zones.answer import rrset_of
-from kelpcourse.zones.content import SOA, Difference, Zone
 from kelpcourse.zones.desk import serial_of
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import to_name
 from kelpcourse.zones.reconciliation import Contradiction, Verdict, Version
-from kelpcourse.zones.refresh import Refresh
+from kelpcourse.zones.records import SOA
+from kelpcourse.zones.refresh import RefreshTimer
 from kelpcourse.zones.server import MESSAGE, READ_LEAST
-from kelpcourse.zones.settings import Primary
+from kelpcourse.zones.settings import DnsPeer
 from kelpcourse.zones.transfer import AXFR, IXFR, Incoming, Unfit, check_fits, offered
+from kelpcourse.zones.versions import Difference, Zone
 from kelpcourse.zones.zone_state import ZoneState
 
 TOLD = (dns.exception.DNSException, ValueError, IndexError)
@@ -49,7 +50,7 @@
         self.counters = counters
         self.log = log
 
-    def ask(self, query: dns.message.Message, peer: Primary) -> Coroutine[dns.message.Message]:
+    def ask(self, query: dns.message.Message, peer: DnsPeer) -> Coroutine[dns.message.Message]:
         """The answer over UDP, or over TCP where UDP brings none. Raises Broken or ZoneError."""
         for _ in range(ASK_TRIES):
             message = yield from self.ask_udp(query, peer)
@@ -65,7 +66,7 @@
             session.close()
 
     def ask_udp(
-        self, query: dns.message.Message, peer: Primary
+        self, query: dns.message.Message, peer: DnsPeer
     ) -> Coroutine[dns.message.Message | None]:
         """None: no answer came. The port is fresh, and a connected socket hears its peer alone; what comes from
         there with another id, question or signature is somebody's guess, and the true answer is waited for."""
@@ -91,7 +92,7 @@
             sock.close()
 
     def _believed(
-        self, wire: bytes, query: dns.message.Message, peer: Primary
+        self, wire: bytes, query: dns.message.Message, peer: DnsPeer
     ) -> dns.message.Message | None:
         try:
             message = read_answer(wire, query, peer)
@@ -101,7 +102,7 @@
 
 
 def read_answer(
-    wire: bytes, query: dns.message.Message, peer: Primary, context: Any = None, multi: bool = False
+    wire: bytes, query: dns.message.Message, peer: DnsPeer, context: Any = None, multi: bool = False
 ) -> dns.message.Message:
     """An answer with its signature checked, if the question had one. Raises what dnspython does."""
     ring = {peer.key.name: peer.key} if peer.key is not None else None
@@ -119,7 +120,7 @@
     return message
 
 
-def question(origin: str, rdtype: dns.rdatatype.RdataType, peer: Primary) -> dns.message.Message:
+def question(origin: str, rdtype: dns.rdatatype.RdataType, peer: DnsPeer) -> dns.message.Message:
     query = dns.message.make_query(to_name(origin), rdtype, flags=0)
     if peer.key is not None:
         query.use_tsig(peer.key)
@@ -129,7 +130,7 @@
 class Session:
     """A question over TCP and the messages that answer it."""
 
-    def __init__(self, asker: Asker, peer: Primary, query: dns.message.Message) -> None:
+    def __init__(self, asker: Asker, peer: DnsPeer, query: dns.message.Message) -> None:
         self._asker = asker
         self._peer = peer
         self._query = query
@@ -189,7 +190,7 @@
         self,
         asker: Asker,
         held: ZoneState,
-        primaries: tuple[Primary, ...],
+        primaries: tuple[DnsPeer, ...],
         confirmed_us: int,
         adopt: Callable[[ZoneState, Difference, str], None],
         confirmed: Callable[[ZoneState], None],
@@ -198,28 +199,29 @@
         self._asker = asker
         self._held = held
         self._primaries = {str(p): p for p in primaries}
-        self._refresh = Refresh(asker.limits, list(self._primaries), asker.loop.clock())
+        self._refresh = RefreshTimer(asker.limits, list(self._primaries), asker.loop.clock())
         if held.zone.exists:
-            self._refresh.hold(held.zone.soa, confirmed_us)
+            self._refresh.set_soa(held.zone.soa, confirmed_us)
         self._adopt = adopt
         self._confirmed = confirmed
         self._expired = expired
         self._notified = Signal()
 
     def notified(self) -> None:
-        self._refresh.notified(self._asker.loop.clock())
+        self._refresh.notify(self._asker.loop.clock())
         self._notified.set()
 
     def run(self) -> Coroutine[None]:
         clock = self._asker.loop.clock
         while True:
             self._check_expiry()
-            name = self._refresh.begin(clock())
+            name = self._refresh.begin_query(clock())
             if name is None:
                 ends = None if self._held.reconciler.expired else self._refresh.expires_us()
                 yield Wait(
                     min(
-                        self._refresh.due_us(), ends if ends is not None else self._refresh.due_us()
+                        self._refresh.next_due_us(),
+                        ends if ends is not None else self._refresh.next_due_us(),
                     ),
                     signal=self._notified,
                 )
@@ -228,14 +230,14 @@
             yield from self._round(self._primaries[name])
 
     def _check_expiry(self) -> None:
-        if self._refresh.expired(self._asker.loop.clock()) and not self._held.reconciler.expired:
+        if self._refresh.is_expired(self._asker.loop.clock()) and not self._held.reconciler.expired:
             self._held.reconciler.expire()
-            self._refresh.notified(
+            self._refresh.notify(
                 self._asker.loop.clock()
             )  # whatever its primaries have is news now
             self._expired(self._held)
 
-    def _round(self, peer: Primary) -> Coroutine[None]:
+    def _round(self, peer: DnsPeer) -> Coroutine[None]:
         log, clock = self._asker.log, self._asker.loop.clock
         try:
             verdict = yield from self._follow(peer)
@@ -252,17 +254,17 @@
                 primary=str(peer),
                 reason=str(error),
             )
-            self._refresh.failed(clock())
+            self._refresh.query_failed(clock())
             return
         if verdict.contradicts:
-            self._refresh.failed(clock())  # another primary may know better
+            self._refresh.query_failed(clock())  # another primary may know better
             return
         if self._held.zone.exists:
-            self._refresh.hold(self._held.zone.soa, clock())
-        self._refresh.answered(clock(), True)
+            self._refresh.set_soa(self._held.zone.soa, clock())
+        self._refresh.query_succeeded(clock(), confirmed=True)
         self._confirmed(self._held)
 
-    def _follow(self, peer: Primary) -> Coroutine[Verdict]:
+    def _follow(self, peer: DnsPeer) -> Coroutine[Verdict]:
         """Asks for the SOA; fetches the zone if that is newer. What it makes of the version."""
         self._asker.counters.add("zone_soa_queries")
         query = question(self._held.origin, dns.rdatatype.SOA, peer)
@@ -276,7 +278,7 @@
             return (yield from self._fetch(peer))
         return verdict
 
-    def _fetch(self, peer: Primary) -> Coroutine[Verdict]:
+    def _fetch(self, peer: DnsPeer) -> Coroutine[Verdict]:
         held = self._held
         if held.zone.exists and not held.reconciler.expired:
             try:
@@ -288,7 +290,7 @@
                 )
         return (yield from self._transfer(peer, AXFR))
 
-    def _transfer(self, peer: Primary, rdtype: dns.rdatatype.RdataType) -> Coroutine[Verdict]:
+    def _transfer(self, peer: DnsPeer, rdtype: dns.rdatatype.RdataType) -> Coroutine[Verdict]:
         held, clock, limits = self._held, self._asker.loop.clock, self._asker.limits
         query = question(held.origin, rdtype, peer)
         if rdtype == IXFR:
@@ -313,7 +315,7 @@
             session.close()
         return self._take(peer, incoming)
 
-    def _take(self, peer: Primary, incoming: Incoming) -> Verdict:
+    def _take(self, peer: DnsPeer, incoming: Incoming) -> Verdict:
         """The version that came is judged by itself: behind one address may stand several servers."""
         zone, draft = incoming.result()
         version = offered(zone, draft)
@@ -350,7 +352,7 @@
 class Notifier:
     """Tells one secondary of each new version, until it says that it heard (RFC 1996, section 3.6)."""
 
-    def __init__(self, asker: Asker, held: ZoneState, peer: Primary) -> None:
+    def __init__(self, asker: Asker, held: ZoneState, peer: DnsPeer) -> None:
         self._asker = asker
         self._held = held
         self._peer = peer
