--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -15,7 +15,7 @@
 import threading
 import time
 import tracemalloc
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Callable, Iterable
 from functools import partial
 from pathlib import Path
 from typing import Any
@@ -28,9 +28,11 @@
 from hdrh.histogram import HdrHistogram
 
 from kelpcourse.lab.config import READ
+from kelpcourse.lab.loopback import free_address, now_us
 from kelpcourse.lab.primary import ORIGIN, SERVICE, Primary, make_key, write_settings, zone_text
-from kelpcourse.lab.world import Lab, free_address, now_us
+from kelpcourse.lab.world import Lab
 from kelpcourse.limits import Limits
+from kelpcourse.memory.orders import Order, WithdrawEndpoint
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.frames import Record as Entry
 from kelpcourse.store.journal import Journal
@@ -44,12 +46,12 @@
     garbage_collection_paused,
 )
 from kelpcourse.zones.records import SOA, Record, canonical_data
-from kelpcourse.zones.settings import read_settings, shown
+from kelpcourse.zones.settings import format_address, read_settings
 from kelpcourse.zones.standalone import StandaloneZones
 from kelpcourse.zones.transfer import AXFR, axfr_records, transfer_messages
 from kelpcourse.zones.versions import Zone, difference_between
 from kelpcourse.zones.zone_state import ZoneState
-from kelpcourse.zones.zonefile import read_text
+from kelpcourse.zones.zonefile import parse_zone_text
 
 HOSTS = 10_000
 LIMITS = Limits()
@@ -88,7 +90,7 @@
     print(f"\n## A zone of {HOSTS:,} hosts ({len(text.splitlines()):,} records)\n")
     print("| what | ours, ms | dnspython's own zone, ms |")
     print("| --- | ---: | ---: |")
-    ours, zone = timed(lambda: read_text(text, ORIGIN, LIMITS))
+    ours, zone = timed(lambda: parse_zone_text(text, ORIGIN, LIMITS))
     theirs, library = timed(
         lambda: dns.zone.from_text(text, ORIGIN, relativize=False, zone_factory=dns.versioned.Zone),
         1,
@@ -186,7 +188,7 @@
     print("| what | MB |")
     print("| --- | ---: |")
     for what, make in (
-        ("zone, hosts and history", lambda: held_of(read_text(text, ORIGIN, LIMITS))),
+        ("zone, hosts and history", lambda: held_of(parse_zone_text(text, ORIGIN, LIMITS))),
         (
             "dnspython's own zone, records alone",
             lambda: dns.zone.from_text(text, ORIGIN, relativize=False),
@@ -302,7 +304,7 @@
     print("| what | s |")
     print("| --- | ---: |")
     with tempfile.TemporaryDirectory() as folder:
-        held = held_of(read_text(zone_text(hosts(1000)), ORIGIN, LIMITS))
+        held = held_of(parse_zone_text(zone_text(hosts(1000)), ORIGIN, LIMITS))
         journal = Journal(Folder(Path(folder)))
         journal.open()
         journal.compact(
@@ -368,25 +370,25 @@
     def _measure(self, folder: Path) -> HdrHistogram:
         lab, out = Lab(folder, 4), dict[str, int]()
 
-        def ordered(order: Mapping[str, Any]) -> None:
-            if order["verb"] == "OUT":
-                out.setdefault(order["host"], now_us())
+        def ordered(order: Order) -> None:
+            if isinstance(order, WithdrawEndpoint):
+                out.setdefault(order.endpoint, now_us())
 
-        lab.on_order = ordered
+        lab.relay.on_order = ordered
         listen, second = free_address(), free_address()
         primary = None
         if self._follows:
             primary = Primary(lab.loop, folder, listen, hosts(self._count), second, lambda _: None)
             primary.start()
             key = primary._key
-            way = f'primary "{shown(listen)}" key="staff.{ORIGIN}"'
+            way = f'primary "{format_address(listen)}" key="staff.{ORIGIN}"'
         else:
             key = make_key(folder)
             (folder / "games.zone").write_text(zone_text(hosts(self._count)))
             way = f'file "games.zone"\n        update key="staff.{ORIGIN}"'
-        lab.start_director(write_settings(folder, "director", second, way))
-        assert lab.until(lambda: all(f.lines(READ) for f in lab.forwarders))
-        lab.for_s(3)
+        controller = lab.start_controller(write_settings(folder, "controller", second, way))
+        assert lab.run_until(lambda: all(f.weights(READ) for f in lab.proxies))
+        lab.run_for(3)
         target = listen if self._follows else second
         times = HdrHistogram(1, 60_000_000, 3)
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -399,11 +401,11 @@
             wire = message.to_wire()
             began = now_us()
             sock.send(wire)
-            assert lab.until(partial(out.__contains__, name), 20.0), (name, lab.log[-3:])
+            assert lab.run_until(partial(out.__contains__, name), 20.0), (name, controller.log[-3:])
             times.record_value(max(1, out[name] - began))
-            lab.for_s(0.06)
+            lab.run_for(0.06)
         sock.close()
-        lab.stop_director()
+        lab.stop_controller(controller)
         lab.close()
         if primary is not None:
             primary.close()
--- a/kelpcourse/zones/dns_client.py
+++ b/kelpcourse/zones/dns_client.py
@@ -5,12 +5,12 @@
 import socket
 from dataclasses import dataclass
 from functools import partial
-from typing import Any
 
 import dns.exception
 import dns.flags
 import dns.message
 import dns.rdatatype
+import dns.tsig
 
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
@@ -24,15 +24,16 @@
 from kelpcourse.zones.names import canonical, to_name
 from kelpcourse.zones.reconciliation import Version
 from kelpcourse.zones.records import canonical_data, soa_serial
-from kelpcourse.zones.settings import Primary
+from kelpcourse.zones.settings import DnsPeer
 from kelpcourse.zones.tcp_framing import frame, new_read_buffer
 from kelpcourse.zones.transfer import AXFR, IXFR
 
 UDP_ATTEMPTS = 2  # before TCP is used
+SigningContext = dns.tsig.HMACTSig | dns.tsig.GSSTSig | None
 UNREADABLE_ERRORS = (dns.exception.DNSException, ValueError, IndexError)
 
 
-def make_query(origin: str, rdtype: dns.rdatatype.RdataType, peer: Primary) -> dns.message.Message:
+def make_query(origin: str, rdtype: dns.rdatatype.RdataType, peer: DnsPeer) -> dns.message.Message:
     """Returns a query, signed if the peer has a key."""
     query = dns.message.make_query(to_name(origin), rdtype, flags=0)
     if peer.key is not None:
@@ -60,7 +61,7 @@
         self.counters = counters
         self.log = log
 
-    def query(self, query: dns.message.Message, peer: Primary) -> Coroutine[dns.message.Message]:
+    def query(self, query: dns.message.Message, peer: DnsPeer) -> Coroutine[dns.message.Message]:
         """Returns the response over UDP, or over TCP if none came or it was truncated.
 
         Raises:
@@ -83,7 +84,7 @@
             exchange.close()
 
     def query_udp(
-        self, query: dns.message.Message, peer: Primary
+        self, query: dns.message.Message, peer: DnsPeer
     ) -> Coroutine[dns.message.Message | None]:
         """Returns the response over UDP; None if none came in time.
 
@@ -109,7 +110,7 @@
             sock.close()
 
     def _receive_udp(
-        self, sock: socket.socket, query: dns.message.Message, peer: Primary
+        self, sock: socket.socket, query: dns.message.Message, peer: DnsPeer
     ) -> Coroutine[dns.message.Message | None]:
         deadline_us = self.loop.clock() + self.limits.soa_query_timeout_us
         while True:
@@ -133,7 +134,7 @@
 class TcpExchange:
     """A query over TCP and the messages of its response, of which a transfer has many."""
 
-    def __init__(self, client: DnsClient, peer: Primary, query: dns.message.Message) -> None:
+    def __init__(self, client: DnsClient, peer: DnsPeer, query: dns.message.Message) -> None:
         """Connects in `open`."""
         self._loop = client.loop
         self._limits = client.limits
@@ -141,7 +142,7 @@
         self._query = query
         self._buffer = new_read_buffer()
         self._stream: Stream | None = None
-        self._signing_context: Any = None  # dnspython's, over the messages so far
+        self._signing_context: SigningContext = None  # over the messages so far
 
     def open(self) -> Coroutine[None]:
         """Connects and sends the query.
@@ -207,8 +208,8 @@
 def _read_response(
     wire: bytes,
     query: dns.message.Message,
-    peer: Primary,
-    signing_context: Any = None,
+    peer: DnsPeer,
+    signing_context: SigningContext = None,
     is_transfer: bool = False,
 ) -> dns.message.Message:
     """Parses a response and checks its signature; raises what dnspython does.
@@ -231,7 +232,7 @@
 
 
 def _verified_response(
-    wire: bytes, query: dns.message.Message, peer: Primary
+    wire: bytes, query: dns.message.Message, peer: DnsPeer
 ) -> dns.message.Message | None:
     try:
         message = _read_response(wire, query, peer)
--- a/kelpcourse/zones/file_watcher.py
+++ b/kelpcourse/zones/file_watcher.py
@@ -15,7 +15,7 @@
 from kelpcourse.zones.runtime import ZoneRuntime
 from kelpcourse.zones.versions import Difference, Zone
 from kelpcourse.zones.zone_state import ZoneState
-from kelpcourse.zones.zonefile import read_file
+from kelpcourse.zones.zonefile import read_zone_file
 
 FILE_SOURCE = "file"  # in version reconciliation
 
@@ -54,7 +54,7 @@
             return
         self._has_changed(origin, path)
         try:
-            version = read_file(path, origin, self._runtime.limits)
+            version = read_zone_file(path, origin, self._runtime.limits)
         except ZoneError as error:
             self._reject(origin, error)
             return
@@ -79,7 +79,7 @@
         """Reads a file in a thread; pending updates come before its version."""
         try:
             version = yield from run_in_thread(
-                partial(read_file, path, origin, self._runtime.limits)
+                partial(read_zone_file, path, origin, self._runtime.limits)
             )
         except ZoneError as error:
             self._reject(origin, error)
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -26,7 +26,7 @@
 )
 from kelpcourse.zones.reconciliation import Contradiction, Verdict
 from kelpcourse.zones.refresh import RefreshTimer
-from kelpcourse.zones.settings import Primary
+from kelpcourse.zones.settings import DnsPeer
 from kelpcourse.zones.transfer import AXFR, IXFR
 from kelpcourse.zones.versions import Difference
 from kelpcourse.zones.zone_state import ZoneState
@@ -52,7 +52,7 @@
         self,
         client: DnsClient,
         zone: ZoneState,
-        primaries: tuple[Primary, ...],
+        primaries: tuple[DnsPeer, ...],
         confirmed_us: int,
         listener: FollowerListener,
     ) -> None:
@@ -104,7 +104,7 @@
         self._timer.notify(self._clock())  # any version of the primaries is accepted now
         self._listener.zone_expired(self._zone)
 
-    def _refresh_from(self, primary: Primary) -> Coroutine[None]:
+    def _refresh_from(self, primary: DnsPeer) -> Coroutine[None]:
         try:
             verdict = yield from self._query_and_transfer(primary)
         except (StreamError, ZoneError, dns.xfr.UseTCP) as error:
@@ -119,7 +119,7 @@
         self._timer.query_succeeded(self._clock(), confirmed=True)
         self._listener.zone_confirmed(self._zone)
 
-    def _note_failure(self, primary: Primary, error: Exception) -> None:
+    def _note_failure(self, primary: DnsPeer, error: Exception) -> None:
         self._client.counters.add("zone_soa_queries_failed")
         if isinstance(error, StreamTimeoutError):
             self._report(self._zone.reconciler.source_silent(str(primary)))
@@ -130,7 +130,7 @@
             reason=str(error),
         )
 
-    def _query_and_transfer(self, primary: Primary) -> Coroutine[Verdict]:
+    def _query_and_transfer(self, primary: DnsPeer) -> Coroutine[Verdict]:
         """Queries the SOA, and transfers the zone if the primary has a newer version."""
         self._client.counters.add("zone_soa_queries")
         origin = self._zone.origin
@@ -145,7 +145,7 @@
             return (yield from self._transfer_newer(primary))
         return verdict
 
-    def _transfer_newer(self, primary: Primary) -> Coroutine[Verdict]:
+    def _transfer_newer(self, primary: DnsPeer) -> Coroutine[Verdict]:
         """Transfers differences, or the whole zone if they cannot be used."""
         if self._zone.zone.exists and not self._zone.reconciler.expired:
             try:
@@ -160,7 +160,7 @@
                 )
         return (yield from self._transfer(primary, AXFR))
 
-    def _transfer(self, primary: Primary, rdtype: dns.rdatatype.RdataType) -> Coroutine[Verdict]:
+    def _transfer(self, primary: DnsPeer, rdtype: dns.rdatatype.RdataType) -> Coroutine[Verdict]:
         query = make_query(self._zone.origin, rdtype, primary)
         if rdtype == IXFR:
             query.authority.append(soa_rrset(self._zone.zone))
@@ -186,7 +186,7 @@
         add_message = partial(transfer.add_message, response.wire, response.message)
         return (yield from run_in_thread(add_message))
 
-    def _accept(self, primary: Primary, received: TransferredVersion) -> Verdict:
+    def _accept(self, primary: DnsPeer, received: TransferredVersion) -> Verdict:
         """The received version is compared anew, as several servers may share one address."""
         version = received.version()
         if version is None:
--- a/kelpcourse/zones/notifier.py
+++ b/kelpcourse/zones/notifier.py
@@ -10,14 +10,14 @@
 from kelpcourse.wire.loop import Coroutine, Signal, Wait, WakeReason
 from kelpcourse.zones.answer import soa_rrset
 from kelpcourse.zones.dns_client import DnsClient, make_query
-from kelpcourse.zones.settings import Primary
+from kelpcourse.zones.settings import DnsPeer
 from kelpcourse.zones.zone_state import ZoneState
 
 
 class Notifier:
     """Announces new versions to one secondary until it responds (RFC 1996, section 3.6)."""
 
-    def __init__(self, client: DnsClient, zone: ZoneState, secondary: Primary) -> None:
+    def __init__(self, client: DnsClient, zone: ZoneState, secondary: DnsPeer) -> None:
         """Creates a notifier; `run` is its coroutine."""
         self._client = client
         self._zone = zone
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -25,9 +25,9 @@
 from kelpcourse.zones.restore import RestoreCommand, RestoreResult
 from kelpcourse.zones.runtime import CoroutineFactory, ZoneRuntime
 from kelpcourse.zones.service import ZoneService
-from kelpcourse.zones.settings import ZonesSettings, shown
+from kelpcourse.zones.settings import ZonesSettings, format_address
 from kelpcourse.zones.zone_state import ZoneState
-from kelpcourse.zones.zonefile import read_file
+from kelpcourse.zones.zonefile import read_zone_file
 
 MAX_READ_ATTEMPTS = 5  # a server may replace the files meanwhile
 MAX_REMEMBERED_NAMES = 1 << 20
@@ -48,7 +48,7 @@
         ZoneError: The file as a whole cannot be used.
     """
     zone = ZoneState(read_name(origin, "origin"), service, limits)
-    version = read_file(path, zone.origin, limits)
+    version = read_zone_file(path, zone.origin, limits)
     zone.apply(zone.difference_to(version, 0), 0)
     return CheckedFile(
         sorted(zone.extractor.endpoints.values(), key=_endpoint_name),
@@ -86,7 +86,7 @@
     started_ms: float = endpoint.started_ms
     return {
         "id": endpoint.name,
-        "host_port": shown(endpoint.address),
+        "host_port": format_address(endpoint.address),
         "locality": endpoint.zone,
         "flavor": endpoint.kind,
         "cell": endpoint.cell,
--- a/kelpcourse/zones/request_handler.py
+++ b/kelpcourse/zones/request_handler.py
@@ -30,7 +30,7 @@
 from kelpcourse.zones.handler_context import HandlerContext
 from kelpcourse.zones.notify_handler import NotifyHandler
 from kelpcourse.zones.query_handler import QueryHandler
-from kelpcourse.zones.settings import ZoneSettings, shown
+from kelpcourse.zones.settings import ZoneSettings, format_address
 from kelpcourse.zones.signatures import (
     SIGNATURE_ERRORS,
     signature_error_response,
@@ -98,7 +98,9 @@
         except (dns.exception.DNSException, ValueError, IndexError) as error:
             self._counters.add("dns_messages_rejected")
             self._log.event(
-                "dns_message_rejected", peer=shown(peer), reason=f"{type(error).__name__}: {error}"
+                "dns_message_rejected",
+                peer=format_address(peer),
+                reason=f"{type(error).__name__}: {error}",
             )
             send([header_response(wire, dns.rcode.FORMERR)])
             return
@@ -124,7 +126,9 @@
     ) -> None:
         rcode = signature_rcode(error)
         self._counters.add("dns_signatures_rejected")
-        self._log.event("dns_signature_rejected", peer=shown(peer), reason=dns.rcode.to_text(rcode))
+        self._log.event(
+            "dns_signature_rejected", peer=format_address(peer), reason=dns.rcode.to_text(rcode)
+        )
         response = signature_error_response(wire, rcode, self._key_ring)
         send([response] if response is not None else ())
 
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -17,7 +17,7 @@
 from kelpcourse.zones.restore import CommandReader, OnResult, RestoreCommand, ZoneRestorer
 from kelpcourse.zones.runtime import EndpointListListener, StartCoroutine, ZoneRuntime
 from kelpcourse.zones.server import DnsServer
-from kelpcourse.zones.settings import ZoneSettings, ZonesSettings, shown
+from kelpcourse.zones.settings import ZoneSettings, ZonesSettings, format_address
 from kelpcourse.zones.update_policy import EndpointClass
 from kelpcourse.zones.versions import Difference
 from kelpcourse.zones.zone_state import EndpointChanges, ZoneState
@@ -224,4 +224,4 @@
         )
         runtime.start_coroutine("dns udp", self._server.run_udp)
         runtime.start_coroutine("dns tcp", self._server.run_tcp)
-        runtime.log.always("dns_ready", listen=shown(self._server.address))
+        runtime.log.always("dns_ready", listen=format_address(self._server.address))
--- a/kelpcourse/zones/transfer.py
+++ b/kelpcourse/zones/transfer.py
@@ -55,6 +55,7 @@
     """Yields the response in wire form; to a signed query all are signed (RFC 8945, section 5.3.1)."""
     response = dns.message.make_response(query)
     origin = canonical(query.question[0].name)
+    request_tsig: Any = response.tsig[0] if response.tsig is not None else None
     signing_context: Any = None
     for encoded_records in _batches(records, origin):
         renderer = _Renderer(query.id, int(response.flags | dns.flags.AA))
@@ -64,7 +65,17 @@
         renderer.counts[dns.renderer.ANSWER] += len(encoded_records)
         renderer.write_header()
         if response.want_tsig_sign:
-            signing_context = _sign(renderer, response, signing_context)
+            signing_context = renderer.add_multi_tsig(
+                signing_context,
+                response.keyname,
+                response.keyring,
+                request_tsig.fudge,
+                response.id,
+                0,
+                b"",
+                response.request_mac,
+                request_tsig.algorithm,
+            )
         yield renderer.get_wire()
 
 
@@ -102,18 +113,3 @@
     owner = b"".join(bytes((len(label),)) + label for label in owner_labels)
     header = RECORD_HEADER.pack(record.type, dns.rdataclass.IN, record.ttl, len(record.data))
     return owner + ORIGIN_POINTER + header + record.data
-
-
-def _sign(renderer: Any, response: dns.message.Message, context: Any) -> Any:
-    request_tsig: Any = response.tsig[0] if response.tsig is not None else None
-    return renderer.add_multi_tsig(
-        context,
-        response.keyname,
-        response.keyring,
-        request_tsig.fudge,
-        response.id,
-        0,
-        b"",
-        response.request_mac,
-        request_tsig.algorithm,
-    )
--- a/kelpcourse/zones/transfer_handler.py
+++ b/kelpcourse/zones/transfer_handler.py
@@ -15,7 +15,7 @@
 from kelpcourse.zones.answer import fill_response, look_up
 from kelpcourse.zones.dns_request import DnsRequest, Responder
 from kelpcourse.zones.records import SOA, Record
-from kelpcourse.zones.settings import ZoneSettings, shown
+from kelpcourse.zones.settings import ZoneSettings, format_address
 from kelpcourse.zones.transfer import (
     AXFR,
     IXFR,
@@ -60,7 +60,7 @@
             self._log.event(
                 "zone_transfer_rejected",
                 zone=zone.origin,
-                peer=shown(request.peer),
+                peer=format_address(request.peer),
                 key=request.key_name,
             )
             self._responder.reject(request, dns.rcode.REFUSED)
@@ -94,7 +94,7 @@
             kind=content.kind,
             serial=zone.zone.serial,
             records=len(content.records),
-            peer=shown(request.peer),
+            peer=format_address(request.peer),
         )
         return self._count_running(transfer_messages(request.message, content.records))
 
