--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,6 +15,7 @@
 from tests.listening import ListenerRig
 from tests.loop_rig import SocketPair
 from tests.standins import HASTY, QUICK, Bench, ScriptedPolicy, member
+from tests.zonerig import World
 
 
 @pytest.fixture
@@ -74,3 +75,11 @@
     yield ours, theirs
     ours.close()
     theirs.close()
+
+
+@pytest.fixture
+def world(tmp_path: Path) -> Iterator[World]:
+    """Running zone services in one loop, on a clock of the test's own."""
+    made = World(tmp_path)
+    yield made
+    made.close()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -19,7 +19,7 @@
 from kelpcourse.cli.main import cli
 from kelpcourse.lab.loopback import free_address
 from kelpcourse.zones.zonefile import format_zone
-from tests.zonerig import KEY, PRIMARY, SECRET, host_added, update_of
+from tests.zonerig import KEY, PRIMARY, SECRET, added_endpoint, update_message
 from tests.zoning import ORIGIN, rec, rooms, zone
 
 PATIENCE_S = 60.0
@@ -131,7 +131,7 @@
 
     def update(self, *prepare: tuple[str, ...]) -> dns.rcode.Rcode | None:
         """None: it ended before it answered."""
-        message = update_of(*prepare)
+        message = update_message(*prepare)
         wire = message.to_wire()
         try:
             with socket.create_connection(self.address, PATIENCE_S) as sock:
@@ -168,7 +168,7 @@
 def test_what_was_answered_outlives_sigkill(served: Served) -> None:
     answered = []
     for k in range(30):
-        if served.update(*host_added(f"n-{k}")) == dns.rcode.NOERROR:
+        if served.update(*added_endpoint(f"n-{k}")) == dns.rcode.NOERROR:
             answered.append(f"n-{k}")
         if k == 20:
             assert listed(served.folder) >= set(answered)  # beside a server that writes
--- a/tests/test_dns_bytes.py
+++ b/tests/test_dns_bytes.py
@@ -17,7 +17,7 @@
 import dns.tsig
 import pytest
 
-from tests.zonerig import KEY, Client, Part, World, host_added, update_of
+from tests.zonerig import KEY, Client, World, ZoneNode, added_endpoint, update_message
 from tests.zoning import ORIGIN, SERVICE, host, rooms, zone
 
 GOLDEN = Path(__file__).parent / "golden" / "wire"
@@ -38,17 +38,17 @@
     return bytes.fromhex((GOLDEN / f"{name}.hex").read_text())
 
 
-def primary(world: World, more: str = "") -> tuple[Part, Client]:
+def primary(world: World, more: str = "") -> tuple[ZoneNode, Client]:
     many = [r for k in range(40) for r in host(f"n-{k}", "room-c", address=f"127.0.1.{k}")]
-    part = world.primary(zone(1, rooms(), many), more=more)
-    world.until(lambda: part.zones.zone_states[ORIGIN].zone.exists)
-    return part, Client(world, part)
+    node = world.primary(zone(1, rooms(), many), more=more)
+    world.run_until(lambda: node.zones.zone_states[ORIGIN].zone.exists)
+    return node, Client(world, node)
 
 
 def exchange(client: Client, wire: bytes, tcp: bool) -> bytes:
     connection = client.send(wire, tcp)
     try:
-        return client.hear(connection, tcp)
+        return client.receive(connection, tcp)
     finally:
         connection.close()
 
@@ -103,7 +103,7 @@
 def test_bytes_of_transfers(world: World) -> None:
     _, client = primary(world)
     assert exchange(client, signed("AXFR"), True) == golden("axfr")
-    assert client.update(*host_added("s-9")) == dns.rcode.NOERROR
+    assert client.update(*added_endpoint("s-9")) == dns.rcode.NOERROR
     assert exchange(client, signed("IXFR", 1), True) == golden("ixfr")
     assert exchange(client, signed("IXFR", 2), True) == golden("ixfr-current")
     assert exchange(client, signed("IXFR", 2), False) == golden("ixfr-udp")
@@ -112,7 +112,7 @@
 
 
 def update(*prepare: tuple[str, ...], key: dns.tsig.Key | None = KEY) -> bytes:
-    message = update_of(*prepare, key=None)
+    message = update_message(*prepare, key=None)
     message.id = 4242
     if key is not None:
         message.use_tsig(key)
@@ -121,7 +121,7 @@
 
 def test_bytes_of_update_answers(world: World) -> None:
     _, client = primary(world)
-    add = host_added("s-9")
+    add = added_endpoint("s-9")
     unknown = dns.tsig.Key("nobody.", KEY.secret, KEY.algorithm)
     assert exchange(client, update(*add), False) == golden("update")
     assert exchange(client, update(*add, key=None), False) == golden("update-unsigned")
@@ -144,7 +144,7 @@
                 return False
             return True
 
-        world.until(notified)
+        world.run_until(notified)
     assert received[0][2:] == golden("notify")[2:]  # its id is drawn
     second = world.secondary(("127.0.0.1", 1))
     notify = dns.message.make_query(ORIGIN, "SOA", id=4242)
--- a/tests/test_stored_zones.py
+++ b/tests/test_stored_zones.py
@@ -216,16 +216,16 @@
 
 def test_a_running_part_announces_the_stored_endpoints(tmp_path: Path) -> None:
     world = World(tmp_path)
-    path = world.folder_of("secondary", None)
+    path = world.new_folder("secondary", None)
     shutil.copytree(GOLDEN, path / "state")
     settings = SECONDARY.format(more='state "state"', primaries='primary "127.0.0.1:1"')
     (path / "z.kdl").write_text(settings)
-    part = world.part(path)
+    node = world.node(path)
     try:
         recorded = RECORDED["zones"][ORIGIN]
-        held = part.zones.zone_states[ORIGIN]
-        assert (part.serial, held.confirmed_ms) == (recorded["serial"], recorded["confirmed_ms"])
-        assert {name: phase.value for name, phase in part.list.items()} == {
+        held = node.zones.zone_states[ORIGIN]
+        assert (node.serial, held.confirmed_ms) == (recorded["serial"], recorded["confirmed_ms"])
+        assert {name: phase.value for name, phase in node.statuses.items()} == {
             name: phase for name, (_, phase) in recorded["endpoints"].items()
         }
     finally:
--- /dev/null
+++ b/tests/test_zone_request_handler.py
@@ -0,0 +1,78 @@
+"""The request handler alone, fed with arbitrary bytes."""
+
+from __future__ import annotations
+
+import dns.flags
+import dns.message
+import dns.rcode
+import dns.tsig
+from hypothesis import HealthCheck, given, settings
+from hypothesis import strategies as st
+
+from kelpcourse.memory.counters import Counters
+from kelpcourse.zones.request_handler import DnsRequestHandler
+from kelpcourse.zones.update_policy import EndpointClass
+from tests.standins import RecordingLog
+from tests.zonerig import (
+    OTHER,
+    added_endpoint,
+    update_message,
+)
+from tests.zoning import LIMITS, ORIGIN, held, rooms, zone
+
+
+class RejectingContext:
+    """A context for the request handler alone."""
+
+    classes: tuple[EndpointClass, ...] = ()
+
+    def now_us(self) -> int:
+        return 0
+
+    def unix_ms(self) -> int:
+        return 0
+
+    def stage(self, ticket: object) -> bool:
+        raise AssertionError("nothing that is not signed comes so far")
+
+    def notify_received(self, origin: str) -> None:
+        pass
+
+
+VALID = [
+    dns.message.make_query(ORIGIN, "SOA").to_wire(),
+    update_message(*added_endpoint("x"), key=None).to_wire(),
+    update_message(*added_endpoint("x")).to_wire(),
+    dns.message.make_query(ORIGIN, "IXFR", use_edns=0).to_wire(),
+]
+
+
+@given(
+    st.one_of(
+        st.binary(max_size=200),
+        st.builds(
+            lambda wire, at, junk: (
+                wire[: at % len(wire)] + junk + wire[(at + len(junk)) % len(wire) :]
+            ),
+            st.sampled_from(VALID),
+            st.integers(0, 500),
+            st.binary(min_size=1, max_size=8),
+        ),
+    ),
+    st.booleans(),
+)
+@settings(
+    max_examples=1500, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow]
+)
+def test_arbitrary_bytes_get_at_most_one_response_and_change_nothing(
+    wire: bytes, tcp: bool
+) -> None:
+    start = held(zone(1, rooms()))
+    said: list[bytes] = []
+    handler = DnsRequestHandler(
+        {ORIGIN: start}, {}, {"k": OTHER}, LIMITS, Counters(), RecordingLog(), RejectingContext()
+    )
+    handler.handle(wire, ("127.0.0.1", 9), tcp, lambda wires: said.extend(wires))
+    assert len(said) <= 1
+    assert all(answer[:2] == wire[:2] and answer[2] & 0x80 for answer in said)
+    assert (start.zone.serial, len(start.extractor.endpoints), start.staged_updates) == (1, 4, 0)
--- a/tests/zoneprimary.py
+++ b/tests/zoneprimary.py
@@ -26,16 +26,16 @@
     def __init__(self, loop: Loop, zone: Zone, signed: bool = True) -> None:
         self.loop = loop
         self.zone = zone  # told of by its SOA
-        self.sent: Zone | None = None  # transferred, if another one
+        self.transferred_zone: Zone | None = None  # transferred, if another one
         self.ixfr: Callable[[int], Sequence[Record]] | None = (
             None  # by the serial asked from; None: the zone
         )
         self.cut_after = 1 << 30  # messages of a transfer before the connection ends
         self.silent = False
-        self.before_udp: Callable[[dns.message.Message], list[bytes]] = (
+        self.forged_responses: Callable[[dns.message.Message], list[bytes]] = (
             lambda _: []
         )  # forged by somebody else
-        self.asked: list[str] = []
+        self.queries: list[str] = []
         self._ring = {KEY.name: KEY} if signed else None
         self._udp, self._tcp = bind_udp_and_tcp(("127.0.0.1", 0), 16)
         self.address: Address = self._tcp.getsockname()
@@ -44,7 +44,7 @@
 
     def _read(self, wire: bytes) -> dns.message.Message:
         query = dns.message.from_wire(wire, keyring=self._ring)
-        self.asked.append(dns.rdatatype.to_text(query.question[0].rdtype))
+        self.queries.append(dns.rdatatype.to_text(query.question[0].rdtype))
         return query
 
     def _run_udp(self) -> Coroutine[None]:
@@ -52,7 +52,7 @@
             yield Wait(fd=self._udp.fileno(), event_mask=READ)
             wire, peer = self._udp.recvfrom(65_535)
             query = self._read(wire)
-            for forged in self.before_udp(query):
+            for forged in self.forged_responses(query):
                 self._udp.sendto(forged, peer)
             if not self.silent:
                 self._udp.sendto(self.soa_answer(query, self.zone).to_wire(), peer)
@@ -97,7 +97,7 @@
         rdtype = query.question[0].rdtype
         if rdtype == dns.rdatatype.SOA:
             return [self.soa_answer(query, self.zone).to_wire()]
-        records: Sequence[Record] = axfr_records(self.sent or self.zone)
+        records: Sequence[Record] = axfr_records(self.transferred_zone or self.zone)
         if rdtype == dns.rdatatype.IXFR and self.ixfr is not None:
             records = self.ixfr(query.authority[0][0].serial)
         return list(transfer_messages(query, records))
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -1,4 +1,4 @@
-"""A running zones part on loopback, on the test's own loop and clock, and a client to talk to it."""
+"""A running zones node on loopback, on the test's own loop and clock, and a client to talk to it."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from kelpcourse.zones.versions import Zone
 from kelpcourse.zones.zonefile import format_zone
 from tests.standins import FakeClock, RecordingLog
-from tests.zoning import ORIGIN
+from tests.zoning import ORIGIN, SERVICE, rooms, zone
 
 MS = 1000
 SECOND = 1_000_000
@@ -51,6 +51,7 @@
     dns_idle_timeout_us=200 * MS,
     dns_partial_message_timeout_us=60 * MS,
 )
+SUBMIT = EndpointClass("move-submit", frozenset({"room-a"}), frozenset())
 PRIMARY = """zones {{
     listen "127.0.0.1:1"
     state "state"
@@ -78,38 +79,38 @@
 
 
 class World:
-    """Several parts in one loop; time passes only while no byte is under way."""
+    """Several nodes in one loop; time passes only while no byte is under way."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.clock = FakeClock()
-        self.defects: list[Exception] = []
-        self.loop = Loop(self.clock, lambda _, error: self.defects.append(error))
-        self.parts: list[Part] = []
+        self.unexpected_errors: list[Exception] = []
+        self.loop = Loop(self.clock, lambda _, error: self.unexpected_errors.append(error))
+        self.nodes: list[ZoneNode] = []
 
-    def until(self, what: Callable[[], object], most: int = 60_000) -> None:
-        for _ in range(most):
-            if what():
+    def run_until(self, condition: Callable[[], object], max_rounds: int = 60_000) -> None:
+        for _ in range(max_rounds):
+            if condition():
                 return
-            self.turn()
+            self.run_once()
         raise AssertionError(
-            f"did not come about; defects: {self.defects}; "
-            f"logs: {[part.log.lines[-4:] for part in self.parts]}"
+            f"did not come about; unexpected_errors: {self.unexpected_errors}; "
+            f"logs: {[node.log.lines[-4:] for node in self.nodes]}"
         )
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         """Bytes on loopback are there as soon as they are sent, so nothing but threads is waited for."""
-        waits = any(part.waits for part in self.parts) or any(
+        waits = any(node.disk_is_busy for node in self.nodes) or any(
             t.name == "work" for t in threading.enumerate()
         )
         if not self.loop.run_once(self.clock.now + MS * waits) and not waits:
             self.clock.now += MS
 
-    def pass_us(self, span_us: int) -> None:
+    def run_for_us(self, span_us: int) -> None:
         until_us = self.clock.now + span_us
-        self.until(lambda: self.clock.now >= until_us)
+        self.run_until(lambda: self.clock.now >= until_us)
 
-    def folder_of(self, name: str, zone: Zone | None) -> Path:
+    def new_folder(self, name: str, zone: Zone | None) -> Path:
         path = self.folder / name
         path.mkdir(exist_ok=True)
         key = path / "staff.key"
@@ -127,10 +128,10 @@
         more: str = "",
         classes: tuple[EndpointClass, ...] = (),
         limits: Limits = QUICK,
-    ) -> Part:
-        path = self.folder_of(name, zone)
+    ) -> ZoneNode:
+        path = self.new_folder(name, zone)
         (path / "z.kdl").write_text(PRIMARY.format(update=update, more=more))
-        return self.part(path, classes, limits)
+        return self.node(path, classes, limits)
 
     def secondary(
         self,
@@ -139,29 +140,29 @@
         key: bool = True,
         more: str = "",
         limits: Limits = QUICK,
-    ) -> Part:
-        path = self.folder_of(name, None)
+    ) -> ZoneNode:
+        path = self.new_folder(name, None)
         signed = ' key="staff.games.example.org"' if key else ""
         lines = "\n".join(f'primary "{format_address(p)}"{signed}' for p in primaries)
         (path / "z.kdl").write_text(SECONDARY.format(primaries=lines, more=more))
-        return self.part(path, (), limits)
+        return self.node(path, (), limits)
 
-    def part(
+    def node(
         self, path: Path, classes: tuple[EndpointClass, ...] = (), limits: Limits = QUICK
-    ) -> Part:
-        made = Part(self, path, classes, limits)
-        self.parts.append(made)
+    ) -> ZoneNode:
+        made = ZoneNode(self, path, classes, limits)
+        self.nodes.append(made)
         return made
 
     def close(self) -> None:
         self.loop.close()
-        for part in self.parts:
-            part.zones.close()
-        if self.defects:
-            raise self.defects[0]
+        for node in self.nodes:
+            node.zones.close()
+        if self.unexpected_errors:
+            raise self.unexpected_errors[0]
 
 
-class Part:
+class ZoneNode:
     def __init__(
         self, world: World, path: Path, classes: tuple[EndpointClass, ...], limits: Limits
     ) -> None:
@@ -169,10 +170,10 @@
         self.path = path
         self.log = RecordingLog()
         self.counters = Counters()
-        self.list: dict[str, EndpointStatus] = {}
-        self.told: list[tuple[dict[str, str], bool]] = []
-        self.members: dict[str, ListedEndpoint] = {}
-        self.losses = 0
+        self.statuses: dict[str, EndpointStatus] = {}
+        self.list_changes: list[tuple[dict[str, str], bool]] = []
+        self.endpoints: dict[str, ListedEndpoint] = {}
+        self.unavailable_count = 0
         self._tasks: list[Any] = []
         runtime = ZoneRuntime(world.loop, limits, self.counters, self.log, self._keep)
         settings = read_settings(path / "z.kdl")
@@ -187,20 +188,20 @@
     def list_changed(
         self, endpoints: Sequence[ListedEndpoint], version: int, complete: bool
     ) -> None:
-        self.told.append(({m.name: m.status.value for m in endpoints}, complete))
+        self.list_changes.append(({m.name: m.status.value for m in endpoints}, complete))
         if complete:
-            self.list.clear()
+            self.statuses.clear()
         for m in endpoints:
-            self.list.pop(m.name, None)
-            self.members[m.name] = m
+            self.statuses.pop(m.name, None)
+            self.endpoints[m.name] = m
             if m.status is not EndpointStatus.GONE:
-                self.list[m.name] = m.status
+                self.statuses[m.name] = m.status
 
     def list_unavailable(self) -> None:
-        self.losses += 1
+        self.unavailable_count += 1
 
     @property
-    def waits(self) -> bool:
+    def disk_is_busy(self) -> bool:
         """Whether the disk has a job of its: time stands still for it."""
         writer = self.zones.store.writer
         return writer is not None and writer._commit.busy
@@ -220,24 +221,24 @@
         for task in self._tasks:
             self.world.loop.stop(task)
         self.zones.close()
-        self.world.parts.remove(self)
+        self.world.nodes.remove(self)
 
 
 class Client:
-    """Asks one part, over UDP or TCP, and turns the world until the answer is there."""
+    """Asks one node, over UDP or TCP, and turns the world until the answer is there."""
 
-    def __init__(self, world: World, part: Part) -> None:
+    def __init__(self, world: World, node: ZoneNode) -> None:
         self.world = world
-        self.part = part
+        self.node = node
 
     def send(self, wire: bytes, tcp: bool = False) -> socket.socket:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM if tcp else socket.SOCK_DGRAM)
-        sock.connect(self.part.address)
+        sock.connect(self.node.address)
         sock.setblocking(False)
         sock.send(len(wire).to_bytes(2, "big") + wire if tcp else wire)
         return sock
 
-    def hear(self, sock: socket.socket, tcp: bool = False) -> bytes:
+    def receive(self, sock: socket.socket, tcp: bool = False) -> bytes:
         data = bytearray()
 
         def whole() -> bool:
@@ -247,13 +248,13 @@
                 return False
             return not tcp or (len(data) > 1 and len(data) >= 2 + int.from_bytes(data[:2], "big"))
 
-        self.world.until(whole)
+        self.world.run_until(whole)
         return bytes(data[2:] if tcp else data)
 
-    def ask(self, message: dns.message.Message, tcp: bool = False) -> dns.message.Message:
+    def exchange(self, message: dns.message.Message, tcp: bool = False) -> dns.message.Message:
         sock = self.send(message.to_wire(), tcp)
         try:
-            wire = self.hear(sock, tcp)
+            wire = self.receive(sock, tcp)
         finally:
             sock.close()
         ring = {KEY.name: KEY} if message.had_tsig else None
@@ -262,7 +263,7 @@
     def query(
         self, owner: str, type_: str, tcp: bool = False, **options: Any
     ) -> dns.message.Message:
-        return self.ask(dns.message.make_query(owner, type_, **options), tcp)
+        return self.exchange(dns.message.make_query(owner, type_, **options), tcp)
 
     def update(
         self,
@@ -270,9 +271,9 @@
         key: dns.tsig.Key | None = KEY,
         tcp: bool = False,
     ) -> dns.rcode.Rcode:
-        return self.ask(update_of(*prepare, key=key), tcp).rcode()
+        return self.exchange(update_message(*prepare, key=key), tcp).rcode()
 
-    def all_of(self, messages: Iterable[dns.message.Message]) -> list[dns.rcode.Rcode]:
+    def update_all(self, messages: Iterable[dns.message.Message]) -> list[dns.rcode.Rcode]:
         """Several at once, each from a socket of its own."""
         out = []
         sent = [(message, self.send(message.to_wire())) for message in messages]
@@ -280,14 +281,14 @@
             ring = {KEY.name: KEY}
             out.append(
                 dns.message.from_wire(
-                    self.hear(sock), keyring=ring, request_mac=message.mac or b""
+                    self.receive(sock), keyring=ring, request_mac=message.mac or b""
                 ).rcode()
             )
             sock.close()
         return out
 
 
-def update_of(
+def update_message(
     *prepare: tuple[str, ...], key: dns.tsig.Key | None = KEY
 ) -> dns.update.UpdateMessage:
     message = dns.update.UpdateMessage(ORIGIN)
@@ -298,7 +299,7 @@
     return message
 
 
-def host_added(
+def added_endpoint(
     name: str, room: str = "room-a", address: str = "127.0.0.50", txt: str = '"kind=m2"'
 ) -> tuple[tuple[str, ...], ...]:
     return (
@@ -308,5 +309,23 @@
     )
 
 
-def fds() -> int:
+def open_descriptor_count() -> int:
     return len(os.listdir("/proc/self/fd"))
+
+
+def start_primary(
+    world: World,
+    *records: object,
+    update: str = "",
+    more: str = "",
+    classes: tuple[EndpointClass, ...] = (),
+) -> tuple[ZoneNode, Client]:
+    node = world.primary(zone(1, rooms()), update=update, more=more, classes=classes)
+    world.run_until(
+        lambda: node.zones.store.writer is not None and not node.zones.store.writer.broken
+    )
+    return node, Client(world, node)
+
+
+def room_a_removal() -> list[tuple[str, ...]]:
+    return [("delete", f"{SERVICE}.room-a"), ("delete", "s-0"), ("delete", "s-2")]
