--- a/kelpcourse/policy/subsetting.py
+++ b/kelpcourse/policy/subsetting.py
@@ -9,7 +9,7 @@
 from bisect import bisect_left
 from collections.abc import Mapping, Sequence
 
-from kelpcourse.policy.arithmetic import MIN_DIVISOR, clamp, spread
+from kelpcourse.policy.arithmetic import GOLDEN_RATIO, MIN_DIVISOR, clamp, spread
 from kelpcourse.policy.bindings import ProxyOrigin
 from kelpcourse.policy.endpoints import EndpointRegistry
 from kelpcourse.policy.settings import EndpointId, ProxyId
@@ -24,7 +24,7 @@
 
 def subset_of(proxy: ProxyId, subset_count: int) -> int:
     """Returns the subset of a proxy; even also within a zone whose proxies are numbered in steps."""
-    return int(spread(proxy) * subset_count)
+    return int(proxy * GOLDEN_RATIO % 1 * subset_count)
 
 
 class ProxyTraffic:
@@ -40,7 +40,11 @@
 
     def of_zone(self, zone: str) -> list[float]:
         """Returns the rates of a zone's subsets."""
-        return self._rates.setdefault(zone, [MIN_DIVISOR] * self._subset_count)
+        rates = self._rates.get(zone)
+        if rates is None:
+            rates = [MIN_DIVISOR] * self._subset_count
+            self._rates[zone] = rates
+        return rates
 
 
 def subset_weights(
