--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -224,48 +224,65 @@
     assert sum(isinstance(a, WithdrawEndpoint | RestoreEndpoint) for _, a in day.log) == 30
 
 
-def test_streams_that_break_and_come_back_are_bound_within_the_channel() -> None:
-    """Counted apart: a message waits until all that were ordered before it are answered or their stream broke."""
-    settings = replace(
-        SETTINGS, proxy_count=70, max_backlog_entries=4000.0, delivery_entries_per_s=2000.0
-    )
-    day = Day(settings=settings, listed=hosts(80), proxies=70, answers=False)
-    queue: list[tuple[int, int, int]] = []  # proxy, checkpoint, lines; oldest first
-    seen = 0
+class CountedBindings:
+    """A count apart from the tracker.
 
-    def take() -> int:
-        nonlocal seen
+    A message waits until all that were ordered before it are answered or their stream broke.
+    """
+
+    def __init__(self, day: Day) -> None:
+        self.day = day
+        self.queue: list[tuple[int, int, int]] = []  # proxy, checkpoint, entries; oldest first
+        self._seen = 0
+
+    def update(self) -> int:
+        """Takes in what was ordered since; returns the entries that wait."""
         step: list[int] = []
-        for _, action in day.log[seen:]:
+        for _, action in self.day.log[self._seen :]:
             if isinstance(action, BindProxy):
                 step.append(action.proxy)
             elif isinstance(action, Checkpoint):
-                queue.extend((p, action.checkpoint_id, 80 + 1 + 2 + 7) for p in step)
+                self.queue.extend((p, action.checkpoint_id, 80 + 1 + 2 + 7) for p in step)
                 step = []
-        seen = len(day.log)
-        return sum(lines for _, _, lines in queue)
-
-    assert 0 < take() < 4000
-    kept = {p for p, _, _ in queue[-3:]}
-    for proxy in day.joined:
-        if proxy not in kept:
-            day.send(ProxyLeft(proxy))
-            take()
-            queue = [message for message in queue if message[0] != proxy]
+        self._seen = len(self.day.log)
+        return sum(entries for _, _, entries in self.queue)
+
+    def remove(self, proxy: int) -> None:
+        self.queue = [message for message in self.queue if message[0] != proxy]
+
+    def newest(self, excluded: set[int], answered: set[tuple[int, int]]) -> tuple[int, int] | None:
+        """The last unanswered message: its proxy and checkpoint."""
+        for proxy, checkpoint_id, _ in reversed(self.queue):
+            if proxy not in excluded and (proxy, checkpoint_id) not in answered:
+                return proxy, checkpoint_id
+        return None
+
+
+def test_streams_that_break_and_come_back_are_bound_within_the_channel() -> None:
+    settings = replace(
+        SETTINGS, proxy_count=70, max_backlog_entries=4000.0, delivery_entries_per_s=2000.0
+    )
+    day = Day(settings=settings, listed=hosts(80), proxies=70, answers=False)
+    counted = CountedBindings(day)
+    assert 0 < counted.update() < 4000
+    kept = {proxy for proxy, _, _ in counted.queue[-3:]}
+    left = [proxy for proxy in day.joined if proxy not in kept]
+    for proxy in left:
+        day.send(ProxyLeft(proxy))
+        counted.update()
+        counted.remove(proxy)
+    for proxy in left:
+        day.send(ProxyJoined(proxy, "east", 10.0, True))
+        assert counted.update() <= 4000
     answered: set[tuple[int, int]] = set()
-    for proxy in day.joined:
-        if proxy not in kept:
-            day.send(ProxyJoined(proxy, "east", 10.0, True))
-            assert take() <= 4000
     for _ in range(60):
-        last = next(
-            (m for m in reversed(queue) if m[0] not in kept and m[:2] not in answered), None
-        )
-        if last is None:
+        newest = counted.newest(kept, answered)
+        if newest is None:
             break
-        answered.add(last[:2])
-        day.send(OrdersAcknowledged(last[0], last[1], 300_000))
-        assert take() <= 4000
+        answered.add(newest)
+        proxy, checkpoint_id = newest
+        day.send(OrdersAcknowledged(proxy, checkpoint_id, 300_000))
+        assert counted.update() <= 4000
 
 
 def test_lines_of_which_no_answer_tells_leave_as_those_beside_them_or_at_the_channels_pace() -> (
