--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -15,7 +15,7 @@
 import threading
 import time
 import tracemalloc
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Callable, Iterable
 from functools import partial
 from pathlib import Path
 from typing import Any
@@ -28,20 +28,29 @@
 from hdrh.histogram import HdrHistogram
 
 from kelpcourse.lab.config import READ
+from kelpcourse.lab.loopback import free_address, now_us
 from kelpcourse.lab.primary import ORIGIN, SERVICE, Primary, make_key, write_settings, zone_text
-from kelpcourse.lab.world import Lab, free_address, now_us
+from kelpcourse.lab.world import Lab
 from kelpcourse.limits import Limits
+from kelpcourse.memory.orders import Order, WithdrawEndpoint
 from kelpcourse.store.folder import Folder
 from kelpcourse.store.frames import Record as Entry
 from kelpcourse.store.journal import Journal
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.book import Changed, Replay, collecting_nothing, encode
-from kelpcourse.zones.content import SOA, Draft, Record, Zone, between, data_of
-from kelpcourse.zones.held import HeldZone
-from kelpcourse.zones.settings import read_settings, shown
+from kelpcourse.zones.pending_version import PendingVersion
+from kelpcourse.zones.persistence import (
+    ZoneChanged,
+    ZoneReplay,
+    encode_entry,
+    garbage_collection_paused,
+)
+from kelpcourse.zones.records import SOA, Record, canonical_data
+from kelpcourse.zones.settings import format_address, read_settings
 from kelpcourse.zones.standalone import Host
 from kelpcourse.zones.transfer import AXFR, Incoming, messages, whole
-from kelpcourse.zones.zonefile import read_text
+from kelpcourse.zones.versions import Zone, difference_between
+from kelpcourse.zones.zone_state import ZoneState
+from kelpcourse.zones.zonefile import parse_zone_text
 
 HOSTS = 10_000
 LIMITS = Limits()
@@ -80,7 +89,7 @@
     print(f"\n## A zone of {HOSTS:,} hosts ({len(text.splitlines()):,} records)\n")
     print("| what | ours, ms | dnspython's own zone, ms |")
     print("| --- | ---: | ---: |")
-    ours, zone = timed(lambda: read_text(text, ORIGIN, LIMITS))
+    ours, zone = timed(lambda: parse_zone_text(text, ORIGIN, LIMITS))
     theirs, library = timed(
         lambda: dns.zone.from_text(text, ORIGIN, relativize=False, zone_factory=dns.versioned.Zone),
         1,
@@ -91,12 +100,16 @@
     other = zone.copy()
     moved = [record for record in other.records() if record.owner.startswith("s-77.")]
     for record in moved:
-        other.take(record)
-    other.take(soa_record(other))
-    other.put(soa_record(zone)._replace(data=next_soa(zone)))
-    ours, difference = timed(lambda: between(zone, other, 0))
+        other.remove(record)
+    other.remove(soa_record(other))
+    other.add(soa_record(zone)._replace(data=next_soa(zone)))
+    ours, difference = timed(lambda: difference_between(zone, other, 0))
     theirs, _ = timed(lambda: library_difference(library), 1)
-    row(f"difference of two versions ({difference.size} records)", f"{ours:.0f}", f"{theirs:.0f}")
+    row(
+        f"difference of two versions ({difference.record_count} records)",
+        f"{ours:.0f}",
+        f"{theirs:.0f}",
+    )
     held = held_of(zone)
     ours = statistics.median(one_change(held, k) for k in range(100)) * 1e3
     theirs, _ = timed(lambda: library_change(library), 3)
@@ -105,9 +118,9 @@
     row("AXFR, written and read, without sockets", f"{ours:.0f}", "-")
 
 
-def held_of(zone: Zone) -> HeldZone:
-    held = HeldZone(zone.origin, SERVICE, LIMITS)
-    held.take(held.replace(zone, 0), 0)
+def held_of(zone: Zone) -> ZoneState:
+    held = ZoneState(zone.origin, SERVICE, LIMITS)
+    held.apply(held.difference_to(zone, 0), 0)
     return held
 
 
@@ -116,20 +129,20 @@
 
 
 def next_soa(zone: Zone) -> bytes:
-    draft = Draft(zone)
-    draft.advance()
+    draft = PendingVersion(zone)
+    draft.advance_serial()
     return draft.soa_data
 
 
-def one_change(held: HeldZone, k: int) -> float:
+def one_change(held: ZoneState, k: int) -> float:
     """Seconds for a draft, the version made of it and the hosts that change."""
     owner = f"s-{k}.{ORIGIN}"
     began = time.perf_counter()
-    draft = held.draft()
+    draft = held.new_pending_version()
     draft.remove_set(owner, 1)
     draft.add(Record(owner, 1, 60, b"\x7f\x09\x09\x09"))
-    draft.advance()
-    held.take(draft.difference(0), 0)
+    draft.advance_serial()
+    held.apply(draft.difference(0), 0)
     return time.perf_counter() - began
 
 
@@ -146,7 +159,7 @@
 
     def all_of(reader: Any) -> set[tuple[Any, ...]]:
         return {
-            (name, rdataset.rdtype, data_of(rdata))
+            (name, rdataset.rdtype, canonical_data(rdata))
             for name, rdataset in reader.iterate_rdatasets()
             for rdata in rdataset
         }
@@ -174,7 +187,7 @@
     print("| what | MB |")
     print("| --- | ---: |")
     for what, make in (
-        ("zone, hosts and history", lambda: held_of(read_text(text, ORIGIN, LIMITS))),
+        ("zone, hosts and history", lambda: held_of(parse_zone_text(text, ORIGIN, LIMITS))),
         (
             "dnspython's own zone, records alone",
             lambda: dns.zone.from_text(text, ORIGIN, relativize=False),
@@ -290,29 +303,31 @@
     print("| what | s |")
     print("| --- | ---: |")
     with tempfile.TemporaryDirectory() as folder:
-        held = held_of(read_text(zone_text(hosts(1000)), ORIGIN, LIMITS))
+        held = held_of(parse_zone_text(zone_text(hosts(1000)), ORIGIN, LIMITS))
         journal = Journal(Folder(Path(folder)))
         journal.open()
-        journal.compact(0, encode(Changed(ORIGIN, between(Zone(ORIGIN), held.zone, 0))))
+        journal.compact(
+            0, encode_entry(ZoneChanged(ORIGIN, difference_between(Zone(ORIGIN), held.zone, 0)))
+        )
         entries = []
         for k in range(changes):
-            draft = held.draft()
+            draft = held.new_pending_version()
             owner = f"s-{k % 1000}.{ORIGIN}"
-            for data in list(draft.data(owner, 1)):
+            for data in list(draft.record_data(owner, 1)):
                 draft.remove(owner, 1, data)
             draft.add(Record(owner, 1, 60, (0x7F080000 + k).to_bytes(4, "big")))
-            draft.advance()
+            draft.advance_serial()
             difference = draft.difference(0)
-            held.take(difference, 0)
-            entries.append(Entry(k + 1, encode(Changed(ORIGIN, difference))))
+            held.apply(difference, 0)
+            entries.append(Entry(k + 1, encode_entry(ZoneChanged(ORIGIN, difference))))
         journal.append(entries)
         journal.close()
 
-        def restart() -> Replay:
+        def restart() -> ZoneReplay:
             again = Journal(Folder(Path(folder)))
-            with collecting_nothing():
+            with garbage_collection_paused():
                 found = again.open()
-                replay = Replay([ORIGIN], SERVICE, LIMITS)
+                replay = ZoneReplay([ORIGIN], SERVICE, LIMITS)
                 replay.run(found.snapshot, (r.payload for r in found.records))
             again.close()
             return replay
@@ -354,25 +369,25 @@
     def _measure(self, folder: Path) -> HdrHistogram:
         lab, out = Lab(folder, 4), dict[str, int]()
 
-        def ordered(order: Mapping[str, Any]) -> None:
-            if order["verb"] == "OUT":
-                out.setdefault(order["host"], now_us())
+        def ordered(order: Order) -> None:
+            if isinstance(order, WithdrawEndpoint):
+                out.setdefault(order.endpoint, now_us())
 
-        lab.on_order = ordered
+        lab.relay.on_order = ordered
         listen, second = free_address(), free_address()
         primary = None
         if self._follows:
             primary = Primary(lab.loop, folder, listen, hosts(self._count), second, lambda _: None)
             primary.start()
             key = primary._key
-            way = f'primary "{shown(listen)}" key="staff.{ORIGIN}"'
+            way = f'primary "{format_address(listen)}" key="staff.{ORIGIN}"'
         else:
             key = make_key(folder)
             (folder / "games.zone").write_text(zone_text(hosts(self._count)))
             way = f'file "games.zone"\n        update key="staff.{ORIGIN}"'
-        lab.start_director(write_settings(folder, "director", second, way))
-        assert lab.until(lambda: all(f.lines(READ) for f in lab.forwarders))
-        lab.for_s(3)
+        controller = lab.start_controller(write_settings(folder, "controller", second, way))
+        assert lab.run_until(lambda: all(f.weights(READ) for f in lab.proxies))
+        lab.run_for(3)
         target = listen if self._follows else second
         times = HdrHistogram(1, 60_000_000, 3)
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -385,11 +400,11 @@
             wire = message.to_wire()
             began = now_us()
             sock.send(wire)
-            assert lab.until(partial(out.__contains__, name), 20.0), (name, lab.log[-3:])
+            assert lab.run_until(partial(out.__contains__, name), 20.0), (name, controller.log[-3:])
             times.record_value(max(1, out[name] - began))
-            lab.for_s(0.06)
+            lab.run_for(0.06)
         sock.close()
-        lab.stop_director()
+        lab.stop_controller(controller)
         lab.close()
         if primary is not None:
             primary.close()
--- a/kelpcourse/cli/errors.py
+++ b/kelpcourse/cli/errors.py
@@ -39,11 +39,11 @@
         from kelpcourse.kdl import SettingsError
         from kelpcourse.service.config import ConfigError
         from kelpcourse.store.errors import FolderInUseError, NoAnswerError
-        from kelpcourse.zones.errors import BadZone
+        from kelpcourse.zones.errors import ZoneError
 
         try:
             return command(*args, **options)
-        except (SettingsError, ConfigError, BadZone, FolderInUseError, NoAnswerError) as error:
+        except (SettingsError, ConfigError, ZoneError, FolderInUseError, NoAnswerError) as error:
             fail(str(error))
         except OSError as error:
             place = f"{error.filename}: " if error.filename else ""
--- a/kelpcourse/cli/zone_commands.py
+++ b/kelpcourse/cli/zone_commands.py
@@ -40,12 +40,12 @@
     Exit code 1 and a line for each record that can't be used.
     """
     from kelpcourse.limits import Limits
-    from kelpcourse.zones.errors import BadZone
+    from kelpcourse.zones.errors import ZoneError
     from kelpcourse.zones.offline import check_file
 
     try:
         checked = check_file(zonefile, origin, service, Limits())
-    except BadZone as error:
+    except ZoneError as error:
         exit_with_problems([str(error)])
     _show(checked.hosts, as_json)
     exit_with_problems(checked.problems)
@@ -72,16 +72,16 @@
 def hosts(file: Path, state: Path | None, as_json: bool) -> None:
     """List what the policy would be given, from the state alone."""
     from kelpcourse.limits import Limits
-    from kelpcourse.zones.errors import BadZone
+    from kelpcourse.zones.errors import ZoneError
     from kelpcourse.zones.offline import hosts_of, read_state
     from kelpcourse.zones.settings import read_settings
 
     settings = read_settings(file, "", state)
     if settings.state is None:
-        raise BadZone(f"{file}: no state is named, there or by --state")
+        raise ZoneError(f"{file}: no state is named, there or by --state")
     replay = read_state(settings, settings.state, Limits())
     _show(hosts_of(replay.zones.values()), as_json)
-    exit_with_problems(replay.remarks)
+    exit_with_problems(replay.warnings)
 
 
 @zones.command("restore")
@@ -99,13 +99,13 @@
     """Restore the zone ORIGIN as it was at a serial, under a new one."""
     import orjson
 
-    from kelpcourse.zones.errors import BadZone
+    from kelpcourse.zones.errors import ZoneError
     from kelpcourse.zones.offline import restore as restore_zone
     from kelpcourse.zones.settings import read_settings
 
     restored = restore_zone(read_settings(file), origin, serial)
     if restored.error:
-        raise BadZone(restored.error)
+        raise ZoneError(restored.error)
     if not as_json:
         click.echo(
             f"{origin} is as it was at {serial}, now serial {restored.serial}, {restored.hosts} hosts"
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -25,16 +25,17 @@
 from kelpcourse.wire.stream import address_family, connect
 from kelpcourse.wire.worker import run_in_thread
 from kelpcourse.zones.answer import rrset_of
-from kelpcourse.zones.belief import Contradiction, Verdict, Version
-from kelpcourse.zones.content import SOA, Difference, Zone
 from kelpcourse.zones.desk import serial_of
-from kelpcourse.zones.errors import BadZone
-from kelpcourse.zones.held import HeldZone
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import to_name
-from kelpcourse.zones.refresh import Refresh
+from kelpcourse.zones.reconciliation import Contradiction, Verdict, Version
+from kelpcourse.zones.records import SOA
+from kelpcourse.zones.refresh import RefreshTimer
 from kelpcourse.zones.server import MESSAGE, READ_LEAST
-from kelpcourse.zones.settings import Primary
+from kelpcourse.zones.settings import DnsPeer
 from kelpcourse.zones.transfer import AXFR, IXFR, Incoming, Unfit, check_fits, offered
+from kelpcourse.zones.versions import Difference, Zone
+from kelpcourse.zones.zone_state import ZoneState
 
 TOLD = (dns.exception.DNSException, ValueError, IndexError)
 ASK_TRIES = 2  # over UDP before TCP is tried
@@ -49,8 +50,8 @@
         self.counters = counters
         self.log = log
 
-    def ask(self, query: dns.message.Message, peer: Primary) -> Coroutine[dns.message.Message]:
-        """The answer over UDP, or over TCP where UDP brings none. Raises Broken or BadZone."""
+    def ask(self, query: dns.message.Message, peer: DnsPeer) -> Coroutine[dns.message.Message]:
+        """The answer over UDP, or over TCP where UDP brings none. Raises Broken or ZoneError."""
         for _ in range(ASK_TRIES):
             message = yield from self.ask_udp(query, peer)
             if message is not None and not message.flags & dns.flags.TC:
@@ -65,7 +66,7 @@
             session.close()
 
     def ask_udp(
-        self, query: dns.message.Message, peer: Primary
+        self, query: dns.message.Message, peer: DnsPeer
     ) -> Coroutine[dns.message.Message | None]:
         """None: no answer came. The port is fresh, and a connected socket hears its peer alone; what comes from
         there with another id, question or signature is somebody's guess, and the true answer is waited for."""
@@ -91,7 +92,7 @@
             sock.close()
 
     def _believed(
-        self, wire: bytes, query: dns.message.Message, peer: Primary
+        self, wire: bytes, query: dns.message.Message, peer: DnsPeer
     ) -> dns.message.Message | None:
         try:
             message = read_answer(wire, query, peer)
@@ -101,7 +102,7 @@
 
 
 def read_answer(
-    wire: bytes, query: dns.message.Message, peer: Primary, context: Any = None, multi: bool = False
+    wire: bytes, query: dns.message.Message, peer: DnsPeer, context: Any = None, multi: bool = False
 ) -> dns.message.Message:
     """An answer with its signature checked, if the question had one. Raises what dnspython does."""
     ring = {peer.key.name: peer.key} if peer.key is not None else None
@@ -115,11 +116,11 @@
         xfr=multi,
     )
     if peer.key is not None and not multi and not message.had_tsig:
-        raise BadZone("an unsigned answer to a signed question")
+        raise ZoneError("an unsigned answer to a signed question")
     return message
 
 
-def question(origin: str, rdtype: dns.rdatatype.RdataType, peer: Primary) -> dns.message.Message:
+def question(origin: str, rdtype: dns.rdatatype.RdataType, peer: DnsPeer) -> dns.message.Message:
     query = dns.message.make_query(to_name(origin), rdtype, flags=0)
     if peer.key is not None:
         query.use_tsig(peer.key)
@@ -129,7 +130,7 @@
 class Session:
     """A question over TCP and the messages that answer it."""
 
-    def __init__(self, asker: Asker, peer: Primary, query: dns.message.Message) -> None:
+    def __init__(self, asker: Asker, peer: DnsPeer, query: dns.message.Message) -> None:
         self._asker = asker
         self._peer = peer
         self._query = query
@@ -146,7 +147,7 @@
         )
 
     def next(self) -> Coroutine[tuple[bytes, dns.message.Message]]:
-        """Raises Broken or BadZone."""
+        """Raises Broken or ZoneError."""
         limits = self._asker.limits
         until_us = self._asker.loop.clock() + limits.transfer_silence_us
         while True:
@@ -169,11 +170,11 @@
         try:
             message = read_answer(wire, self._query, self._peer, self._context, multi)
         except TOLD as error:
-            raise BadZone(
+            raise ZoneError(
                 f"an answer that can't be used: {type(error).__name__}: {error}"
             ) from None
         if message.id != self._query.id or not message.flags & dns.flags.QR:
-            raise BadZone("an answer to another question")
+            raise ZoneError("an answer to another question")
         self._context = message.tsig_ctx
         return wire, message
 
@@ -188,38 +189,39 @@
     def __init__(
         self,
         asker: Asker,
-        held: HeldZone,
-        primaries: tuple[Primary, ...],
+        held: ZoneState,
+        primaries: tuple[DnsPeer, ...],
         confirmed_us: int,
-        adopt: Callable[[HeldZone, Difference, str], None],
-        confirmed: Callable[[HeldZone], None],
-        expired: Callable[[HeldZone], None],
+        adopt: Callable[[ZoneState, Difference, str], None],
+        confirmed: Callable[[ZoneState], None],
+        expired: Callable[[ZoneState], None],
     ) -> None:
         self._asker = asker
         self._held = held
         self._primaries = {str(p): p for p in primaries}
-        self._refresh = Refresh(asker.limits, list(self._primaries), asker.loop.clock())
+        self._refresh = RefreshTimer(asker.limits, list(self._primaries), asker.loop.clock())
         if held.zone.exists:
-            self._refresh.hold(held.zone.soa, confirmed_us)
+            self._refresh.set_soa(held.zone.soa, confirmed_us)
         self._adopt = adopt
         self._confirmed = confirmed
         self._expired = expired
         self._notified = Signal()
 
     def notified(self) -> None:
-        self._refresh.notified(self._asker.loop.clock())
+        self._refresh.notify(self._asker.loop.clock())
         self._notified.set()
 
     def run(self) -> Coroutine[None]:
         clock = self._asker.loop.clock
         while True:
             self._check_expiry()
-            name = self._refresh.begin(clock())
+            name = self._refresh.begin_query(clock())
             if name is None:
-                ends = None if self._held.belief.expired else self._refresh.expires_us()
+                ends = None if self._held.reconciler.expired else self._refresh.expires_us()
                 yield Wait(
                     min(
-                        self._refresh.due_us(), ends if ends is not None else self._refresh.due_us()
+                        self._refresh.next_due_us(),
+                        ends if ends is not None else self._refresh.next_due_us(),
                     ),
                     signal=self._notified,
                 )
@@ -228,21 +230,23 @@
             yield from self._round(self._primaries[name])
 
     def _check_expiry(self) -> None:
-        if self._refresh.expired(self._asker.loop.clock()) and not self._held.belief.expired:
-            self._held.belief.expire()
-            self._refresh.notified(
+        if self._refresh.is_expired(self._asker.loop.clock()) and not self._held.reconciler.expired:
+            self._held.reconciler.expire()
+            self._refresh.notify(
                 self._asker.loop.clock()
             )  # whatever its primaries have is news now
             self._expired(self._held)
 
-    def _round(self, peer: Primary) -> Coroutine[None]:
+    def _round(self, peer: DnsPeer) -> Coroutine[None]:
         log, clock = self._asker.log, self._asker.loop.clock
         try:
             verdict = yield from self._follow(peer)
-        except (StreamError, BadZone, dns.xfr.UseTCP) as error:
+        except (StreamError, ZoneError, dns.xfr.UseTCP) as error:
             self._asker.counters.add("zone_soa_queries_failed")
             self._tell(
-                self._held.belief.forget(str(peer)) if isinstance(error, StreamTimeoutError) else []
+                self._held.reconciler.source_silent(str(peer))
+                if isinstance(error, StreamTimeoutError)
+                else []
             )
             log.event(
                 "zone_soa_query_failed",
@@ -250,43 +254,43 @@
                 primary=str(peer),
                 reason=str(error),
             )
-            self._refresh.failed(clock())
+            self._refresh.query_failed(clock())
             return
         if verdict.contradicts:
-            self._refresh.failed(clock())  # another primary may know better
+            self._refresh.query_failed(clock())  # another primary may know better
             return
         if self._held.zone.exists:
-            self._refresh.hold(self._held.zone.soa, clock())
-        self._refresh.answered(clock(), True)
+            self._refresh.set_soa(self._held.zone.soa, clock())
+        self._refresh.query_succeeded(clock(), confirmed=True)
         self._confirmed(self._held)
 
-    def _follow(self, peer: Primary) -> Coroutine[Verdict]:
+    def _follow(self, peer: DnsPeer) -> Coroutine[Verdict]:
         """Asks for the SOA; fetches the zone if that is newer. What it makes of the version."""
         self._asker.counters.add("zone_soa_queries")
         query = question(self._held.origin, dns.rdatatype.SOA, peer)
         message = yield from self._asker.ask(query, peer)
         told = serial_of(message, self._held.origin)
         if message.rcode() != dns.rcode.NOERROR or told is None:
-            raise BadZone(f"no SOA of {self._held.origin}: {dns.rcode.to_text(message.rcode())}")
-        verdict, contradictions = self._held.belief.offer(str(peer), Version(*told))
+            raise ZoneError(f"no SOA of {self._held.origin}: {dns.rcode.to_text(message.rcode())}")
+        verdict, contradictions = self._held.reconciler.offer(str(peer), Version(*told))
         self._tell(contradictions)
         if verdict is Verdict.NEWER:
             return (yield from self._fetch(peer))
         return verdict
 
-    def _fetch(self, peer: Primary) -> Coroutine[Verdict]:
+    def _fetch(self, peer: DnsPeer) -> Coroutine[Verdict]:
         held = self._held
-        if held.zone.exists and not held.belief.expired:
+        if held.zone.exists and not held.reconciler.expired:
             try:
                 return (yield from self._transfer(peer, IXFR))
-            except (Unfit, BadZone, StreamError) as error:
+            except (Unfit, ZoneError, StreamError) as error:
                 self._asker.counters.add("zone_ixfr_failed")
                 self._asker.log.event(
                     "zone_ixfr_failed", zone=held.origin, primary=str(peer), reason=str(error)
                 )
         return (yield from self._transfer(peer, AXFR))
 
-    def _transfer(self, peer: Primary, rdtype: dns.rdatatype.RdataType) -> Coroutine[Verdict]:
+    def _transfer(self, peer: DnsPeer, rdtype: dns.rdatatype.RdataType) -> Coroutine[Verdict]:
         held, clock, limits = self._held, self._asker.loop.clock, self._asker.limits
         query = question(held.origin, rdtype, peer)
         if rdtype == IXFR:
@@ -311,20 +315,20 @@
             session.close()
         return self._take(peer, incoming)
 
-    def _take(self, peer: Primary, incoming: Incoming) -> Verdict:
+    def _take(self, peer: DnsPeer, incoming: Incoming) -> Verdict:
         """The version that came is judged by itself: behind one address may stand several servers."""
         zone, draft = incoming.result()
         version = offered(zone, draft)
         if version is None:
-            raise BadZone("the transfer brought nothing newer")
-        verdict, contradictions = self._held.belief.offer(str(peer), version)
+            raise ZoneError("the transfer brought nothing newer")
+        verdict, contradictions = self._held.reconciler.offer(str(peer), version)
         self._tell(contradictions)
         if verdict is not Verdict.NEWER:
             return verdict
         at_ms = 0
         if zone is not None:
             check_fits(zone)
-            difference = self._held.replace(zone, at_ms)
+            difference = self._held.difference_to(zone, at_ms)
         else:
             assert draft is not None
             difference = draft.difference(at_ms)
@@ -340,15 +344,15 @@
                 zone=self._held.origin,
                 primary=c.source,
                 verdict=c.verdict.value,
-                current=c.held,
-                received=c.offered,
+                current=c.accepted_serial,
+                received=c.offered_serial,
             )
 
 
 class Notifier:
     """Tells one secondary of each new version, until it says that it heard (RFC 1996, section 3.6)."""
 
-    def __init__(self, asker: Asker, held: HeldZone, peer: Primary) -> None:
+    def __init__(self, asker: Asker, held: ZoneState, peer: DnsPeer) -> None:
         self._asker = asker
         self._held = held
         self._peer = peer
--- a/kelpcourse/zones/settings.py
+++ b/kelpcourse/zones/settings.py
@@ -18,9 +18,9 @@
 from kelpcourse.wire.errors import InvalidMessageError
 from kelpcourse.wire.fields import parse_address
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.errors import BadZone
-from kelpcourse.zones.grants import Grant, read_grant
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import is_under, labels, read_name
+from kelpcourse.zones.update_policy import UpdateGrant, read_grant
 
 Part = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=86_400)]
@@ -100,22 +100,22 @@
 
 
 @dataclass(frozen=True)
-class Primary:
+class DnsPeer:
     address: Address
     key: dns.tsig.Key | None
 
     def __str__(self) -> str:
-        return shown(self.address)
+        return format_address(self.address)
 
 
 @dataclass(frozen=True)
 class ZoneSettings:
     origin: str
     file: Path | None
-    primaries: tuple[Primary, ...]
-    grants: tuple[Grant, ...]
+    primaries: tuple[DnsPeer, ...]
+    grants: tuple[UpdateGrant, ...]
     transfer_keys: frozenset[str]
-    notify: tuple[Primary, ...]
+    notify: tuple[DnsPeer, ...]
 
 
 @dataclass(frozen=True)
@@ -128,7 +128,7 @@
     zones: tuple[ZoneSettings, ...]
 
 
-def shown(at: Address) -> str:
+def format_address(at: Address) -> str:
     return f"[{at[0]}]:{at[1]}" if ":" in at[0] else f"{at[0]}:{at[1]}"
 
 
@@ -189,7 +189,7 @@
     def _name(self, block: Block, text: str, field: str) -> str:
         try:
             return read_name(text, "")
-        except BadZone:
+        except ZoneError:
             self._note(block, field, f"is not a name: {text!r:.80}")
             return ""
 
@@ -259,17 +259,17 @@
             tuple(self._peer(n, "zones.zone.notify") for n in block.notify),
         )
 
-    def _peer(self, block: PrimaryBlock | NotifyBlock, field: str) -> Primary:
+    def _peer(self, block: PrimaryBlock | NotifyBlock, field: str) -> DnsPeer:
         key = self._known(block, block.key, f"{field}.key") if block.key else ""
-        return Primary(self._address(block, block.address, field), self._keys.get(key))
+        return DnsPeer(self._address(block, block.address, field), self._keys.get(key))
 
-    def _grant(self, block: UpdateBlock, origin: str) -> Grant | None:
+    def _grant(self, block: UpdateBlock, origin: str) -> UpdateGrant | None:
         key = self._known(block, block.key, "zones.zone.update.key")
         try:
             return read_grant(
                 key, origin, block.names, block.types, block.most, round(block.within * 1e6)
             )
-        except BadZone as error:
+        except ZoneError as error:
             self._note(block, "zones.zone.update", str(error))
             return None
 
@@ -284,5 +284,5 @@
 def _is_name(text: str) -> bool:
     try:
         return bool(labels(read_name(text, "")))
-    except BadZone:
+    except ZoneError:
         return False
--- a/tests/test_zone_follower.py
+++ b/tests/test_zone_follower.py
@@ -9,9 +9,10 @@
 import dns.message
 import pytest
 
-from kelpcourse.zones.content import Record, Zone
-from kelpcourse.zones.serials import HALF
+from kelpcourse.zones.records import Record
+from kelpcourse.zones.serials import HALF_SERIAL_SPACE
 from kelpcourse.zones.transfer import incremental
+from kelpcourse.zones.versions import Zone
 from tests.zoneprimary import ScriptedPrimary
 from tests.zonerig import MS, OTHER, SECOND, Part, World
 from tests.zoning import ORIGIN, draft_of, host, rooms, soa, zone
@@ -27,8 +28,8 @@
 def with_soa(start: Zone, record: Record) -> Zone:
     made = start.copy()
     for each in [r for r in start.records() if r.type == 6]:
-        made.take(each)
-    made.put(record)
+        made.remove(each)
+    made.add(record)
     return made
 
 
@@ -50,7 +51,8 @@
 
 
 @pytest.mark.parametrize(
-    ("serial", "verdict"), [(99, "behind"), (100 + HALF, "undefined"), (101 + HALF, "behind")]
+    ("serial", "verdict"),
+    [(99, "behind"), (100 + HALF_SERIAL_SPACE, "undefined"), (101 + HALF_SERIAL_SPACE, "behind")],
 )
 def test_a_serial_that_goes_backwards_is_not_followed_and_told_once(
     world: World, serial: int, verdict: str
@@ -122,14 +124,14 @@
     world.until(lambda: part.log.named("zone_expired"))
     assert part.losses == 1
     assert len(part.list) == 4  # silence takes nothing away
-    answer = part.zones.union
-    assert not answer.available
+    answer = part.zones.merged_list
+    assert not answer.is_available
     primary.silent, primary.zone = (
         False,
         zone(7, rooms(), host("s-9")),
     )  # and what it has then is believed
     world.until(lambda: part.serial == 7)
-    assert answer.available
+    assert answer.is_available
     assert "s-9" in part.list
 
 
