--- a/kelpcourse/__init__.py
+++ b/kelpcourse/__init__.py
@@ -1,1 +1,1 @@
-"""kelpcourse: a director that publishes routing tables to a fleet of proxies."""
+"""kelpcourse: a controller that publishes routing tables to a fleet of proxies."""
