--- a/kelpcourse/zones/persistence.py
+++ b/kelpcourse/zones/persistence.py
@@ -1,4 +1,12 @@
-"""Zones as entries of the store: what a change is in bytes, and how entries become zones again. Pure."""
+"""Persistence: the encoding of stored zone entries, and how entries become zones again. Pure.
+
+An entry is a msgpack array: a tag, then the fields in their order. Tags and order are the stored format:
+
+    changed   ZoneChanged
+    seen      ZoneConfirmed
+    kept      StoredZone
+    snapshot  ZoneSnapshot
+"""
 
 from __future__ import annotations
 
@@ -11,7 +19,7 @@
 from kelpcourse.limits import Limits
 from kelpcourse.zones.errors import StoredEntryError, ZoneError
 from kelpcourse.zones.records import Record
-from kelpcourse.zones.versions import Difference, build_zone, difference_between
+from kelpcourse.zones.versions import Difference, build_zone
 from kelpcourse.zones.zone_state import ZoneState
 
 
@@ -23,22 +31,24 @@
 
 
 class ZoneConfirmed(msgspec.Struct, tag="seen", array_like=True, frozen=True):
-    """The source of a zone confirmed the version held."""
+    """The source of a zone confirmed the current version."""
 
     origin: str
-    at_ms: int
+    confirmed_ms: int  # Unix time
 
 
 class StoredZone(msgspec.Struct, tag="kept", array_like=True, frozen=True):
-    """A whole zone in a snapshot, with the differences that led to it."""
+    """A whole zone with the differences that led to it."""
 
     origin: str
     records: tuple[Record, ...]
     history: tuple[Difference, ...]
-    confirmed_ms: int
+    confirmed_ms: int  # Unix time
 
 
 class ZoneSnapshot(msgspec.Struct, tag="snapshot", array_like=True, frozen=True):
+    """All zones of a store."""
+
     zones: tuple[StoredZone, ...]
 
 
@@ -48,24 +58,35 @@
 
 
 def encode_entry(entry: Entry) -> bytes:
+    """Returns the stored form of an entry."""
     return _encoder.encode(entry)
 
 
 def decode_entry(payload: bytes) -> Entry:
+    """Decodes a stored entry.
+
+    Raises:
+        StoredEntryError: it is malformed.
+    """
     try:
         return _decoder.decode(payload)
     except msgspec.DecodeError as error:
         raise StoredEntryError(str(error)) from error
 
 
-def encode_snapshot(zones: Iterable[ZoneState], others: Iterable[StoredZone]) -> bytes:
-    """`others`: zones that the store holds and the settings do not name; they are kept."""
-    return encode_entry(
-        ZoneSnapshot((*(stored_zone(zone) for zone in zones if zone.zone.exists), *others))
-    )
+def encode_snapshot(zones: Iterable[ZoneState], unconfigured: Iterable[StoredZone]) -> bytes:
+    """Returns the stored form of a snapshot.
+
+    Args:
+        zones: the zones of the settings.
+        unconfigured: zones that the store has and the settings do not name; they are kept.
+    """
+    configured = [stored_zone(zone) for zone in zones if zone.zone.exists]
+    return encode_entry(ZoneSnapshot((*configured, *unconfigured)))
 
 
 def stored_zone(zone: ZoneState) -> StoredZone:
+    """Returns the whole zone as an entry."""
     return StoredZone(
         zone.origin, tuple(zone.zone.records()), tuple(zone.history), zone.confirmed_ms
     )
@@ -73,68 +94,73 @@
 
 @contextmanager
 def garbage_collection_paused() -> Iterator[None]:
-    """Nothing of what a restart makes is garbage, and looking for it costs half of the time."""
-    collects = gc.isenabled()
+    """Pauses cyclic garbage collection: a replay makes many objects and no garbage."""
+    was_enabled = gc.isenabled()
     gc.disable()
     try:
         yield
     finally:
-        if collects:
+        if was_enabled:
             gc.enable()
 
 
 class ZoneReplay:
-    """Entries into zones. Those of zones that are not in the settings are kept as they stand."""
+    """Replays stored entries; zones that the settings do not name are kept as they are."""
 
     def __init__(self, origins: Sequence[str], service: str, limits: Limits) -> None:
+        """Starts with an empty state for each zone of the settings."""
         self.zones = {origin: ZoneState(origin, service, limits) for origin in origins}
-        self._others: dict[str, ZoneState] = {}
+        self.warnings: list[str] = []  # about entries that could not be used
+        self._unconfigured: dict[str, ZoneState] = {}
         self._service = service
         self._limits = limits
-        self.warnings: list[str] = []
 
     def unconfigured_zones(self) -> tuple[StoredZone, ...]:
-        entry = decode_entry(encode_snapshot(self._others.values(), ()))
-        assert isinstance(entry, ZoneSnapshot)
-        return entry.zones
+        """Returns the zones that the store has and the settings do not name."""
+        return tuple(stored_zone(zone) for zone in self._unconfigured.values() if zone.zone.exists)
 
     def run(self, snapshot_payload: bytes | None, payloads: Iterable[bytes]) -> None:
-        for payload in (*([snapshot_payload] if snapshot_payload else []), *payloads):
-            self._run_one(payload)
+        """Replays a snapshot, if there is one, and the entries after it."""
+        if snapshot_payload:
+            self._replay_payload(snapshot_payload)
+        for payload in payloads:
+            self._replay_payload(payload)
         for zone in self.zones.values():
             zone.finish_replay()
 
-    def _run_one(self, payload: bytes) -> None:
+    def _replay_payload(self, payload: bytes) -> None:
+        """An entry that cannot be used leaves the zone at the version before it."""
         try:
-            self._take(decode_entry(payload))
-        except ZoneError as error:  # told; the version that stands is a whole one
+            self._replay_entry(decode_entry(payload))
+        except ZoneError as error:
             self.warnings.append(str(error))
 
-    def _take(self, entry: Entry) -> None:
+    def _replay_entry(self, entry: Entry) -> None:
         match entry:
             case ZoneSnapshot(zones):
-                for kept in zones:
-                    self._keep(kept)
+                for stored in zones:
+                    self._replay_zone(stored)
             case StoredZone():
-                self._keep(entry)
-            case ZoneChanged():
-                zone = self._zone(entry.origin)
-                zone.replay(entry.difference)
-                zone.confirmed_ms = max(zone.confirmed_ms, entry.difference.accepted_ms)
-            case ZoneConfirmed(origin, at_ms):
+                self._replay_zone(entry)
+            case ZoneChanged(origin, difference):
+                zone = self._zone(origin)
+                zone.replay(difference)
+                zone.confirmed_ms = max(zone.confirmed_ms, difference.accepted_ms)
+            case ZoneConfirmed(origin, confirmed_ms):
                 zone = self._zone(origin)
-                zone.confirmed_ms = max(zone.confirmed_ms, at_ms)
+                zone.confirmed_ms = max(zone.confirmed_ms, confirmed_ms)
 
-    def _keep(self, kept: StoredZone) -> None:
-        zone = self._zone(kept.origin)
-        zone.replay(
-            difference_between(zone.zone, build_zone(kept.origin, kept.records), kept.confirmed_ms)
-        )
-        for each in kept.history:
-            zone.history.add(each)
-        zone.confirmed_ms = kept.confirmed_ms
+    def _replay_zone(self, stored: StoredZone) -> None:
+        zone = self._zone(stored.origin)
+        whole_zone = build_zone(stored.origin, stored.records)
+        zone.replay(zone.difference_to(whole_zone, stored.confirmed_ms))
+        for difference in stored.history:
+            zone.history.add(difference)
+        zone.confirmed_ms = stored.confirmed_ms
 
     def _zone(self, origin: str) -> ZoneState:
         if origin in self.zones:
             return self.zones[origin]
-        return self._others.setdefault(origin, ZoneState(origin, self._service, self._limits))
+        if origin not in self._unconfigured:
+            self._unconfigured[origin] = ZoneState(origin, self._service, self._limits)
+        return self._unconfigured[origin]
--- a/kelpcourse/zones/update.py
+++ b/kelpcourse/zones/update.py
@@ -1,4 +1,8 @@
-"""Dynamic updates: prerequisites and changes, all or nothing (RFC 2136, sections 3.2 to 3.4). Pure."""
+"""Dynamic updates: prerequisites and changes, all or nothing (RFC 2136, sections 3.2 to 3.4). Pure.
+
+In dnspython's messages the class of an RRset is the zone's, and what the RFC encodes in the class is `deleting`: ANY,
+NONE, or None for the class of the zone.
+"""
 
 from __future__ import annotations
 
@@ -10,127 +14,173 @@
 import dns.rrset
 import dns.update
 
+from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import canonical, is_under
 from kelpcourse.zones.pending_version import PendingVersion
-from kelpcourse.zones.records import CNAME, NS, SOA, Record, canonical_data, parse_soa
+from kelpcourse.zones.records import (
+    CNAME,
+    NS,
+    SOA,
+    SOA_NUMBERS_BYTES,
+    Record,
+    canonical_data,
+    soa_serial,
+)
 from kelpcourse.zones.serials import SerialOrder, compare_serials
 
 ANY = int(dns.rdatatype.ANY)
-IN = dns.rdataclass.IN
-META = range(128, 256)  # query types: nothing that a zone holds (RFC 6895, section 3.1)
+META_TYPES = range(128, 256)  # of queries, not of records (RFC 6895, section 3.1)
+MIN_SOA_BYTES = SOA_NUMBERS_BYTES + 2  # two names, each of the root alone
 
 
-class UpdateRejectedError(Exception):
-    """The update is not made; `rcode` says why, as the RFC has it."""
+class UpdateRejectedError(ZoneError):
+    """An update is not made; `rcode` is the response code for it (RFC 2136, section 2.2)."""
 
-    def __init__(self, rcode: dns.rcode.Rcode, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, rcode: dns.rcode.Rcode, reason: str) -> None:
+        """Keeps the response code and the reason."""
+        super().__init__(reason)
         self.rcode = rcode
+        self.reason = reason
+
 
+def evaluate(message: dns.update.UpdateMessage, pending: PendingVersion) -> None:
+    """Makes an update in a pending version (RFC 2136, section 3).
 
-def evaluate(message: dns.update.UpdateMessage, draft: PendingVersion) -> None:
-    """Makes the update in the draft, or raises UpdateRejectedError and the draft is of no further use."""
-    _require(message.prerequisite, draft)
+    Raises:
+        UpdateRejectedError: a prerequisite does not hold or the message is malformed; the pending
+            version must not be used any more.
+    """
+    _check_prerequisites(message.prerequisite, pending)
     for rrset in message.update:
-        _prescan(rrset, draft)
+        _prescan(rrset, pending)
     for rrset in message.update:
-        _change(rrset, draft)
+        _apply_change(rrset, pending)
 
 
-def _key(rrset: dns.rrset.RRset, draft: PendingVersion) -> tuple[str, int]:
+def _owner_and_type(rrset: dns.rrset.RRset, pending: PendingVersion) -> tuple[str, int]:
     owner = canonical(rrset.name)
-    if not is_under(owner, draft.origin):
-        raise UpdateRejectedError(dns.rcode.NOTZONE, f"{owner} is not in {draft.origin}")
+    if not is_under(owner, pending.origin):
+        raise UpdateRejectedError(dns.rcode.NOTZONE, f"{owner} is not in {pending.origin}")
     return owner, int(rrset.rdtype)
 
 
-def _data(rrset: dns.rrset.RRset) -> list[bytes]:
+def _canonical_set(rrset: dns.rrset.RRset) -> list[bytes]:
     return [canonical_data(rdata) for rdata in rrset]
 
 
 # Prerequisites (section 3.2)
 
 
-def _require(rrsets: Iterable[dns.rrset.RRset], draft: PendingVersion) -> None:
-    wanted: dict[tuple[str, int], set[bytes]] = {}
+def _check_prerequisites(rrsets: Iterable[dns.rrset.RRset], pending: PendingVersion) -> None:
+    expected_sets: dict[tuple[str, int], set[bytes]] = {}
     for rrset in rrsets:
-        owner, type_ = _key(rrset, draft)
+        owner, type_ = _owner_and_type(rrset, pending)
         if rrset.ttl:
-            raise UpdateRejectedError(dns.rcode.FORMERR, f"a prerequisite on {owner} with a TTL")
+            reason = f"a prerequisite on {owner} with a TTL"
+            raise UpdateRejectedError(dns.rcode.FORMERR, reason)
         match rrset.deleting:
             case dns.rdataclass.ANY | dns.rdataclass.NONE if len(rrset):
-                raise UpdateRejectedError(dns.rcode.FORMERR, f"a prerequisite on {owner} with data")
+                reason = f"a prerequisite on {owner} with data"
+                raise UpdateRejectedError(dns.rcode.FORMERR, reason)
             case dns.rdataclass.ANY:
-                _require_there(owner, type_, draft)
+                _require_present(owner, type_, pending)
             case dns.rdataclass.NONE:
-                _require_absent(owner, type_, draft)
+                _require_absent(owner, type_, pending)
             case _:
-                wanted.setdefault((owner, type_), set()).update(_data(rrset))
-    for (owner, type_), data in wanted.items():
-        if set(draft.record_data(owner, type_)) != data:
+                expected_data = expected_sets.setdefault((owner, type_), set())
+                expected_data.update(_canonical_set(rrset))
+    for (owner, type_), expected_data in expected_sets.items():
+        if set(pending.record_data(owner, type_)) != expected_data:
             raise UpdateRejectedError(dns.rcode.NXRRSET, f"{owner} holds other records")
 
 
-def _require_there(owner: str, type_: int, draft: PendingVersion) -> None:
+def _require_present(owner: str, type_: int, pending: PendingVersion) -> None:
     if type_ == ANY:
-        if not draft.types(owner):
+        if not pending.types(owner):
             raise UpdateRejectedError(dns.rcode.NXDOMAIN, f"{owner} is not there")
-    elif not draft.record_count(owner, type_):
+    elif not pending.record_count(owner, type_):
         raise UpdateRejectedError(dns.rcode.NXRRSET, f"{owner} has no such records")
 
 
-def _require_absent(owner: str, type_: int, draft: PendingVersion) -> None:
+def _require_absent(owner: str, type_: int, pending: PendingVersion) -> None:
     if type_ == ANY:
-        if draft.types(owner):
+        if pending.types(owner):
             raise UpdateRejectedError(dns.rcode.YXDOMAIN, f"{owner} is there")
-    elif draft.record_count(owner, type_):
+    elif pending.record_count(owner, type_):
         raise UpdateRejectedError(dns.rcode.YXRRSET, f"{owner} has such records")
 
 
 # Changes (section 3.4)
 
 
-def _prescan(rrset: dns.rrset.RRset, draft: PendingVersion) -> None:
-    owner, type_ = _key(rrset, draft)
+def _prescan(rrset: dns.rrset.RRset, pending: PendingVersion) -> None:
+    """Rejects an update that contains a malformed change (section 3.4.1.3)."""
+    owner, type_ = _owner_and_type(rrset, pending)
+    is_meta = type_ in META_TYPES
     if rrset.deleting is None:
-        wrong = type_ in META or not len(rrset)
+        malformed = is_meta or not len(rrset)
     elif rrset.deleting == dns.rdataclass.ANY:
-        wrong = bool(rrset.ttl) or len(rrset) > 0 or (type_ in META and type_ != ANY)
+        malformed = bool(rrset.ttl) or len(rrset) > 0 or (is_meta and type_ != ANY)
+    elif rrset.deleting == dns.rdataclass.NONE:
+        malformed = bool(rrset.ttl) or is_meta
     else:
-        wrong = rrset.deleting != dns.rdataclass.NONE or bool(rrset.ttl) or type_ in META
-    if wrong:
+        malformed = True
+    if malformed:
         raise UpdateRejectedError(dns.rcode.FORMERR, f"no such change at {owner}")
 
 
-def _change(rrset: dns.rrset.RRset, draft: PendingVersion) -> None:
-    owner, type_ = _key(rrset, draft)
-    apex = owner == draft.origin
+def _apply_change(rrset: dns.rrset.RRset, pending: PendingVersion) -> None:
+    owner, type_ = _owner_and_type(rrset, pending)
     if rrset.deleting is None:
-        for data in _data(rrset):
-            _add(Record(owner, type_, rrset.ttl, data), draft)
+        for data in _canonical_set(rrset):
+            _add_record(Record(owner, type_, rrset.ttl, data), pending)
     elif rrset.deleting == dns.rdataclass.ANY:
-        for each in draft.types(owner) if type_ == ANY else (type_,):
-            if not (apex and each in (SOA, NS)):
-                draft.remove_set(owner, each)
-    elif type_ != SOA:
-        for data in _data(rrset):
-            if not (apex and type_ == NS and draft.record_count(owner, NS) == 1):
-                draft.remove(owner, type_, data)
+        _delete_sets(owner, type_, pending)
+    else:
+        _delete_records(owner, type_, _canonical_set(rrset), pending)
 
 
-def _add(record: Record, draft: PendingVersion) -> None:
-    """Section 3.4.2.2: what a zone can't hold is passed over without a word."""
+def _add_record(record: Record, pending: PendingVersion) -> None:
+    """Adds a record; one that the zone cannot have is ignored (section 3.4.2.2)."""
     if record.type == SOA:
-        if record.owner == draft.origin and len(record.data) >= 22:
-            offered, held = parse_soa(record.data).serial, parse_soa(draft.soa_data).serial
-            if compare_serials(offered, held) is SerialOrder.AHEAD:
-                draft.set_soa(record.data)
+        _replace_soa(record, pending)
         return
-    others = [type_ for type_ in draft.types(record.owner) if type_ != record.type]
+    other_types = [type_ for type_ in pending.types(record.owner) if type_ != record.type]
     if record.type == CNAME:
-        if others:
+        if other_types:
             return
-        draft.remove_set(record.owner, CNAME)
-    elif CNAME in others:
+        pending.remove_set(record.owner, CNAME)
+    elif CNAME in other_types:
+        return
+    pending.add(record)
+
+
+def _replace_soa(record: Record, pending: PendingVersion) -> None:
+    """Replaces the SOA record if the serial of the new one is ahead."""
+    if record.owner != pending.origin or len(record.data) < MIN_SOA_BYTES:
+        return
+    serial_order = compare_serials(soa_serial(record.data), soa_serial(pending.soa_data))
+    if serial_order is SerialOrder.AHEAD:
+        pending.set_soa(record.data)
+
+
+def _delete_sets(owner: str, type_: int, pending: PendingVersion) -> None:
+    """Deletes one set or all of a name, but not SOA and NS of the origin (section 3.4.2.3)."""
+    types = pending.types(owner) if type_ == ANY else [type_]
+    for each in types:
+        is_protected = owner == pending.origin and each in (SOA, NS)
+        if not is_protected:
+            pending.remove_set(owner, each)
+
+
+def _delete_records(
+    owner: str, type_: int, data_to_delete: Iterable[bytes], pending: PendingVersion
+) -> None:
+    """Deletes records, but not the SOA and the last NS of the origin (section 3.4.2.4)."""
+    if type_ == SOA:
         return
-    draft.add(record)
+    for data in data_to_delete:
+        is_origin_ns = owner == pending.origin and type_ == NS
+        if is_origin_ns and pending.record_count(owner, NS) == 1:
+            continue
+        pending.remove(owner, type_, data)
