--- a/kelpcourse/zones/settings.py
+++ b/kelpcourse/zones/settings.py
@@ -1,18 +1,22 @@
-"""The operators' settings for zones: a KDL file, checked and resolved into what the parts are handed."""
+"""The operators' settings for zones: read from a KDL file, checked and resolved.
+
+Settings as they are named in the file, and the fields that hold them once resolved:
+
+    zone primary    ZoneSettings.primaries
+    zone transfer   ZoneSettings.transfer_keys
+    zone update     ZoneSettings.grants
+    update most     UpdateGrant.max_removed_fraction
+    update within   UpdateGrant.window_us
+"""
 
 from __future__ import annotations
 
-import base64
-import binascii
-import stat
-from collections.abc import Iterator
+from collections.abc import Sequence
 from dataclasses import dataclass, replace
 from pathlib import Path
-from typing import Annotated, ClassVar, Literal
 
 import dns.name
 import dns.tsig
-import msgspec
 
 from kelpcourse.kdl import Block, SettingProblem, SettingsError, load
 from kelpcourse.wire.errors import InvalidMessageError
@@ -20,96 +24,38 @@
 from kelpcourse.wire.stream import Address
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.names import is_under, labels, read_name
+from kelpcourse.zones.secret_files import SecretFileError, read_secret
+from kelpcourse.zones.settings_blocks import (
+    File,
+    KeyBlock,
+    NotifyBlock,
+    PrimaryBlock,
+    UpdateBlock,
+    ZoneBlock,
+    ZonesBlock,
+)
 from kelpcourse.zones.update_policy import UpdateGrant, read_grant
 
-Part = Annotated[float, msgspec.Meta(ge=0, le=1)]
-Seconds = Annotated[float, msgspec.Meta(ge=0, le=86_400)]
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=255)]
-Algorithm = Literal["hmac-sha224", "hmac-sha256", "hmac-sha384", "hmac-sha512"]
-SECRET_LEAST = 16  # bytes; shorter ones are guessed
-
-
-class KeyBlock(Block, kw_only=True, frozen=True):
-    args: ClassVar = ("name",)
-    name: Name
-    algorithm: Algorithm = "hmac-sha256"
-    secret_file: Name
-
-
-class PrimaryBlock(Block, kw_only=True, frozen=True):
-    args: ClassVar = ("address",)
-    address: Name
-    key: str = ""
-
-
-class UpdateBlock(Block, kw_only=True, frozen=True):
-    key: Name
-    most: Part = 1.0
-    within: Seconds = 0.0
-    names: tuple[Name, ...] = ()
-    types: tuple[Name, ...] = ()
-
-
-class TransferBlock(Block, kw_only=True, frozen=True):
-    key: Name
-
-
-class NotifyBlock(Block, kw_only=True, frozen=True):
-    args: ClassVar = ("address",)
-    address: Name
-    key: str = ""
-
-
-class ZoneBlock(Block, kw_only=True, frozen=True):
-    args: ClassVar = ("origin",)
-    origin: Name
-    file: str = ""
-    primary: tuple[PrimaryBlock, ...] = ()
-    update: tuple[UpdateBlock, ...] = ()
-    transfer: tuple[TransferBlock, ...] = ()
-    notify: tuple[NotifyBlock, ...] = ()
-
-    def problems(self) -> Iterator[tuple[str, str]]:
-        if self.file and self.primary:
-            yield "primary", "a zone comes from its file or from a primary, not from both"
-        if not (self.file or self.primary or self.update):
-            yield "file", "a zone needs a file, a primary or a key that may update it"
-        if self.update and self.primary:
-            yield "update", "a zone that follows a primary takes no updates: send them there"
-
-
-class ZonesBlock(Block, kw_only=True, frozen=True):
-    listen: str = ""
-    state: str = ""
-    service: Name
-    key: tuple[KeyBlock, ...] = ()
-    zone: tuple[ZoneBlock, ...]
-
-    def problems(self) -> Iterator[tuple[str, str]]:
-        if not self.state and any(zone.update for zone in self.zone):
-            yield "state", "is missing: an update is answered only once it is kept"
-        if not self.listen and any(zone.update or zone.transfer for zone in self.zone):
-            yield "listen", "is missing: updates and transfers come in there"
-
-
-class File(Block, kw_only=True, frozen=True):
-    zones: ZonesBlock
-
-
-# Resolved
+US_PER_SECOND = 1e6
+NO_ADDRESS: Address = ("", 0)  # stands for an address that is malformed
 
 
 @dataclass(frozen=True)
 class DnsPeer:
+    """Another DNS server and the key for messages between it and this one."""
+
     address: Address
     key: dns.tsig.Key | None
 
     def __str__(self) -> str:
+        """Returns its address."""
         return format_address(self.address)
 
 
 @dataclass(frozen=True)
 class ZoneSettings:
+    """The settings of one zone, resolved."""
+
     origin: str
     file: Path | None
     primaries: tuple[DnsPeer, ...]
@@ -120,6 +66,8 @@
 
 @dataclass(frozen=True)
 class ZonesSettings:
+    """The settings of all zones, resolved."""
+
     path: Path
     listen: Address | None
     state: Path | None
@@ -128,160 +76,189 @@
     zones: tuple[ZoneSettings, ...]
 
 
-def format_address(at: Address) -> str:
-    return f"[{at[0]}]:{at[1]}" if ":" in at[0] else f"{at[0]}:{at[1]}"
+def format_address(address: Address) -> str:
+    """Returns host:port, with brackets around an IPv6 address."""
+    host, port = address
+    return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 def read_address(text: str, field: str) -> Address:
-    """host:port or [host]:port. Raises BadMessage."""
+    """Parses host:port or [host]:port.
+
+    Raises:
+        InvalidMessageError: it is neither.
+    """
     host, port = parse_address(text, field)
-    return (host[1:-1] if host.startswith("[") and host.endswith("]") else host), port
+    has_brackets = host.startswith("[") and host.endswith("]")
+    return (host[1:-1] if has_brackets else host), port
 
 
 def read_settings(path: Path, listen: str = "", state: Path | None = None) -> ZonesSettings:
-    """The file, with what a command line names in place of its own. Raises SettingsError with every mistake of the
-    file and of the keys that it names."""
-    block, mistakes = load(path, File)
-    if block is None:
-        raise SettingsError(sorted(mistakes, key=lambda m: m.line))
-    settings = _Resolver(path, block.zones, mistakes).run()
-    try:
-        at = read_address(listen, "--listen") if listen else settings.listen
-    except InvalidMessageError as error:
-        raise SettingsError([SettingProblem(str(path), 0, "--listen", str(error))]) from None
-    return replace(settings, listen=at, state=state or settings.state)
+    """Reads a settings file; `listen` and `state` replace what the file says.
+
+    Raises:
+        SettingsError: with every problem of the file and of the secrets that it names.
+    """
+    file, problems = load(path, File)
+    if file is None:
+        raise _settings_error(problems)
+    settings = _Resolver(path, file.zones, problems).resolve()
+    address = settings.listen
+    if listen:
+        try:
+            address = read_address(listen, "--listen")
+        except InvalidMessageError as error:
+            problem = SettingProblem(str(path), 0, "--listen", str(error))
+            raise SettingsError([problem]) from error
+    return replace(settings, listen=address, state=state or settings.state)
+
+
+def _settings_error(problems: Sequence[SettingProblem]) -> SettingsError:
+    return SettingsError(sorted(problems, key=lambda problem: problem.line))
 
 
 class _Resolver:
-    def __init__(self, path: Path, block: ZonesBlock, mistakes: list[SettingProblem]) -> None:
+    """Resolves the zones block of one file; problems are collected to be reported together."""
+
+    def __init__(self, path: Path, block: ZonesBlock, problems: list[SettingProblem]) -> None:
         self._path = path
         self._block = block
-        self._mistakes = mistakes
+        self._problems = problems
         self._keys: dict[str, dns.tsig.Key] = {}
+        self._key_names = {read_name(key.name, "") for key in block.key if _is_name(key.name)}
 
-    def run(self) -> ZonesSettings:
+    def resolve(self) -> ZonesSettings:
+        """Raises SettingsError if there is any problem, also one found before."""
         block = self._block
         if not block.zone:
             self._note(block, "zones.zone", "there is none")
-        self._name(block, block.service, "zones.service")
-        listen = self._address(block, block.listen, "zones.listen") if block.listen else None
-        for key in block.key:
-            self._key(key)
-        zones = [zone for each in block.zone if (zone := self._zone(each)) is not None]
+        self._resolve_name(block, block.service, "zones.service")
+        listen = None
+        if block.listen:
+            listen = self._resolve_address(block, block.listen, "zones.listen")
+        for key_block in block.key:
+            self._resolve_key(key_block)
+        zones = self._resolve_zones()
         self._check_origins(zones)
-        if self._mistakes:
-            raise SettingsError(sorted(self._mistakes, key=lambda m: m.line))
+        if self._problems:
+            raise _settings_error(self._problems)
         return ZonesSettings(
-            self._path,
-            listen,
-            self._beside(block.state) if block.state else None,
-            block.service,
-            self._keys,
-            tuple(zones),
+            path=self._path,
+            listen=listen,
+            state=self._resolve_path(block.state) if block.state else None,
+            service=block.service,
+            keys=self._keys,
+            zones=tuple(zones),
         )
 
     def _note(self, block: Block, field: str, text: str) -> None:
-        self._mistakes.append(SettingProblem(str(self._path), block.line, field, text))
+        self._problems.append(SettingProblem(str(self._path), block.line, field, text))
 
-    def _beside(self, text: str) -> Path:
+    def _resolve_path(self, text: str) -> Path:
+        """Paths are relative to the settings file."""
         return self._path.parent / text
 
-    def _name(self, block: Block, text: str, field: str) -> str:
+    def _resolve_name(self, block: Block, text: str, field: str) -> str:
+        """Returns an empty name if the text is not a name."""
         try:
             return read_name(text, "")
         except ZoneError:
             self._note(block, field, f"is not a name: {text!r:.80}")
             return ""
 
-    def _address(self, block: Block, text: str, field: str) -> Address:
+    def _resolve_address(self, block: Block, text: str, field: str) -> Address:
         try:
             return read_address(text, field)
         except InvalidMessageError:
             self._note(block, field, f"is not host:port: {text!r:.60}")
-            return "", 0
+            return NO_ADDRESS
 
-    def _key(self, block: KeyBlock) -> None:
-        name = self._name(block, block.name, "zones.key")
+    def _resolve_key(self, block: KeyBlock) -> None:
+        name = self._resolve_name(block, block.name, "zones.key")
         if name in self._keys:
             self._note(block, "zones.key", f"{name} stands twice")
-        secret = self._secret(block)
-        if name and secret:
+        try:
+            secret = read_secret(self._resolve_path(block.secret_file), block.secret_file)
+        except SecretFileError as error:
+            self._note(block, "zones.key.secret-file", str(error))
+            return
+        if name:
             self._keys[name] = dns.tsig.Key(
                 dns.name.from_text(name), secret, dns.name.from_text(block.algorithm)
             )
 
-    def _secret(self, block: KeyBlock) -> bytes:
-        path, field = self._beside(block.secret_file), "zones.key.secret-file"
-        try:
-            mode = path.stat().st_mode
-            text = path.read_bytes()
-        except OSError as error:
-            self._note(block, field, f"{block.secret_file}: {error.strerror}")
-            return b""
-        if mode & (stat.S_IRWXG | stat.S_IRWXO):
-            self._note(
-                block,
-                field,
-                f"{block.secret_file}: others may read it (mode {stat.S_IMODE(mode):04o}):"
-                " chmod 600",
-            )
-            return b""
-        try:
-            secret = base64.b64decode(text.strip(), validate=True)
-        except binascii.Error:
-            self._note(block, field, f"{block.secret_file}: not the base64 of a secret alone")
-            return b""
-        if len(secret) < SECRET_LEAST:
-            self._note(
-                block, field, f"{block.secret_file}: {len(secret)} bytes, {SECRET_LEAST} at least"
-            )
-            return b""
-        return secret
-
-    def _known(self, block: Block, name: str, field: str) -> str:
-        key = self._name(block, name, field)
-        named = {read_name(k.name, "") for k in self._block.key if _is_name(k.name)}
-        if key and key not in named:
+    def _resolve_key_name(self, block: Block, name: str, field: str) -> str:
+        """Returns the name of a key that the file must define."""
+        key_name = self._resolve_name(block, name, field)
+        if key_name and key_name not in self._key_names:
             self._note(block, field, f"no key {name!r:.80} is set")
-        return key
-
-    def _zone(self, block: ZoneBlock) -> ZoneSettings | None:
-        origin = self._name(block, block.origin, "zones.zone")
+        return key_name
+
+    def _resolve_zones(self) -> list[ZoneSettings]:
+        zones = []
+        for block in self._block.zone:
+            zone = self._resolve_zone(block)
+            if zone is not None:
+                zones.append(zone)
+        return zones
+
+    def _resolve_zone(self, block: ZoneBlock) -> ZoneSettings | None:
+        """Returns None if the zone's name is malformed."""
+        origin = self._resolve_name(block, block.origin, "zones.zone")
         if not origin:
             return None
-        grants = [g for each in block.update if (g := self._grant(each, origin)) is not None]
+        grants = self._resolve_grants(block, origin)
+        primaries = [self._resolve_peer(each, "zones.zone.primary") for each in block.primary]
+        transfer_keys = [
+            self._resolve_key_name(each, each.key, "zones.zone.transfer.key")
+            for each in block.transfer
+        ]
+        notify = [self._resolve_peer(each, "zones.zone.notify") for each in block.notify]
         return ZoneSettings(
-            origin,
-            self._beside(block.file) if block.file else None,
-            tuple(self._peer(p, "zones.zone.primary") for p in block.primary),
-            tuple(grants),
-            frozenset(self._known(t, t.key, "zones.zone.transfer.key") for t in block.transfer),
-            tuple(self._peer(n, "zones.zone.notify") for n in block.notify),
+            origin=origin,
+            file=self._resolve_path(block.file) if block.file else None,
+            primaries=tuple(primaries),
+            grants=tuple(grants),
+            transfer_keys=frozenset(transfer_keys),
+            notify=tuple(notify),
         )
 
-    def _peer(self, block: PrimaryBlock | NotifyBlock, field: str) -> DnsPeer:
-        key = self._known(block, block.key, f"{field}.key") if block.key else ""
-        return DnsPeer(self._address(block, block.address, field), self._keys.get(key))
-
-    def _grant(self, block: UpdateBlock, origin: str) -> UpdateGrant | None:
-        key = self._known(block, block.key, "zones.zone.update.key")
+    def _resolve_peer(self, block: PrimaryBlock | NotifyBlock, field: str) -> DnsPeer:
+        key_name = ""
+        if block.key:
+            key_name = self._resolve_key_name(block, block.key, f"{field}.key")
+        address = self._resolve_address(block, block.address, field)
+        return DnsPeer(address, self._keys.get(key_name))
+
+    def _resolve_grants(self, block: ZoneBlock, origin: str) -> list[UpdateGrant]:
+        grants = []
+        for update_block in block.update:
+            grant = self._resolve_grant(update_block, origin)
+            if grant is not None:
+                grants.append(grant)
+        return grants
+
+    def _resolve_grant(self, block: UpdateBlock, origin: str) -> UpdateGrant | None:
+        """Returns None if a name or a type is malformed."""
+        key_name = self._resolve_key_name(block, block.key, "zones.zone.update.key")
+        window_us = round(block.within * US_PER_SECOND)
         try:
-            return read_grant(
-                key, origin, block.names, block.types, block.most, round(block.within * 1e6)
-            )
+            return read_grant(key_name, origin, block.names, block.types, block.most, window_us)
         except ZoneError as error:
             self._note(block, "zones.zone.update", str(error))
             return None
 
-    def _check_origins(self, zones: list[ZoneSettings]) -> None:
-        for at, zone in enumerate(zones):
-            for other in zones[:at]:
+    def _check_origins(self, zones: Sequence[ZoneSettings]) -> None:
+        """Notes each pair of zones of which one is below the other."""
+        for index, zone in enumerate(zones):
+            for other in zones[:index]:
                 if is_under(zone.origin, other.origin) or is_under(other.origin, zone.origin):
-                    block = self._block.zone[at]
+                    block = self._block.zone[index]
                     self._note(block, "zones.zone", f"{zone.origin} and {other.origin} overlap")
 
 
 def _is_name(text: str) -> bool:
+    """Whether a text is a name other than the root."""
     try:
         return bool(labels(read_name(text, "")))
     except ZoneError:
--- /dev/null
+++ b/kelpcourse/zones/settings_blocks.py
@@ -0,0 +1,103 @@
+"""The zones block of a KDL settings file, with its types and ranges.
+
+The fields are named as the settings are: a hyphen in a setting stands for an underscore here. Times are in seconds.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from typing import Annotated, ClassVar, Literal
+
+import msgspec
+
+from kelpcourse.kdl import Block
+
+Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
+Seconds = Annotated[float, msgspec.Meta(ge=0, le=86_400)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=255)]
+Algorithm = Literal["hmac-sha224", "hmac-sha256", "hmac-sha384", "hmac-sha512"]
+
+
+class KeyBlock(Block, kw_only=True, frozen=True):
+    """A TSIG key (RFC 8945) and the file of its secret."""
+
+    args: ClassVar = ("name",)
+    name: Name
+    algorithm: Algorithm = "hmac-sha256"
+    secret_file: Name
+
+
+class PrimaryBlock(Block, kw_only=True, frozen=True):
+    """A primary that a zone is transferred from."""
+
+    args: ClassVar = ("address",)
+    address: Name
+    key: str = ""
+
+
+class UpdateBlock(Block, kw_only=True, frozen=True):
+    """What one key may change in a zone."""
+
+    key: Name
+    most: Fraction = 1.0
+    within: Seconds = 0.0
+    names: tuple[Name, ...] = ()
+    types: tuple[Name, ...] = ()
+
+
+class TransferBlock(Block, kw_only=True, frozen=True):
+    """A key that may transfer a zone."""
+
+    key: Name
+
+
+class NotifyBlock(Block, kw_only=True, frozen=True):
+    """A secondary that is notified of changes."""
+
+    args: ClassVar = ("address",)
+    address: Name
+    key: str = ""
+
+
+class ZoneBlock(Block, kw_only=True, frozen=True):
+    """One zone, its source and its clients."""
+
+    args: ClassVar = ("origin",)
+    origin: Name
+    file: str = ""
+    primary: tuple[PrimaryBlock, ...] = ()
+    update: tuple[UpdateBlock, ...] = ()
+    transfer: tuple[TransferBlock, ...] = ()
+    notify: tuple[NotifyBlock, ...] = ()
+
+    def problems(self) -> Iterator[tuple[str, str]]:
+        """Yields fields that contradict each other, and why."""
+        if self.file and self.primary:
+            yield "primary", "a zone comes from its file or from a primary, not from both"
+        if not (self.file or self.primary or self.update):
+            yield "file", "a zone needs a file, a primary or a key that may update it"
+        if self.update and self.primary:
+            yield "update", "a zone that follows a primary takes no updates: send them there"
+
+
+class ZonesBlock(Block, kw_only=True, frozen=True):
+    """All zones with what they share."""
+
+    listen: str = ""
+    state: str = ""
+    service: Name
+    key: tuple[KeyBlock, ...] = ()
+    zone: tuple[ZoneBlock, ...]
+
+    def problems(self) -> Iterator[tuple[str, str]]:
+        """Yields fields that are missing, and why they are needed."""
+        if not self.state and any(zone.update for zone in self.zone):
+            yield "state", "is missing: an update is answered only once it is kept"
+        if not self.listen and any(zone.update or zone.transfer for zone in self.zone):
+            yield "listen", "is missing: updates and transfers come in there"
+
+
+class File(Block, kw_only=True, frozen=True):
+    """A file with its one block."""
+
+    zones: ZonesBlock
