--- /dev/null
+++ b/tests/test_zone_merged_list.py
@@ -0,0 +1,112 @@
+"""The merged endpoint list of several zones."""
+
+from __future__ import annotations
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from kelpcourse.policy.events import EndpointStatus
+from kelpcourse.zones.merged_list import MergedEndpointList
+from kelpcourse.zones.refresh import SECOND_US
+from tests.zoning import member
+
+MS = 1000
+
+
+def merged_list(*sources: str, grace_us: int = 2 * SECOND_US) -> MergedEndpointList:
+    return MergedEndpointList(sources or ("z",), grace_us, 100)
+
+
+def test_an_endpoint_that_returns_after_the_grace_counts_as_started_then() -> None:
+    one = merged_list()
+    one.update("z", {"s": member("s", started=5.0)}, 0, 1_000)
+    gone, _ = one.update("z", {"s": None}, 10 * MS, 1_010)
+    assert [m.status for m in gone] == [EndpointStatus.GONE]
+    back, _ = one.update("z", {"s": member("s", started=5.0)}, 60 * MS, 1_060)
+    assert back == [member("s", started=5.0)]
+    one.update("z", {"s": None}, 100 * MS, 1_100)
+    back, _ = one.update("z", {"s": member("s", started=5.0)}, 100 * MS + 2 * SECOND_US + 1, 3_101)
+    assert [m.started_ms for m in back] == [3_101.0]
+    drained, _ = one.update(
+        "z", {"s": member("s", phase=EndpointStatus.DRAINING)}, 9 * SECOND_US, 9_000
+    )
+    assert [(m.status, m.started_ms) for m in drained] == [(EndpointStatus.DRAINING, 3_101.0)]
+
+
+def test_an_endpoint_is_listed_while_any_zone_announces_it_and_drains_if_any_says_so() -> None:
+    merged = merged_list("a", "b")
+    merged.update("a", {"s": member("s", started=5.0)}, 0, 0)
+    assert merged.update("b", {"s": member("s", started=9.0)}, 0, 0)[0] == [
+        member("s", started=9.0)
+    ]
+    out, _ = merged.update("b", {"s": member("s", phase=EndpointStatus.DRAINING)}, 0, 0)
+    assert [m.status for m in out] == [EndpointStatus.DRAINING]
+    assert (
+        merged.update("a", {"s": None}, 0, 0)[0] != []
+    )  # it started long ago now, and drains as before
+    assert merged.endpoints["s"].status is EndpointStatus.DRAINING
+    assert [m.status for m in merged.update("b", {"s": None}, 0, 0)[0]] == [EndpointStatus.GONE]
+
+
+def test_a_conflict_of_zones_is_reported_once_and_the_first_zone_decides() -> None:
+    merged = merged_list("a", "b")
+    merged.update("b", {"s": member("s", address="10.0.0.2")}, 0, 0)
+    out, conflicts = merged.update("a", {"s": member("s", address="10.0.0.1")}, 0, 0)
+    assert [m.address[0] for m in out] == ["10.0.0.1"]
+    assert [(c.endpoint, c.begins) for c in conflicts] == [("s", True)]
+    assert merged.update("a", {"s": member("s", address="10.0.0.1", started=1.0)}, 0, 0)[1] == []
+    out, conflicts = merged.update("a", {"s": None}, 0, 0)
+    assert [m.address[0] for m in out] == ["10.0.0.2"]
+    assert [c.begins for c in conflicts] == [False]
+
+
+def test_a_change_of_several_endpoints_is_one_version_and_no_change_is_none() -> None:
+    one = merged_list()
+    out, _ = one.update("z", {f"s-{k}": member(f"s-{k}") for k in range(5)}, 0, 0)
+    assert (len(out), one.version) == (5, 1)
+    assert one.update("z", {"s-0": member("s-0")}, 0, 0) == ([], [])
+    assert one.version == 1
+    out, _ = one.update("z", {f"s-{k}": None for k in range(5)}, 0, 0)
+    assert (len(out), one.version, one.endpoints) == (5, 2, {})
+
+
+statuses = st.sampled_from([EndpointStatus.READY, EndpointStatus.DRAINING])
+
+steps = st.lists(
+    st.tuples(
+        st.sampled_from("ab"),
+        st.sampled_from("xyz"),
+        st.none() | statuses,
+        st.integers(0, 3 * SECOND_US),
+    ),
+    max_size=40,
+)
+
+
+@given(steps)
+@settings(max_examples=200, deadline=None, derandomize=True)
+def test_reported_changes_add_up_to_the_merged_list(
+    change_steps: list[tuple[str, str, EndpointStatus | None, int]],
+) -> None:
+    merged = merged_list("a", "b")
+    now = 0
+    announced: dict[str, dict[str, EndpointStatus]] = {"a": {}, "b": {}}
+    listed: dict[str, EndpointStatus] = {}
+    for zone, name, status, wait in change_steps:
+        now += wait
+        announced[zone].pop(name, None)
+        if status is not None:
+            announced[zone][name] = status
+        endpoint = member(name, phase=status) if status else None
+        changed, _ = merged.update(zone, {name: endpoint}, now, now)
+        for entry in changed:
+            listed.pop(entry.name, None)
+            if entry.status is not EndpointStatus.GONE:
+                listed[entry.name] = entry.status
+    expected: dict[str, EndpointStatus] = {}
+    for name in {*announced["a"], *announced["b"]}:
+        views = [by_name[name] for by_name in announced.values() if name in by_name]
+        expected[name] = (
+            EndpointStatus.DRAINING if EndpointStatus.DRAINING in views else EndpointStatus.READY
+        )
+    assert listed == expected
