--- a/kelpcourse/lab/primary.py
+++ b/kelpcourse/lab/primary.py
@@ -20,7 +20,9 @@
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.wire.loop import READ, Coroutine, Loop, Wait
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.service import Around, Restore, Restored, Zones
+from kelpcourse.zones.restore import OnResult, RestoreCommand
+from kelpcourse.zones.runtime import ZoneRuntime
+from kelpcourse.zones.service import ZoneService
 from kelpcourse.zones.settings import format_address, read_settings
 
 ORIGIN = "games.example.org."
@@ -127,14 +129,14 @@
         (folder / "games.zone").write_text(zone_text(endpoints))
         source = f'file "games.zone"\n        update key="{KEY_NAME}"\n        notify "{format_address(notify)}"'
         settings = read_settings(write_settings(folder, "primary", listen, source))
-        around = Around(
+        runtime = ZoneRuntime(
             loop,
             replace(Limits(), zone_file_poll_us=NEVER_US),
             Counters(),
             DiscardingLog(),
             self._keep,
         )
-        self._zones = Zones(settings, around, self)
+        self._zones = ZoneService(settings, runtime, self)
 
     def start(self) -> None:
         """Announces the zone and answers from now on."""
@@ -143,26 +145,28 @@
     def _keep(self, name: str, factory: Callable[[], Coroutine[None]]) -> None:
         self._loop.start(name, factory())
 
-    def listed(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
+    def list_changed(
+        self, endpoints: Sequence[ListedEndpoint], version: int, complete: bool
+    ) -> None:
         """Takes what the zone announces."""
-        self._on_list(members)
+        self._on_list(endpoints)
 
-    def lost(self) -> None:
+    def list_unavailable(self) -> None:
         """The zone is unavailable, which a primary's own zone never is."""
 
     @property
     def ready(self) -> bool:
         """Whether updates are accepted."""
-        return not self._zones.settling
+        return not self._zones.store.is_recovering
 
     @property
     def serial(self) -> int:
         """The zone's current serial."""
         return self._zones.zone_states[ORIGIN].zone.serial
 
-    def restore(self, serial: int, answer: Callable[[Restored], None]) -> None:
+    def restore(self, serial: int, on_result: OnResult) -> None:
         """Restores the zone as it was at a serial."""
-        self._zones.restore(Restore(ORIGIN, serial), answer)
+        self._zones.restore(RestoreCommand(ORIGIN, serial), on_result)
 
     def update(
         self,
@@ -178,11 +182,11 @@
     def _send(
         self, message: dns.update.UpdateMessage, answered: Callable[[dns.rcode.Rcode], None]
     ) -> Coroutine[None]:
-        server = self._zones.server
-        if server is None:
+        server_address = self._zones.server_address
+        if server_address is None:
             raise RuntimeError("a primary without an address")
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK) as sock:
-            sock.connect(server.address)
+            sock.connect(server_address)
             sock.send(message.to_wire())
             yield Wait(fd=sock.fileno(), event_mask=READ)
             answer = dns.message.from_wire(
--- a/kelpcourse/zones/zonefile.py
+++ b/kelpcourse/zones/zonefile.py
@@ -21,6 +21,7 @@
     ZoneError,
     ZoneFileError,
 )
+from kelpcourse.zones.incoming_transfer import check_servable
 from kelpcourse.zones.names import canonical, is_under, to_name
 from kelpcourse.zones.records import (
     CNAME,
@@ -30,7 +31,6 @@
     parse_record_data,
     type_name,
 )
-from kelpcourse.zones.transfer import check_fits
 from kelpcourse.zones.versions import Zone, build_zone
 
 
@@ -76,7 +76,7 @@
         raise ZoneFileError(name, reason, _line_number(tokenizer, text)) from error
     zone = build_zone(origin, sink.records)
     try:
-        check_fits(zone)
+        check_servable(zone)
         _check_aliases(zone)
     except ZoneError as error:
         raise ZoneFileError(name, str(error)) from error
