--- a/kelpcourse/policy/admission.py
+++ b/kelpcourse/policy/admission.py
@@ -78,7 +78,7 @@
         self.history = AdmissionHistory(len(settings.classes))
 
     def update(self, now_us: int, inputs: AdmissionInputs, shedding_load: bool) -> None:
-        """Computes the ratios anew."""
+        """Computes the ratios."""
         if not self._enabled:
             return
         limits = self._warm_up_limits(now_us, inputs.capacity_per_s)
--- a/kelpcourse/policy/admission_orders.py
+++ b/kelpcourse/policy/admission_orders.py
@@ -5,7 +5,7 @@
 from kelpcourse.policy.actions import SetAdmission
 from kelpcourse.policy.admission import AdmissionControl
 from kelpcourse.policy.bindings import ProxyBindings
-from kelpcourse.policy.budget import ChannelLimits, OrderBatch
+from kelpcourse.policy.budget import BacklogLimits, OrderBatch
 from kelpcourse.policy.load import LoadEstimate
 from kelpcourse.policy.settings import AdmissionMode, RetryPolicy, Settings, TableId
 from kelpcourse.policy.tables import RoutingTables
@@ -32,7 +32,7 @@
         self._bindings = bindings
         self._load = load
         self._admission = admission
-        self._limits = ChannelLimits.of(settings)
+        self._limits = BacklogLimits.of(settings)
         self._proxies_limit_rates = settings.admission_mode is AdmissionMode.RATE
 
     def is_urgent(self) -> bool:
@@ -50,12 +50,12 @@
         ]
 
     def send(self, now_us: int, batch: OrderBatch) -> None:
-        """Orders the ratios that have changed, as the channel has room."""
+        """Orders the ratios that have changed, as the delivery queue allows."""
         self._admission.history.record(now_us, self._admission.ratios)
         for position, ratio in enumerate(self._admission.ratios):
             for table in self._tables.ids_by_class[position]:
-                has_room = batch.room(self._limits.urgent) >= batch.change_cost(table)
-                if has_room and self._is_changed(table, position, ratio):
+                fits = batch.available_entries(self._limits.urgent) >= batch.change_cost(table)
+                if fits and self._is_changed(table, position, ratio):
                     self._send_ratio(batch, table, position, ratio)
 
     def _is_changed(self, table: TableId, position: int, ratio: float) -> bool:
--- a/kelpcourse/policy/binding_orders.py
+++ b/kelpcourse/policy/binding_orders.py
@@ -1,4 +1,4 @@
-"""Binding of joined proxies to their tables, as the channel has room."""
+"""Binding of joined proxies to their tables, as the delivery queue allows."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from kelpcourse.policy.actions import BindProxy
 from kelpcourse.policy.bindings import ProxyBindings
-from kelpcourse.policy.budget import ChannelLimits, OrderBatch, OrderCosts
+from kelpcourse.policy.budget import BacklogLimits, OrderBatch, OrderCosts
 from kelpcourse.policy.draining import Withdrawals
 from kelpcourse.policy.settings import ProxyId, Settings, TableId
 from kelpcourse.policy.tables import ClassPositions, RoutingTables
@@ -29,7 +29,7 @@
         self._bindings = bindings
         self._withdrawals = withdrawals
         self._costs = costs
-        self._limits = ChannelLimits.of(settings)
+        self._limits = BacklogLimits.of(settings)
 
     def send(
         self,
@@ -38,7 +38,7 @@
         entries: Counter[ProxyId],
         late_joiners: Mapping[ProxyId, int],
     ) -> None:
-        """Binds late joiners, then the others, until the channel has no room.
+        """Binds late joiners, then the others, until the delivery queue is full.
 
         Args:
             now_us: the time of the step.
@@ -88,10 +88,10 @@
         return sizes
 
     def _fits(self, batch: OrderBatch, cost: float, limit: float) -> bool:
-        """Whether a binding fits; it must not keep pending withdrawals out of the channel."""
+        """Whether a binding fits; it must not keep pending withdrawals out of the delivery queue."""
         if not batch.queued_entries:
             return True
-        return not self._withdrawals.draining and batch.room(limit) >= cost
+        return not self._withdrawals.draining and batch.available_entries(limit) >= cost
 
     def _bind(
         self,
--- a/kelpcourse/policy/bindings.py
+++ b/kelpcourse/policy/bindings.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class ProxyOrigin:
-    """What a proxy told when it joined."""
+    """What a proxy reported when it joined."""
 
     zone: str
     usual_rate: float  # requests per second
--- a/kelpcourse/policy/budget.py
+++ b/kelpcourse/policy/budget.py
@@ -1,6 +1,6 @@
-"""What orders cost in the channel, how far each kind may fill it, and the orders of one step.
+"""What orders cost in the delivery queue, how far each kind may fill it, and the orders of one step.
 
-Costs are in table entries, the unit in which the channel's pace and backlog are given.
+Costs are in table entries, the unit in which the delivery queue's pace and backlog are given.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from kelpcourse.policy.tables import RoutingTables
 
 UPDATE_PERIOD_US = 2_000_000  # of ordinary table updates
-ORDINARY_BACKLOG_SHARE = 0.5  # of the channel's backlog
+ORDINARY_BACKLOG_SHARE = 0.5  # of the delivery queue's backlog
 BINDING_BACKLOG_SHARE = 0.6
 URGENT_BACKLOG_SHARE = 0.95
 BINDING_GRACE_SHARE = 0.25  # of a drain's grace
@@ -25,14 +25,14 @@
 
 
 def max_transit_us(settings: Settings) -> int:
-    """Returns the longest time that an order takes through a full channel."""
+    """Returns the longest time that an order takes through a full delivery queue."""
     per_us = settings.delivery_entries_per_s / US_PER_S
     return int(settings.max_backlog_entries / per_us) + settings.max_transit_us
 
 
 @dataclass(frozen=True)
-class ChannelLimits:
-    """Up to how many entries each kind of order may fill the channel."""
+class BacklogLimits:
+    """Up to how many entries each kind of order may fill the delivery queue."""
 
     ordinary: float
     bindings: float
@@ -40,8 +40,8 @@
     binding_span: float  # entries that leave in the time that bindings may take
 
     @classmethod
-    def of(cls, settings: Settings) -> ChannelLimits:
-        """Computes the limits of a channel."""
+    def of(cls, settings: Settings) -> BacklogLimits:
+        """Computes the limits for a deployment."""
         backlog = settings.max_backlog_entries
         per_us = settings.delivery_entries_per_s / US_PER_S
         grace_us = settings.drain_grace_us
@@ -56,7 +56,7 @@
 
 
 class OrderCosts:
-    """Entries that orders put into the channel."""
+    """Entries that orders put into the delivery queue."""
 
     def __init__(self, settings: Settings, tables: RoutingTables, bindings: ProxyBindings) -> None:
         """Keeps what costs depend on."""
@@ -93,21 +93,21 @@
 
 
 class OrderBatch:
-    """The actions of one step, and the entries that wait in the channel with them."""
+    """The actions of one step, and the entries that wait in the delivery queue with them."""
 
     def __init__(self, actions: list[Action], costs: OrderCosts, queued_entries: float) -> None:
-        """Begins a step with the entries that wait in the channel already."""
+        """Begins a step with the entries that wait in the delivery queue already."""
         self.actions = actions
         self.queued_entries = queued_entries
         self.changes: Counter[TableId] = Counter()  # orders to all holders of a table
         self.endpoint_orders = 0  # withdrawals and their ends
         self._costs = costs
 
-    def room(self, limit: float) -> float:
-        """Returns the entries that may still be ordered under a limit of the channel."""
+    def available_entries(self, limit: float) -> float:
+        """Returns the entries that may still be ordered under a limit."""
         return limit - self.queued_entries
 
-    def has_room_for(self, action_count: int) -> bool:
+    def fits_reply(self, action_count: int) -> bool:
         """Whether one more action fits in the step's reply beside so many others."""
         return len(self.actions) + action_count < MAX_ACTIONS
 
@@ -137,7 +137,7 @@
         return self._costs.of_unbound(self.endpoint_orders)
 
     def entries_by_proxy(self, tables: RoutingTables) -> Counter[ProxyId]:
-        """Returns the entries for each proxy bound so far: a later binding restates them."""
+        """Returns the entries for each proxy that is bound already: a later binding restates them."""
         entries: Counter[ProxyId] = Counter()
         for table, count in self.changes.items():
             entries.update(dict.fromkeys(tables.holders[table], count))
--- a/kelpcourse/policy/controller.py
+++ b/kelpcourse/policy/controller.py
@@ -1,7 +1,7 @@
 """The routing policy: it is fed batches of events, evaluates load and returns orders.
 
 Read `RoutingPolicy.step` first: events are applied, reports are evaluated about once a second, and
-the publisher orders what has changed as far as the channel to the proxies has room.
+the publisher orders what has changed as far as the delivery queue allows.
 """
 
 from __future__ import annotations
--- a/kelpcourse/policy/draining.py
+++ b/kelpcourse/policy/draining.py
@@ -8,7 +8,7 @@
 from kelpcourse.policy.bindings import ProxyBindings
 from kelpcourse.policy.budget import (
     BINDING_GRACE_SHARE,
-    ChannelLimits,
+    BacklogLimits,
     OrderBatch,
     OrderCosts,
 )
@@ -37,7 +37,7 @@
         self._tables = tables
         self._bindings = bindings
         self._costs = costs
-        self._limits = ChannelLimits.of(settings)
+        self._limits = BacklogLimits.of(settings)
         self._max_delay_us = BINDING_GRACE_SHARE * settings.drain_grace_us
 
     def drain(self, now_us: int, endpoint: EndpointId) -> None:
@@ -74,13 +74,13 @@
     def withdraw_pending(self, now_us: int, batch: OrderBatch) -> None:
         """Withdraws all that drain in one step, as message heads cost more than entries.
 
-        What takes long in the channel waits for a while, and others gather.
+        What takes long in the delivery queue waits for a while, and others gather.
         """
         if not self.draining:
             return
         endpoints, cost = self._fitting(batch)
-        has_room = cost <= batch.room(self._limits.urgent) or not batch.queued_entries
-        if not has_room or self._can_wait(now_us, cost, batch):
+        fits = cost <= batch.available_entries(self._limits.urgent) or not batch.queued_entries
+        if not fits or self._can_wait(now_us, cost, batch):
             return
         for endpoint in endpoints:
             self.withdraw(batch, endpoint)
@@ -90,7 +90,7 @@
     def withdraw(self, batch: OrderBatch, endpoint: EndpointId) -> None:
         """Orders a withdrawal; entries go with it, so that later orders need not name them."""
         tables = self._tables.containing(endpoint)
-        removes_entries = batch.has_room_for(len(tables))
+        removes_entries = batch.fits_reply(len(tables))
         for table in tables:
             if removes_entries:
                 batch.change(table, SetWeight(table, endpoint, 0.0))
@@ -113,29 +113,29 @@
         ]
         if batch.changes and not self._bindings.unbound_since_us:
             returned += self._forgettable(now_us)
-        room = batch.room(self._limits.bindings)
-        max_count = max(0, int(room / max(1, len(self._bindings))))
+        available = batch.available_entries(self._limits.bindings)
+        max_count = max(0, int(available / max(1, len(self._bindings))))
         for endpoint in sorted(returned)[:max_count]:
             del self.withdrawn[endpoint]
             self._restore(batch, endpoint)
 
     def _fitting(self, batch: OrderBatch) -> tuple[list[EndpointId], float]:
-        """Returns draining endpoints that an empty channel could take in one step, and their cost."""
+        """Returns draining endpoints that an empty delivery queue could take in one step, and their cost."""
         endpoints = list(self.draining)
         cost = self._costs.of_withdrawal(endpoints)
-        max_cost = batch.room(self._limits.urgent) + batch.queued_entries
+        max_cost = batch.available_entries(self._limits.urgent) + batch.queued_entries
         while cost > max_cost and len(endpoints) > 1:
             endpoints = endpoints[: len(endpoints) // 2]
             cost = self._costs.of_withdrawal(endpoints)
         return endpoints, cost
 
     def _can_wait(self, now_us: int, cost: float, batch: OrderBatch) -> bool:
-        """Whether a long withdrawal may wait for the channel to empty."""
+        """Whether a long withdrawal may wait for the delivery queue to empty."""
         if now_us - min(self.draining.values()) >= self._max_delay_us:
             return False
         if cost <= self._limits.binding_span:
             return False
-        is_filled = batch.room(self._limits.bindings) < 0
+        is_filled = batch.available_entries(self._limits.bindings) < 0
         return is_filled or self._bindings.in_reconnect_storm(now_us)
 
     def _forgettable(self, now_us: int) -> list[EndpointId]:
--- a/kelpcourse/policy/load.py
+++ b/kelpcourse/policy/load.py
@@ -9,7 +9,7 @@
 
 EVALUATION_PERIOD_US = 1_000_000
 REPORT_DELAY_US = 700_000  # assumed
-MAX_GAP_SPANS = 4.0  # report spans without an evaluation, before rates start anew
+MAX_GAP_SPANS = 4.0  # report spans without an evaluation, before rates start again
 BUSY_OBJECTIVE_SHARE = 0.5  # of the latency objective: endpoints are fully used
 MIN_UNIQUE_REQUEST_RATIO = 0.3
 UNIQUE_RATIO_LEARNING_US = 5_000_000
--- a/kelpcourse/policy/publisher.py
+++ b/kelpcourse/policy/publisher.py
@@ -1,4 +1,4 @@
-"""What goes out in a step, and in which order, within the budgets of channel and messages."""
+"""What goes out in a step, and in which order, within the budgets of the delivery queue and of messages."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from kelpcourse.policy.bindings import ProxyBindings
 from kelpcourse.policy.budget import (
     UPDATE_PERIOD_US,
-    ChannelLimits,
+    BacklogLimits,
     OrderBatch,
     OrderCosts,
 )
@@ -52,7 +52,7 @@
         self._updates = updates
         self._delivery = delivery
         self._binding_orders = BindingOrders(settings, tables, bindings, withdrawals, costs)
-        self._limits = ChannelLimits.of(settings)
+        self._limits = BacklogLimits.of(settings)
         self._is_sliced = settings.slice_count > 0
         self._updated_us = 0
 
@@ -86,13 +86,13 @@
             return True
         if (
             self.urgent
-            and batch.room(self._limits.urgent) > 0
+            and batch.available_entries(self._limits.urgent) > 0
             and self._delivery.within_message_budget(URGENT_MESSAGE_SHARE, now_us)
         ):
             return True
         return (
             self._ordinary_updates_due(now_us)
-            and batch.room(self._limits.ordinary) > 0
+            and batch.available_entries(self._limits.ordinary) > 0
             and self._delivery.within_message_budget(ORDINARY_MESSAGE_SHARE, now_us)
         )
 
--- a/kelpcourse/policy/settings.py
+++ b/kelpcourse/policy/settings.py
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """What a controller is told of its deployment at start."""
+    """What a controller reads of its deployment at start."""
 
     controller_index: int
     controller_count: int
@@ -89,7 +89,7 @@
     delivery_entries_per_s: float  # table entries that leave the delivery queue
     max_backlog_entries: float  # table entries that may wait in the delivery queue
     message_overhead_entries: float  # that a message costs on top of its table entries
-    min_endpoint_connections: float  # that the smallest endpoint accepts; 0: not told
+    min_endpoint_connections: float  # that the smallest endpoint accepts; 0: unknown
     max_messages_per_proxy: int  # within the message window; 0: no limit
     message_window_us: int
     mean_transit_us: int  # from leaving the delivery queue to the proxy
--- a/kelpcourse/policy/table_updates.py
+++ b/kelpcourse/policy/table_updates.py
@@ -8,7 +8,7 @@
 
 from kelpcourse.policy.actions import SetWeight
 from kelpcourse.policy.bindings import ProxyBindings
-from kelpcourse.policy.budget import ChannelLimits, OrderBatch, OrderCosts
+from kelpcourse.policy.budget import BacklogLimits, OrderBatch, OrderCosts
 from kelpcourse.policy.draining import Withdrawals
 from kelpcourse.policy.endpoints import EndpointRegistry
 from kelpcourse.policy.settings import EndpointId, Settings, TableId
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True)
 class DelayedChanges:
-    """Changes for which the channel had no room."""
+    """Changes for which the delivery queue did not allow."""
 
     endpoints: set[EndpointId]
     has_warm_up_fall: bool
 
 
 class TableUpdates:
-    """Brings the tables to the weights as the channel has room."""
+    """Brings the tables to the weights as the delivery queue allows."""
 
     def __init__(
         self,
@@ -69,14 +69,14 @@
         withdrawals: Withdrawals,
         costs: OrderCosts,
     ) -> None:
-        """Keeps the parts that weights and room depend on."""
+        """Keeps the parts that weights and costs depend on."""
         self._registry = registry
         self._tables = tables
         self._bindings = bindings
         self._withdrawals = withdrawals
         self._costs = costs
         self._weights = EndpointWeights(settings, registry)
-        self._limits = ChannelLimits.of(settings)
+        self._limits = BacklogLimits.of(settings)
 
     def send(self, batch: OrderBatch, inputs: WeightInputs) -> DelayedChanges:
         """Orders what fits: falls of endpoints that warm up, new entries, then the largest changes."""
@@ -103,8 +103,8 @@
         """Whether a change fits; an empty table is filled in any case."""
         if not self._tables.entries[table]:
             return True
-        room = batch.room(limit) if batch.has_room_for(0) else 0.0
-        return room >= batch.change_cost(table)
+        available = batch.available_entries(limit) if batch.fits_reply(0) else 0.0
+        return available >= batch.change_cost(table)
 
     def _pending_changes(self, inputs: WeightInputs) -> Iterator[PendingChange]:
         for key, tables in self._tables.ids_by_key.items():
