--- a/kelpcourse/policy/budget.py
+++ b/kelpcourse/policy/budget.py
@@ -24,7 +24,7 @@
 MAX_ACTIONS = 700  # of one step: fit in 60,000 bytes
 
 
-def max_transit_us(settings: Settings) -> int:
+def max_delivery_us(settings: Settings) -> int:
     """Returns the longest time that an order takes through a full delivery queue."""
     per_us = settings.delivery_entries_per_s / US_PER_S
     return int(settings.max_backlog_entries / per_us) + settings.max_transit_us
@@ -45,7 +45,7 @@
         backlog = settings.max_backlog_entries
         per_us = settings.delivery_entries_per_s / US_PER_S
         grace_us = settings.drain_grace_us
-        span_us = min(BINDING_GRACE_SHARE * grace_us, grace_us - max_transit_us(settings))
+        span_us = min(BINDING_GRACE_SHARE * grace_us, grace_us - max_delivery_us(settings))
         binding_span = per_us * max(MIN_BINDING_SPAN_US, span_us)
         return cls(
             ordinary=min(ORDINARY_BACKLOG_SHARE * backlog, per_us * UPDATE_PERIOD_US),
--- a/kelpcourse/policy/controller.py
+++ b/kelpcourse/policy/controller.py
@@ -13,7 +13,7 @@
 from kelpcourse.policy.admission_orders import AdmissionOrders
 from kelpcourse.policy.arithmetic import US_PER_S
 from kelpcourse.policy.bindings import ProxyBindings
-from kelpcourse.policy.budget import OrderCosts, max_transit_us
+from kelpcourse.policy.budget import OrderCosts, max_delivery_us
 from kelpcourse.policy.capacity import CapacityEstimate
 from kelpcourse.policy.delivery import DeliveryTracker
 from kelpcourse.policy.draining import Withdrawals
@@ -69,7 +69,7 @@
         self.overload = OverloadDetector(self.load, self.capacity)
         self.admission = AdmissionControl(settings, self.registry)
         self.delivery = DeliveryTracker(
-            max_transit_us(settings),
+            max_delivery_us(settings),
             settings.delivery_entries_per_s / US_PER_S,
             settings.max_messages_per_proxy,
             settings.message_window_us,
