--- a/kelpcourse/zones/__init__.py
+++ b/kelpcourse/zones/__init__.py
@@ -1,1 +1,1 @@
-"""DNS zones as a source of the host list: files, transfers and dynamic updates (docs/zones.md)."""
+"""DNS zones as a source of the endpoint list: files, transfers and dynamic updates (docs/zones.md)."""
--- a/kelpcourse/zones/update_policy.py
+++ b/kelpcourse/zones/update_policy.py
@@ -175,11 +175,9 @@
         classes: the request classes, each of which must keep its part of the endpoints.
         now_us: the time of the update on a monotonic clock.
     """
-    for record in (*difference.removed, *difference.added):
-        if not grant.allows_record(record.owner, record.type):
-            return f"key {grant.key} may not change {type_name(record.type)} at {record.owner}"
-    if grant.max_removed_fraction >= 1:
-        return ""
+    reason = _record_rejection(grant, difference)
+    if reason or grant.max_removed_fraction >= 1:
+        return reason
     removed = _removed_by(endpoints, changes)
     if not removed:  # restoring endpoints is never too much
         return ""
@@ -191,7 +189,7 @@
     ready = {name: endpoint for name, endpoint in endpoints.items() if is_ready(endpoint)}
     ready = {**earlier, **ready}
     for endpoint_class in (ALL_ENDPOINTS, *classes):
-        reason = _excess_in_class(
+        reason = _removal_rejection(
             endpoint_class, removed.values(), ready.values(), grant.max_removed_fraction
         )
         if reason:
@@ -199,6 +197,13 @@
     return ""
 
 
+def _record_rejection(grant: UpdateGrant, difference: Difference) -> str:
+    for record in (*difference.removed, *difference.added):
+        if not grant.allows_record(record.owner, record.type):
+            return f"key {grant.key} may not change {type_name(record.type)} at {record.owner}"
+    return ""
+
+
 def _removed_by(
     endpoints: Mapping[str, ListedEndpoint], changes: Mapping[str, ListedEndpoint | None]
 ) -> dict[str, ListedEndpoint]:
@@ -210,7 +215,7 @@
     }
 
 
-def _excess_in_class(
+def _removal_rejection(
     endpoint_class: EndpointClass,
     removed: Iterable[ListedEndpoint],
     ready: Iterable[ListedEndpoint],
