--- a/kelpcourse/lab/scenario.py
+++ b/kelpcourse/lab/scenario.py
@@ -19,7 +19,7 @@
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.memory.orders import Order, RestoreEndpoint, WithdrawEndpoint
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.zones.service import Restored
+from kelpcourse.zones.restore import RestoreResult
 from kelpcourse.zones.settings import format_address
 
 FIRST_SERIAL = 1
@@ -201,7 +201,7 @@
         )
 
     def _restore_room(self) -> None:
-        answers: list[Restored] = []
+        answers: list[RestoreResult] = []
         self._say(f"restore puts the zone back as it was at serial {FIRST_SERIAL}")
         began_us = now_us()
         self.primary.restore(FIRST_SERIAL, answers.append)
