--- a/tests/zoneprimary.py
+++ b/tests/zoneprimary.py
@@ -1,4 +1,4 @@
-"""A scripted DNS primary: says what the test lays ready, right or wrong, over UDP and TCP."""
+"""A scripted DNS primary: responds as the test says, rightly or wrongly, over UDP and TCP."""
 
 from __future__ import annotations
 
@@ -8,34 +8,36 @@
 import dns.message
 import dns.rdatatype
 
-from kelpcourse.wire.buffers import ReadBuffer
 from kelpcourse.wire.errors import StreamError
 from kelpcourse.wire.loop import READ, Coroutine, Loop, Wait
 from kelpcourse.wire.stream import Address, Stream
 from kelpcourse.zones.answer import build_rrset
 from kelpcourse.zones.records import SOA, Record
 from kelpcourse.zones.sockets import bind_udp_and_tcp
+from kelpcourse.zones.tcp_framing import frame, new_read_buffer
 from kelpcourse.zones.transfer import axfr_records, transfer_messages
 from kelpcourse.zones.versions import Zone
 from tests.zonerig import KEY
 
 FAR_US = 1 << 60
+UNLIMITED_MESSAGES = 1 << 30
+
+RecordsSince = Callable[[int], Sequence[Record]]  # by the serial of the client's version
+ForgedResponses = Callable[[dns.message.Message], list[bytes]]
 
 
 class ScriptedPrimary:
+    """A primary of one zone."""
+
     def __init__(self, loop: Loop, zone: Zone, signed: bool = True) -> None:
         self.loop = loop
-        self.zone = zone  # told of by its SOA
-        self.transferred_zone: Zone | None = None  # transferred, if another one
-        self.ixfr: Callable[[int], Sequence[Record]] | None = (
-            None  # by the serial asked from; None: the zone
-        )
-        self.cut_after = 1 << 30  # messages of a transfer before the connection ends
+        self.zone = zone
+        self.transferred_zone: Zone | None = None  # None: `zone`
+        self.ixfr: RecordsSince | None = None  # None: IXFR queries get the whole zone
+        self.cut_after = UNLIMITED_MESSAGES  # of a transfer, then the connection is closed
         self.silent = False
-        self.forged_responses: Callable[[dns.message.Message], list[bytes]] = (
-            lambda _: []
-        )  # forged by somebody else
-        self.queries: list[str] = []
+        self.forged_responses: ForgedResponses = lambda _: []  # sent before the true one
+        self.queries: list[str] = []  # the types that were queried
         self._ring = {KEY.name: KEY} if signed else None
         self._udp, self._tcp = bind_udp_and_tcp(("127.0.0.1", 0), 16)
         self.address: Address = self._tcp.getsockname()
@@ -78,7 +80,7 @@
             stream.close()
 
     def _serve(self, stream: Stream) -> Coroutine[None]:
-        buffer = ReadBuffer(512, 70_000)
+        buffer = new_read_buffer()
         while True:
             for wire in buffer.length_prefixed_messages():
                 query = self._read(bytes(wire))
@@ -87,7 +89,7 @@
                 for count, answer in enumerate(self._answers(query)):
                     if count >= self.cut_after:
                         return
-                    yield from stream.send(len(answer).to_bytes(2, "big") + answer, FAR_US)
+                    yield from stream.send(frame(answer), FAR_US)
             count = yield from stream.recv_into(buffer.writable(), FAR_US)
             if not count:
                 return
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -1,4 +1,4 @@
-"""A running zones node on loopback, on the test's own loop and clock, and a client to talk to it."""
+"""Running zone services on loopback, on the test's own loop and clock, and a DNS client."""
 
 from __future__ import annotations
 
@@ -21,11 +21,12 @@
 from kelpcourse.memory.counters import Counters
 from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
-from kelpcourse.wire.loop import Coroutine, Loop
+from kelpcourse.wire.loop import Loop
 from kelpcourse.wire.stream import Address
-from kelpcourse.zones.runtime import ZoneRuntime
+from kelpcourse.zones.runtime import CoroutineFactory, ZoneRuntime
 from kelpcourse.zones.service import ZoneService
 from kelpcourse.zones.settings import format_address, read_settings
+from kelpcourse.zones.tcp_framing import frame
 from kelpcourse.zones.update_policy import EndpointClass
 from kelpcourse.zones.versions import Zone
 from kelpcourse.zones.zonefile import format_zone
@@ -79,7 +80,7 @@
 
 
 class World:
-    """Several nodes in one loop; time passes only while no byte is under way."""
+    """Several nodes in one loop; the clock advances only while no byte is in flight."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -94,16 +95,17 @@
                 return
             self.run_once()
         raise AssertionError(
-            f"did not come about; unexpected_errors: {self.unexpected_errors}; "
+            f"the condition never held; unexpected errors: {self.unexpected_errors}; "
             f"logs: {[node.log.lines[-4:] for node in self.nodes]}"
         )
 
     def run_once(self) -> None:
-        """Bytes on loopback are there as soon as they are sent, so nothing but threads is waited for."""
-        waits = any(node.disk_is_busy for node in self.nodes) or any(
-            t.name == "work" for t in threading.enumerate()
+        """Only threads are waited for, as bytes on loopback arrive as soon as they are sent."""
+        thread_runs = any(node.disk_is_busy for node in self.nodes) or any(
+            thread.name == "work" for thread in threading.enumerate()
         )
-        if not self.loop.run_once(self.clock.now + MS * waits) and not waits:
+        wait_us = MS if thread_runs else 0
+        if not self.loop.run_once(self.clock.now + wait_us) and not thread_runs:
             self.clock.now += MS
 
     def run_for_us(self, span_us: int) -> None:
@@ -150,9 +152,9 @@
     def node(
         self, path: Path, classes: tuple[EndpointClass, ...] = (), limits: Limits = QUICK
     ) -> ZoneNode:
-        made = ZoneNode(self, path, classes, limits)
-        self.nodes.append(made)
-        return made
+        node = ZoneNode(self, path, classes, limits)
+        self.nodes.append(node)
+        return node
 
     def close(self) -> None:
         self.loop.close()
@@ -163,6 +165,8 @@
 
 
 class ZoneNode:
+    """A zone service with a log, counters and a listener of its own."""
+
     def __init__(
         self, world: World, path: Path, classes: tuple[EndpointClass, ...], limits: Limits
     ) -> None:
@@ -175,34 +179,35 @@
         self.endpoints: dict[str, ListedEndpoint] = {}
         self.unavailable_count = 0
         self._tasks: list[Any] = []
-        runtime = ZoneRuntime(world.loop, limits, self.counters, self.log, self._keep)
+        runtime = ZoneRuntime(world.loop, limits, self.counters, self.log, self._start)
         settings = read_settings(path / "z.kdl")
-        if settings.listen is not None:  # port 0 can't be written down: any free one
+        if settings.listen is not None:  # the settings reader does not accept port 0
             settings = replace(settings, listen=(settings.listen[0], 0))
         self.zones = ZoneService(settings, runtime, self, classes, 2 * SECOND)
         self.zones.start()
 
-    def _keep(self, name: str, make: Callable[[], Coroutine[None]]) -> None:
-        self._tasks.append(self.world.loop.start(name, make()))
+    def _start(self, name: str, factory: CoroutineFactory) -> None:
+        self._tasks.append(self.world.loop.start(name, factory()))
 
     def list_changed(
         self, endpoints: Sequence[ListedEndpoint], version: int, complete: bool
     ) -> None:
-        self.list_changes.append(({m.name: m.status.value for m in endpoints}, complete))
+        statuses = {endpoint.name: endpoint.status.value for endpoint in endpoints}
+        self.list_changes.append((statuses, complete))
         if complete:
             self.statuses.clear()
-        for m in endpoints:
-            self.statuses.pop(m.name, None)
-            self.endpoints[m.name] = m
-            if m.status is not EndpointStatus.GONE:
-                self.statuses[m.name] = m.status
+        for endpoint in endpoints:
+            self.statuses.pop(endpoint.name, None)
+            self.endpoints[endpoint.name] = endpoint
+            if endpoint.status is not EndpointStatus.GONE:
+                self.statuses[endpoint.name] = endpoint.status
 
     def list_unavailable(self) -> None:
         self.unavailable_count += 1
 
     @property
     def disk_is_busy(self) -> bool:
-        """Whether the disk has a job of its: time stands still for it."""
+        """Whether a write is running, for which the clock stands still."""
         writer = self.zones.store.writer
         return writer is not None and writer._commit.busy
 
@@ -213,11 +218,11 @@
 
     @property
     def serial(self) -> int:
-        held = self.zones.zone_states[ORIGIN]
-        return held.zone.serial if held.zone.exists else 0
+        zone = self.zones.zone_states[ORIGIN].zone
+        return zone.serial if zone.exists else 0
 
     def kill(self) -> None:
-        """Ends as a process does that is killed: nothing is said and nothing finished."""
+        """Ends as a killed process does: nothing is sent and nothing finished."""
         for task in self._tasks:
             self.world.loop.stop(task)
         self.zones.close()
@@ -225,7 +230,7 @@
 
 
 class Client:
-    """Asks one node, over UDP or TCP, and turns the world until the answer is there."""
+    """Sends requests to one node, and runs the loop until the response is there."""
 
     def __init__(self, world: World, node: ZoneNode) -> None:
         self.world = world
@@ -235,20 +240,20 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM if tcp else socket.SOCK_DGRAM)
         sock.connect(self.node.address)
         sock.setblocking(False)
-        sock.send(len(wire).to_bytes(2, "big") + wire if tcp else wire)
+        sock.send(frame(wire) if tcp else wire)
         return sock
 
     def receive(self, sock: socket.socket, tcp: bool = False) -> bytes:
         data = bytearray()
 
-        def whole() -> bool:
+        def is_complete() -> bool:
             try:
                 data.extend(sock.recv(65_535))
             except BlockingIOError:
                 return False
             return not tcp or (len(data) > 1 and len(data) >= 2 + int.from_bytes(data[:2], "big"))
 
-        self.world.run_until(whole)
+        self.world.run_until(is_complete)
         return bytes(data[2:] if tcp else data)
 
     def exchange(self, message: dns.message.Message, tcp: bool = False) -> dns.message.Message:
@@ -274,18 +279,18 @@
         return self.exchange(update_message(*prepare, key=key), tcp).rcode()
 
     def update_all(self, messages: Iterable[dns.message.Message]) -> list[dns.rcode.Rcode]:
-        """Several at once, each from a socket of its own."""
-        out = []
+        """Sends several updates at once, each from a socket of its own."""
+        rcodes = []
         sent = [(message, self.send(message.to_wire())) for message in messages]
         for message, sock in sent:
             ring = {KEY.name: KEY}
-            out.append(
+            rcodes.append(
                 dns.message.from_wire(
                     self.receive(sock), keyring=ring, request_mac=message.mac or b""
                 ).rcode()
             )
             sock.close()
-        return out
+        return rcodes
 
 
 def update_message(
@@ -315,7 +320,7 @@
 
 def start_primary(
     world: World,
-    *records: object,
+    *,
     update: str = "",
     more: str = "",
     classes: tuple[EndpointClass, ...] = (),
