--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -33,7 +33,7 @@
     ProxyJoined,
 )
 from kelpcourse.policy.settings import Settings
-from tests.fleet import SECOND, SETTINGS, changes, full, host
+from tests.fleet import SECOND, SETTINGS, full_list, list_changes, make_endpoint
 
 BEFORE = "5b4a458"  # the version before the policy was split into modules
 POLICY_BEFORE = "Director"  # its name there
@@ -46,7 +46,7 @@
 
     def __init__(self, factory: Callable[[Settings], Any], proxies: int, hosts: int) -> None:
         """Steps the policy with a complete list."""
-        self.hosts: list[Endpoint] = [host(1_000 + k, f"z{k % 8}") for k in range(hosts)]
+        self.hosts: list[Endpoint] = [make_endpoint(1_000 + k, f"z{k % 8}") for k in range(hosts)]
         self.proxies = range(proxies)
         settings = replace(
             SETTINGS,
@@ -61,7 +61,7 @@
         self.policy = factory(settings)
         self.now_us = 50 * SECOND
         self.took_s = 0.0
-        self.step(full(self.hosts))
+        self.step(full_list(self.hosts))
 
     def step(self, *events: Event) -> None:
         """Steps the policy 10 ms later."""
@@ -115,7 +115,9 @@
     fleet.joined()
     fleet.second()
     fleet.took_s = 0.0
-    fleet.step(changes([replace(h, status=EndpointStatus.DRAINING) for h in fleet.hosts[::10]]))
+    fleet.step(
+        list_changes([replace(h, status=EndpointStatus.DRAINING) for h in fleet.hosts[::10]])
+    )
 
 
 def a_whole_list(fleet: Fleet) -> None:
@@ -123,7 +125,7 @@
     fleet.joined()
     fleet.second()
     fleet.took_s = 0.0
-    fleet.step(full(fleet.hosts))
+    fleet.step(full_list(fleet.hosts))
 
 
 def cost_ms(
--- a/tests/delivery_world.py
+++ b/tests/delivery_world.py
@@ -23,7 +23,7 @@
     ProxyLeft,
 )
 from kelpcourse.policy.settings import Settings
-from tests.fleet import SECOND, host
+from tests.fleet import SECOND, make_endpoint
 
 TIME_LIMIT_SLACK_US = 300_000  # of time limits on sockets, by the protocol
 STEP_US = 10_000
@@ -298,7 +298,7 @@
                 )
 
 
-class PolicyDay:
+class DeliveryHarness:
     """The policy alone on such a fleet, stepped each 10 ms."""
 
     def __init__(
@@ -308,21 +308,21 @@
         endpoints: Sequence[Endpoint],
     ) -> None:
         self.world = DeliveryWorld(settings)
-        self.now = 50 * SECOND
+        self.now_us = 50 * SECOND
         self.policy = make(settings)
         self.endpoints = {endpoint.id: endpoint for endpoint in endpoints}
 
     def step(self, *events: Event) -> None:
         """Ten milliseconds go by, and these events come."""
-        self.now += STEP_US
+        self.now_us += STEP_US
         acknowledged = [
             OrdersAcknowledged(proxy, checkpoint_id, 1)
-            for proxy, checkpoint_id in self.world.advance(self.now)
+            for proxy, checkpoint_id in self.world.advance(self.now_us)
             if proxy in self.world.proxies
         ]
-        ordered = self.policy.step(self.now, [*acknowledged, *events])
-        self.world.order(self.now, orders_of(ordered))
-        self.world.check(self.now)
+        ordered = self.policy.step(self.now_us, [*acknowledged, *events])
+        self.world.order(self.now_us, orders_of(ordered))
+        self.world.check(self.now_us)
 
     def run(self, seconds: float) -> None:
         """Time goes by without events."""
@@ -344,7 +344,7 @@
             joining = waiting[:count]
             waiting = waiting[count:]
             for proxy in joining:
-                self.world.join(self.now, proxy, initial(proxy))
+                self.world.join(self.now_us, proxy, initial(proxy))
             self.step(
                 *(
                     ProxyJoined(proxy, zones[proxy % len(zones)], 2.0, has_no_table)
@@ -362,9 +362,10 @@
     def drain(self, numbers: Iterable[int]) -> list[Endpoint]:
         """Returns these endpoints as draining, from now on."""
         draining = [
-            host(number, self.endpoints[number].zone, EndpointStatus.DRAINING) for number in numbers
+            make_endpoint(number, self.endpoints[number].zone, EndpointStatus.DRAINING)
+            for number in numbers
         ]
-        self.world.drain(self.now, [endpoint.id for endpoint in draining])
+        self.world.drain(self.now_us, [endpoint.id for endpoint in draining])
         return draining
 
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Building blocks for tests of the module alone: settings, hosts, reports and a played-out clock."""
+"""Building blocks for tests of the policy: settings, endpoints, reports and a simulated clock."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 )
 
 SECOND = 1_000_000
-A = TypeVar("A")
+ActionT = TypeVar("ActionT")
 
 READ = RequestClass(
     name="read",
@@ -96,90 +96,99 @@
     overload_tolerance_us=2 * SECOND,
 )
 
-LIMIT = 4000.0
-LARGE = replace(
+LARGE_BACKLOG_ENTRIES = 4000.0
+LARGE_FLEET = replace(
     SETTINGS,
     proxy_count=70,
-    max_backlog_entries=LIMIT,
+    max_backlog_entries=LARGE_BACKLOG_ENTRIES,
     delivery_entries_per_s=2000.0,
     drain_grace_us=7 * SECOND,
 )
 
 
-def host(
+def make_endpoint(
     number: int,
     zone: str = "east",
-    state: EndpointStatus = EndpointStatus.READY,
-    started: int = 0,
+    status: EndpointStatus = EndpointStatus.READY,
+    started_us: int = 0,
     kind: str = "std",
     weight: float = 1.0,
 ) -> Endpoint:
-    return Endpoint(number, zone, kind, 0, weight, state, started)
+    """An endpoint of the list."""
+    return Endpoint(number, zone, kind, 0, weight, status, started_us)
 
 
-def hosts(count: int, first: int = 100) -> list[Endpoint]:
-    return [host(first + k, "east" if k % 2 == 0 else "west") for k in range(count)]
+def make_endpoints(count: int, first: int = 100) -> list[Endpoint]:
+    """Endpoints with numbers from `first`, by turns in the zones east and west."""
+    return [
+        make_endpoint(first + position, "east" if position % 2 == 0 else "west")
+        for position in range(count)
+    ]
 
 
-def full(listed: Iterable[Endpoint], version: int = 1) -> EndpointList:
+def full_list(listed: Iterable[Endpoint], version: int = 1) -> EndpointList:
+    """A complete endpoint list."""
     return EndpointList(EndpointListKind.FULL, version, tuple(listed))
 
 
-def changes(listed: Iterable[Endpoint], version: int = 2) -> EndpointList:
+def list_changes(listed: Iterable[Endpoint], version: int = 2) -> EndpointList:
+    """A watch event with changed endpoints."""
     return EndpointList(EndpointListKind.CHANGES, version, tuple(listed))
 
 
-def only(actions: Iterable[Action], kind: type[A]) -> list[A]:
-    return [action for action in actions if isinstance(action, kind)]
+def actions_of_type(actions: Iterable[Action], action_type: type[ActionT]) -> list[ActionT]:
+    """The actions of one type."""
+    return [action for action in actions if isinstance(action, action_type)]
 
 
 def endpoint_orders(actions: Iterable[Action]) -> list[WithdrawEndpoint | RestoreEndpoint]:
     """The orders that withdraw and restore endpoints."""
-    return [a for a in actions if isinstance(a, WithdrawEndpoint | RestoreEndpoint)]
+    return [action for action in actions if isinstance(action, WithdrawEndpoint | RestoreEndpoint)]
 
 
-class LongTables(RoutingPolicy):
-    """Tables as long as connections allow: bindings take most of a grace, so that every defence is needed."""
+class UnboundedTables(RoutingPolicy):
+    """Tables as long as connections allow: bindings take most of a drain grace period."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings)
         self.tables.max_binding_entries = math.inf
 
 
-class Day:
-    """Feeds a policy, keeps the tables as proxies would hold them, and answers its timers."""
+class PolicyHarness:
+    """Feeds a policy, keeps the tables as proxies would hold them, and fires its timers."""
 
     def __init__(
         self,
         settings: Settings = SETTINGS,
         listed: Sequence[Endpoint] = (),
-        start: int = 50 * SECOND,
+        start_us: int = 50 * SECOND,
         proxies: int = 4,
-        answers: bool = True,
-        make: Callable[[Settings], RoutingPolicy] = RoutingPolicy,
+        acknowledges: bool = True,
+        policy_factory: Callable[[Settings], RoutingPolicy] = RoutingPolicy,
     ) -> None:
         self.settings = settings
-        self.policy = make(settings)
-        self.now = start
-        self.answers = answers
+        self.policy = policy_factory(settings)
+        self.now_us = start_us
+        self.acknowledges = acknowledges
         self.timers: list[SetTimer] = []
-        self.joined = list(range(proxies))
+        self.proxies = list(range(proxies))
         self.tables: dict[int, dict[int, float]] = {}
-        self.levels: dict[int, float] = dict.fromkeys(range(len(settings.classes)), 1.0)
+        self.admission_ratios: dict[int, float] = dict.fromkeys(range(len(settings.classes)), 1.0)
         self.log: list[tuple[int, Action]] = []
-        self.late: list[Event] = []
+        self.pending_events: list[Event] = []
         self.send(Started(7), EndpointList(EndpointListKind.RESTORED, 1, tuple(listed)))
         self.send(
             *(
-                ProxyJoined(p, settings.zones[p % len(settings.zones)], 10.0, True)
-                for p in self.joined
+                ProxyJoined(proxy, settings.zones[proxy % len(settings.zones)], 10.0, True)
+                for proxy in self.proxies
             )
         )
 
     def send(self, *events: Event) -> list[Action]:
-        actions = self.policy.step(self.now, events)
+        """Steps the policy with these events, and applies its actions."""
+        actions = self.policy.step(self.now_us, events)
         for action in actions:
-            self.log.append((self.now, action))
+            self.log.append((self.now_us, action))
             self._apply(action)
         return actions
 
@@ -193,61 +202,87 @@
                 table[action.endpoint] = action.weight
         elif isinstance(action, SetAdmission):
             for position in action.classes:
-                self.levels[position] = action.limit
-        elif isinstance(action, Checkpoint) and self.answers:
-            self.late += [OrdersAcknowledged(p, action.checkpoint_id, 200_000) for p in self.joined]
-
-    def until(self, when: int) -> list[Action]:
-        """Lets the clock run to `when`, firing timers and acknowledging orders on the way."""
-        out: list[Action] = []
-        while self.timers and min(t.due_us for t in self.timers) <= when:
-            timer = min(self.timers, key=lambda t: t.due_us)
+                self.admission_ratios[position] = action.limit
+        elif isinstance(action, Checkpoint) and self.acknowledges:
+            self.pending_events += [
+                OrdersAcknowledged(proxy, action.checkpoint_id, 200_000) for proxy in self.proxies
+            ]
+
+    def run_until(self, end_us: int) -> list[Action]:
+        """Lets the clock run to `end_us`, firing timers and acknowledging orders on the way."""
+        actions: list[Action] = []
+        while self.timers and min(timer.due_us for timer in self.timers) <= end_us:
+            timer = min(self.timers, key=lambda waiting: waiting.due_us)
             self.timers.remove(timer)
-            self.now = max(self.now, timer.due_us)
-            late, self.late = self.late, []
-            out += self.send(*late, TimerFired(timer.name))
-        self.now = max(self.now, when)
-        return out
+            self.now_us = max(self.now_us, timer.due_us)
+            pending = self.pending_events
+            self.pending_events = []
+            actions += self.send(*pending, TimerFired(timer.name))
+        self.now_us = max(self.now_us, end_us)
+        return actions
 
-    def second(
+    def run_second(
         self,
         listed: Iterable[Endpoint],
-        time_us: int = 200_000,
+        mean_time_us: int = 200_000,
         failed: dict[int, float] | None = None,
-        times: dict[int, int] | None = None,
+        mean_times_us: dict[int, int] | None = None,
         demand: Sequence[int] = (20, 5),
-        tries: int = 20,
-        load: Mapping[int, tuple[tuple[str, float], ...]] | None = None,
+        attempts: int = 20,
+        load_reports: Mapping[int, tuple[tuple[str, float], ...]] | None = None,
         unanswered: int = 0,
     ) -> list[Action]:
-        """One second goes by, then a report on it comes in; each proxy lost so many of its first class."""
-        out = self.until(self.now + SECOND)
+        """Lets one second go by, then reports on it.
+
+        Args:
+            listed: The endpoints that are reported.
+            mean_time_us: Mean response time of each endpoint.
+            failed: The fraction of failed attempts, by endpoint.
+            mean_times_us: Mean response times of single endpoints, in place of `mean_time_us`.
+            demand: Requests of each proxy, by class.
+            attempts: Attempts at each endpoint.
+            load_reports: Load values, by endpoint.
+            unanswered: Requests of the first class that each proxy lost.
+        """
+        actions = self.run_until(self.now_us + SECOND)
         events: list[Event] = []
-        for h in listed:
-            share = (failed or {}).get(h.id, 0.0)
-            lost = round(tries * share)
-            mean = (times or {}).get(h.id, time_us) if lost < tries else 0
-            report = (load or {}).get(h.id, ())
-            events.append(EndpointReport(h.id, "east", tries, lost, SECOND, mean, report))
-        for proxy in self.joined:
+        for endpoint in listed:
+            failed_attempts = round(attempts * (failed or {}).get(endpoint.id, 0.0))
+            time_us = (mean_times_us or {}).get(endpoint.id, mean_time_us)
+            reported_us = time_us if failed_attempts < attempts else 0
+            load = (load_reports or {}).get(endpoint.id, ())
+            events.append(
+                EndpointReport(
+                    endpoint.id, "east", attempts, failed_attempts, SECOND, reported_us, load
+                )
+            )
+        for proxy in self.proxies:
             events += [
-                DemandReport(proxy, k, n, unanswered * (not k), SECOND)
-                for k, n in enumerate(demand)
+                DemandReport(proxy, position, offered, unanswered * (not position), SECOND)
+                for position, offered in enumerate(demand)
             ]
-        return out + self.send(*events)
+        return actions + self.send(*events)
 
-    def share(self, number: int, table: int = 0) -> float:
-        lines = self.tables[table]
-        return lines.get(number, 0.0) / sum(lines.values())
+    def weight_share(self, endpoint: int, table: int = 0) -> float:
+        """The part of a table's weight that an endpoint has."""
+        entries = self.tables[table]
+        return entries.get(endpoint, 0.0) / sum(entries.values())
 
 
-def steady(day: Day, seconds: int = 6, demand: tuple[int, ...] = (40, 10)) -> None:
+def run_steadily(
+    harness: PolicyHarness, seconds: int = 6, demand: tuple[int, ...] = (40, 10)
+) -> None:
+    """Lets some seconds without failures go by."""
     for _ in range(seconds):
-        day.second(hosts(10), demand=demand)
+        harness.run_second(make_endpoints(10), demand=demand)
 
 
-def fail_for(
-    day: Day, seconds: int, failed: dict[int, float] | None = None, tries: int = 20
+def run_with_failures(
+    harness: PolicyHarness,
+    seconds: int,
+    failed: dict[int, float] | None = None,
+    attempts: int = 20,
 ) -> None:
+    """Lets some seconds go by in which these fractions of the attempts fail, by endpoint."""
     for _ in range(seconds):
-        day.second(hosts(10), failed=failed, tries=tries, demand=(40, 10))
+        harness.run_second(make_endpoints(10), failed=failed, attempts=attempts, demand=(40, 10))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -14,79 +14,83 @@
     READ,
     SETTINGS,
     WRITE,
-    Day,
-    changes,
-    full,
-    host,
-    hosts,
-    only,
-    steady,
+    PolicyHarness,
+    actions_of_type,
+    full_list,
+    list_changes,
+    make_endpoint,
+    make_endpoints,
+    run_steadily,
 )
 
 
 def test_admission_ratios_follow_a_fleet_that_warms_up() -> None:
-    listed = hosts(8)
-    day = Day(listed=listed)
+    listed = make_endpoints(8)
+    harness = PolicyHarness(listed=listed)
     for _ in range(6):
-        day.second(listed, demand=(40, 10))
-    cold = [host(h.id, h.zone, started=day.now) for h in listed[:6]]
-    day.send(changes(cold))
-    now_listed = cold + listed[6:]
+        harness.run_second(listed, demand=(40, 10))
+    warming_up = [make_endpoint(h.id, h.zone, started_us=harness.now_us) for h in listed[:6]]
+    harness.send(list_changes(warming_up))
+    now_listed = warming_up + listed[6:]
     for _ in range(3):
-        day.second(now_listed, time_us=900_000, tries=10, demand=(40, 10))
-    assert day.levels[0] < 0.7
+        harness.run_second(now_listed, mean_time_us=900_000, attempts=10, demand=(40, 10))
+    assert harness.admission_ratios[0] < 0.7
 
 
 def test_a_class_left_with_a_warming_up_endpoint_is_admitted_by_its_capacity() -> None:
-    """A lost zone left one cold host to a class, which brought it five times its work."""
+    """A lost zone left one warming-up endpoint to a class, which brought it five times its work."""
     bound = replace(WRITE, allowed_zones=frozenset({"east"}))
-    listed = hosts(10)
-    day = Day(replace(SETTINGS, classes=(READ, bound)), listed=listed)
+    listed = make_endpoints(10)
+    harness = PolicyHarness(replace(SETTINGS, classes=(READ, bound)), listed=listed)
     for _ in range(6):
-        day.second(listed, demand=(40, 10))
-    cold = host(300, "east", started=day.now)
-    day.send(changes([cold]))
-    actions = day.send(full([cold, *(h for h in listed if h.zone == "west")]))
-    assert set(day.tables[1]) == {300}
+        harness.run_second(listed, demand=(40, 10))
+    warming_up = make_endpoint(300, "east", started_us=harness.now_us)
+    harness.send(list_changes([warming_up]))
+    actions = harness.send(full_list([warming_up, *(h for h in listed if h.zone == "west")]))
+    assert set(harness.tables[1]) == {300}
     able = SETTINGS.warm_up_min_capacity * 200 / 10  # its least part of one host's rate
-    let_in = {a.classes: a.limit for a in only(actions, SetAdmission)}[(1,)] * 40
+    let_in = {a.classes: a.limit for a in actions_of_type(actions, SetAdmission)}[(1,)] * 40
     assert let_in <= SETTINGS.overload_factor * able
 
 
 def test_a_fleet_that_restarts_together_is_admitted_by_its_capacity() -> None:
-    listed = hosts(10)
-    day = Day(listed=listed)
+    listed = make_endpoints(10)
+    harness = PolicyHarness(listed=listed)
     for _ in range(6):
-        day.second(listed, demand=(40, 10))
-    day.send(full([host(h.id, h.zone, started=day.now) for h in listed]))
-    let_in = 160 * day.levels[0] + 40 * day.levels[1]
+        harness.run_second(listed, demand=(40, 10))
+    harness.send(
+        full_list([make_endpoint(h.id, h.zone, started_us=harness.now_us) for h in listed])
+    )
+    let_in = 160 * harness.admission_ratios[0] + 40 * harness.admission_ratios[1]
     assert let_in <= SETTINGS.overload_factor * SETTINGS.warm_up_min_capacity * 200
 
 
 def test_the_class_of_greater_priority_weight_is_admitted_first() -> None:
-    day = Day(listed=hosts(10))
-    steady(day)
+    harness = PolicyHarness(listed=make_endpoints(10))
+    run_steadily(harness)
     for _ in range(3):
-        day.second(hosts(10), time_us=500_000, demand=(60, 8))
-    assert day.levels[0] < 0.8
-    assert day.levels[1] == 1.0
+        harness.run_second(make_endpoints(10), mean_time_us=500_000, demand=(60, 8))
+    assert harness.admission_ratios[0] < 0.8
+    assert harness.admission_ratios[1] == 1.0
 
 
 def test_classes_of_equal_priority_weight_get_the_same_fraction() -> None:
-    day = Day(
+    harness = PolicyHarness(
         replace(SETTINGS, classes=(READ, replace(WRITE, priority_weight=READ.priority_weight))),
-        listed=hosts(10),
+        listed=make_endpoints(10),
     )
-    steady(day)
+    run_steadily(harness)
     for _ in range(2):
-        day.second(hosts(10), time_us=400_000, demand=(80, 20))
-    assert day.levels[0] < 0.8
-    assert day.levels[1] == pytest.approx(day.levels[0], abs=1e-3)
+        harness.run_second(make_endpoints(10), mean_time_us=400_000, demand=(80, 20))
+    assert harness.admission_ratios[0] < 0.8
+    assert harness.admission_ratios[1] == pytest.approx(harness.admission_ratios[0], abs=1e-3)
 
 
 def test_no_admission_ratios_where_proxies_disregard_them() -> None:
-    day = Day(replace(SETTINGS, admission_mode=AdmissionMode.NONE), listed=hosts(10))
-    steady(day)
+    harness = PolicyHarness(
+        replace(SETTINGS, admission_mode=AdmissionMode.NONE), listed=make_endpoints(10)
+    )
+    run_steadily(harness)
     for _ in range(5):
-        day.second(hosts(10), time_us=900_000, demand=(80, 20))
-    assert {a.limit for _, a in day.log if isinstance(a, SetAdmission)} <= {1.0}
+        harness.run_second(make_endpoints(10), mean_time_us=900_000, demand=(80, 20))
+    assert {a.limit for _, a in harness.log if isinstance(a, SetAdmission)} <= {1.0}
--- a/tests/test_admission_orders.py
+++ b/tests/test_admission_orders.py
@@ -14,11 +14,11 @@
 from tests.fleet import (
     SETTINGS,
     WRITE,
-    Day,
-    changes,
-    hosts,
-    only,
-    steady,
+    PolicyHarness,
+    actions_of_type,
+    list_changes,
+    make_endpoints,
+    run_steadily,
 )
 
 
@@ -26,32 +26,36 @@
 def test_a_retry_of_an_attempt_that_may_have_been_executed_is_never_ordered(
     effect: Idempotency,
 ) -> None:
-    listed = hosts(6)
-    day = Day(replace(SETTINGS, classes=(replace(WRITE, idempotency=effect),)), listed=listed)
+    listed = make_endpoints(6)
+    harness = PolicyHarness(
+        replace(SETTINGS, classes=(replace(WRITE, idempotency=effect),)), listed=listed
+    )
     for share in (0.0, 0.3, 0.9):
         for _ in range(4):
-            day.second(listed, failed={100: share}, demand=(20,))
-    ways = {a.retry_policy for _, a in day.log if isinstance(a, SetAdmission)}
+            harness.run_second(listed, failed={100: share}, demand=(20,))
+    ways = {a.retry_policy for _, a in harness.log if isinstance(a, SetAdmission)}
     assert ways == {RetryPolicy.IF_NOT_EXECUTED}
 
 
 def test_a_fall_of_an_admission_ratio_does_not_wait_for_the_next_update() -> None:
     """Urgent orders restart the pace of lines: a level must go out in the step that judged it."""
-    day = Day(listed=hosts(10))
-    steady(day)
+    harness = PolicyHarness(listed=make_endpoints(10))
+    run_steadily(harness)
     for k in range(3):
-        day.send(changes([replace(hosts(10)[k], started_us=day.now)]))
-        actions = day.second(hosts(10), time_us=600_000, demand=(80, 20))
-        if any("overload" in log.text for log in only(actions, LogMessage)):
+        harness.send(list_changes([replace(make_endpoints(10)[k], started_us=harness.now_us)]))
+        actions = harness.run_second(make_endpoints(10), mean_time_us=600_000, demand=(80, 20))
+        if any("overload" in log.text for log in actions_of_type(actions, LogMessage)):
             break
-    assert min(a.limit for a in only(actions, SetAdmission)) < 0.8
+    assert min(a.limit for a in actions_of_type(actions, SetAdmission)) < 0.8
 
 
 def test_admission_limits_are_rates_of_each_proxy_where_proxies_limit_rates() -> None:
-    day = Day(replace(SETTINGS, admission_mode=AdmissionMode.RATE), listed=hosts(10))
-    steady(day)
-    assert min(day.levels.values()) >= 1000  # no limit
+    harness = PolicyHarness(
+        replace(SETTINGS, admission_mode=AdmissionMode.RATE), listed=make_endpoints(10)
+    )
+    run_steadily(harness)
+    assert min(harness.admission_ratios.values()) >= 1000  # no limit
     for _ in range(3):
-        day.second(hosts(10), time_us=500_000, demand=(60, 8))
-    assert 5 < day.levels[0] < 60  # each of four proxies meets 60 a second
-    assert day.levels[1] >= 1000
+        harness.run_second(make_endpoints(10), mean_time_us=500_000, demand=(60, 8))
+    assert 5 < harness.admission_ratios[0] < 60  # each of four proxies meets 60 a second
+    assert harness.admission_ratios[1] >= 1000
--- a/tests/test_binding_orders.py
+++ b/tests/test_binding_orders.py
@@ -15,81 +15,92 @@
     ProxyLeft,
 )
 from tests.fleet import (
-    LARGE,
-    LIMIT,
+    LARGE_BACKLOG_ENTRIES,
+    LARGE_FLEET,
     SECOND,
     SETTINGS,
-    Day,
-    changes,
-    full,
-    host,
-    hosts,
-    only,
+    PolicyHarness,
+    actions_of_type,
+    full_list,
+    list_changes,
+    make_endpoint,
+    make_endpoints,
 )
 
 
 def test_a_joined_proxy_is_bound_to_a_table_with_entries_in_the_same_step() -> None:
-    day = Day(listed=hosts(6), proxies=0)
-    actions = day.send(ProxyJoined(9, "west", 5.0, False))
-    assert [(b.proxy, b.classes) for b in only(actions, BindProxy)] == [(9, (0, 1))]
-    assert len(day.tables[0]) == 6
+    harness = PolicyHarness(listed=make_endpoints(6), proxies=0)
+    actions = harness.send(ProxyJoined(9, "west", 5.0, False))
+    assert [(b.proxy, b.classes) for b in actions_of_type(actions, BindProxy)] == [(9, (0, 1))]
+    assert len(harness.tables[0]) == 6
 
 
 def test_a_proxy_that_rejoins_is_bound_again() -> None:
-    day = Day(listed=hosts(6), proxies=1)
-    day.until(day.now + 2 * SECOND)
-    day.send(ProxyLeft(0))
-    assert only(day.send(ProxyJoined(0, "east", 5.0, False)), BindProxy) != []
+    harness = PolicyHarness(listed=make_endpoints(6), proxies=1)
+    harness.run_until(harness.now_us + 2 * SECOND)
+    harness.send(ProxyLeft(0))
+    assert actions_of_type(harness.send(ProxyJoined(0, "east", 5.0, False)), BindProxy) != []
 
 
 def test_proxies_that_join_before_any_endpoint_is_known_are_bound_once_one_is() -> None:
-    day = Day(listed=(), proxies=2)
-    assert [b for _, b in day.log if isinstance(b, BindProxy)] == []
-    actions = day.send(full(hosts(2)))
-    actions += day.until(day.now + 3 * SECOND)
-    assert {b.proxy for b in only(actions, BindProxy)} == {0, 1}
+    harness = PolicyHarness(listed=(), proxies=2)
+    assert [b for _, b in harness.log if isinstance(b, BindProxy)] == []
+    actions = harness.send(full_list(make_endpoints(2)))
+    actions += harness.run_until(harness.now_us + 3 * SECOND)
+    assert {b.proxy for b in actions_of_type(actions, BindProxy)} == {0, 1}
 
 
 def test_proxies_that_join_together_are_bound_in_waves_within_the_backlog() -> None:
-    day = Day(settings=LARGE, listed=hosts(80), proxies=70, answers=False)
-    bound = {a.proxy for _, a in day.log if isinstance(a, BindProxy)}
-    assert 0 < len(bound) * 80 < LIMIT
-    day.until(day.now + 5 * SECOND)
+    harness = PolicyHarness(
+        settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70, acknowledges=False
+    )
+    bound = {a.proxy for _, a in harness.log if isinstance(a, BindProxy)}
+    assert 0 < len(bound) * 80 < LARGE_BACKLOG_ENTRIES
+    harness.run_until(harness.now_us + 5 * SECOND)
     assert {
-        a.proxy for _, a in day.log if isinstance(a, BindProxy)
+        a.proxy for _, a in harness.log if isinstance(a, BindProxy)
     } == bound  # nothing is applied yet
     for _ in range(10):
-        day.until(day.now + SECOND)
-        number = max(a.checkpoint_id for _, a in day.log if isinstance(a, Checkpoint))
-        day.send(*(OrdersAcknowledged(p, number, 300_000) for p in sorted(bound)))
-        bound = {a.proxy for _, a in day.log if isinstance(a, BindProxy)}
+        harness.run_until(harness.now_us + SECOND)
+        number = max(a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint))
+        harness.send(*(OrdersAcknowledged(p, number, 300_000) for p in sorted(bound)))
+        bound = {a.proxy for _, a in harness.log if isinstance(a, BindProxy)}
     assert bound == set(range(70))
 
 
 def test_a_proxy_that_joins_late_is_bound_to_a_large_table() -> None:
-    day = Day(settings=LARGE, listed=hosts(80), proxies=70)
-    day.until(day.now + 10 * SECOND)
-    assert [b.proxy for b in only(day.send(ProxyJoined(99, "west", 4.0, False)), BindProxy)] == [99]
+    harness = PolicyHarness(settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70)
+    harness.run_until(harness.now_us + 10 * SECOND)
+    assert [
+        b.proxy
+        for b in actions_of_type(harness.send(ProxyJoined(99, "west", 4.0, False)), BindProxy)
+    ] == [99]
 
 
 def test_bindings_come_before_table_updates_while_endpoints_are_withdrawn() -> None:
     """A proxy on its standing table was left without a host when those it held were withdrawn."""
-    day = Day(settings=LARGE, listed=hosts(80), proxies=70, answers=False)
-    gone = [replace(h, status=type(h.status).GONE) for h in hosts(80)[:10]]
-    new = [host(500 + k, started=day.now) for k in range(20)]
-    day.send(changes([*gone, *new]))
-    bound = [b.proxy for _, b in day.log if isinstance(b, BindProxy)]
-    number = max(a.checkpoint_id for _, a in day.log if isinstance(a, Checkpoint))
-    day.until(day.now + 3 * SECOND)
-    out = day.send(*(OrdersAcknowledged(p, number, 300_000) for p in bound))
-    assert only(out, BindProxy)
-    assert not only(out, SetWeight)
+    harness = PolicyHarness(
+        settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70, acknowledges=False
+    )
+    gone = [replace(h, status=type(h.status).GONE) for h in make_endpoints(80)[:10]]
+    new = [make_endpoint(500 + k, started_us=harness.now_us) for k in range(20)]
+    harness.send(list_changes([*gone, *new]))
+    bound = [b.proxy for _, b in harness.log if isinstance(b, BindProxy)]
+    number = max(a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint))
+    harness.run_until(harness.now_us + 3 * SECOND)
+    out = harness.send(*(OrdersAcknowledged(p, number, 300_000) for p in bound))
+    assert actions_of_type(out, BindProxy)
+    assert not actions_of_type(out, SetWeight)
 
 
 def test_a_table_larger_than_bindings_may_fill_is_bound_one_proxy_at_a_time() -> None:
-    day = Day(settings=replace(LARGE, max_backlog_entries=100.0), listed=hosts(80), proxies=3)
-    day.until(day.now + 6 * SECOND)
-    assert {b.proxy for _, b in day.log if isinstance(b, BindProxy)} == {0, 1, 2}
+    harness = PolicyHarness(
+        settings=replace(LARGE_FLEET, max_backlog_entries=100.0),
+        listed=make_endpoints(80),
+        proxies=3,
+    )
+    harness.run_until(harness.now_us + 6 * SECOND)
+    assert {b.proxy for _, b in harness.log if isinstance(b, BindProxy)} == {0, 1, 2}
 
 
 def test_what_waits_for_proxies_that_rejoined_unseen_still_counts_as_backlog() -> None:
@@ -100,13 +111,15 @@
     settings = replace(
         SETTINGS, proxy_count=40, max_backlog_entries=1200.0, delivery_entries_per_s=1000.0
     )
-    day = Day(settings, listed=hosts(10), proxies=40, answers=False)
-    waits = day.policy.delivery.backlog_entries(day.now)
+    harness = PolicyHarness(settings, listed=make_endpoints(10), proxies=40, acknowledges=False)
+    waits = harness.policy.delivery.backlog_entries(harness.now_us)
     assert waits > 400
     bound = len(
-        only(day.send(*(ProxyJoined(p, "east", 10.0, True) for p in day.joined)), BindProxy)
+        actions_of_type(
+            harness.send(*(ProxyJoined(p, "east", 10.0, True) for p in harness.proxies)), BindProxy
+        )
     )
     assert waits + bound * 11 < 1200
     assert bound < 40
-    later = day.until(day.now + 4 * SECOND)
-    assert len(only(later, BindProxy)) >= 20
+    later = harness.run_until(harness.now_us + 4 * SECOND)
+    assert len(actions_of_type(later, BindProxy)) >= 20
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -19,7 +19,16 @@
     ProxyJoined,
     ProxyLeft,
 )
-from tests.fleet import SECOND, SETTINGS, Day, changes, endpoint_orders, host, hosts, only
+from tests.fleet import (
+    SECOND,
+    SETTINGS,
+    PolicyHarness,
+    actions_of_type,
+    endpoint_orders,
+    list_changes,
+    make_endpoint,
+    make_endpoints,
+)
 
 LONGEST, PACE = 10 * SECOND, 100 / SECOND
 
@@ -193,14 +202,18 @@
     settings = replace(
         SETTINGS, proxy_count=70, max_backlog_entries=4000.0, delivery_entries_per_s=2000.0
     )
-    day = Day(settings=settings, listed=hosts(40), proxies=70, answers=False)
-    number = max(a.checkpoint_id for _, a in day.log if isinstance(a, Checkpoint))
-    assert only(day.send(OrdersOutcomeUnknown((number,))), ResendOrders) == []
-    assert not endpoint_orders(day.send(changes([host(100, state=EndpointStatus.GONE)])))
-    bound = [a.proxy for _, a in day.log if isinstance(a, BindProxy)]
-    out = day.send(*(OrdersAcknowledged(p, number, 1) for p in bound))
-    assert len(only(out, ResendOrders)) == 1
-    assert day.policy.delivery.backlog_entries(day.now) <= 4000
+    harness = PolicyHarness(
+        settings=settings, listed=make_endpoints(40), proxies=70, acknowledges=False
+    )
+    number = max(a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint))
+    assert actions_of_type(harness.send(OrdersOutcomeUnknown((number,))), ResendOrders) == []
+    assert not endpoint_orders(
+        harness.send(list_changes([make_endpoint(100, status=EndpointStatus.GONE)]))
+    )
+    bound = [a.proxy for _, a in harness.log if isinstance(a, BindProxy)]
+    out = harness.send(*(OrdersAcknowledged(p, number, 1) for p in bound))
+    assert len(actions_of_type(out, ResendOrders)) == 1
+    assert harness.policy.delivery.backlog_entries(harness.now_us) <= 4000
 
 
 def test_bindings_leave_room_for_hosts_to_be_withdrawn() -> None:
@@ -209,19 +222,21 @@
     settings = replace(
         SETTINGS, proxy_count=70, max_backlog_entries=4000.0, delivery_entries_per_s=2000.0
     )
-    day = Day(settings=settings, listed=hosts(80), proxies=70, answers=False)
-    gone = [host(h.id, h.zone, EndpointStatus.GONE) for h in hosts(80)[:30]]
-    day.send(changes(gone))
+    harness = PolicyHarness(
+        settings=settings, listed=make_endpoints(80), proxies=70, acknowledges=False
+    )
+    gone = [make_endpoint(h.id, h.zone, EndpointStatus.GONE) for h in make_endpoints(80)[:30]]
+    harness.send(list_changes(gone))
     for k in range(20):
-        number = max(a.checkpoint_id for _, a in day.log if isinstance(a, Checkpoint))
-        before = sorted({b.proxy for _, b in day.log if isinstance(b, BindProxy)})
-        out = day.until(day.now + SECOND // 2)
-        out += day.send(
+        number = max(a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint))
+        before = sorted({b.proxy for _, b in harness.log if isinstance(b, BindProxy)})
+        out = harness.run_until(harness.now_us + SECOND // 2)
+        out += harness.send(
             *(OrdersAcknowledged(p, number, 300_000) for p in before[4 * k : 4 * k + 4])
         )
-        if sum(isinstance(a, WithdrawEndpoint | RestoreEndpoint) for _, a in day.log) < 30:
-            assert not only(out, BindProxy)
-    assert sum(isinstance(a, WithdrawEndpoint | RestoreEndpoint) for _, a in day.log) == 30
+        if sum(isinstance(a, WithdrawEndpoint | RestoreEndpoint) for _, a in harness.log) < 30:
+            assert not actions_of_type(out, BindProxy)
+    assert sum(isinstance(a, WithdrawEndpoint | RestoreEndpoint) for _, a in harness.log) == 30
 
 
 class CountedBindings:
@@ -230,21 +245,21 @@
     A message waits until all that were ordered before it are answered or their stream broke.
     """
 
-    def __init__(self, day: Day) -> None:
-        self.day = day
+    def __init__(self, harness: PolicyHarness) -> None:
+        self.harness = harness
         self.queue: list[tuple[int, int, int]] = []  # proxy, checkpoint, entries; oldest first
         self._seen = 0
 
     def update(self) -> int:
         """Takes in what was ordered since; returns the entries that wait."""
         step: list[int] = []
-        for _, action in self.day.log[self._seen :]:
+        for _, action in self.harness.log[self._seen :]:
             if isinstance(action, BindProxy):
                 step.append(action.proxy)
             elif isinstance(action, Checkpoint):
                 self.queue.extend((p, action.checkpoint_id, 80 + 1 + 2 + 7) for p in step)
                 step = []
-        self._seen = len(self.day.log)
+        self._seen = len(self.harness.log)
         return sum(entries for _, _, entries in self.queue)
 
     def remove(self, proxy: int) -> None:
@@ -262,17 +277,19 @@
     settings = replace(
         SETTINGS, proxy_count=70, max_backlog_entries=4000.0, delivery_entries_per_s=2000.0
     )
-    day = Day(settings=settings, listed=hosts(80), proxies=70, answers=False)
-    counted = CountedBindings(day)
+    harness = PolicyHarness(
+        settings=settings, listed=make_endpoints(80), proxies=70, acknowledges=False
+    )
+    counted = CountedBindings(harness)
     assert 0 < counted.update() < 4000
     kept = {proxy for proxy, _, _ in counted.queue[-3:]}
-    left = [proxy for proxy in day.joined if proxy not in kept]
+    left = [proxy for proxy in harness.proxies if proxy not in kept]
     for proxy in left:
-        day.send(ProxyLeft(proxy))
+        harness.send(ProxyLeft(proxy))
         counted.update()
         counted.remove(proxy)
     for proxy in left:
-        day.send(ProxyJoined(proxy, "east", 10.0, True))
+        harness.send(ProxyJoined(proxy, "east", 10.0, True))
         assert counted.update() <= 4000
     answered: set[tuple[int, int]] = set()
     for _ in range(60):
@@ -281,7 +298,7 @@
             break
         answered.add(newest)
         proxy, checkpoint_id = newest
-        day.send(OrdersAcknowledged(proxy, checkpoint_id, 300_000))
+        harness.send(OrdersAcknowledged(proxy, checkpoint_id, 300_000))
         assert counted.update() <= 4000
 
 
--- a/tests/test_late_joiners.py
+++ b/tests/test_late_joiners.py
@@ -14,17 +14,28 @@
     OrdersAcknowledged,
     ProxyJoined,
 )
-from tests.fleet import LARGE, SECOND, Day, changes, endpoint_orders, host, hosts, only
+from tests.fleet import (
+    LARGE_FLEET,
+    SECOND,
+    PolicyHarness,
+    actions_of_type,
+    endpoint_orders,
+    list_changes,
+    make_endpoint,
+    make_endpoints,
+)
 
 
-def takeover(before: int, after: int) -> tuple[Day, list[Action]]:
+def takeover(before: int, after: int) -> tuple[PolicyHarness, list[Action]]:
     """A host is withdrawn while so many proxies are joined and not all bound; then others join."""
-    settings = replace(LARGE, drain_grace_us=12 * SECOND, proxy_count=before + after)
-    day = Day(settings=settings, listed=hosts(80), proxies=before, answers=False)
-    first = host(100, state=EndpointStatus.GONE)
-    assert endpoint_orders(day.send(changes([first]))) == [WithdrawEndpoint(100)]
-    day.until(day.now + 3 * SECOND // 2)
-    return day, day.send(
+    settings = replace(LARGE_FLEET, drain_grace_us=12 * SECOND, proxy_count=before + after)
+    harness = PolicyHarness(
+        settings=settings, listed=make_endpoints(80), proxies=before, acknowledges=False
+    )
+    first = make_endpoint(100, status=EndpointStatus.GONE)
+    assert endpoint_orders(harness.send(list_changes([first]))) == [WithdrawEndpoint(100)]
+    harness.run_until(harness.now_us + 3 * SECOND // 2)
+    return harness, harness.send(
         *(ProxyJoined(p, "east", 10.0, False) for p in range(before, before + after))
     )
 
@@ -35,56 +46,60 @@
     Of those that came 0.3 s after a withdrawal one waited 14 s behind the rest to be bound, and
     sent to the host all along.
     """
-    day, out = takeover(66, 2)
-    assert {b.proxy for b in only(out, BindProxy)} == {66, 67}
-    assert 0 < len(day.policy.bindings.unbound_since_us) < 66
+    harness, out = takeover(66, 2)
+    assert {b.proxy for b in actions_of_type(out, BindProxy)} == {66, 67}
+    assert 0 < len(harness.policy.bindings.unbound_since_us) < 66
 
 
 def test_nobody_is_bound_while_a_withdrawal_waits_or_beside_it() -> None:
     """Bound in one step with it, 213 proxies held it up for 2 s: messages leave one after another."""
-    day, _ = takeover(66, 2)
-    day.send(changes([host(k, state=EndpointStatus.GONE) for k in range(101, 140)]))
-    assert day.policy.withdrawals.draining  # the channel has to have room
-    assert not only(day.send(ProxyJoined(66, "east", 10.0, False)), BindProxy)
+    harness, _ = takeover(66, 2)
+    harness.send(
+        list_changes([make_endpoint(k, status=EndpointStatus.GONE) for k in range(101, 140)])
+    )
+    assert harness.policy.withdrawals.draining  # the channel has to have room
+    assert not actions_of_type(harness.send(ProxyJoined(66, "east", 10.0, False)), BindProxy)
     steps = [
-        day.send(
+        harness.send(
             *(
                 OrdersAcknowledged(p, n, 1)
                 for p in range(68)
-                for n in range(day.policy.publisher.checkpoint_id + 1)
+                for n in range(harness.policy.publisher.checkpoint_id + 1)
             )
         )
     ]
-    steps += [day.until(day.now + SECOND // 4) for _ in range(20)]
+    steps += [harness.run_until(harness.now_us + SECOND // 4) for _ in range(20)]
     first = next(step for step in steps if endpoint_orders(step))
     assert len(endpoint_orders(first)) == 39
-    assert not only(first, BindProxy)
-    assert any(only(step, BindProxy) for step in steps)
+    assert not actions_of_type(first, BindProxy)
+    assert any(actions_of_type(step, BindProxy) for step in steps)
 
 
 def test_many_late_joiners_are_notified_with_the_next_withdrawal() -> None:
     """1,250 proxies that came from dead directors had 13.4 s to leave 30 hosts withdrawn before.
 
-    At 40 lines a binding the channel takes 15 s for them, and 105 tries reached these hosts.
+    At 40 lines a binding the channel takes 15 s for them, and 105 attempts reached these hosts.
     """
-    day, out = takeover(10, 60)
+    harness, out = takeover(10, 60)
     assert not endpoint_orders(out)
-    told = endpoint_orders(day.send(changes([host(101, state=EndpointStatus.GONE)])))
+    told = endpoint_orders(
+        harness.send(list_changes([make_endpoint(101, status=EndpointStatus.GONE)]))
+    )
     assert sorted(told, key=lambda w: w.endpoint) == [WithdrawEndpoint(100), WithdrawEndpoint(101)]
-    assert not endpoint_orders(day.send(changes([host(102, state=EndpointStatus.GONE)])))[
-        1:
-    ]  # they know it now
+    assert not endpoint_orders(
+        harness.send(list_changes([make_endpoint(102, status=EndpointStatus.GONE)]))
+    )[1:]  # they know it now
 
 
 def test_many_late_joiners_are_notified_in_time_if_no_withdrawal_follows() -> None:
-    day, _ = takeover(10, 60)
-    out = day.until(day.now + 2 * SECOND)
+    harness, _ = takeover(10, 60)
+    out = harness.run_until(harness.now_us + 2 * SECOND)
     assert not endpoint_orders(out)
-    assert WithdrawEndpoint(100) in day.until(day.now + 3 * SECOND)
-    assert not endpoint_orders(day.until(day.now + 5 * SECOND))
+    assert WithdrawEndpoint(100) in harness.run_until(harness.now_us + 3 * SECOND)
+    assert not endpoint_orders(harness.run_until(harness.now_us + 5 * SECOND))
 
 
 def test_an_endpoint_that_is_back_is_not_withdrawn_again() -> None:
-    day, _ = takeover(10, 60)
-    day.send(changes([host(100, started=day.now)]))
-    assert WithdrawEndpoint(100) not in day.until(day.now + 6 * SECOND)
+    harness, _ = takeover(10, 60)
+    harness.send(list_changes([make_endpoint(100, started_us=harness.now_us)]))
+    assert WithdrawEndpoint(100) not in harness.run_until(harness.now_us + 6 * SECOND)
--- a/tests/test_list_watch.py
+++ b/tests/test_list_watch.py
@@ -13,34 +13,42 @@
 )
 from kelpcourse.policy.controller import RoutingPolicy
 from kelpcourse.policy.events import EndpointList, EndpointListKind, ProxyJoined, Started
-from tests.fleet import SECOND, SETTINGS, Day, endpoint_orders, full, hosts, only
+from tests.fleet import (
+    SECOND,
+    SETTINGS,
+    PolicyHarness,
+    actions_of_type,
+    endpoint_orders,
+    full_list,
+    make_endpoints,
+)
 
 ASK = replace(SETTINGS, discovery_is_polled=True, discovery_poll_deadline_us=8 * SECOND)
 FAILED = EndpointList(EndpointListKind.UNAVAILABLE, 0, ())
 
 
 def test_a_pushed_list_is_never_asked_for() -> None:
-    day = Day(listed=hosts(4))
-    day.until(day.now + 30 * SECOND)
-    assert [a for _, a in day.log if isinstance(a, WatchEndpoints)] == []
+    harness = PolicyHarness(listed=make_endpoints(4))
+    harness.run_until(harness.now_us + 30 * SECOND)
+    assert [a for _, a in harness.log if isinstance(a, WatchEndpoints)] == []
 
 
 def test_a_polled_list_is_watched_from_the_start_and_once() -> None:
-    day = Day(ASK, listed=hosts(4))
-    day.send(full(hosts(4)))
-    day.until(day.now + 30 * SECOND)
-    assert [a for _, a in day.log if isinstance(a, WatchEndpoints)] == [WatchEndpoints(True)]
+    harness = PolicyHarness(ASK, listed=make_endpoints(4))
+    harness.send(full_list(make_endpoints(4)))
+    harness.run_until(harness.now_us + 30 * SECOND)
+    assert [a for _, a in harness.log if isinstance(a, WatchEndpoints)] == [WatchEndpoints(True)]
 
 
 def test_a_failed_watch_is_restarted_with_backoff_within_its_deadline() -> None:
-    day = Day(ASK, listed=hosts(4))
-    asked = [day.now]
+    harness = PolicyHarness(ASK, listed=make_endpoints(4))
+    asked = [harness.now_us]
     for _ in range(6):
-        day.send(FAILED)
-        while not any(isinstance(a, WatchEndpoints) and t > asked[-1] for t, a in day.log):
-            day.until(day.now + SECOND)
-            assert day.now - asked[-1] < ASK.discovery_poll_deadline_us
-        asked.append(day.now)
+        harness.send(FAILED)
+        while not any(isinstance(a, WatchEndpoints) and t > asked[-1] for t, a in harness.log):
+            harness.run_until(harness.now_us + SECOND)
+            assert harness.now_us - asked[-1] < ASK.discovery_poll_deadline_us
+        asked.append(harness.now_us)
     gaps = [b - a for a, b in pairwise(asked)]
     assert gaps[0] <= SECOND
     assert gaps[-1] >= gaps[0]
@@ -49,11 +57,13 @@
 
 def asks_again_after(director: int) -> int:
     """Of a director that is stepped each 10 ms, as reports come."""
-    day = Day(replace(ASK, controller_index=director, controller_count=230), listed=hosts(4))
-    day.send(FAILED)
+    harness = PolicyHarness(
+        replace(ASK, controller_index=director, controller_count=230), listed=make_endpoints(4)
+    )
+    harness.send(FAILED)
     for k in range(300):
-        day.now += SECOND // 100
-        if only(day.send(), WatchEndpoints):
+        harness.now_us += SECOND // 100
+        if actions_of_type(harness.send(), WatchEndpoints):
             return k
     raise AssertionError("it never asked")
 
@@ -66,37 +76,37 @@
 
 
 def test_a_dropped_subscription_is_taken_up_again() -> None:
-    day = Day(ASK, listed=hosts(4))
-    day.send(full(hosts(4)))
-    day.until(day.now + 10 * SECOND)
-    day.send(FAILED)
-    day.until(day.now + 2 * SECOND)
-    assert len([a for _, a in day.log if isinstance(a, WatchEndpoints)]) == 2
+    harness = PolicyHarness(ASK, listed=make_endpoints(4))
+    harness.send(full_list(make_endpoints(4)))
+    harness.run_until(harness.now_us + 10 * SECOND)
+    harness.send(FAILED)
+    harness.run_until(harness.now_us + 2 * SECOND)
+    assert len([a for _, a in harness.log if isinstance(a, WatchEndpoints)]) == 2
 
 
 def test_after_a_crash_the_stale_list_serves_until_the_fresh_one_corrects_it() -> None:
     policy = RoutingPolicy(ASK)
     now = 90 * SECOND
     first = policy.step(
-        now, [Started(3), EndpointList(EndpointListKind.RESTORED, 4, tuple(hosts(5)))]
+        now, [Started(3), EndpointList(EndpointListKind.RESTORED, 4, tuple(make_endpoints(5)))]
     )
-    assert only(first, WatchEndpoints) == [WatchEndpoints(True)]
+    assert actions_of_type(first, WatchEndpoints) == [WatchEndpoints(True)]
     joined = policy.step(now + SECOND, [ProxyJoined(0, "east", 10.0, False)])
-    assert only(joined, BindProxy) != []
-    fresh = policy.step(now + 2 * SECOND, [full(hosts(4), 9)])
+    assert actions_of_type(joined, BindProxy) != []
+    fresh = policy.step(now + 2 * SECOND, [full_list(make_endpoints(4), 9)])
     assert endpoint_orders(fresh) == [WithdrawEndpoint(104)]
 
 
 def test_withdrawals_are_restated_to_a_late_joiner_by_its_binding() -> None:
-    day = Day(listed=hosts(5), proxies=1)
-    day.send(full(hosts(4)))
-    day.send(ProxyJoined(3, "east", 10.0, False))
-    assert 104 not in day.tables[0]
+    harness = PolicyHarness(listed=make_endpoints(5), proxies=1)
+    harness.send(full_list(make_endpoints(4)))
+    harness.send(ProxyJoined(3, "east", 10.0, False))
+    assert 104 not in harness.tables[0]
 
 
 def test_a_timer_is_always_running() -> None:
-    day = Day(listed=hosts(2))
+    harness = PolicyHarness(listed=make_endpoints(2))
     for _ in range(5):
-        day.until(day.now + SECOND)
-        assert any(t.due_us > day.now - SECOND for t in day.timers)
-    assert all(isinstance(t, SetTimer) for t in day.timers)
+        harness.run_until(harness.now_us + SECOND)
+        assert any(t.due_us > harness.now_us - SECOND for t in harness.timers)
+    assert all(isinstance(t, SetTimer) for t in harness.timers)
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -30,7 +30,7 @@
     TimerFired,
 )
 from kelpcourse.policy.settings import AdmissionMode
-from tests.fleet import READ, SETTINGS, WRITE, host, only
+from tests.fleet import READ, SETTINGS, WRITE, actions_of_type, make_endpoint
 
 CLASSES = {
     "plain": (READ, WRITE),
@@ -67,7 +67,7 @@
     )
     count, span = rng.choice((0, 1, 40)), rng.choice((0, 1, 1_000_000, 5_000_000))
     listed = tuple(
-        host(
+        make_endpoint(
             rng.randrange(1, 9),
             zone,
             rng.choice(list(EndpointStatus)),
@@ -112,5 +112,7 @@
     for _ in range(1500):
         now += rng.choice((0, 2_000, 700_000))
         actions = policy.step(now, [odd_event(rng, now) for _ in range(rng.randrange(5))])
-        assert all(a.weight >= 0 and 1 <= a.endpoint < 9 for a in only(actions, SetWeight))
-        assert all(a.limit >= 0 for a in only(actions, SetAdmission))
+        assert all(
+            a.weight >= 0 and 1 <= a.endpoint < 9 for a in actions_of_type(actions, SetWeight)
+        )
+        assert all(a.limit >= 0 for a in actions_of_type(actions, SetAdmission))
--- a/tests/test_partitions.py
+++ b/tests/test_partitions.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.fleet import Day, fail_for, hosts
+from tests.fleet import PolicyHarness, make_endpoints, run_with_failures
 
 
 def cut_of(count: int) -> dict[int, float]:
@@ -11,50 +11,52 @@
 
 def test_partitioned_endpoints_are_ejected_within_two_reports() -> None:
     """Half of the fleet fails alike: measured against each other none of them stands out."""
-    day = Day(listed=hosts(10))
-    fail_for(day, 6)
-    fail_for(day, 2, failed=cut_of(5))
-    assert sum(day.share(100 + k) for k in range(5)) < 0.06
+    harness = PolicyHarness(listed=make_endpoints(10))
+    run_with_failures(harness, 6)
+    run_with_failures(harness, 2, failed=cut_of(5))
+    assert sum(harness.weight_share(100 + k) for k in range(5)) < 0.06
 
 
 def test_a_partition_is_no_overload() -> None:
-    day = Day(listed=hosts(10))
-    fail_for(day, 6)
+    harness = PolicyHarness(listed=make_endpoints(10))
+    run_with_failures(harness, 6)
     for _ in range(6):
-        day.second(hosts(10), failed=cut_of(5), demand=(40, 10), unanswered=25)
-    assert day.levels == {0: 1.0, 1: 1.0}
-    assert not day.policy.overload.shedding_load
+        harness.run_second(make_endpoints(10), failed=cut_of(5), demand=(40, 10), unanswered=25)
+    assert harness.admission_ratios == {0: 1.0, 1: 1.0}
+    assert not harness.policy.overload.shedding_load
 
 
 def test_the_capacity_estimate_does_not_fall_with_a_partition() -> None:
     """V is heard from the hosts that answer: it is no less for hosts that did not."""
-    day = Day(listed=hosts(10))
-    fail_for(day, 6)
-    before = day.policy.capacity.requests_per_s
-    fail_for(day, 3, failed=cut_of(5))
-    assert day.policy.capacity.requests_per_s > 0.95 * before
+    harness = PolicyHarness(listed=make_endpoints(10))
+    run_with_failures(harness, 6)
+    before = harness.policy.capacity.requests_per_s
+    run_with_failures(harness, 3, failed=cut_of(5))
+    assert harness.policy.capacity.requests_per_s > 0.95 * before
 
 
 def test_endpoints_recover_once_the_partition_ends() -> None:
-    day = Day(listed=hosts(10))
-    fail_for(day, 6)
-    before = day.policy.capacity.requests_per_s
-    fail_for(day, 6, failed=cut_of(5))
-    fail_for(day, 20)
-    assert min(day.share(h.id) for h in hosts(10)) > 0.08
-    assert not any(state.partitioned for state in day.policy.registry.endpoints.values())
-    assert day.policy.capacity.requests_per_s < 1.5 * before
+    harness = PolicyHarness(listed=make_endpoints(10))
+    run_with_failures(harness, 6)
+    before = harness.policy.capacity.requests_per_s
+    run_with_failures(harness, 6, failed=cut_of(5))
+    run_with_failures(harness, 20)
+    assert min(harness.weight_share(h.id) for h in make_endpoints(10)) > 0.08
+    assert not any(state.partitioned for state in harness.policy.registry.endpoints.values())
+    assert harness.policy.capacity.requests_per_s < 1.5 * before
 
 
 def test_a_fleet_that_answers_nothing_at_all_is_not_partitioned() -> None:
-    day = Day(listed=hosts(10))
-    fail_for(day, 6)
-    fail_for(day, 4, failed=cut_of(10))
-    assert all(abs(day.share(h.id) - 0.1) < 0.01 for h in hosts(10))
+    harness = PolicyHarness(listed=make_endpoints(10))
+    run_with_failures(harness, 6)
+    run_with_failures(harness, 4, failed=cut_of(10))
+    assert all(abs(harness.weight_share(h.id) - 0.1) < 0.01 for h in make_endpoints(10))
 
 
 def test_few_silent_endpoints_of_a_loaded_fleet_are_no_partition() -> None:
-    day = Day(listed=hosts(10))
-    fail_for(day, 6)
-    fail_for(day, 3, failed={h.id: 0.5 for h in hosts(10)} | cut_of(2), tries=6)
-    assert not any(state.partitioned for state in day.policy.registry.endpoints.values())
+    harness = PolicyHarness(listed=make_endpoints(10))
+    run_with_failures(harness, 6)
+    run_with_failures(
+        harness, 3, failed={h.id: 0.5 for h in make_endpoints(10)} | cut_of(2), attempts=6
+    )
+    assert not any(state.partitioned for state in harness.policy.registry.endpoints.values())
--- a/tests/test_reconnect_storms.py
+++ b/tests/test_reconnect_storms.py
@@ -24,21 +24,21 @@
 from kelpcourse.wire.relay_calls import RelayCalls
 from tests.delivery_world import (
     Bind,
+    DeliveryHarness,
     DeliveryWorld,
     LimitAdmission,
     Order,
-    PolicyDay,
     Restore,
     RuleBrokenError,
     SetEntry,
     Synchronise,
     Withdraw,
 )
-from tests.fleet import SECOND, SETTINGS, LongTables, changes, full, host
+from tests.fleet import SECOND, SETTINGS, UnboundedTables, full_list, list_changes, make_endpoint
 from tests.standins import MS, Bench, Caller, StandIn, member
 
 ZONES = tuple(f"z{k}" for k in range(8))
-HOSTS = [host(1_000 + k, ZONES[k % 8]) for k in range(200)]
+HOSTS = [make_endpoint(1_000 + k, ZONES[k % 8]) for k in range(200)]
 MASS = replace(
     SETTINGS,
     zones=ZONES,
@@ -60,42 +60,46 @@
     return lambda _: [h.id for h in draw.sample(HOSTS, 28)]
 
 
-def takeover(seed: int, make: Callable[[Settings], RoutingPolicy] = RoutingPolicy) -> PolicyDay:
+def takeover(
+    seed: int, make: Callable[[Settings], RoutingPolicy] = RoutingPolicy
+) -> DeliveryHarness:
     """Four in five directors die right after hosts were announced as leaving.
 
     A second and a third announcement follow while their proxies come, and streams break and
     return. Raises RuleBrokenError.
     """
-    day = PolicyDay(make, MASS, HOSTS)
+    harness = DeliveryHarness(make, MASS, HOSTS)
     gone = random.Random(seed).sample([h.id for h in HOSTS], 90)
-    day.step(full(HOSTS))
-    day.join(range(320), lambda _: [h.id for h in HOSTS[:5]], 0.5, has_no_table=True)
-    day.run(6)
-    day.step(changes(day.drain(gone[:30]), 2))
-    day.run(0.5)
-    day.join(range(320, 900), standing(seed), 0.4)
-    day.step(changes(day.drain(gone[30:60]), 3))
-    day.join(range(900, 1_600), standing(seed + 1), 0.7)
-    day.run(2)
-    day.step(changes(day.drain(gone[60:]), 4))
-    day.run(2)
-    day.leave(range(1_000, 1_300))
-    day.run(0.3)
-    day.join(range(1_000, 1_300), standing(seed + 2), 0.5)
-    day.run(16)
-    return day
-
-
-@pytest.mark.parametrize("make", [RoutingPolicy, LongTables])
+    harness.step(full_list(HOSTS))
+    harness.join(range(320), lambda _: [h.id for h in HOSTS[:5]], 0.5, has_no_table=True)
+    harness.run(6)
+    harness.step(list_changes(harness.drain(gone[:30]), 2))
+    harness.run(0.5)
+    harness.join(range(320, 900), standing(seed), 0.4)
+    harness.step(list_changes(harness.drain(gone[30:60]), 3))
+    harness.join(range(900, 1_600), standing(seed + 1), 0.7)
+    harness.run(2)
+    harness.step(list_changes(harness.drain(gone[60:]), 4))
+    harness.run(2)
+    harness.leave(range(1_000, 1_300))
+    harness.run(0.3)
+    harness.join(range(1_000, 1_300), standing(seed + 2), 0.5)
+    harness.run(16)
+    return harness
+
+
+@pytest.mark.parametrize("make", [RoutingPolicy, UnboundedTables])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_controller_that_takes_over_the_fleet_keeps_backlog_and_drains(
     seed: int, make: Callable[[Settings], RoutingPolicy]
 ) -> None:
-    day = takeover(seed, make)
+    harness = takeover(seed, make)
     assert (
-        MASS.max_backlog_entries * 0.5 < day.world.max_backlog_entries <= MASS.max_backlog_entries
+        MASS.max_backlog_entries * 0.5
+        < harness.world.max_backlog_entries
+        <= MASS.max_backlog_entries
     )
-    assert len(day.policy.bindings) == 1_600
+    assert len(harness.policy.bindings) == 1_600
 
 
 def no_late_joiners(withdrawals: Withdrawals, now_us: int) -> dict[int, int]:
@@ -137,7 +141,7 @@
 ) -> None:
     weaken(monkeypatch)
     with pytest.raises(RuleBrokenError):
-        takeover(1, LongTables)
+        takeover(1, UnboundedTables)
 
 
 # The real parts: facade, outbox and calls, over a socket to a relay that once says nothing
@@ -230,18 +234,18 @@
     return Restore(order["host"])
 
 
-def taken_over(day: RealDay) -> RealDay:
+def taken_over(harness: RealDay) -> RealDay:
     """Raises RuleBrokenError."""
-    day.join(range(320), True, 1)
-    day.run(3_000)
-    gone = random.Random(1).sample(sorted(day.members), 60)
-    day.drain(gone[:30], 2)
-    day.run(500)
-    day.join(range(320, 1_000), False, 2)
-    day.drain(gone[30:], 3)
-    day.join(range(1_000, 1_600), False, 2)
-    day.run(15_000)
-    return day
+    harness.join(range(320), True, 1)
+    harness.run(3_000)
+    gone = random.Random(1).sample(sorted(harness.members), 60)
+    harness.drain(gone[:30], 2)
+    harness.run(500)
+    harness.join(range(320, 1_000), False, 2)
+    harness.drain(gone[30:], 3)
+    harness.join(range(1_000, 1_600), False, 2)
+    harness.run(15_000)
+    return harness
 
 
 @pytest.mark.parametrize("seed", [1, 4])
@@ -253,17 +257,17 @@
     The channel would hold them twice. On seed 4 a withdrawal of 23,285 lines stood there at
     46,570, where 37,700 may.
     """
-    day = taken_over(RealDay(0.15, seed=seed))
-    assert day.bench.counters["relay_calls_failed"] >= 3
-    assert len(day.world.withdrawn) == 60
-    day.bench.close()
+    harness = taken_over(RealDay(0.15, seed=seed))
+    assert harness.bench.counters["relay_calls_failed"] >= 3
+    assert len(harness.world.withdrawn) == 60
+    harness.bench.close()
 
 
 def test_a_defence_taken_out_behind_the_real_parts_is_found_by_the_count(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     forget_late_joiners(monkeypatch)
-    day = RealDay(0, LongTables)
+    harness = RealDay(0, UnboundedTables)
     with pytest.raises(RuleBrokenError):
-        taken_over(day)
-    day.bench.close()
+        taken_over(harness)
+    harness.bench.close()
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -12,34 +12,40 @@
     SECOND,
     SETTINGS,
     WRITE,
-    Day,
-    changes,
-    host,
-    hosts,
-    only,
+    PolicyHarness,
+    actions_of_type,
+    list_changes,
+    make_endpoint,
+    make_endpoints,
 )
 
 
 def test_a_class_for_some_zones_has_its_own_table_of_their_endpoints() -> None:
     bound = replace(WRITE, allowed_zones=frozenset({"east"}))
-    day = Day(replace(SETTINGS, classes=(READ, bound)), listed=hosts(6))
-    east = {h.id for h in hosts(6) if h.zone == "east"}
-    assert set(day.tables[1]) == east
-    assert set(day.tables[0]) == {h.id for h in hosts(6)}
+    harness = PolicyHarness(replace(SETTINGS, classes=(READ, bound)), listed=make_endpoints(6))
+    east = {h.id for h in make_endpoints(6) if h.zone == "east"}
+    assert set(harness.tables[1]) == east
+    assert set(harness.tables[0]) == {h.id for h in make_endpoints(6)}
 
 
 def test_zone_bound_classes_have_a_table_for_each_zone() -> None:
     own = replace(READ, same_zone_only=True)
-    day = Day(replace(SETTINGS, classes=(own,)), listed=hosts(6), proxies=2)
-    binds = [a for _, a in day.log if isinstance(a, BindProxy)]
+    harness = PolicyHarness(replace(SETTINGS, classes=(own,)), listed=make_endpoints(6), proxies=2)
+    binds = [a for _, a in harness.log if isinstance(a, BindProxy)]
     for bind in binds:
         zone = SETTINGS.zones[bind.proxy % 2]
-        assert set(day.tables[bind.table]) == {h.id for h in hosts(6) if h.zone == zone}
+        assert set(harness.tables[bind.table]) == {
+            h.id for h in make_endpoints(6) if h.zone == zone
+        }
 
 
 def test_a_class_whose_endpoints_appear_later_is_bound_then() -> None:
     bound = replace(WRITE, allowed_zones=frozenset({"west"}))
-    day = Day(replace(SETTINGS, classes=(READ, bound)), listed=[host(1), host(2)], proxies=1)
-    actions = day.send(changes([host(3, "west")]))
-    actions += day.until(day.now + 3 * SECOND)
-    assert [b.classes for b in only(actions, BindProxy)] == [(1,)]
+    harness = PolicyHarness(
+        replace(SETTINGS, classes=(READ, bound)),
+        listed=[make_endpoint(1), make_endpoint(2)],
+        proxies=1,
+    )
+    actions = harness.send(list_changes([make_endpoint(3, "west")]))
+    actions += harness.run_until(harness.now_us + 3 * SECOND)
+    assert [b.classes for b in actions_of_type(actions, BindProxy)] == [(1,)]
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -13,20 +13,20 @@
 from kelpcourse.policy.draining import Withdrawals
 from kelpcourse.policy.events import EndpointStatus, ProxyJoined
 from kelpcourse.policy.settings import EndpointId, Settings
-from tests.delivery_world import PolicyDay, RuleBrokenError
+from tests.delivery_world import DeliveryHarness, RuleBrokenError
 from tests.fleet import (
     SECOND,
     SETTINGS,
-    Day,
-    LongTables,
-    changes,
+    PolicyHarness,
+    UnboundedTables,
+    actions_of_type,
     endpoint_orders,
-    full,
-    host,
-    only,
+    full_list,
+    list_changes,
+    make_endpoint,
 )
 
-HOSTS = [host(1_000 + k, "east" if k % 2 else "west") for k in range(200)]
+HOSTS = [make_endpoint(1_000 + k, "east" if k % 2 else "west") for k in range(200)]
 ROLL = replace(  # a restart of directors beside a release: half of the proxies at one director, a channel of 1.8 s
     SETTINGS,
     proxy_count=240,
@@ -46,24 +46,30 @@
     return [h.id for h in HOSTS[first : first + count]]
 
 
-def release(make: Callable[[Settings], RoutingPolicy]) -> PolicyDay:
+def release(make: Callable[[Settings], RoutingPolicy]) -> DeliveryHarness:
     """Six in ten hosts are replaced within 7 s while proxies of other directors come. Raises RuleBrokenError."""
-    day = PolicyDay(make, ROLL, HOSTS)
-    day.step(full(HOSTS))
-    day.join(range(30), lambda _: numbers(0, 5), 0.5, has_no_table=True)
-    day.run(8)
+    harness = DeliveryHarness(make, ROLL, HOSTS)
+    harness.step(full_list(HOSTS))
+    harness.join(range(30), lambda _: numbers(0, 5), 0.5, has_no_table=True)
+    harness.run(8)
     for version, first in enumerate((0, 40, 80), 2):
-        day.step(changes(day.drain(numbers(first, 40)), version))
-        day.step(
-            changes([host(5_000 + first + k, "east", started=day.now) for k in range(40)], version)
+        harness.step(list_changes(harness.drain(numbers(first, 40)), version))
+        harness.step(
+            list_changes(
+                [
+                    make_endpoint(5_000 + first + k, "east", started_us=harness.now_us)
+                    for k in range(40)
+                ],
+                version,
+            )
         )
-        day.join(range(30 + first // 2, 50 + first // 2), lambda _: numbers(0, 200), 1.0)
-        day.run(1)
-    day.run(8)
-    return day
+        harness.join(range(30 + first // 2, 50 + first // 2), lambda _: numbers(0, 200), 1.0)
+        harness.run(1)
+    harness.run(8)
+    return harness
 
 
-@pytest.mark.parametrize("make", [RoutingPolicy, LongTables])
+@pytest.mark.parametrize("make", [RoutingPolicy, UnboundedTables])
 def test_late_joiners_do_not_delay_the_next_withdrawal(
     make: Callable[[Settings], RoutingPolicy],
 ) -> None:
@@ -75,22 +81,22 @@
     assert not release(make).policy.withdrawals.draining
 
 
-def takeover(make: Callable[[Settings], RoutingPolicy]) -> PolicyDay:
+def takeover(make: Callable[[Settings], RoutingPolicy]) -> DeliveryHarness:
     """Four of five directors die right after 30 hosts began to drain.
 
     Their proxies, which hold all hosts and were not told, come to the fifth within a second.
     Raises RuleBrokenError.
     """
-    day = PolicyDay(make, ROLL, HOSTS)
-    day.step(full(HOSTS))
-    day.join(range(40), lambda _: numbers(0, 5), 0.5, has_no_table=True)
-    day.run(8)
-    day.step(changes(day.drain(numbers(0, 30)), 2))
-    day.join(range(40, 240), lambda _: numbers(0, 200), 1.0)
-    day.run(1)
-    day.step(changes(day.drain(numbers(30, 30)), 3))
-    day.run(8)
-    return day
+    harness = DeliveryHarness(make, ROLL, HOSTS)
+    harness.step(full_list(HOSTS))
+    harness.join(range(40), lambda _: numbers(0, 5), 0.5, has_no_table=True)
+    harness.run(8)
+    harness.step(list_changes(harness.drain(numbers(0, 30)), 2))
+    harness.join(range(40, 240), lambda _: numbers(0, 200), 1.0)
+    harness.run(1)
+    harness.step(list_changes(harness.drain(numbers(30, 30)), 3))
+    harness.run(8)
+    return harness
 
 
 def test_all_proxies_of_lost_controllers_are_notified_of_drains_in_time() -> None:
@@ -101,36 +107,40 @@
     """
     assert not takeover(RoutingPolicy).policy.bindings.unbound_since_us
     with pytest.raises(RuleBrokenError):
-        takeover(LongTables)
+        takeover(UnboundedTables)
 
 
 def test_entries_of_a_withdrawn_endpoint_are_removed_with_it_and_only_once() -> None:
     """Told anew for late joiners, a host still in the table cost a line at each proxy bound to it."""
-    day = Day(ROLL, HOSTS, proxies=20, make=LongTables)
-    day.until(day.now + 8 * SECOND)
-    out = day.send(changes([host(n, state=EndpointStatus.GONE) for n in numbers(0, 10)]))
-    assert {a.endpoint for a in only(out, SetWeight) if a.weight == 0} == set(numbers(0, 10))
-    assert {a.endpoint for a in only(out, WithdrawEndpoint)} == set(numbers(0, 10))
-    assert not day.tables[0].keys() & set(numbers(0, 10))
-    before = day.policy.delivery.backlog_entries(day.now)
+    harness = PolicyHarness(ROLL, HOSTS, proxies=20, policy_factory=UnboundedTables)
+    harness.run_until(harness.now_us + 8 * SECOND)
+    out = harness.send(
+        list_changes([make_endpoint(n, status=EndpointStatus.GONE) for n in numbers(0, 10)])
+    )
+    assert {a.endpoint for a in actions_of_type(out, SetWeight) if a.weight == 0} == set(
+        numbers(0, 10)
+    )
+    assert {a.endpoint for a in actions_of_type(out, WithdrawEndpoint)} == set(numbers(0, 10))
+    assert not harness.tables[0].keys() & set(numbers(0, 10))
+    before = harness.policy.delivery.backlog_entries(harness.now_us)
     assert before == 20 * (10 + ROLL.message_overhead_entries + 1)
-    day.until(day.now + SECOND // 10)
-    day.send(*(ProxyJoined(p, "east", 10.0, False) for p in range(100, 130)))
-    told = day.until(day.now + 2 * SECOND)
+    harness.run_until(harness.now_us + SECOND // 10)
+    harness.send(*(ProxyJoined(p, "east", 10.0, False) for p in range(100, 130)))
+    told = harness.run_until(harness.now_us + 2 * SECOND)
     assert len(endpoint_orders(told)) == 10
-    assert not [a for a in only(told, SetWeight) if a.endpoint in numbers(0, 10)]
+    assert not [a for a in actions_of_type(told, SetWeight) if a.endpoint in numbers(0, 10)]
 
 
-def restarts_after_a_gap() -> PolicyDay:
+def restarts_after_a_gap() -> DeliveryHarness:
     """The news had a gap, so all proxies are told as joined once more; then 60 hosts restart at once."""
-    day = PolicyDay(RoutingPolicy, ROLL, HOSTS)
-    day.step(full(HOSTS))
-    day.join(range(76), lambda _: numbers(0, 5), 0.5, has_no_table=True)
-    day.run(10)
-    day.step(*(ProxyJoined(p, "east", 2.0, False) for p in range(76)))
-    day.run(0.5)
-    day.step(changes([replace(h, started_us=day.now) for h in HOSTS[:60]], 2))
-    return day
+    harness = DeliveryHarness(RoutingPolicy, ROLL, HOSTS)
+    harness.step(full_list(HOSTS))
+    harness.join(range(76), lambda _: numbers(0, 5), 0.5, has_no_table=True)
+    harness.run(10)
+    harness.step(*(ProxyJoined(p, "east", 2.0, False) for p in range(76)))
+    harness.run(0.5)
+    harness.step(list_changes([replace(h, started_us=harness.now_us) for h in HOSTS[:60]], 2))
+    return harness
 
 
 def test_proxies_that_a_gap_in_the_news_leaves_in_doubt_may_still_take_lines() -> None:
@@ -139,23 +149,23 @@
     The relay still had them bound: 167 lines of the next solution went to 40 of them uncounted,
     and 6,939 waited where 5,800 may.
     """
-    day = restarts_after_a_gap()
-    day.run(20)
-    assert not day.policy.bindings.unbound_since_us
-    assert not day.policy.bindings.possibly_stale
-    assert 2_000 < day.world.max_backlog_entries <= ROLL.max_backlog_entries
+    harness = restarts_after_a_gap()
+    harness.run(20)
+    assert not harness.policy.bindings.unbound_since_us
+    assert not harness.policy.bindings.possibly_stale
+    assert 2_000 < harness.world.max_backlog_entries <= ROLL.max_backlog_entries
 
 
 def test_a_proxy_that_left_unseen_is_bound_again() -> None:
-    day = Day(ROLL, HOSTS, proxies=3, make=LongTables)
-    day.until(day.now + 8 * SECOND)
-    day.send(ProxyJoined(1, "east", 10.0, False))
-    out = [a for _, a in day.log] + day.until(day.now + 2 * SECOND)
+    harness = PolicyHarness(ROLL, HOSTS, proxies=3, policy_factory=UnboundedTables)
+    harness.run_until(harness.now_us + 8 * SECOND)
+    harness.send(ProxyJoined(1, "east", 10.0, False))
+    out = [a for _, a in harness.log] + harness.run_until(harness.now_us + 2 * SECOND)
     assert [type(a).__name__ for a in out].count("BindProxy") == 4
-    assert not day.policy.bindings.unbound_since_us
-    assert not day.policy.bindings.possibly_stale
-    assert list(day.policy.tables.holders[0]) == [0, 2, 1]
-    assert only(out, Checkpoint)
+    assert not harness.policy.bindings.unbound_since_us
+    assert not harness.policy.bindings.possibly_stale
+    assert list(harness.policy.tables.holders[0]) == [0, 2, 1]
+    assert actions_of_type(out, Checkpoint)
 
 
 def withdraw_without_entries(
@@ -170,7 +180,7 @@
 def test_the_count_finds_entries_left_in_the_tables(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Withdrawals, "withdraw", withdraw_without_entries)
     with pytest.raises(RuleBrokenError):
-        release(LongTables)
+        release(UnboundedTables)
 
 
 def test_hosts_that_restart_leave_messages_for_a_withdrawal() -> None:
@@ -179,12 +189,12 @@
     All twelve that a proxy may be written within 10 s were gone in one, and hosts that drained
     then were not withdrawn for 8 s.
     """
-    day = restarts_after_a_gap()
+    harness = restarts_after_a_gap()
     for version, first in enumerate((60, 70), 3):
-        day.run(1.5)
-        day.step(changes(day.drain(numbers(first, 10)), version))
-    day.run(12)
-    assert not day.policy.withdrawals.draining
+        harness.run(1.5)
+        harness.step(list_changes(harness.drain(numbers(first, 10)), version))
+    harness.run(12)
+    assert not harness.policy.withdrawals.draining
 
 
 def test_a_channel_that_stands_still_is_not_taken_for_empty() -> None:
@@ -193,14 +203,16 @@
     A full channel takes 2.38 s: after that its lines stood in the way of nothing any more, and
     6,237 waited where 5,800 may. The rules' times grow with such a channel's.
     """
-    day = PolicyDay(RoutingPolicy, replace(ROLL, drain_grace_us=3 * ROLL.drain_grace_us), HOSTS)
-    day.step(full(HOSTS))
-    day.join(range(2), lambda _: numbers(0, 5), 0.5, has_no_table=True)
-    day.run(8)
-    day.step(changes(day.drain(numbers(0, 40)), 2))
-    day.run(1)
-    day.world.stall(day.now, 3_000_000)
-    day.join(range(2, 33), lambda _: numbers(0, 200), 0.6)
-    day.step(changes(day.drain(numbers(40, 20)), 3))
-    day.join(range(33, 60), lambda _: numbers(0, 200), 1.5)
-    day.run(4)
+    harness = DeliveryHarness(
+        RoutingPolicy, replace(ROLL, drain_grace_us=3 * ROLL.drain_grace_us), HOSTS
+    )
+    harness.step(full_list(HOSTS))
+    harness.join(range(2), lambda _: numbers(0, 5), 0.5, has_no_table=True)
+    harness.run(8)
+    harness.step(list_changes(harness.drain(numbers(0, 40)), 2))
+    harness.run(1)
+    harness.world.stall(harness.now_us, 3_000_000)
+    harness.join(range(2, 33), lambda _: numbers(0, 200), 0.6)
+    harness.step(list_changes(harness.drain(numbers(40, 20)), 3))
+    harness.join(range(33, 60), lambda _: numbers(0, 200), 1.5)
+    harness.run(4)
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -15,7 +15,7 @@
     OrdersAcknowledged,
     ProxyJoined,
 )
-from tests.fleet import SECOND, SETTINGS, Day, changes, host, hosts
+from tests.fleet import SECOND, SETTINGS, PolicyHarness, list_changes, make_endpoint, make_endpoints
 
 CROWDED = replace(SETTINGS, max_backlog_entries=1e9, min_endpoint_connections=1.0)
 
@@ -39,44 +39,52 @@
     return count
 
 
-def fleet_day(size: int) -> Day:
-    day = Day(settings=replace(CROWDED, proxy_count=2 * size), listed=hosts(size), proxies=2 * size)
-    day.until(day.now + 3 * SECOND)
-    return day
+def fleet_harness(size: int) -> PolicyHarness:
+    harness = PolicyHarness(
+        settings=replace(CROWDED, proxy_count=2 * size),
+        listed=make_endpoints(size),
+        proxies=2 * size,
+    )
+    harness.run_until(harness.now_us + 3 * SECOND)
+    return harness
 
 
 def report(size: int) -> int:
     """A report on every host and proxy, with orders due."""
-    day = fleet_day(size)
+    harness = fleet_harness(size)
     lines: list[Event] = [
         *(
             EndpointReport(h.id, "east", 20, 0, SECOND, 1000 * (200 + h.id % 300), ())
-            for h in hosts(size)
+            for h in make_endpoints(size)
         ),
         *(DemandReport(p, k, 10, 0, SECOND) for p in range(2 * size) for k in range(2)),
     ]
-    day.until(day.now + 2 * SECOND)
-    return steps(lambda: day.send(*lines))
+    harness.run_until(harness.now_us + 2 * SECOND)
+    return steps(lambda: harness.send(*lines))
 
 
 def deploy(size: int) -> int:
     """Nine tenths of the hosts replaced by cold ones in one list."""
-    day = fleet_day(size)
-    new = [host(9000 + k, started=day.now) for k in range(size * 9 // 10)]
-    gone = [replace(h, status=type(h.status).GONE) for h in hosts(size)[: size * 9 // 10]]
-    return steps(lambda: day.send(changes([*gone, *new])))
+    harness = fleet_harness(size)
+    new = [make_endpoint(9000 + k, started_us=harness.now_us) for k in range(size * 9 // 10)]
+    gone = [replace(h, status=type(h.status).GONE) for h in make_endpoints(size)[: size * 9 // 10]]
+    return steps(lambda: harness.send(list_changes([*gone, *new])))
 
 
 def acknowledgements(size: int) -> int:
-    day = fleet_day(size)
-    return steps(lambda: day.send(*(OrdersAcknowledged(p, 1, 1000) for p in range(2 * size))))
+    harness = fleet_harness(size)
+    return steps(lambda: harness.send(*(OrdersAcknowledged(p, 1, 1000) for p in range(2 * size))))
 
 
 def joining(size: int) -> int:
     """All proxies come to one director at once and are bound as its channel has room."""
-    day = Day(settings=replace(SETTINGS, proxy_count=2 * size), listed=hosts(30), proxies=0)
-    day.joined = list(range(2 * size))
-    return steps(lambda: day.send(*(ProxyJoined(p, "east", 1.0, True) for p in day.joined)))
+    harness = PolicyHarness(
+        settings=replace(SETTINGS, proxy_count=2 * size), listed=make_endpoints(30), proxies=0
+    )
+    harness.proxies = list(range(2 * size))
+    return steps(
+        lambda: harness.send(*(ProxyJoined(p, "east", 1.0, True) for p in harness.proxies))
+    )
 
 
 def test_four_hundred_proxies_that_join_at_once_cost_a_step_in_line_with_their_number() -> None:
