--- a/tests/delivery_world.py
+++ b/tests/delivery_world.py
@@ -303,13 +303,13 @@
 
     def __init__(
         self,
-        make: Callable[[Settings], RoutingPolicy],
+        policy_factory: Callable[[Settings], RoutingPolicy],
         settings: Settings,
         endpoints: Sequence[Endpoint],
     ) -> None:
         self.world = DeliveryWorld(settings)
         self.now_us = 50 * SECOND
-        self.policy = make(settings)
+        self.policy = policy_factory(settings)
         self.endpoints = {endpoint.id: endpoint for endpoint in endpoints}
 
     def step(self, *events: Event) -> None:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -48,9 +48,9 @@
     harness.send(list_changes([warming_up]))
     actions = harness.send(full_list([warming_up, *(h for h in listed if h.zone == "west")]))
     assert set(harness.tables[1]) == {300}
-    able = SETTINGS.warm_up_min_capacity * 200 / 10  # its least part of one host's rate
-    let_in = {a.classes: a.limit for a in actions_of_type(actions, SetAdmission)}[(1,)] * 40
-    assert let_in <= SETTINGS.overload_factor * able
+    able = SETTINGS.warm_up_min_capacity * 200 / 10  # its least part of one endpoint's rate
+    admitted_per_s = {a.classes: a.limit for a in actions_of_type(actions, SetAdmission)}[(1,)] * 40
+    assert admitted_per_s <= SETTINGS.overload_factor * able
 
 
 def test_a_fleet_that_restarts_together_is_admitted_by_its_capacity() -> None:
@@ -61,8 +61,8 @@
     harness.send(
         full_list([make_endpoint(h.id, h.zone, started_us=harness.now_us) for h in listed])
     )
-    let_in = 160 * harness.admission_ratios[0] + 40 * harness.admission_ratios[1]
-    assert let_in <= SETTINGS.overload_factor * SETTINGS.warm_up_min_capacity * 200
+    admitted_per_s = 160 * harness.admission_ratios[0] + 40 * harness.admission_ratios[1]
+    assert admitted_per_s <= SETTINGS.overload_factor * SETTINGS.warm_up_min_capacity * 200
 
 
 def test_the_class_of_greater_priority_weight_is_admitted_first() -> None:
--- a/tests/test_admission_orders.py
+++ b/tests/test_admission_orders.py
@@ -38,7 +38,7 @@
 
 
 def test_a_fall_of_an_admission_ratio_does_not_wait_for_the_next_update() -> None:
-    """Urgent orders restart the pace of lines: a level must go out in the step that judged it."""
+    """Urgent orders restart the pace of entries: an admission ratio must go out in the step that judged it."""
     harness = PolicyHarness(listed=make_endpoints(10))
     run_steadily(harness)
     for k in range(3):
--- a/tests/test_binding_orders.py
+++ b/tests/test_binding_orders.py
@@ -78,7 +78,7 @@
 
 
 def test_bindings_come_before_table_updates_while_endpoints_are_withdrawn() -> None:
-    """A proxy on its standing table was left without a host when those it held were withdrawn."""
+    """A proxy on its inherited table was left without an endpoint when those it held were withdrawn."""
     harness = PolicyHarness(
         settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70, acknowledges=False
     )
@@ -106,7 +106,7 @@
 def test_what_waits_for_proxies_that_rejoined_unseen_still_counts_as_backlog() -> None:
     """After an outage of the relay the orders that had piled up went out beside the bindings of all proxies again.
 
-    4,042 lines waited where 3,600 may. Whoever is not heard to leave may be reached by both.
+    4,042 entries waited where 3,600 may. Whoever is not heard to leave may be reached by both.
     """
     settings = replace(
         SETTINGS, proxy_count=40, max_backlog_entries=1200.0, delivery_entries_per_s=1000.0
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -6,7 +6,7 @@
 
 
 def test_the_estimate_does_not_fall_far_under_its_best() -> None:
-    """Even where times stay bad whatever is shed, a part of the traffic is let in."""
+    """Even where times stay bad whatever is shed, a part of the traffic is admitted."""
     harness = PolicyHarness(listed=make_endpoints(10))
     run_steadily(harness)
     admitted = 50.0
@@ -35,7 +35,7 @@
 
 
 def test_the_estimate_grows_only_where_completed_requests_come_near_it() -> None:
-    """After a burst V climbed to twice what hosts could do, unused, and hid the next overload."""
+    """After a burst the estimate climbed to twice what endpoints could do and hid the next overload."""
     harness = PolicyHarness(listed=make_endpoints(10))
     run_steadily(harness)
     for _ in range(2):
@@ -48,7 +48,7 @@
 
 
 def test_the_estimate_of_full_endpoints_is_their_mean_rate_not_its_peaks() -> None:
-    """Good rates swing with which hosts report; V at the peaks let in a tenth more than full hosts do."""
+    """Completed rates vary with which endpoints report; at their peaks a tenth too much was admitted."""
     harness = PolicyHarness(listed=make_endpoints(10))
     run_steadily(harness)
     for k in range(20):
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -1,4 +1,4 @@
-"""The books of the channel, and a count of it made apart from them."""
+"""The delivery tracker, and a count of it made apart from them."""
 
 from __future__ import annotations
 
@@ -30,175 +30,176 @@
     make_endpoints,
 )
 
-LONGEST, PACE = 10 * SECOND, 100 / SECOND
+MAX_DELIVERY_US = 10 * SECOND
+ENTRIES_PER_US = 100 / SECOND
 
 
-def booked(*steps: dict[int, float]) -> DeliveryTracker:
-    """Steps 1, 2 and so on, ordered at time 0, each with its lines by proxy."""
-    channel = DeliveryTracker(LONGEST, PACE)
-    for number, lines in enumerate(steps, 1):
-        channel.record_sent(number, 0, lines)
-    return channel
+def tracker_with(*steps: dict[int, float]) -> DeliveryTracker:
+    """Steps 1, 2 and so on, ordered at time 0, each with its entries by proxy."""
+    tracker = DeliveryTracker(MAX_DELIVERY_US, ENTRIES_PER_US)
+    for number, entries in enumerate(steps, 1):
+        tracker.record_sent(number, 0, entries)
+    return tracker
 
 
-def test_what_is_answered_waits_no_more() -> None:
-    channel = booked({1: 10.0, 2: 20.0}, {1: 5.0})
-    assert channel.backlog_entries(0) == 35
-    channel.acknowledged(1, 1)
-    assert channel.backlog_entries(0) == 25
-    channel.acknowledged(2, 1)
-    channel.acknowledged(1, 2)
-    assert channel.backlog_entries(SECOND) == 0
+def test_acknowledged_entries_leave_the_backlog() -> None:
+    tracker = tracker_with({1: 10.0, 2: 20.0}, {1: 5.0})
+    assert tracker.backlog_entries(0) == 35
+    tracker.acknowledged(1, 1)
+    assert tracker.backlog_entries(0) == 25
+    tracker.acknowledged(2, 1)
+    tracker.acknowledged(1, 2)
+    assert tracker.backlog_entries(SECOND) == 0
 
 
-def test_what_was_ordered_behind_a_message_that_waits_is_taken_to_wait_too() -> None:
+def test_entries_behind_a_queued_message_count_as_queued() -> None:
     """Four in five streams broke.
 
     What was ordered for those that came back was answered in 1.2 s, long before older messages to
     the rest, and the channel held all of it until those were through: 38,944 of 38,800.
     """
-    channel = booked({1: 10.0}, {2: 20.0}, {3: 40.0})
-    channel.acknowledged(3, 3)
-    assert channel.backlog_entries(SECOND) == 70
-    channel.acknowledged(1, 1)
-    assert channel.backlog_entries(SECOND) == 60
-    channel.acknowledged(2, 2)
-    assert channel.backlog_entries(SECOND) == 0
-
-
-def test_an_answer_that_never_comes_holds_nothing_up_for_good() -> None:
-    channel = booked({1: 10.0}, {2: 20.0})
-    channel.acknowledged(2, 2)
-    assert channel.backlog_entries(LONGEST - 1) == 30
-    assert channel.backlog_entries(LONGEST) == 10
-    assert channel.backlog_entries(3 * LONGEST) == 10  # the channel may stand still
-
-
-def test_a_lost_answer_is_told_by_answers_to_what_was_ordered_much_later() -> None:
-    """Hosts to be withdrawn waited for its room for ever."""
-    channel = booked({1: 10.0})
-    channel.record_sent(2, LONGEST, {2: 20.0})
-    channel.acknowledged(2, 2)
-    assert channel.backlog_entries(2 * LONGEST - 1) == 10
-    assert channel.backlog_entries(2 * LONGEST) == 0
-
-
-def test_what_waited_for_a_stream_that_broke_is_gone_with_it() -> None:
-    channel = booked({1: 10.0, 2: 20.0})
-    channel.proxy_left(2)
-    assert channel.backlog_entries(0) == 10
-    channel.acknowledged(1, 1)
-    assert channel.backlog_entries(SECOND) == 0
-
-
-def test_a_message_to_a_broken_stream_keeps_its_turn() -> None:
-    """The channel counted 40,812 lines of 38,800: its last place before the break was one of these."""
-    channel = booked({1: 10.0, 2: 20.0})
-    channel.proxy_left(2)
-    channel.record_sent(2, 0, {3: 40.0})
-    channel.acknowledged(1, 1)
-    channel.acknowledged(3, 2)
-    assert channel.backlog_entries(300_000 - 1) == 40  # when 30 lines were ordered
-    assert channel.backlog_entries(300_000) == 0
-
-
-def test_what_waits_for_one_that_joined_again_unseen_counts_until_it_must_be_through() -> None:
-    channel = booked({1: 10.0})
-    channel.proxy_joined(1, 5)
-    channel.acknowledged(1, 1)
-    assert channel.backlog_entries(LONGEST) == 10
-    assert channel.backlog_entries(LONGEST + 6) == 0
-
-
-def test_answers_to_numbers_never_sent_or_told_twice_change_nothing() -> None:
-    channel = booked({1: 10.0})
-    channel.acknowledged(1, 7)
-    channel.acknowledged(9, 1)
-    assert channel.backlog_entries(0) == 10
-    channel.acknowledged(1, 1)
-    channel.acknowledged(1, 1)
-    assert channel.backlog_entries(SECOND) == 0
-
-
-def test_orders_that_may_have_gone_out_twice_count_twice() -> None:
-    channel = booked({1: 10.0}, {2: 20.0})
-    channel.record_resent(2, SECOND)
-    channel.record_resent(9, SECOND)
-    assert channel.backlog_entries(SECOND) == 50
-    channel.acknowledged(1, 1)
-    channel.acknowledged(2, 2)
-    assert channel.backlog_entries(SECOND) == 20
-
-
-def test_the_second_copy_of_a_call_leaves_in_its_turn_at_the_channels_pace() -> None:
-    """Held for as long as a full channel takes, 9,000 lines kept hosts from being withdrawn for 12 s."""
-    channel = booked({1: 100.0})
-    channel.record_resent(1, 2 * SECOND)
-    channel.acknowledged(1, 1)
-    assert channel.backlog_entries(2 * SECOND) == 100
-    assert channel.backlog_entries(5 * SECOND // 2) == 50
-    channel.accepted(1, 5 * SECOND // 2)  # it waited for the relay for half a second
-    assert channel.backlog_entries(3 * SECOND) == 50
-    assert channel.backlog_entries(7 * SECOND // 2) == 0
-
-
-def test_a_call_that_broke_again_and_again_counts_once_more_each_time() -> None:
-    channel = booked({1: 100.0})
+    tracker = tracker_with({1: 10.0}, {2: 20.0}, {3: 40.0})
+    tracker.acknowledged(3, 3)
+    assert tracker.backlog_entries(SECOND) == 70
+    tracker.acknowledged(1, 1)
+    assert tracker.backlog_entries(SECOND) == 60
+    tracker.acknowledged(2, 2)
+    assert tracker.backlog_entries(SECOND) == 0
+
+
+def test_a_missing_acknowledgement_does_not_block_for_ever() -> None:
+    tracker = tracker_with({1: 10.0}, {2: 20.0})
+    tracker.acknowledged(2, 2)
+    assert tracker.backlog_entries(MAX_DELIVERY_US - 1) == 30
+    assert tracker.backlog_entries(MAX_DELIVERY_US) == 10
+    assert tracker.backlog_entries(3 * MAX_DELIVERY_US) == 10  # the channel may stand still
+
+
+def test_a_lost_acknowledgement_is_inferred_from_much_later_ones() -> None:
+    """Withdrawals waited for ever for the capacity that its entries held."""
+    tracker = tracker_with({1: 10.0})
+    tracker.record_sent(2, MAX_DELIVERY_US, {2: 20.0})
+    tracker.acknowledged(2, 2)
+    assert tracker.backlog_entries(2 * MAX_DELIVERY_US - 1) == 10
+    assert tracker.backlog_entries(2 * MAX_DELIVERY_US) == 0
+
+
+def test_queued_entries_of_a_broken_stream_leave_the_backlog() -> None:
+    tracker = tracker_with({1: 10.0, 2: 20.0})
+    tracker.proxy_left(2)
+    assert tracker.backlog_entries(0) == 10
+    tracker.acknowledged(1, 1)
+    assert tracker.backlog_entries(SECOND) == 0
+
+
+def test_a_message_to_a_broken_stream_keeps_its_place_in_the_queue() -> None:
+    """The channel counted 40,812 entries of 38,800: its last place before the break was one of these."""
+    tracker = tracker_with({1: 10.0, 2: 20.0})
+    tracker.proxy_left(2)
+    tracker.record_sent(2, 0, {3: 40.0})
+    tracker.acknowledged(1, 1)
+    tracker.acknowledged(3, 2)
+    assert tracker.backlog_entries(300_000 - 1) == 40  # when 30 entries were ordered
+    assert tracker.backlog_entries(300_000) == 0
+
+
+def test_entries_of_a_proxy_that_rejoined_unreported_count_until_their_deadline() -> None:
+    tracker = tracker_with({1: 10.0})
+    tracker.proxy_joined(1, 5)
+    tracker.acknowledged(1, 1)
+    assert tracker.backlog_entries(MAX_DELIVERY_US) == 10
+    assert tracker.backlog_entries(MAX_DELIVERY_US + 6) == 0
+
+
+def test_unknown_and_repeated_acknowledgements_are_ignored() -> None:
+    tracker = tracker_with({1: 10.0})
+    tracker.acknowledged(1, 7)
+    tracker.acknowledged(9, 1)
+    assert tracker.backlog_entries(0) == 10
+    tracker.acknowledged(1, 1)
+    tracker.acknowledged(1, 1)
+    assert tracker.backlog_entries(SECOND) == 0
+
+
+def test_resent_orders_count_twice() -> None:
+    tracker = tracker_with({1: 10.0}, {2: 20.0})
+    tracker.record_resent(2, SECOND)
+    tracker.record_resent(9, SECOND)
+    assert tracker.backlog_entries(SECOND) == 50
+    tracker.acknowledged(1, 1)
+    tracker.acknowledged(2, 2)
+    assert tracker.backlog_entries(SECOND) == 20
+
+
+def test_a_resent_call_drains_in_order_at_the_delivery_rate() -> None:
+    """Held for as long as a full channel takes, 9,000 entries kept endpoints from being withdrawn for 12 s."""
+    tracker = tracker_with({1: 100.0})
+    tracker.record_resent(1, 2 * SECOND)
+    tracker.acknowledged(1, 1)
+    assert tracker.backlog_entries(2 * SECOND) == 100
+    assert tracker.backlog_entries(5 * SECOND // 2) == 50
+    tracker.accepted(1, 5 * SECOND // 2)  # it waited for the relay for half a second
+    assert tracker.backlog_entries(3 * SECOND) == 50
+    assert tracker.backlog_entries(7 * SECOND // 2) == 0
+
+
+def test_each_resend_of_a_call_counts_once_more() -> None:
+    tracker = tracker_with({1: 100.0})
     for _ in range(3):
-        channel.record_resent(1, 0)
-    assert channel.backlog_entries(0) == 400
+        tracker.record_resent(1, 0)
+    assert tracker.backlog_entries(0) == 400
 
 
-def doubted(lines: float, behind: float = 0.0) -> DeliveryTracker:
-    """A step ordered at time 0 of which nobody knows whether it was carried out, and the one before it."""
-    channel = DeliveryTracker(LONGEST, PACE, max_transit_us=SECOND)
-    channel.record_sent(1, 0, {1: behind})
-    channel.record_sent(2, 0, {2: lines / 2, 3: lines / 2})
-    channel.outcome_unknown((2,))
-    return channel
+def tracker_with_unknown_outcome(entries: float, behind: float = 0.0) -> DeliveryTracker:
+    """A step of unknown outcome, ordered at time 0, and the one before it."""
+    tracker = DeliveryTracker(MAX_DELIVERY_US, ENTRIES_PER_US, max_transit_us=SECOND)
+    tracker.record_sent(1, 0, {1: behind})
+    tracker.record_sent(2, 0, {2: entries / 2, 3: entries / 2})
+    tracker.outcome_unknown((2,))
+    return tracker
 
 
-def test_a_call_in_doubt_goes_again_at_once_where_both_copies_fit() -> None:
-    channel = doubted(100.0)
-    assert channel.try_resend(0, 200.0)
-    assert not channel.unknown_outcomes
-    assert channel.backlog_entries(0) == 200
+def test_a_call_of_unknown_outcome_is_resent_immediately_when_both_copies_fit() -> None:
+    tracker = tracker_with_unknown_outcome(100.0)
+    assert tracker.try_resend(0, 200.0)
+    assert not tracker.unknown_outcomes
+    assert tracker.backlog_entries(0) == 200
 
 
-def test_a_call_in_doubt_waits_until_its_first_copy_has_left() -> None:
-    channel = doubted(100.0, 50.0)
-    assert not channel.try_resend(0, 200.0)
-    channel.acknowledged(1, 1)
-    channel.acknowledged(2, 2)
-    assert channel.try_resend(SECOND, 200.0)
-    assert channel.backlog_entries(SECOND) == 150
+def test_a_call_of_unknown_outcome_waits_until_its_first_copy_has_left() -> None:
+    tracker = tracker_with_unknown_outcome(100.0, 50.0)
+    assert not tracker.try_resend(0, 200.0)
+    tracker.acknowledged(1, 1)
+    tracker.acknowledged(2, 2)
+    assert tracker.try_resend(SECOND, 200.0)
+    assert tracker.backlog_entries(SECOND) == 150
 
 
-def test_a_call_in_doubt_that_nobody_answers_in_time_was_not_carried_out_and_counts_once() -> None:
-    channel = doubted(100.0)
-    assert not channel.try_resend(3 * SECOND - 1, 150.0)
-    assert channel.try_resend(3 * SECOND, 150.0)  # a second at the channel's pace, two transits
-    assert channel.backlog_entries(3 * SECOND) == 100
+def test_a_call_of_unknown_outcome_without_acknowledgements_counts_once() -> None:
+    tracker = tracker_with_unknown_outcome(100.0)
+    assert not tracker.try_resend(3 * SECOND - 1, 150.0)
+    assert tracker.try_resend(3 * SECOND, 150.0)  # a second at the channel's pace, two transits
+    assert tracker.backlog_entries(3 * SECOND) == 100
 
 
-def test_one_answer_speaks_against_that_and_then_all_must_be_through() -> None:
-    channel = doubted(100.0)
-    channel.acknowledged(2, 2)
-    assert not channel.try_resend(LONGEST - 1, 149.0)
-    assert channel.try_resend(LONGEST, 149.0)
-    assert channel.backlog_entries(LONGEST) == 50 + 100
+def test_one_acknowledgement_shows_that_a_call_of_unknown_outcome_was_executed() -> None:
+    tracker = tracker_with_unknown_outcome(100.0)
+    tracker.acknowledged(2, 2)
+    assert not tracker.try_resend(MAX_DELIVERY_US - 1, 149.0)
+    assert tracker.try_resend(MAX_DELIVERY_US, 149.0)
+    assert tracker.backlog_entries(MAX_DELIVERY_US) == 50 + 100
 
 
-def test_a_call_in_doubt_that_is_taken_after_all_is_in_doubt_no_more() -> None:
-    channel = doubted(100.0)
-    channel.accepted(1, SECOND)
-    assert channel.unknown_outcomes
-    channel.accepted(2, SECOND)
-    assert not channel.unknown_outcomes
-    assert channel.backlog_entries(SECOND) == 100
+def test_an_accepted_call_is_no_longer_of_unknown_outcome() -> None:
+    tracker = tracker_with_unknown_outcome(100.0)
+    tracker.accepted(1, SECOND)
+    assert tracker.unknown_outcomes
+    tracker.accepted(2, SECOND)
+    assert not tracker.unknown_outcomes
+    assert tracker.backlog_entries(SECOND) == 100
 
 
-def test_nothing_is_ordered_behind_a_call_in_doubt_that_must_not_go_again() -> None:
+def test_nothing_is_ordered_behind_a_call_of_unknown_outcome_that_must_not_be_resent() -> None:
     settings = replace(
         SETTINGS, proxy_count=70, max_backlog_entries=4000.0, delivery_entries_per_s=2000.0
     )
@@ -216,9 +217,9 @@
     assert harness.policy.delivery.backlog_entries(harness.now_us) <= 4000
 
 
-def test_bindings_leave_room_for_hosts_to_be_withdrawn() -> None:
-    # On a fleet day bindings took each place that came free in a full channel, and hosts
-    # announced as leaving waited 17 s for theirs.
+def test_bindings_leave_capacity_for_withdrawals() -> None:
+    # In a fleet simulation bindings took each place that came free in a full channel, and endpoints
+    # announced as draining waited 17 s for theirs.
     settings = replace(
         SETTINGS, proxy_count=70, max_backlog_entries=4000.0, delivery_entries_per_s=2000.0
     )
@@ -273,7 +274,7 @@
         return None
 
 
-def test_streams_that_break_and_come_back_are_bound_within_the_channel() -> None:
+def test_reconnected_proxies_are_bound_within_the_backlog_limit() -> None:
     settings = replace(
         SETTINGS, proxy_count=70, max_backlog_entries=4000.0, delivery_entries_per_s=2000.0
     )
@@ -302,79 +303,77 @@
         assert counted.update() <= 4000
 
 
-def test_lines_of_which_no_answer_tells_leave_as_those_beside_them_or_at_the_channels_pace() -> (
-    None
-):
-    """18,000 lines to proxies not bound yet were held until the last was through, 9 s later.
+def test_unacknowledgeable_entries_leave_with_their_neighbours_or_at_the_delivery_rate() -> None:
+    """18,000 entries to proxies not bound yet were held until the last was through, 9 s later.
 
-    For 7 s the next hosts that leave waited for room that there was.
+    For 7 s the next endpoints to be withdrawn waited for capacity that was free.
     """
-    channel = DeliveryTracker(LONGEST, PACE)
-    channel.record_sent(1, 0, {1: 50.0, 2: 50.0}, 400.0)  # five seconds' worth
-    assert channel.backlog_entries(4 * SECOND) == 500  # a slow channel: nothing is answered
-    channel.acknowledged(1, 1)
-    assert channel.backlog_entries(4 * SECOND) == 50 + 200
-    channel.acknowledged(2, 1)
-    assert channel.backlog_entries(4 * SECOND) == 80
-    alone = DeliveryTracker(LONGEST, PACE)
+    tracker = DeliveryTracker(MAX_DELIVERY_US, ENTRIES_PER_US)
+    tracker.record_sent(1, 0, {1: 50.0, 2: 50.0}, 400.0)  # five seconds' worth
+    assert tracker.backlog_entries(4 * SECOND) == 500  # a slow channel: nothing is answered
+    tracker.acknowledged(1, 1)
+    assert tracker.backlog_entries(4 * SECOND) == 50 + 200
+    tracker.acknowledged(2, 1)
+    assert tracker.backlog_entries(4 * SECOND) == 80
+    alone = DeliveryTracker(MAX_DELIVERY_US, ENTRIES_PER_US)
     alone.record_sent(1, 0, {}, 400.0)
     assert [alone.backlog_entries(k * SECOND) for k in (0, 1, 3, 4)] == [400, 300, 100, 0]
 
 
-def test_lines_of_which_no_answer_tells_wait_behind_what_is_not_answered() -> None:
-    channel = booked({1: 10.0})
-    channel.record_sent(2, 0, {}, 100.0)
-    assert channel.backlog_entries(SECOND) == 110
+def test_unacknowledgeable_entries_queue_behind_unacknowledged_ones() -> None:
+    tracker = tracker_with({1: 10.0})
+    tracker.record_sent(2, 0, {}, 100.0)
+    assert tracker.backlog_entries(SECOND) == 110
 
 
 def counted(*at_us: int) -> DeliveryTracker:
     """A message to one proxy at each of these times; four may be written in ten seconds."""
-    channel = DeliveryTracker(LONGEST, PACE, 4, 10 * SECOND)
+    tracker = DeliveryTracker(MAX_DELIVERY_US, ENTRIES_PER_US, 4, 10 * SECOND)
     for number, at in enumerate(at_us, 1):
-        channel.record_sent(number, at, {1: 10.0})
-    return channel
+        tracker.record_sent(number, at, {1: 10.0})
+    return tracker
 
 
-def test_a_message_counts_from_when_the_relay_took_it() -> None:
+def test_a_message_counts_from_when_the_relay_accepted_it() -> None:
     """A step of 466 orders was under way for 40 ms and one of 12 for 10.
 
     By the steps' times thirteen messages were 10 s apart where the last was written 9.99 s after
     the first.
     """
-    channel = counted(0, 1, 2, 3)
-    assert not channel.within_message_budget(1.0, 10 * SECOND - 1)
-    channel.accepted(1, 40_000)
-    assert not channel.within_message_budget(1.0, 10 * SECOND + 39_999)
-    assert channel.within_message_budget(1.0, 10 * SECOND + 40_000)
+    tracker = counted(0, 1, 2, 3)
+    assert not tracker.within_message_budget(1.0, 10 * SECOND - 1)
+    tracker.accepted(1, 40_000)
+    assert not tracker.within_message_budget(1.0, 10 * SECOND + 39_999)
+    assert tracker.within_message_budget(1.0, 10 * SECOND + 40_000)
 
 
-def test_a_part_of_the_messages_is_kept_for_what_can_not_wait() -> None:
-    channel = counted(0, SECOND)
-    assert channel.within_message_budget(0.6, SECOND)
-    channel.record_sent(3, 2 * SECOND, {1: 10.0, 2: 10.0})
+def test_part_of_the_message_budget_is_reserved_for_urgent_orders() -> None:
+    tracker = counted(0, SECOND)
+    assert tracker.within_message_budget(0.6, SECOND)
+    tracker.record_sent(3, 2 * SECOND, {1: 10.0, 2: 10.0})
     assert (
-        channel.within_message_budget(0.6, 2 * SECOND),
-        channel.within_message_budget(1.0, 2 * SECOND),
+        tracker.within_message_budget(0.6, 2 * SECOND),
+        tracker.within_message_budget(1.0, 2 * SECOND),
     ) == (False, True)
-    assert channel.within_message_budget(0.6, 10 * SECOND)
+    assert tracker.within_message_budget(0.6, 10 * SECOND)
 
 
-def test_messages_to_those_that_may_or_may_not_answer_count_as_well() -> None:
-    channel = DeliveryTracker(LONGEST, PACE, 2, 10 * SECOND)
+def test_messages_to_possible_recipients_count_against_the_budget() -> None:
+    tracker = DeliveryTracker(MAX_DELIVERY_US, ENTRIES_PER_US, 2, 10 * SECOND)
     for number in (1, 2):
-        channel.record_sent(number, 0, {}, 50.0, [7])
-    assert not channel.within_message_budget(1.0, SECOND)
+        tracker.record_sent(number, 0, {}, 50.0, [7])
+    assert not tracker.within_message_budget(1.0, SECOND)
 
 
-def test_a_call_that_went_twice_is_two_messages() -> None:
-    channel = counted(0, 0, 0)
-    channel.record_resent(9, SECOND)
-    assert channel.within_message_budget(1.0, SECOND)
-    channel.record_resent(2, SECOND)
-    assert not channel.within_message_budget(1.0, SECOND)
+def test_a_resent_call_counts_as_two_messages() -> None:
+    tracker = counted(0, 0, 0)
+    tracker.record_resent(9, SECOND)
+    assert tracker.within_message_budget(1.0, SECOND)
+    tracker.record_resent(2, SECOND)
+    assert not tracker.within_message_budget(1.0, SECOND)
 
 
-def test_messages_count_from_a_proxys_joining_where_it_was_heard_to_leave() -> None:
+def test_the_message_budget_restarts_when_a_proxy_that_left_rejoins() -> None:
     unheard = counted(0, 0, 0, 0)
     unheard.proxy_joined(1, SECOND)
     assert not unheard.within_message_budget(1.0, SECOND)
@@ -387,32 +386,32 @@
     assert not heard.within_message_budget(1.0, 3 * SECOND)
 
 
-def test_any_number_of_messages_may_be_written_where_no_limit_is_set() -> None:
-    channel = DeliveryTracker(LONGEST, PACE)
+def test_messages_are_unlimited_when_no_limit_is_set() -> None:
+    tracker = DeliveryTracker(MAX_DELIVERY_US, ENTRIES_PER_US)
     for number in range(50):
-        channel.record_sent(number, 0, {1: 10.0})
-    assert channel.within_message_budget(1.0, 0)
+        tracker.record_sent(number, 0, {1: 10.0})
+    assert tracker.within_message_budget(1.0, 0)
 
 
-def test_answers_that_are_late_do_not_slow_the_books() -> None:
+def test_late_acknowledgements_do_not_delay_the_backlog_estimate() -> None:
     """What was through but not answered yet was counted into the turn of all that followed."""
-    channel = DeliveryTracker(LONGEST, PACE)
+    tracker = DeliveryTracker(MAX_DELIVERY_US, ENTRIES_PER_US)
     for number in range(10):
-        channel.record_sent(number, number * SECOND, {1: 30.0}, 30.0)
+        tracker.record_sent(number, number * SECOND, {1: 30.0}, 30.0)
         if number > 1:
-            channel.acknowledged(1, number - 2)
-    channel.acknowledged(1, 9)
-    assert channel.backlog_entries(10 * SECOND) == 0
+            tracker.acknowledged(1, number - 2)
+    tracker.acknowledged(1, 9)
+    assert tracker.backlog_entries(10 * SECOND) == 0
 
 
-def test_lines_wait_for_as_long_as_what_is_ahead_of_them_is_still_being_answered() -> None:
+def test_entries_stay_queued_while_earlier_ones_are_still_being_acknowledged() -> None:
     """A channel at a third of its pace: answers to what was ordered before came in all the while."""
-    channel = booked({1: 10.0, 2: 10.0})
-    channel.record_sent(2, 0, {3: 20.0}, 50.0)
-    channel.acknowledged(1, 1, LONGEST - 1)
-    assert channel.backlog_entries(LONGEST) == 80
-    channel.acknowledged(2, 1, LONGEST + SECOND)
-    assert channel.backlog_entries(2 * LONGEST) == 70
+    tracker = tracker_with({1: 10.0, 2: 10.0})
+    tracker.record_sent(2, 0, {3: 20.0}, 50.0)
+    tracker.acknowledged(1, 1, MAX_DELIVERY_US - 1)
+    assert tracker.backlog_entries(MAX_DELIVERY_US) == 80
+    tracker.acknowledged(2, 1, MAX_DELIVERY_US + SECOND)
+    assert tracker.backlog_entries(2 * MAX_DELIVERY_US) == 70
     assert (
-        channel.backlog_entries(2 * LONGEST + SECOND) == 20
+        tracker.backlog_entries(2 * MAX_DELIVERY_US + SECOND) == 20
     )  # an answer that never comes holds nothing up for good
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -68,12 +68,12 @@
 
 
 def served(harness: PolicyHarness, seconds: int, listed: list[Endpoint]) -> None:
-    """So long, with a weight that changes now and then, so that lines go out."""
+    """So long, with a weight that changes now and then, so that entries go out."""
     for k in range(seconds):
         harness.run_second(listed, failed={103: 0.5 * (k // 5 % 2)})
 
 
-def test_an_endpoint_long_gone_is_restored_and_a_late_drain_of_it_is_kept_all_the_same() -> None:
+def test_a_long_gone_endpoint_is_restored_and_a_late_drain_of_it_still_applies() -> None:
     """Bindings would restate it for good. Listed again, draining or anew, it meets the rules as before."""
     harness = PolicyHarness(listed=make_endpoints(6))
     left = make_endpoints(6)[1:]
@@ -88,7 +88,7 @@
     served(harness, FORGET_AFTER_US // SECOND + 12, left)
     harness.send(list_changes([make_endpoint(100, started_us=harness.now_us)], 4))
     served(harness, 3, left)
-    assert 0 < harness.weight_share(100) < 0.5 / 6  # it is cold
+    assert 0 < harness.weight_share(100) < 0.5 / 6  # it is warming up
 
 
 def test_no_endpoint_is_restored_while_a_proxy_may_still_hold_it() -> None:
@@ -122,7 +122,7 @@
     ]
 
 
-def test_endpoints_that_go_one_after_another_are_withdrawn_together_in_a_full_channel() -> None:
+def test_successive_drains_are_withdrawn_together_when_the_channel_is_full() -> None:
     """Each alone costs a head for every proxy, and the last of thirty went 3 s late."""
     harness = PolicyHarness(
         settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70, acknowledges=False
@@ -139,7 +139,7 @@
 def test_a_channel_too_small_for_several_withdrawals_takes_what_fits() -> None:
     small = replace(
         LARGE_FLEET, max_backlog_entries=9.0 * 70
-    )  # a head, a checkpoint and one host for each proxy
+    )  # a head, a checkpoint and one endpoint for each proxy
     harness = PolicyHarness(settings=small, listed=make_endpoints(4), proxies=0)
     harness.run_until(harness.now_us + SECOND)
     harness.send(*(ProxyJoined(p, "east", 10.0, True) for p in range(70)))
--- a/tests/test_fill.py
+++ b/tests/test_fill.py
@@ -1,4 +1,4 @@
-"""The fill: the greatest equal fraction under volume, bounds and demand."""
+"""Water filling: the greatest equal fraction under capacity, bounds and demand."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 from kelpcourse.policy.fill import equal_fraction_fill, priority_lower_bounds
 
 CASES = [
-    (demand, volume, lower, upper)
+    (demand, capacity, lower, upper)
     for demand in ([10.0, 30.0, 60.0], [5.0, 0.0, 7.0], [100.0, 1.0, 1.0])
-    for volume in (0.0, 3.0, 40.0, 99.0, 500.0)
+    for capacity in (0.0, 3.0, 40.0, 99.0, 500.0)
     for lower in ([0.0, 0.0, 0.0], [0.3, 0.1, 0.0], [0.8, 0.8, 0.8])
     for upper in ([1.0, 1.0, 1.0], [0.5, 0.9, 0.4])
 ]
 
 
-@pytest.mark.parametrize(("demand", "volume", "lower", "upper"), CASES)
-def test_never_over_volume_demand_or_upper_bound(
-    demand: list[float], volume: float, lower: list[float], upper: list[float]
+@pytest.mark.parametrize(("demand", "capacity", "lower", "upper"), CASES)
+def test_admitted_rates_stay_within_capacity_demand_and_upper_bounds(
+    demand: list[float], capacity: float, lower: list[float], upper: list[float]
 ) -> None:
-    admitted = equal_fraction_fill(demand, volume, lower, upper)
-    assert sum(admitted) <= volume + 1e-6
+    admitted = equal_fraction_fill(demand, capacity, lower, upper)
+    assert sum(admitted) <= capacity + 1e-6
     for x, n, up in zip(admitted, demand, upper, strict=True):
         assert 0 <= x <= n + 1e-9
-        assert x <= up * volume + 1e-6
+        assert x <= up * capacity + 1e-6
 
 
-@pytest.mark.parametrize(("demand", "volume", "lower", "upper"), CASES)
+@pytest.mark.parametrize(("demand", "capacity", "lower", "upper"), CASES)
 def test_lower_bounds_hold_where_they_are_feasible(
-    demand: list[float], volume: float, lower: list[float], upper: list[float]
+    demand: list[float], capacity: float, lower: list[float], upper: list[float]
 ) -> None:
     owed = [
-        min(n, lo * volume, up * volume) for n, lo, up in zip(demand, lower, upper, strict=True)
+        min(n, lo * capacity, up * capacity) for n, lo, up in zip(demand, lower, upper, strict=True)
     ]
-    admitted = equal_fraction_fill(demand, volume, lower, upper)
-    if sum(owed) <= volume:
+    admitted = equal_fraction_fill(demand, capacity, lower, upper)
+    if sum(owed) <= capacity:
         assert all(x >= o - 1e-6 for x, o in zip(admitted, owed, strict=True))
     else:
-        assert sum(admitted) == pytest.approx(volume)
+        assert sum(admitted) == pytest.approx(capacity)
 
 
 def test_without_bounds_every_class_gets_the_same_fraction() -> None:
@@ -47,7 +47,7 @@
     assert admitted == pytest.approx([5.0, 15.0, 30.0], abs=1e-4)
 
 
-def test_theta_is_the_greatest() -> None:
+def test_the_admitted_fraction_is_the_greatest_feasible() -> None:
     demand, lower, upper = [10.0, 30.0, 60.0], [0.2, 0.0, 0.0], [1.0, 0.3, 1.0]
     admitted = equal_fraction_fill(demand, 50.0, lower, upper)
     theta = min(x / n for x, n in zip(admitted, demand, strict=True))
@@ -58,21 +58,21 @@
     assert sum(better) > 50.0
 
 
-def test_plenty_admits_all_and_nothing_admits_nothing() -> None:
+def test_ample_capacity_admits_all_and_zero_capacity_admits_nothing() -> None:
     assert equal_fraction_fill([10.0, 20.0], 31.0, [0.0, 0.0], [1.0, 1.0]) == [10.0, 20.0]
     assert equal_fraction_fill([10.0, 20.0], 0.0, [0.5, 0.0], [1.0, 1.0]) == [0.0, 0.0]
     assert equal_fraction_fill([0.0, 0.0], 5.0, [0.5, 0.0], [1.0, 1.0]) == [0.0, 0.0]
 
 
-def test_lower_bounds_serve_the_worthier_class_first() -> None:
-    demand, worth = [80.0, 20.0], [1.0, 3.0]
-    for volume in (10.0, 50.0, 90.0):
+def test_lower_bounds_serve_the_class_of_greater_priority_weight_first() -> None:
+    demand, priority_weights = [80.0, 20.0], [1.0, 3.0]
+    for capacity in (10.0, 50.0, 90.0):
         admitted = equal_fraction_fill(
-            demand, volume, priority_lower_bounds(demand, worth, volume), [1.0, 1.0]
+            demand, capacity, priority_lower_bounds(demand, priority_weights, capacity), [1.0, 1.0]
         )
-        assert admitted[1] == pytest.approx(min(20.0, volume), abs=1e-3)
+        assert admitted[1] == pytest.approx(min(20.0, capacity), abs=1e-3)
 
 
-def test_equal_worth_leaves_the_equal_fraction() -> None:
-    for demand, volume in itertools.product(([8.0, 2.0], [5.0, 5.0]), (0.0, 4.0, 20.0)):
-        assert priority_lower_bounds(demand, [2.0, 2.0], volume) == [0.0, 0.0]
+def test_equal_priority_weights_leave_the_equal_fraction() -> None:
+    for demand, capacity in itertools.product(([8.0, 2.0], [5.0, 5.0]), (0.0, 4.0, 20.0)):
+        assert priority_lower_bounds(demand, [2.0, 2.0], capacity) == [0.0, 0.0]
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -23,7 +23,7 @@
 
 
 class Service:
-    """A director without sockets: lines come in by its buffer, orders are taken every third second."""
+    """A controller without sockets: lines come in by its buffer, orders are taken every third second."""
 
     def __init__(self) -> None:
         settings = replace(SETTINGS, proxy_count=PROXIES)
@@ -40,7 +40,7 @@
         self.facade.start(self.now)
         self.proxies.stream_opened(0, 0, 0)
         for proxy in range(PROXIES):
-            self.news(Joined(proxy, "east", 10.0, True))
+            self.receive(Joined(proxy, "east", 10.0, True))
 
     def members(self) -> list[ListedEndpoint]:
         return [
@@ -48,9 +48,9 @@
             for k, name in enumerate(self.names)
         ]
 
-    def news(self, news: ProxyEvent) -> None:
-        for told in self.proxies.receive(0, news, self.now):
-            match told:
+    def receive(self, event: ProxyEvent) -> None:
+        for reported in self.proxies.receive(0, event, self.now):
+            match reported:
                 case Joined(proxy, zone, share, standing):
                     self.facade.report_proxy_joined(proxy, zone, share, standing)
                 case Left(proxy):
@@ -60,7 +60,7 @@
                     for answered in self.outbox.covered_checkpoints(stamp):
                         self.facade.report_acknowledged(proxy, answered, lag_ms)
 
-    def lines(self) -> bytes:
+    def report_lines(self) -> bytes:
         heard = (
             f"heard az=east host={name} n=20 bad={self.second % 3} avg=150.5 window=1000.0\r\n"
             for name in self.names
@@ -77,9 +77,9 @@
         self.now += SECOND
         again = self.second % PROXIES
         if self.second % 3 == 0:
-            self.news(Left(again))
-            self.news(Joined(again, "east", 10.0, False))
-        self.buffer.append(self.lines())
+            self.receive(Left(again))
+            self.receive(Joined(again, "east", 10.0, False))
+        self.buffer.append(self.report_lines())
         for line in self.buffer.lines():
             self.take(line)
         self.facade.tick(self.now - QUICK.step_batching_us)
@@ -97,12 +97,12 @@
             self.outbox.accept(len(orders))
             for stamp in stamps:
                 for proxy in range(PROXIES):
-                    self.news(Applied(proxy, stamp, 100.0))
+                    self.receive(Applied(proxy, stamp, 100.0))
 
     def take(self, line: memoryview) -> None:
         match decode_line(line):
-            case EndpointReportMessage(zone, host, tries, failed, mean_ms, window_ms, load):
-                self.facade.report_attempts(host, zone, tries, failed, window_ms, mean_ms, load)
+            case EndpointReportMessage(zone, host, attempts, failed, mean_ms, window_ms, load):
+                self.facade.report_attempts(host, zone, attempts, failed, window_ms, mean_ms, load)
             case DemandReportMessage(proxy, kind, arrived, unanswered, window_ms):
                 self.facade.report_demand(proxy, kind, arrived, unanswered, window_ms)
 
@@ -115,7 +115,7 @@
         return work, len(gc.get_objects())
 
     def replace_host(self) -> None:
-        """A host drains and goes, and another under a new name takes its place."""
+        """An endpoint drains and goes, and another under a new name takes its place."""
         self.version += 1
         old = self.names.pop(0)
         gone = replace(
@@ -124,24 +124,25 @@
         self.names.append(f"h{HOSTS + self.version}")
         self.facade.report_list([gone, *self.members()[-1:]], self.version, False)
 
-    def lines_of_a_binding(self) -> int:
-        """What the relay restates to a proxy that is bound: lines of tables, and hosts shut out."""
+    def entries_of_a_binding(self) -> int:
+        """What the relay restates to a proxy that is bound: table entries, and withdrawn endpoints."""
         return len(self.ordered)
 
 
-def test_what_is_held_does_not_grow_with_hosts_replaced() -> None:
-    """Two thousand hosts come and go: what a binding restates and what is kept stay as they were early on."""
+def test_memory_does_not_grow_with_replaced_endpoints() -> None:
+    """Two thousand endpoints come and go: what a binding restates and what is kept stay as they were early on."""
     service = Service()
-    lines, kept = [], []
+    entries = []
+    kept = []
     for _ in range(5):
         for _ in range(400):
             service.replace_host()
             for _ in range(2):
                 service.serve()
         gc.collect()
-        lines.append(service.lines_of_a_binding())
+        entries.append(service.entries_of_a_binding())
         kept.append(len(gc.get_objects()))
-    assert max(lines) < 2 * HOSTS + FORGET_AFTER_US // SECOND
+    assert max(entries) < 2 * HOSTS + FORGET_AFTER_US // SECOND
     assert max(kept[1:]) < kept[0] + 200
 
 
--- a/tests/test_inherited_tables.py
+++ b/tests/test_inherited_tables.py
@@ -1,4 +1,4 @@
-"""A director that starts while proxies serve: whose tables they keep, how long, what it learns of them."""
+"""A controller that starts while proxies serve: whose tables they keep, how long, what it learns of them."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     make_endpoints,
 )
 
-FAST = 100  # the host that the tables of before send three times as much as the others
+FAST_ENDPOINT = 100  # the endpoint that the inherited tables send three times as much as the others
 
 
 def restarted(*before: Event, fresh: bool = False) -> tuple[PolicyHarness, list[Action]]:
-    """A director that knows ten hosts, and the step in which all proxies come to it."""
+    """A controller that knows ten endpoints, and the step in which all proxies come to it."""
     harness = PolicyHarness(listed=make_endpoints(10), proxies=0)
     harness.run_until(harness.now_us + 3 * SECOND)
     harness.send(*before)
@@ -30,12 +30,12 @@
     )
 
 
-def hear(harness: PolicyHarness, attempts: int) -> list[Action]:
+def report_attempts(harness: PolicyHarness, attempts: int) -> list[Action]:
     harness.run_until(harness.now_us + SECOND)
     return harness.send(
         *(
             EndpointReport(
-                h.id, "east", attempts * (3 if h.id == FAST else 1), 0, SECOND, 200_000, ()
+                h.id, "east", attempts * (3 if h.id == FAST_ENDPOINT else 1), 0, SECOND, 200_000, ()
             )
             for h in make_endpoints(10)
         )
@@ -43,16 +43,16 @@
 
 
 def test_proxies_of_a_reconnect_storm_keep_their_tables_until_these_are_known() -> None:
-    """Bound to even weights all at once, they jammed the slow hosts: a third of the answers late for 10 s."""
+    """Bound to even weights all at once, they jammed the slow endpoints: a third of the answers late for 10 s."""
     harness, actions = restarted()
     assert actions_of_type(actions, BindProxy) == [
         BindProxy(0, 0, (0, 1))
     ]  # the first may yet be one of few
-    assert actions_of_type(hear(harness, 5), BindProxy) == []
-    assert {b.proxy for b in actions_of_type(hear(harness, 20), BindProxy)} == {1, 2, 3}
+    assert actions_of_type(report_attempts(harness, 5), BindProxy) == []
+    assert {b.proxy for b in actions_of_type(report_attempts(harness, 20), BindProxy)} == {1, 2, 3}
     harness.run_until(harness.now_us + 3 * SECOND)
-    hear(harness, 20)
-    assert harness.weight_share(FAST) == pytest.approx(0.25, abs=0.03)
+    report_attempts(harness, 20)
+    assert harness.weight_share(FAST_ENDPOINT) == pytest.approx(0.25, abs=0.03)
 
 
 def test_they_are_bound_after_a_while_even_without_reports() -> None:
@@ -95,6 +95,6 @@
 
 def test_a_controller_that_has_learned_binds_immediately() -> None:
     harness, _ = restarted()
-    hear(harness, 20)
+    report_attempts(harness, 20)
     actions = harness.send(*(ProxyJoined(p, "east", 10.0, False) for p in harness.proxies))
     assert len(actions_of_type(actions, BindProxy)) == 4
--- a/tests/test_late_joiners.py
+++ b/tests/test_late_joiners.py
@@ -27,7 +27,7 @@
 
 
 def takeover(before: int, after: int) -> tuple[PolicyHarness, list[Action]]:
-    """A host is withdrawn while so many proxies are joined and not all bound; then others join."""
+    """An endpoint is withdrawn while so many proxies are joined and not all bound; then others join."""
     settings = replace(LARGE_FLEET, drain_grace_us=12 * SECOND, proxy_count=before + after)
     harness = PolicyHarness(
         settings=settings, listed=make_endpoints(80), proxies=before, acknowledges=False
@@ -40,18 +40,18 @@
     )
 
 
-def test_few_late_joiners_are_bound_ahead_of_those_that_wait() -> None:
-    """Four in five directors died.
+def test_few_late_joiners_are_bound_before_other_unbound_proxies() -> None:
+    """Four in five controllers failed.
 
     Of those that came 0.3 s after a withdrawal one waited 14 s behind the rest to be bound, and
-    sent to the host all along.
+    sent to the endpoint all along.
     """
     harness, out = takeover(66, 2)
     assert {b.proxy for b in actions_of_type(out, BindProxy)} == {66, 67}
     assert 0 < len(harness.policy.bindings.unbound_since_us) < 66
 
 
-def test_nobody_is_bound_while_a_withdrawal_waits_or_beside_it() -> None:
+def test_no_proxy_is_bound_while_a_withdrawal_is_pending_or_in_its_step() -> None:
     """Bound in one step with it, 213 proxies held it up for 2 s: messages leave one after another."""
     harness, _ = takeover(66, 2)
     harness.send(
@@ -76,9 +76,9 @@
 
 
 def test_many_late_joiners_are_notified_with_the_next_withdrawal() -> None:
-    """1,250 proxies that came from dead directors had 13.4 s to leave 30 hosts withdrawn before.
+    """1,250 proxies that came from failed controllers had 13.4 s to leave 30 endpoints withdrawn before.
 
-    At 40 lines a binding the channel takes 15 s for them, and 105 attempts reached these hosts.
+    At 40 entries a binding the channel takes 15 s for them, and 105 attempts reached these endpoints.
     """
     harness, out = takeover(10, 60)
     assert not endpoint_orders(out)
@@ -99,7 +99,7 @@
     assert not endpoint_orders(harness.run_until(harness.now_us + 5 * SECOND))
 
 
-def test_an_endpoint_that_is_back_is_not_withdrawn_again() -> None:
+def test_a_restored_endpoint_is_not_withdrawn_again() -> None:
     harness, _ = takeover(10, 60)
     harness.send(list_changes([make_endpoint(100, started_us=harness.now_us)]))
     assert WithdrawEndpoint(100) not in harness.run_until(harness.now_us + 6 * SECOND)
--- a/tests/test_list_watch.py
+++ b/tests/test_list_watch.py
@@ -27,7 +27,7 @@
 FAILED = EndpointList(EndpointListKind.UNAVAILABLE, 0, ())
 
 
-def test_a_pushed_list_is_never_asked_for() -> None:
+def test_a_pushed_list_is_never_fetched() -> None:
     harness = PolicyHarness(listed=make_endpoints(4))
     harness.run_until(harness.now_us + 30 * SECOND)
     assert [a for _, a in harness.log if isinstance(a, WatchEndpoints)] == []
@@ -56,7 +56,7 @@
 
 
 def asks_again_after(director: int) -> int:
-    """Of a director that is stepped each 10 ms, as reports come."""
+    """Of a controller that is stepped each 10 ms, as reports come."""
     harness = PolicyHarness(
         replace(ASK, controller_index=director, controller_count=230), listed=make_endpoints(4)
     )
@@ -75,7 +75,7 @@
     assert max(asked) <= 2 * min(asked) + 1
 
 
-def test_a_dropped_subscription_is_taken_up_again() -> None:
+def test_a_dropped_watch_is_restarted() -> None:
     harness = PolicyHarness(ASK, listed=make_endpoints(4))
     harness.send(full_list(make_endpoints(4)))
     harness.run_until(harness.now_us + 10 * SECOND)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -21,7 +21,7 @@
 )
 
 
-def test_what_proxies_held_that_left_is_not_waited_for() -> None:
+def test_requests_in_flight_at_proxies_that_left_are_not_backlog() -> None:
     """Their requests came in by reports that will never tell how they ended."""
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 6)
@@ -38,7 +38,7 @@
     assert harness.admission_ratios == {0: 1.0, 1: 1.0}
 
 
-def test_a_proxy_that_joined_lately_is_no_backlog() -> None:
+def test_a_recently_joined_proxy_adds_no_backlog() -> None:
     """It reports a whole rate for a part of the period: counted as a rate it looked like an overload."""
     harness = PolicyHarness(listed=make_endpoints(10))
     run_steadily(harness)
@@ -57,8 +57,8 @@
     assert harness.admission_ratios == {0: 1.0, 1: 1.0}
 
 
-def test_a_backlog_is_no_more_than_sound_times_explain() -> None:
-    """Refused repeats came in and never ended: 190 were taken to wait where 26 were, levels at a third."""
+def test_backlog_is_bounded_by_what_response_times_explain() -> None:
+    """Rejected retries came in and never ended: 190 were taken to wait where 26 were, admission ratios at a third."""
     harness = PolicyHarness(listed=make_endpoints(10))
     run_steadily(harness)
     for _ in range(3):
@@ -69,8 +69,8 @@
 
 
 @pytest.mark.parametrize("parts", [1, 4])
-def test_rates_are_the_same_whether_reports_come_together_or_by_turns(parts: int) -> None:
-    """A quarter of the hosts and proxies report each second, on four seconds each."""
+def test_rates_do_not_depend_on_whether_reports_arrive_together_or_staggered(parts: int) -> None:
+    """A quarter of the endpoints and proxies report each second, on four seconds each."""
     listed = make_endpoints(80)
     harness = PolicyHarness(settings=LARGE_FLEET, listed=listed, proxies=40)
     for second in range(24):
@@ -89,8 +89,8 @@
     assert harness.admission_ratios[0] == 1.0
 
 
-def test_retries_are_not_taken_for_requests_that_ended() -> None:
-    """Tries refused and sent again swell what hosts report; a backlog is of requests."""
+def test_retries_are_not_counted_as_completed_requests() -> None:
+    """Rejected and retried attempts swell what endpoints report; a backlog is of requests."""
     harness = PolicyHarness(listed=make_endpoints(10))
     for _ in range(5):
         harness.run_until(harness.now_us + SECOND)
@@ -103,11 +103,11 @@
         )
     assert (
         harness.policy.load.backlog > 50
-    )  # 240 let in and 220 ended each second, though 400 attempts did
+    )  # 240 admitted and 220 ended each second, though 400 attempts did
 
 
-def test_client_retries_of_rejected_requests_are_no_offered_load() -> None:
-    """Of what comes two thirds are repeats of refused requests, refused again: V must not starve on them."""
+def test_client_retries_of_rejected_requests_are_not_offered_load() -> None:
+    """Two thirds of the load are retries of rejected requests: the capacity estimate must not starve."""
     harness = PolicyHarness(listed=make_endpoints(10))
     for _ in range(4):
         harness.run_second(make_endpoints(10), attempts=20, mean_time_us=200_000, demand=(40, 10))
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -36,7 +36,7 @@
 
 
 def test_chance_failures_on_a_busy_fleet_eject_none() -> None:
-    """Halving hosts for chance time-outs drowns the rest in turn."""
+    """Halving endpoints for chance time-outs drowns the rest in turn."""
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 4)
     for k in range(10):
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -46,22 +46,24 @@
 
 
 def test_failures_that_less_load_does_not_mend_start_no_spiral() -> None:
-    """A lossy path fails a tenth of attempts at any load, with sound times: V must not ratchet down."""
+    """A tenth of attempts fails at any load, with sound times: the estimate must not ratchet down."""
     harness = PolicyHarness(listed=make_endpoints(10))
     run_steadily(harness)
     for _ in range(40):
-        let_in = (40 * harness.admission_ratios[0] + 10 * harness.admission_ratios[1]) * 4 / 10
+        admitted_per_s = (
+            (40 * harness.admission_ratios[0] + 10 * harness.admission_ratios[1]) * 4 / 10
+        )
         harness.run_second(
             make_endpoints(10),
             failed={h.id: 0.12 for h in make_endpoints(10)},
-            attempts=max(1, round(let_in)),
+            attempts=max(1, round(admitted_per_s)),
             demand=(40, 10),
         )
     assert harness.admission_ratios[0] > 0.9
 
 
 def test_one_overload_is_answered_once() -> None:
-    """What was let in before an order reached the proxies is foreseen, not met again with a deeper cut."""
+    """What was admitted before an order reached the proxies is foreseen, not met again with a deeper cut."""
     harness = PolicyHarness(listed=make_endpoints(10))
     run_steadily(harness)
     harness.run_second(make_endpoints(10), mean_time_us=600_000, demand=(80, 20))
@@ -73,15 +75,15 @@
 
 
 def test_the_first_report_starts_no_overload_by_its_backlog() -> None:
-    """It counts all that came, but not what is still in hand, over a V that was never tried."""
+    """It counts all that came, but not what is still in hand, over a capacity estimate never tried."""
     harness = PolicyHarness(listed=make_endpoints(10))
     harness.run_second(make_endpoints(10), attempts=12, demand=(40, 10))
     assert harness.admission_ratios == {0: 1.0, 1: 1.0}
 
 
 def test_the_first_reports_after_a_start_neither_shed_load_nor_lower_the_estimate() -> None:
-    # A director that came back was told of 9 requests a second of 200 that came, a sixth of them
-    # failed, and shed for 15 s by a V that had grown from nothing.
+    # A controller that came back was notified of 9 requests a second of 200 that came, a sixth of them
+    # failed, and shed for 15 s by a capacity estimate that had grown from nothing.
     harness = PolicyHarness(listed=make_endpoints(10))
     failed = {h.id: 0.2 for h in make_endpoints(10)}
     harness.run_second(make_endpoints(10), mean_time_us=450_000, failed=failed, demand=(40, 10))
@@ -93,7 +95,7 @@
 
 
 def test_endpoints_busy_with_a_class_of_their_own_do_not_shed_the_rest() -> None:
-    """A zone short of hosts was full of its own class, and reads for the idle zone were refused."""
+    """A zone short of endpoints was full of its own class, and reads for the idle zone were rejected."""
     bound = replace(WRITE, allowed_zones=frozenset({"east"}))
     harness = PolicyHarness(replace(SETTINGS, classes=(READ, bound)), listed=make_endpoints(10))
     slow = {h.id: 1_600_000 if h.zone == "east" else 120_000 for h in make_endpoints(10)}
--- a/tests/test_partitions.py
+++ b/tests/test_partitions.py
@@ -27,7 +27,7 @@
 
 
 def test_the_capacity_estimate_does_not_fall_with_a_partition() -> None:
-    """V is heard from the hosts that answer: it is no less for hosts that did not."""
+    """The estimate comes from the endpoints that answer: it is no less for those that did not."""
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 6)
     before = harness.policy.capacity.requests_per_s
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -80,11 +80,11 @@
         replace(SETTINGS, max_backlog_entries=300.0), listed=listed, acknowledges=False
     )
     uneven = {h.id: 100_000 * (1 + k) for k, h in enumerate(listed)}
-    lines = [
+    entries = [
         len(actions_of_type(harness.run_second(listed, mean_times_us=uneven), SetWeight))
         for _ in range(12)
     ]
-    assert sum(lines[4:]) == 0
+    assert sum(entries[4:]) == 0
 
 
 def test_a_drain_is_ordered_even_where_ordinary_orders_wait() -> None:
@@ -102,13 +102,13 @@
     harness = PolicyHarness(replace(SETTINGS, max_backlog_entries=300.0), listed=listed)
     harness.policy.publisher.checkpoint_id = 65530
     uneven = {h.id: 100_000 * (1 + k) for k, h in enumerate(listed)}
-    lines = [
+    entries = [
         len(actions_of_type(harness.run_second(listed, mean_times_us=uneven), SetWeight))
         for _ in range(40)
     ]
     numbers = [a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint)]
     assert min(numbers) == 0
-    assert sum(lines[numbers.index(0) :]) > 0
+    assert sum(entries[numbers.index(0) :]) > 0
 
 
 def test_an_acknowledgement_of_an_earlier_stream_is_disregarded() -> None:
@@ -121,20 +121,20 @@
 
 
 def entries_at_a_holder(before: list[tuple[int, Action]], log: list[tuple[int, Action]]) -> int:
-    """Lines at a proxy bound to the one table; a host shut out or let back is one only if the table holds it."""
-    held, lines = set[int](), 0
+    """Entries at a proxy bound to the one table; a withdrawal is one only if the table holds the endpoint."""
+    held, entries = set[int](), 0
     for at, (_, action) in enumerate([*before, *log]):
         if isinstance(action, SetWeight):
             (held.add if action.weight > 0 else held.discard)(action.endpoint)
         if at >= len(before):
-            lines += isinstance(action, SetWeight | SetAdmission) or (
+            entries += isinstance(action, SetWeight | SetAdmission) or (
                 isinstance(action, WithdrawEndpoint | RestoreEndpoint) and action.endpoint in held
             )
-    return lines
+    return entries
 
 
-def test_admission_and_restored_endpoints_wait_for_a_channel_that_stands_still() -> None:
-    """Nothing is applied any more while hosts go and come back cold and levels fall each second."""
+def test_admission_orders_and_restored_endpoints_wait_while_the_channel_is_stalled() -> None:
+    """Nothing is applied any more while endpoints go and come back warming up and admission ratios fall each second."""
     harness = PolicyHarness(settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70)
     for _ in range(4):
         harness.run_second(make_endpoints(80), demand=(20, 5))
--- a/tests/test_reconnect_storms.py
+++ b/tests/test_reconnect_storms.py
@@ -1,4 +1,4 @@
-"""One director that takes over a fleet of 1,600 proxies, 200 hosts and 8 zones, against a count of its own."""
+"""One controller that takes over a fleet of 1,600 proxies, 200 endpoints and 8 zones, against a count of its own."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 from tests.standins import MS, Bench, Caller, StandIn, member
 
 ZONES = tuple(f"z{k}" for k in range(8))
-HOSTS = [make_endpoint(1_000 + k, ZONES[k % 8]) for k in range(200)]
-MASS = replace(
+ENDPOINTS = [make_endpoint(1_000 + k, ZONES[k % 8]) for k in range(200)]
+RECONNECT_STORM = replace(
     SETTINGS,
     zones=ZONES,
     proxy_count=1_600,
@@ -54,50 +54,50 @@
 )
 
 
-def standing(seed: int) -> Callable[[int], list[int]]:
-    """What proxies that come from another director hold: about a seventh of the hosts."""
+def inherited_endpoints(seed: int) -> Callable[[int], list[int]]:
+    """What proxies that come from another controller hold: about a seventh of the endpoints."""
     draw = random.Random(seed)
-    return lambda _: [h.id for h in draw.sample(HOSTS, 28)]
+    return lambda _: [h.id for h in draw.sample(ENDPOINTS, 28)]
 
 
 def takeover(
-    seed: int, make: Callable[[Settings], RoutingPolicy] = RoutingPolicy
+    seed: int, policy_factory: Callable[[Settings], RoutingPolicy] = RoutingPolicy
 ) -> DeliveryHarness:
-    """Four in five directors die right after hosts were announced as leaving.
+    """Four in five controllers fail right after endpoints were announced as draining.
 
     A second and a third announcement follow while their proxies come, and streams break and
     return. Raises RuleBrokenError.
     """
-    harness = DeliveryHarness(make, MASS, HOSTS)
-    gone = random.Random(seed).sample([h.id for h in HOSTS], 90)
-    harness.step(full_list(HOSTS))
-    harness.join(range(320), lambda _: [h.id for h in HOSTS[:5]], 0.5, has_no_table=True)
+    harness = DeliveryHarness(policy_factory, RECONNECT_STORM, ENDPOINTS)
+    gone = random.Random(seed).sample([h.id for h in ENDPOINTS], 90)
+    harness.step(full_list(ENDPOINTS))
+    harness.join(range(320), lambda _: [h.id for h in ENDPOINTS[:5]], 0.5, has_no_table=True)
     harness.run(6)
     harness.step(list_changes(harness.drain(gone[:30]), 2))
     harness.run(0.5)
-    harness.join(range(320, 900), standing(seed), 0.4)
+    harness.join(range(320, 900), inherited_endpoints(seed), 0.4)
     harness.step(list_changes(harness.drain(gone[30:60]), 3))
-    harness.join(range(900, 1_600), standing(seed + 1), 0.7)
+    harness.join(range(900, 1_600), inherited_endpoints(seed + 1), 0.7)
     harness.run(2)
     harness.step(list_changes(harness.drain(gone[60:]), 4))
     harness.run(2)
     harness.leave(range(1_000, 1_300))
     harness.run(0.3)
-    harness.join(range(1_000, 1_300), standing(seed + 2), 0.5)
+    harness.join(range(1_000, 1_300), inherited_endpoints(seed + 2), 0.5)
     harness.run(16)
     return harness
 
 
-@pytest.mark.parametrize("make", [RoutingPolicy, UnboundedTables])
+@pytest.mark.parametrize("policy_factory", [RoutingPolicy, UnboundedTables])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_controller_that_takes_over_the_fleet_keeps_backlog_and_drains(
-    seed: int, make: Callable[[Settings], RoutingPolicy]
+    seed: int, policy_factory: Callable[[Settings], RoutingPolicy]
 ) -> None:
-    harness = takeover(seed, make)
+    harness = takeover(seed, policy_factory)
     assert (
-        MASS.max_backlog_entries * 0.5
+        RECONNECT_STORM.max_backlog_entries * 0.5
         < harness.world.max_backlog_entries
-        <= MASS.max_backlog_entries
+        <= RECONNECT_STORM.max_backlog_entries
     )
     assert len(harness.policy.bindings) == 1_600
 
@@ -122,8 +122,8 @@
     monkeypatch.setattr(Withdrawals, "withdraw_pending", withdraw_if_all_are_bound)
 
 
-class ForgetsTheUnanswered(DeliveryTracker):
-    """Books of what answers are awaited for alone."""
+class IgnoringQueueOrder(DeliveryTracker):
+    """Tracks only unacknowledged messages."""
 
     def backlog_entries(self, now_us: int) -> float:
         return super().backlog_entries(now_us) - sum(
@@ -131,12 +131,12 @@
         )
 
 
-def forget_the_unanswered(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(controller, "DeliveryTracker", ForgetsTheUnanswered)
+def ignore_queue_order(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(controller, "DeliveryTracker", IgnoringQueueOrder)
 
 
-@pytest.mark.parametrize("weaken", [forget_late_joiners, bind_first, forget_the_unanswered])
-def test_a_defence_taken_out_is_found_by_the_count(
+@pytest.mark.parametrize("weaken", [forget_late_joiners, bind_first, ignore_queue_order])
+def test_the_independent_count_finds_a_disabled_safeguard(
     weaken: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     weaken(monkeypatch)
@@ -144,42 +144,44 @@
         takeover(1, UnboundedTables)
 
 
-# The real parts: facade, outbox and calls, over a socket to a relay that once says nothing
+# Facade, order queue and relay calls, over a socket to a relay that may not respond
 
 
-class RealDay:
+class ControllerHarness:
+    """The policy behind the facade, with a relay that loses some of its responses."""
+
     def __init__(
-        self, lost: float, make: Callable[[Settings], RoutingPolicy] = RoutingPolicy, seed: int = 1
+        self,
+        lost_fraction: float,
+        policy_factory: Callable[[Settings], RoutingPolicy] = RoutingPolicy,
+        seed: int = 1,
     ) -> None:
-        limits = Limits().for_fleet(MASS.proxy_count)
-        self.world = DeliveryWorld(MASS)
-        self.bench = Bench(limits, MASS)
-        self.facade = self.bench.facade = Facade(MASS, 7, limits, make)
-        parts = replace(self.bench.runtime, facade=self.facade)
-        self.outbox, self.waiting = (
-            OrderQueue(limits.max_queued_orders, limits.max_superseded_checkpoints),
-            Signal(),
-        )
-        self.lost, self.draw = (
-            lost,
-            random.Random(seed),
-        )  # part of the calls that are carried out and not answered
+        limits = Limits().for_fleet(RECONNECT_STORM.proxy_count)
+        self.world = DeliveryWorld(RECONNECT_STORM)
+        self.bench = Bench(limits, RECONNECT_STORM)
+        self.facade = self.bench.facade = Facade(RECONNECT_STORM, 7, limits, policy_factory)
+        runtime = replace(self.bench.runtime, facade=self.facade)
+        self.order_queue = OrderQueue(limits.max_queued_orders, limits.max_superseded_checkpoints)
+        self.orders_queued = Signal()
+        self.lost_fraction = lost_fraction  # of the calls that are executed and not answered
+        self.draw = random.Random(seed)
         relay = StandIn(self.bench.loop, self._serve)
         self.bench.loop.start(
-            "calls", RelayCalls(parts, relay.address, self.outbox, self.waiting).run()
+            "calls", RelayCalls(runtime, relay.address, self.order_queue, self.orders_queued).run()
         )
-        self.members = {f"s-{h.id}": member(f"s-{h.id}") for h in HOSTS}
-        self.members = {
-            n: replace(m, zone=ZONES[k % 8]) for k, (n, m) in enumerate(self.members.items())
+        self.members_by_name = {f"s-{h.id}": member(f"s-{h.id}") for h in ENDPOINTS}
+        self.members_by_name = {
+            n: replace(m, zone=ZONES[k % 8])
+            for k, (n, m) in enumerate(self.members_by_name.items())
         }
-        self.facade.report_cached_list(list(self.members.values()), 1)
+        self.facade.report_cached_list(list(self.members_by_name.values()), 1)
         self.facade.start(self.bench.clock.now)
 
     def _serve(self, caller: Caller) -> Coroutine[None]:
         while (call := (yield from caller.request())) is not None:
             orders = orjson.loads(call[1])["orders"]
-            self.world.order(self.bench.clock.now, [of_wire(order) for order in orders])
-            if self.draw.random() < self.lost:
+            self.world.order(self.bench.clock.now, [order_from_wire(order) for order in orders])
+            if self.draw.random() < self.lost_fraction:
                 yield from caller.silence()
                 return
             yield from caller.answer(200, b'{"ok_count":%d}' % len(orders))
@@ -190,36 +192,36 @@
             self.bench.turn()
             work = self.facade.pick()
             if work.orders:
-                assert self.outbox.add(work.orders) == 0
-                self.waiting.set()
+                assert self.order_queue.add(work.orders) == 0
+                self.orders_queued.set()
             now = self.bench.clock.now
             if now % (10 * MS) == 0:
-                for proxy, stamp in self.world.advance(now):
-                    self.outbox.acknowledge(stamp)
-                    for covered in self.outbox.covered_checkpoints(stamp):
-                        self.facade.report_acknowledged(proxy, covered, 1.0)
+                for proxy, checkpoint_id in self.world.advance(now):
+                    self.order_queue.acknowledge(checkpoint_id)
+                    for superseded in self.order_queue.covered_checkpoints(checkpoint_id):
+                        self.facade.report_acknowledged(proxy, superseded, 1.0)
                 self.world.check(now)
 
-    def join(self, proxies: range, fresh: bool, a_ms: int) -> None:
-        """So many of them a millisecond."""
+    def join(self, proxies: range, fresh: bool, per_ms: int) -> None:
+        """Proxies join, so many a millisecond."""
         draw = random.Random(proxies.start)
-        for at, proxy in enumerate(proxies):
-            names = sorted(self.members) if not fresh else sorted(self.members)[:5]
+        for position, proxy in enumerate(proxies):
+            names = sorted(self.members_by_name) if not fresh else sorted(self.members_by_name)[:5]
             self.world.join(self.bench.clock.now, proxy, draw.sample(names, 5 if fresh else 28))
             self.facade.report_proxy_joined(proxy, ZONES[proxy % 8], 2.0, fresh)
-            if at % a_ms == 0:
+            if position % per_ms == 0:
                 self.run(1)
 
     def drain(self, names: list[str], version: int) -> None:
         self.world.drain(self.bench.clock.now, names)
         self.facade.report_list(
-            [replace(self.members[n], status=EndpointStatus.DRAINING) for n in names],
+            [replace(self.members_by_name[n], status=EndpointStatus.DRAINING) for n in names],
             version,
             False,
         )
 
 
-def of_wire(order: dict[str, Any]) -> Order:
+def order_from_wire(order: dict[str, Any]) -> Order:
     match order["verb"]:
         case "SET":
             return SetEntry(order["cluster"], order["host"], order["share"])
@@ -234,11 +236,15 @@
     return Restore(order["host"])
 
 
-def taken_over(harness: RealDay) -> RealDay:
-    """Raises RuleBrokenError."""
+def run_takeover(harness: ControllerHarness) -> ControllerHarness:
+    """Lets most proxies move to this controller while endpoints drain.
+
+    Raises:
+        RuleBrokenError: Too much waits, or a proxy may send to a drained endpoint.
+    """
     harness.join(range(320), True, 1)
     harness.run(3_000)
-    gone = random.Random(1).sample(sorted(harness.members), 60)
+    gone = random.Random(1).sample(sorted(harness.members_by_name), 60)
     harness.drain(gone[:30], 2)
     harness.run(500)
     harness.join(range(320, 1_000), False, 2)
@@ -249,25 +255,25 @@
 
 
 @pytest.mark.parametrize("seed", [1, 4])
-def test_the_real_parts_keep_backlog_and_drains_though_answers_of_the_relay_are_lost(
+def test_facade_and_relay_calls_keep_backlog_and_drains_when_responses_are_lost(
     seed: int,
 ) -> None:
-    """Calls are carried out and would go again.
+    """Calls are executed and would be resent.
 
-    The channel would hold them twice. On seed 4 a withdrawal of 23,285 lines stood there at
+    The channel would hold them twice. On seed 4 a withdrawal of 23,285 entries stood there at
     46,570, where 37,700 may.
     """
-    harness = taken_over(RealDay(0.15, seed=seed))
+    harness = run_takeover(ControllerHarness(0.15, seed=seed))
     assert harness.bench.counters["relay_calls_failed"] >= 3
     assert len(harness.world.withdrawn) == 60
     harness.bench.close()
 
 
-def test_a_defence_taken_out_behind_the_real_parts_is_found_by_the_count(
+def test_the_independent_count_finds_a_disabled_safeguard_behind_facade_and_relay_calls(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     forget_late_joiners(monkeypatch)
-    harness = RealDay(0, UnboundedTables)
+    harness = ControllerHarness(0, UnboundedTables)
     with pytest.raises(RuleBrokenError):
-        taken_over(harness)
+        run_takeover(harness)
     harness.bench.close()
--- a/tests/test_relative_capacity.py
+++ b/tests/test_relative_capacity.py
@@ -31,7 +31,7 @@
 
 
 def test_an_endpoint_with_few_reports_is_measured_all_the_same() -> None:
-    """A director of few proxies hears two or three answers of a slow host in a report: it stayed overfull."""
+    """A controller of few proxies hears two or three answers of a slow endpoint in a report: it stayed overfull."""
     harness = PolicyHarness(listed=make_endpoints(10))
     for _ in range(6):
         harness.run_second(make_endpoints(10), mean_times_us={100: 800_000}, attempts=2)
@@ -60,7 +60,7 @@
 
 
 def test_any_set_of_load_values_is_accepted() -> None:
-    """A site may report the busy share without the served rate, or neither, or either for some hosts only."""
+    """A site may report the busy share without the served rate, or neither, or either for some endpoints only."""
     for names in (("util",), ("qps",), ("inflight", "queue"), ()):
         harness = PolicyHarness(
             replace(SETTINGS, load_reports_inline=True, load_report_names=names),
@@ -78,7 +78,7 @@
 
 
 def test_few_answers_of_an_endpoint_are_averaged_with_the_mean_time_of_its_kind() -> None:
-    """With five directors each hears a few answers of a host: by these alone a sound host lost 0.3 of its share."""
+    """Of five controllers each hears few answers of an endpoint: by these a sound one lost 0.3 of its weight."""
     listed = [make_endpoint(100 + k, kind="large" if k < 5 else "small") for k in range(10)]
     harness = PolicyHarness(listed=listed)
     times = {h.id: 100_000 if h.kind == "large" else 200_000 for h in listed}
@@ -88,8 +88,8 @@
     assert harness.weight_share(100) > 0.78 * harness.weight_share(101)
 
 
-def swing(attempts: int) -> float:
-    """How far one odd report moves a host's share after a calm minute, of its share before."""
+def weight_change_after_odd_report(attempts: int) -> float:
+    """How far one odd report moves an endpoint's share after a calm minute, of its share before."""
     harness = PolicyHarness(listed=make_endpoints(20), settings=LARGE_FLEET, proxies=4)
     for _ in range(60):
         harness.run_second(make_endpoints(20), attempts=attempts, demand=(5 * attempts, 0))
@@ -104,7 +104,7 @@
 
 
 def test_the_fewer_answers_are_reported_the_longer_capacities_average_them() -> None:
-    assert 0 < swing(6) < swing(40) / 2
+    assert 0 < weight_change_after_odd_report(6) < weight_change_after_odd_report(40) / 2
 
 
 def test_the_first_reports_move_a_relative_capacity_most() -> None:
@@ -120,9 +120,9 @@
 
 
 def test_a_load_report_that_contradicts_response_times_is_not_believed() -> None:
-    """A host says that it is idle and quick, and its answers take five times the mean."""
-    told = replace(LARGE_FLEET, load_reports_inline=True, load_report_names=("util", "qps"))
-    harness = PolicyHarness(settings=told, listed=make_endpoints(20), proxies=4)
+    """An endpoint says that it is idle and quick, and its answers take five times the mean."""
+    settings = replace(LARGE_FLEET, load_reports_inline=True, load_report_names=("util", "qps"))
+    harness = PolicyHarness(settings=settings, listed=make_endpoints(20), proxies=4)
     load = {h.id: (("util", 0.5), ("qps", 10.0)) for h in make_endpoints(20)} | {
         100: (("util", 0.2), ("qps", 10.0))
     }
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -1,4 +1,4 @@
-"""More proxies than a host accepts connections: zones prefer their own hosts, and no host's total changes."""
+"""More proxies than an endpoint accepts connections: zones prefer their own, no endpoint's total changes."""
 
 from __future__ import annotations
 
@@ -52,9 +52,9 @@
     out = dict.fromkeys((h.id for h in FLEET), 0.0)
     mine = [number for number in harness.policy.bindings if zone_of(harness, number) == zone]
     for number in mine:
-        lines = harness.tables[next(iter(harness.policy.tables.tables_of(number, zone)))]
-        for h, w in lines.items():
-            out[h] += w / sum(lines.values()) / len(mine)
+        entries = harness.tables[next(iter(harness.policy.tables.tables_of(number, zone)))]
+        for h, w in entries.items():
+            out[h] += w / sum(entries.values()) / len(mine)
     return out
 
 
@@ -71,8 +71,8 @@
     assert max(total.values()) < 1.15 * min(total.values())
 
 
-def test_a_zone_sends_to_others_only_what_exceeds_its_capacity() -> None:
-    harness = joined(20, 100)  # a sixth of the traffic for three tenths of the hosts
+def test_a_zone_forwards_to_others_only_what_exceeds_its_capacity() -> None:
+    harness = joined(20, 100)  # a sixth of the traffic for three tenths of the endpoints
     assert sum(shares(harness, "east")[h.id] for h in FLEET[:6]) > 0.98
     harness = joined(100, 20)
     assert sum(shares(harness, "west")[h.id] for h in FLEET[6:]) > 0.98
@@ -82,7 +82,7 @@
 
 
 def held(harness: PolicyHarness) -> dict[int, int]:
-    """Proxies that hold a line of each host: so many connections it may get."""
+    """Proxies that hold an entry of each endpoint: so many connections it may get."""
     out = dict.fromkeys(harness.policy.registry.endpoints, 0)
     for number in harness.policy.bindings:
         for table in harness.policy.tables.tables_of(number, zone_of(harness, number)):
@@ -92,10 +92,10 @@
 
 
 @pytest.mark.parametrize(("east", "west"), [(60, 60), (20, 100), (36, 84)])
-def test_no_endpoint_is_held_by_more_proxies_than_it_accepts_connections(
+def test_no_endpoint_is_in_the_tables_of_more_proxies_than_it_accepts_connections(
     east: int, west: int
 ) -> None:
-    """With tables of all hosts, 1,600 proxies brought 1,600 connections to hosts that accept 357."""
+    """With tables of all endpoints, 1,600 proxies brought 1,600 connections to endpoints that accept 357."""
     large = [make_endpoint(100 + k, "east" if k % 2 else "west") for k in range(80)]
     brought = held(joined(east, west, replace(CROWDED, min_endpoint_connections=60.0), large))
     assert min(brought.values()) > 0
@@ -103,28 +103,28 @@
 
 
 def test_a_subset_is_bound_and_changed_at_a_lower_cost() -> None:
-    """A binding of 200 lines for 323 proxies takes a channel of 3,000 a second 23 s."""
+    """A binding of 200 entries for 323 proxies takes a channel of 3,000 a second 23 s."""
     harness = joined(60, 60)
-    assert all(0 < len(lines) <= 12 for lines in harness.tables.values())
+    assert all(0 < len(entries) <= 12 for entries in harness.tables.values())
     binds = [action for _, action in harness.log if isinstance(action, BindProxy)]
     assert {b.proxy for b in binds} == set(harness.proxies)
 
 
 def test_an_endpoint_that_goes_is_replaced_in_the_tables_that_held_it_and_no_others() -> None:
     harness = joined(60, 60)
-    before = {table: dict(lines) for table, lines in harness.tables.items()}
+    before = {table: dict(entries) for table, entries in harness.tables.items()}
     harness.send(list_changes([make_endpoint(103, "east", EndpointStatus.GONE)]))
     harness.run_until(harness.now_us + 10 * SECOND)
-    assert all(103 not in lines for lines in harness.tables.values())
-    for table, lines in harness.tables.items():
+    assert all(103 not in entries for entries in harness.tables.values())
+    for table, entries in harness.tables.items():
         if 103 not in before[table]:
             assert (
-                len(lines.keys() ^ before[table].keys()) <= 2
-            )  # a zone's part of the lines may round anew
+                len(entries.keys() ^ before[table].keys()) <= 2
+            )  # a zone's part of the entries may round differently
 
 
 def test_a_withdrawal_costs_entries_where_the_endpoint_is_held() -> None:
-    """Counted at every proxy, it kept hosts that leave waiting for room that there was."""
+    """Counted at every proxy, it kept endpoints that drain waiting for capacity that was free."""
     harness = joined(60, 60)
     harness.acknowledges = False
     waits = harness.policy.delivery.backlog_entries(harness.now_us)
@@ -133,27 +133,29 @@
         for table in harness.policy.tables.tables_of(number, zone_of(harness, number)):
             holders[table] += 1
     held = {table for table, at in harness.tables.items() if 103 in at}
-    lines = dict.fromkeys(harness.tables, 0)
+    entries = dict.fromkeys(harness.tables, 0)
     out = harness.send(list_changes([make_endpoint(103, "east", EndpointStatus.GONE)]))
     assert WithdrawEndpoint(103) in out
     for action in out:
         if isinstance(action, SetWeight):
-            lines[action.table] += 1
+            entries[action.table] += 1
             held -= {action.table} if action.endpoint == 103 else set()
         elif action == WithdrawEndpoint(103):
-            lines.update((table, lines[table] + 1) for table in held)
-    cost = sum(holders[table] * (count + 7) for table, count in lines.items() if count)
+            entries.update((table, entries[table] + 1) for table in held)
+    cost = sum(holders[table] * (count + 7) for table, count in entries.items() if count)
     assert 0 < cost < 120 * 8
     assert harness.policy.delivery.backlog_entries(harness.now_us) - waits == cost
 
 
-@pytest.mark.parametrize("least", [0.0, 120.0, 500.0])
-def test_one_table_serves_all_where_connections_fit_or_are_not_told(least: float) -> None:
-    harness = joined(60, 60, replace(CROWDED, min_endpoint_connections=least))
+@pytest.mark.parametrize("min_connections", [0.0, 120.0, 500.0])
+def test_one_table_serves_all_when_connections_fit_or_are_not_limited(
+    min_connections: float,
+) -> None:
+    harness = joined(60, 60, replace(CROWDED, min_endpoint_connections=min_connections))
     assert list(harness.tables) == [0]
 
 
-def test_no_table_is_filled_before_proxies_tell_how_traffic_splits_over_zones() -> None:
+def test_no_table_is_filled_before_the_traffic_of_each_zone_is_known() -> None:
     # Filled at the start by nobody's traffic, tables led half of it abroad, and mending them
     # waited behind the bindings: requests that cross zones doubled on a calm harness.
     harness = PolicyHarness(settings=CROWDED, listed=FLEET, proxies=0)
@@ -164,7 +166,7 @@
 
 
 def test_changes_of_tables_in_use_fit_one_call() -> None:
-    """1,156 lines went as two calls, and so as two messages to proxies of which one was counted."""
+    """1,156 entries went as two calls, and so as two messages to proxies of which one was counted."""
     large = [make_endpoint(100 + k, "east" if k % 2 else "west") for k in range(600)]
     harness = joined(
         60,
@@ -181,17 +183,17 @@
     before = len(harness.log)
     harness.send(list_changes([replace(h, weight=1.0 + k % 5) for k, h in enumerate(large)]))
     harness.run_until(harness.now_us + 10 * SECOND)
-    calls, lines = list[int](), 0
+    calls, entries = list[int](), 0
     for _, action in harness.log[before:]:
-        lines += isinstance(action, SetWeight)
+        entries += isinstance(action, SetWeight)
         if isinstance(action, Checkpoint):
-            calls, lines = [*calls, lines], 0
+            calls, entries = [*calls, entries], 0
     assert sum(calls) > 1_000
     assert max(calls) <= 700
 
 
 def test_a_class_whose_zone_is_lost_does_not_stop_the_others() -> None:
-    """With tables of a part of the hosts a class left without any divided by nothing, and no step went through."""
+    """With tables of a part of the endpoints a class left without any divided by nothing, and no step went through."""
     bound = replace(SETTINGS.classes[1], allowed_zones=frozenset({"west"}))
     harness = joined(60, 60, replace(CROWDED, classes=(SETTINGS.classes[0], bound)))
     harness.send(
@@ -210,7 +212,7 @@
     harness = joined(
         60, 60, listed=[*FLEET[:6], *(make_endpoint(200 + k, "north") for k in range(14))]
     )
-    assert {h for lines in harness.tables.values() for h in lines} == {
+    assert {h for entries in harness.tables.values() for h in entries} == {
         *range(100, 106),
         *range(200, 214),
     }
@@ -221,11 +223,11 @@
     assert sum(shares(harness, "east").values()) == pytest.approx(1.0)
     assert shares(harness, "east")[100] == pytest.approx(1 / 20, rel=0.15)
     lone = PolicyHarness(settings=CROWDED, listed=FLEET[:6], proxies=120)
-    assert all(len(lines) == 6 for lines in lone.tables.values())
+    assert all(len(entries) == 6 for entries in lone.tables.values())
 
 
 def test_traffic_is_split_by_all_proxies_seen_not_only_by_those_joined_now() -> None:
-    """Four in five streams broke: by who was left, tables sent requests abroad that their zone's hosts could do."""
+    """Four in five streams broke: by who was left, tables sent requests abroad that their zone's endpoints could do."""
     harness = joined(60, 60)
     before = {
         zone: sum(shares(harness, zone)[h.id] for h in FLEET[:6]) for zone in ("east", "west")
@@ -236,21 +238,21 @@
     assert after == pytest.approx(before, rel=0.15)
 
 
-def test_tables_are_as_long_as_a_drains_grace_lets_all_proxies_be_bound_to() -> None:
-    """A director that all proxies come to has to bind them within a grace.
+def test_table_size_lets_all_proxies_be_bound_within_the_drain_grace_period() -> None:
+    """A controller that all proxies come to has to bind them within a grace.
 
-    With 200 hosts in each table, 240 proxies took 16 s where 4 s are granted.
+    With 200 endpoints in each table, 240 proxies took 16 s where 4 s are granted.
     """
     short = replace(
         SETTINGS, proxy_count=240, min_endpoint_connections=500.0, drain_grace_us=4 * SECOND
     )
     whole = [make_endpoint(100 + k, "east" if k % 2 else "west") for k in range(200)]
     harness = joined(40, 40, short, whole)
-    sizes = [len(lines) for lines in harness.tables.values()]
+    sizes = [len(entries) for entries in harness.tables.values()]
     assert 12 <= max(sizes) <= 0.75 * 4 * 3_000 / 240
-    assert {h for lines in harness.tables.values() for h in lines} == {h.id for h in whole}
+    assert {h for entries in harness.tables.values() for h in entries} == {h.id for h in whole}
     patient = joined(40, 40, replace(short, drain_grace_us=40 * SECOND), whole)
-    assert {len(lines) for lines in patient.tables.values()} == {200}
+    assert {len(entries) for entries in patient.tables.values()} == {200}
 
 
 def test_tables_of_all_endpoints_are_filled_before_any_proxy_joins() -> None:
@@ -261,7 +263,7 @@
 
 
 def test_a_zones_proxies_are_spread_over_all_subsets_however_they_are_numbered() -> None:
-    """With every second proxy in a zone, half of its groups had none, and their hosts were left out."""
+    """With every second proxy in a zone, half of its groups had none, and their endpoints were left out."""
     harness = joined(0, 0, replace(CROWDED, min_endpoint_connections=80.0))
     assert harness.policy.tables.subset_count % 2 == 0
     groups = {
@@ -274,7 +276,7 @@
 
 
 def test_proxies_stay_bound_when_all_endpoints_are_gone_and_a_complete_list_comes() -> None:
-    """With no line left the tables were laid out anew, and those bound to the former ones were bound to none."""
+    """With no entry left the tables were laid out again, and those bound to the former ones were bound to none."""
     harness = joined(60, 60)
     bound = {number for holders in harness.policy.tables.holders.values() for number in holders}
     harness.send(full_list([], 2))
--- a/tests/test_table_updates.py
+++ b/tests/test_table_updates.py
@@ -33,7 +33,7 @@
 
 
 def entries_of(actions: list[Action], table_size: int, proxies: int) -> float:
-    """Lines that a reply puts into the channel: bindings, and changes to every bound proxy."""
+    """Entries that a reply puts into the channel: bindings, and changes to every bound proxy."""
     binds = actions_of_type(actions, BindProxy)
     changed = len(actions_of_type(actions, SetWeight)) + len(endpoint_orders(actions))
     return sum(1 + table_size + len(b.classes) for b in binds) + changed * proxies
@@ -62,7 +62,7 @@
 
 
 def test_endpoints_that_restart_together_stay_within_the_backlog() -> None:
-    """A third of a large fleet comes back cold in one list while earlier orders wait unapplied."""
+    """A third of a large fleet comes back warming up in one list while earlier orders wait unapplied."""
     harness = PolicyHarness(settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70)
     harness.run_until(harness.now_us + 10 * SECOND)
     harness.acknowledges = False
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -27,9 +27,11 @@
     for _ in range(14):
         harness.run_until(harness.now_us + SECOND)
         age = (harness.now_us - fresh.started_us) / SETTINGS.warm_up_us
-        least = min(1.0, SETTINGS.warm_up_min_capacity + (1 - SETTINGS.warm_up_min_capacity) * age)
+        warm_up_capacity = min(
+            1.0, SETTINGS.warm_up_min_capacity + (1 - SETTINGS.warm_up_min_capacity) * age
+        )
         if 200 in harness.tables[0]:
-            assert harness.weight_share(200) <= 0.1 * least * 1.1
+            assert harness.weight_share(200) <= 0.1 * warm_up_capacity * 1.1
     assert harness.weight_share(200) == pytest.approx(0.1, rel=0.1)
 
 
@@ -49,8 +51,10 @@
     harness.send(list_changes(warming_up))
     harness.run_until(harness.now_us + 3 * SECOND)
     for h in warming_up:
-        least = SETTINGS.warm_up_min_capacity + (1 - SETTINGS.warm_up_min_capacity) * 3 / 12
-        assert harness.weight_share(h.id) <= least / 16 * 1.05
+        warm_up_capacity = (
+            SETTINGS.warm_up_min_capacity + (1 - SETTINGS.warm_up_min_capacity) * 3 / 12
+        )
+        assert harness.weight_share(h.id) <= warm_up_capacity / 16 * 1.05
 
 
 def test_listed_weights_count_and_an_unlisted_one_is_the_mean() -> None:
@@ -65,7 +69,7 @@
 
 
 def test_the_shared_table_has_residual_weights_beside_a_class_with_its_own_table() -> None:
-    """A fifth of the requests may only go to half of the hosts: in all, every host gets the same."""
+    """A fifth of the requests may only go to half of the endpoints: in all, every endpoint gets the same."""
     bound = replace(WRITE, allowed_zones=frozenset({"east"}))
     harness = PolicyHarness(replace(SETTINGS, classes=(READ, bound)), listed=make_endpoints(10))
     for _ in range(6):
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -1,4 +1,4 @@
-"""Withdrawals and lines on a small fleet with a short channel, against the count of tests/delivery_world.py."""
+"""Withdrawals on a small fleet with a short channel, counted by tests/delivery_world.py."""
 
 from __future__ import annotations
 
@@ -27,18 +27,20 @@
 )
 
 HOSTS = [make_endpoint(1_000 + k, "east" if k % 2 else "west") for k in range(200)]
-ROLL = replace(  # a restart of directors beside a release: half of the proxies at one director, a channel of 1.8 s
-    SETTINGS,
-    proxy_count=240,
-    min_endpoint_connections=392.0,
-    delivery_entries_per_s=3_200.0,
-    max_backlog_entries=5_800.0,
-    drain_grace_us=3_900_000,
-    mean_transit_us=226_000,
-    max_transit_us=565_000,
-    max_messages_per_proxy=12,
-    max_unserved_us=8_600_000,
-    warm_up_us=14 * SECOND,
+ROLLING_RESTART = (
+    replace(  # of controllers during a release: one has half of the proxies, a channel of 1.8 s
+        SETTINGS,
+        proxy_count=240,
+        min_endpoint_connections=392.0,
+        delivery_entries_per_s=3_200.0,
+        max_backlog_entries=5_800.0,
+        drain_grace_us=3_900_000,
+        mean_transit_us=226_000,
+        max_transit_us=565_000,
+        max_messages_per_proxy=12,
+        max_unserved_us=8_600_000,
+        warm_up_us=14 * SECOND,
+    )
 )
 
 
@@ -46,9 +48,13 @@
     return [h.id for h in HOSTS[first : first + count]]
 
 
-def release(make: Callable[[Settings], RoutingPolicy]) -> DeliveryHarness:
-    """Six in ten hosts are replaced within 7 s while proxies of other directors come. Raises RuleBrokenError."""
-    harness = DeliveryHarness(make, ROLL, HOSTS)
+def release(policy_factory: Callable[[Settings], RoutingPolicy]) -> DeliveryHarness:
+    """Replaces six in ten endpoints within 7 s while proxies of other controllers join.
+
+    Raises:
+        RuleBrokenError: Too much waits, or a proxy may send to a drained endpoint.
+    """
+    harness = DeliveryHarness(policy_factory, ROLLING_RESTART, HOSTS)
     harness.step(full_list(HOSTS))
     harness.join(range(30), lambda _: numbers(0, 5), 0.5, has_no_table=True)
     harness.run(8)
@@ -69,25 +75,25 @@
     return harness
 
 
-@pytest.mark.parametrize("make", [RoutingPolicy, UnboundedTables])
+@pytest.mark.parametrize("policy_factory", [RoutingPolicy, UnboundedTables])
 def test_late_joiners_do_not_delay_the_next_withdrawal(
-    make: Callable[[Settings], RoutingPolicy],
+    policy_factory: Callable[[Settings], RoutingPolicy],
 ) -> None:
-    """Forty hosts had been withdrawn when a proxy joined.
+    """Forty endpoints had been withdrawn when a proxy joined.
 
-    They were withdrawn anew with the next twenty, at the cost of a line at every proxy that still
-    had theirs in its table, and ahead of them: 60 hosts found no room for 4.2 s.
+    They were withdrawn again with the next twenty, at the cost of an entry at every proxy that still
+    had theirs in its table, and ahead of them: 60 endpoints found no capacity for 4.2 s.
     """
-    assert not release(make).policy.withdrawals.draining
+    assert not release(policy_factory).policy.withdrawals.draining
 
 
-def takeover(make: Callable[[Settings], RoutingPolicy]) -> DeliveryHarness:
-    """Four of five directors die right after 30 hosts began to drain.
+def takeover(policy_factory: Callable[[Settings], RoutingPolicy]) -> DeliveryHarness:
+    """Four of five controllers fail right after 30 endpoints began to drain.
 
-    Their proxies, which hold all hosts and were not told, come to the fifth within a second.
+    Their proxies, which hold all endpoints and were not notified, come to the fifth within a second.
     Raises RuleBrokenError.
     """
-    harness = DeliveryHarness(make, ROLL, HOSTS)
+    harness = DeliveryHarness(policy_factory, ROLLING_RESTART, HOSTS)
     harness.step(full_list(HOSTS))
     harness.join(range(40), lambda _: numbers(0, 5), 0.5, has_no_table=True)
     harness.run(8)
@@ -100,9 +106,9 @@
 
 
 def test_all_proxies_of_lost_controllers_are_notified_of_drains_in_time() -> None:
-    """On herd 41 a binding was 157 lines where 3,000 a second leave.
+    """On herd 41 a binding was 157 entries where 3,000 a second leave.
 
-    180 of 240 proxies waited for 12 s, 60 hosts were withdrawn by turns for 5 s, and drains of 4
+    180 of 240 proxies waited for 12 s, 60 endpoints were withdrawn by turns for 5 s, and drains of 4
     s were broken 1,482 times.
     """
     assert not takeover(RoutingPolicy).policy.bindings.unbound_since_us
@@ -111,8 +117,8 @@
 
 
 def test_entries_of_a_withdrawn_endpoint_are_removed_with_it_and_only_once() -> None:
-    """Told anew for late joiners, a host still in the table cost a line at each proxy bound to it."""
-    harness = PolicyHarness(ROLL, HOSTS, proxies=20, policy_factory=UnboundedTables)
+    """Notified again for late joiners, an endpoint still in the table cost an entry at each proxy bound to it."""
+    harness = PolicyHarness(ROLLING_RESTART, HOSTS, proxies=20, policy_factory=UnboundedTables)
     harness.run_until(harness.now_us + 8 * SECOND)
     out = harness.send(
         list_changes([make_endpoint(n, status=EndpointStatus.GONE) for n in numbers(0, 10)])
@@ -123,17 +129,17 @@
     assert {a.endpoint for a in actions_of_type(out, WithdrawEndpoint)} == set(numbers(0, 10))
     assert not harness.tables[0].keys() & set(numbers(0, 10))
     before = harness.policy.delivery.backlog_entries(harness.now_us)
-    assert before == 20 * (10 + ROLL.message_overhead_entries + 1)
+    assert before == 20 * (10 + ROLLING_RESTART.message_overhead_entries + 1)
     harness.run_until(harness.now_us + SECOND // 10)
     harness.send(*(ProxyJoined(p, "east", 10.0, False) for p in range(100, 130)))
-    told = harness.run_until(harness.now_us + 2 * SECOND)
-    assert len(endpoint_orders(told)) == 10
-    assert not [a for a in actions_of_type(told, SetWeight) if a.endpoint in numbers(0, 10)]
+    reordered = harness.run_until(harness.now_us + 2 * SECOND)
+    assert len(endpoint_orders(reordered)) == 10
+    assert not [a for a in actions_of_type(reordered, SetWeight) if a.endpoint in numbers(0, 10)]
 
 
 def restarts_after_a_gap() -> DeliveryHarness:
-    """The news had a gap, so all proxies are told as joined once more; then 60 hosts restart at once."""
-    harness = DeliveryHarness(RoutingPolicy, ROLL, HOSTS)
+    """The event stream had a gap, so all proxies are reported as joined again; then 60 endpoints restart at once."""
+    harness = DeliveryHarness(RoutingPolicy, ROLLING_RESTART, HOSTS)
     harness.step(full_list(HOSTS))
     harness.join(range(76), lambda _: numbers(0, 5), 0.5, has_no_table=True)
     harness.run(10)
@@ -143,21 +149,21 @@
     return harness
 
 
-def test_proxies_that_a_gap_in_the_news_leaves_in_doubt_may_still_take_lines() -> None:
-    """The news had a gap of 6 s and all proxies were told as joined anew.
+def test_possibly_stale_bindings_after_a_watch_gap_still_count_entries() -> None:
+    """The event stream had a gap of 6 s and all proxies were reported as joined again.
 
-    The relay still had them bound: 167 lines of the next solution went to 40 of them uncounted,
+    The relay still had them bound: 167 entries of the next solution went to 40 of them uncounted,
     and 6,939 waited where 5,800 may.
     """
     harness = restarts_after_a_gap()
     harness.run(20)
     assert not harness.policy.bindings.unbound_since_us
     assert not harness.policy.bindings.possibly_stale
-    assert 2_000 < harness.world.max_backlog_entries <= ROLL.max_backlog_entries
+    assert 2_000 < harness.world.max_backlog_entries <= ROLLING_RESTART.max_backlog_entries
 
 
-def test_a_proxy_that_left_unseen_is_bound_again() -> None:
-    harness = PolicyHarness(ROLL, HOSTS, proxies=3, policy_factory=UnboundedTables)
+def test_a_proxy_whose_leaving_was_not_reported_is_bound_again() -> None:
+    harness = PolicyHarness(ROLLING_RESTART, HOSTS, proxies=3, policy_factory=UnboundedTables)
     harness.run_until(harness.now_us + 8 * SECOND)
     harness.send(ProxyJoined(1, "east", 10.0, False))
     out = [a for _, a in harness.log] + harness.run_until(harness.now_us + 2 * SECOND)
@@ -177,16 +183,18 @@
     batch.order_endpoint(WithdrawEndpoint(endpoint))
 
 
-def test_the_count_finds_entries_left_in_the_tables(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_independent_count_finds_entries_left_in_tables(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(Withdrawals, "withdraw", withdraw_without_entries)
     with pytest.raises(RuleBrokenError):
         release(UnboundedTables)
 
 
-def test_hosts_that_restart_leave_messages_for_a_withdrawal() -> None:
-    """Falls of cold hosts went out as each line found room, a message at a time.
+def test_restarted_endpoints_leave_message_budget_for_a_withdrawal() -> None:
+    """Falls of warming-up endpoints went out as each entry fitted, a message at a time.
 
-    All twelve that a proxy may be written within 10 s were gone in one, and hosts that drained
+    All twelve that a proxy may be written within 10 s were gone in one, and endpoints that drained
     then were not withdrawn for 8 s.
     """
     harness = restarts_after_a_gap()
@@ -197,14 +205,16 @@
     assert not harness.policy.withdrawals.draining
 
 
-def test_a_channel_that_stands_still_is_not_taken_for_empty() -> None:
+def test_a_stalled_channel_is_not_considered_empty() -> None:
     """On roll 54 answers to a step came 2.4 to 3 s late.
 
-    A full channel takes 2.38 s: after that its lines stood in the way of nothing any more, and
+    A full channel takes 2.38 s: after that its entries stood in the way of nothing any more, and
     6,237 waited where 5,800 may. The rules' times grow with such a channel's.
     """
     harness = DeliveryHarness(
-        RoutingPolicy, replace(ROLL, drain_grace_us=3 * ROLL.drain_grace_us), HOSTS
+        RoutingPolicy,
+        replace(ROLLING_RESTART, drain_grace_us=3 * ROLLING_RESTART.drain_grace_us),
+        HOSTS,
     )
     harness.step(full_list(HOSTS))
     harness.join(range(2), lambda _: numbers(0, 5), 0.5, has_no_table=True)
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -50,9 +50,9 @@
 
 
 def report(size: int) -> int:
-    """A report on every host and proxy, with orders due."""
+    """A report on every endpoint and proxy, with orders due."""
     harness = fleet_harness(size)
-    lines: list[Event] = [
+    reports: list[Event] = [
         *(
             EndpointReport(h.id, "east", 20, 0, SECOND, 1000 * (200 + h.id % 300), ())
             for h in make_endpoints(size)
@@ -60,11 +60,11 @@
         *(DemandReport(p, k, 10, 0, SECOND) for p in range(2 * size) for k in range(2)),
     ]
     harness.run_until(harness.now_us + 2 * SECOND)
-    return steps(lambda: harness.send(*lines))
+    return steps(lambda: harness.send(*reports))
 
 
 def deploy(size: int) -> int:
-    """Nine tenths of the hosts replaced by cold ones in one list."""
+    """Nine tenths of the endpoints replaced by endpoints warming up in one list."""
     harness = fleet_harness(size)
     new = [make_endpoint(9000 + k, started_us=harness.now_us) for k in range(size * 9 // 10)]
     gone = [replace(h, status=type(h.status).GONE) for h in make_endpoints(size)[: size * 9 // 10]]
@@ -77,7 +77,7 @@
 
 
 def joining(size: int) -> int:
-    """All proxies come to one director at once and are bound as its channel has room."""
+    """All proxies come to one controller at once and are bound as its channel has room."""
     harness = PolicyHarness(
         settings=replace(SETTINGS, proxy_count=2 * size), listed=make_endpoints(30), proxies=0
     )
@@ -87,12 +87,12 @@
     )
 
 
-def test_four_hundred_proxies_that_join_at_once_cost_a_step_in_line_with_their_number() -> None:
+def test_the_work_of_a_step_grows_linearly_with_proxies_that_join_together() -> None:
     small = joining(100)
     assert small < joining(200) < 2.5 * small
 
 
-def test_the_work_of_a_step_grows_in_line_with_hosts_and_proxies() -> None:
+def test_the_work_of_a_step_grows_linearly_with_endpoints_and_proxies() -> None:
     for kind in (report, deploy, acknowledgements):
         small = kind(60)
         assert 1000 < small < kind(120) < 2.5 * small, kind.__name__
