--- a/tests/raftworld.py
+++ b/tests/raftworld.py
@@ -6,10 +6,18 @@
 import random
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
-from typing import Any
+from enum import Enum
 
+from kelpcourse.shared.controller_events import PeerMessage
 from kelpcourse.shared.errors import RequestRejectedError
-from kelpcourse.shared.raft.messages import Configuration, EntryKind, LogEntry, MemberId, Snapshot
+from kelpcourse.shared.raft.messages import (
+    Configuration,
+    EntryKind,
+    LogEntry,
+    MemberId,
+    RaftMessage,
+    Snapshot,
+)
 from kelpcourse.shared.raft.node import Raft
 from kelpcourse.shared.raft.options import RaftOptions
 from kelpcourse.shared.raft.persistent import PersistentState, StateWrite, apply_write
@@ -131,7 +139,7 @@
             self.take(node)
         self.schedule(5 * MS, lambda: self._tick(node, raft))
 
-    def deliver(self, sender: MemberId, to: MemberId, message: Any) -> None:
+    def deliver(self, sender: MemberId, to: MemberId, message: PeerMessage) -> None:
         node = self.nodes.get(to)
         if node is None or node.raft is None or (sender, to) in self.blocked_links:
             return
@@ -140,8 +148,9 @@
             return
         self._received(node, sender, message)
 
-    def _received(self, node: Node, sender: MemberId, message: Any) -> None:
+    def _received(self, node: Node, sender: MemberId, message: PeerMessage) -> None:
         assert node.raft is not None
+        assert isinstance(message, RaftMessage)
         node.raft.receive(self.clock(node), sender, message)
         self.take(node)
 
@@ -164,7 +173,7 @@
             raft.note_written(self.clock(node), node.disk.sync())
             self.take(node)
 
-    def _send(self, sender: MemberId, to: MemberId, message: Any) -> None:
+    def _send(self, sender: MemberId, to: MemberId, message: PeerMessage) -> None:
         for _ in range(1 + (self.random.random() < self.duplicate_ratio)):
             if self.random.random() >= self.loss_ratio and (sender, to) not in self.blocked_links:
                 self.schedule(
@@ -215,10 +224,8 @@
         logs = [n.raft.log for n in self.nodes.values() if n.raft is not None]
         for one in logs:
             for other in logs:
-                low, high = (
-                    max(one.snapshot.index, other.snapshot.index),
-                    min(one.last_index, other.last_index),
-                )
+                low = max(one.snapshot.index, other.snapshot.index)
+                high = min(one.last_index, other.last_index)
                 same = False
                 for index in range(high, low, -1):
                     if one.term_at(index) == other.term_at(index):
@@ -257,7 +264,7 @@
         )
         self.take(node)
 
-    def run_until(self, condition: Callable[[], Any], patience_us: int = 20_000 * MS) -> None:
+    def run_until(self, condition: Callable[[], object], patience_us: int = 20_000 * MS) -> None:
         ends = self.now_us + patience_us
         while not condition():
             if self.now_us >= ends:
@@ -277,39 +284,67 @@
         return all(data in n.applied[-1][1] for n in self.nodes.values() if n.raft is not None)
 
 
-def run_faults(world: World, steps: int, churn: bool = True) -> None:
-    """Faults drawn from the world's seed, proposals between them."""
-    draw = world.random
-    names = sorted(world.nodes)
-    for step in range(steps):
-        node = world.nodes[draw.choice(names)]
-        what = draw.randrange(10)
-        if what == 0 and churn:
+class Fault(Enum):
+    """What a step of a run with faults does."""
+
+    CRASH_OR_START = 0
+    BLOCK_RANDOM_LINKS = 1
+    PARTITION = 2
+    UNBLOCK_LINKS = 3
+    CHANGE_LOSS = 4
+    PAUSE_OR_CONTINUE = 5
+    CHANGE_DELAY = 6
+    ADVANCE_CLOCK = 7
+    NONE = 8
+    NONE_EITHER = 9
+
+
+def inject_node_fault(world: World, node: Node, fault: Fault, churn: bool) -> None:
+    """Injects a fault that concerns one node; does nothing for the others."""
+    match fault:
+        case Fault.CRASH_OR_START if churn:
             if node.raft is None:
                 world.start(node)
             else:
                 world.crash(node)
-        elif what == 1:
+        case Fault.PAUSE_OR_CONTINUE:
+            node.paused = not node.paused
+        case Fault.ADVANCE_CLOCK if node.raft is not None:
+            node.clock_offset_us += world.random.choice([0, 50 * MS])
+
+
+def inject_network_fault(world: World, fault: Fault) -> None:
+    """Injects a fault of the network; does nothing for the others."""
+    draw = world.random
+    names = sorted(world.nodes)
+    match fault:
+        case Fault.BLOCK_RANDOM_LINKS:
             world.blocked_links = {(a, b) for a in names for b in names if draw.random() < 0.3}
-        elif what == 2:
+        case Fault.PARTITION:
             half = set(draw.sample(names, len(names) // 2))
             world.blocked_links = {
                 (a, b) for a in names for b in names if (a in half) != (b in half)
             }
-        elif what == 3:
+        case Fault.UNBLOCK_LINKS:
             world.blocked_links.clear()
-        elif what == 4:
-            world.loss_ratio, world.duplicate_ratio = draw.choice(
-                [(0.0, 0.0), (0.2, 0.0), (0.1, 0.3)]
-            )
-        elif what == 5:
-            node.paused = not node.paused
-        elif what == 6:
+        case Fault.CHANGE_LOSS:
+            ratios = draw.choice([(0.0, 0.0), (0.2, 0.0), (0.1, 0.3)])
+            world.loss_ratio, world.duplicate_ratio = ratios
+        case Fault.CHANGE_DELAY:
             world.delay_us = draw.choice([(1 * MS, 5 * MS), (1 * MS, 80 * MS)])
-        elif what == 7 and node.raft is not None:
-            node.clock_offset_us += draw.choice([0, 50 * MS])
-        for k in range(draw.randint(0, 3)):
-            data = b"<%d.%d>" % (step, k)
+
+
+def run_faults(world: World, steps: int, churn: bool = True) -> None:
+    """Faults drawn from the world's seed, proposals between them."""
+    draw = world.random
+    names = sorted(world.nodes)
+    for step in range(steps):
+        node = world.nodes[draw.choice(names)]
+        fault = Fault(draw.randrange(10))
+        inject_node_fault(world, node, fault, churn)
+        inject_network_fault(world, fault)
+        for position in range(draw.randint(0, 3)):
+            data = b"<%d.%d>" % (step, position)
             if world.propose(data):
                 world.accepted.append(data)
         world.run(draw.randint(5 * MS, 150 * MS))
--- a/tests/test_stored_controller.py
+++ b/tests/test_stored_controller.py
@@ -190,10 +190,10 @@
         opener.open(folder)
 
 
-def stored_maps(payload: bytes) -> Any:
+def stored_maps(payload: bytes) -> tuple[list[str], object]:
     """A record's MessagePack with sorted members: sets are written in any order."""
 
-    def sort_members(value: Any) -> Any:
+    def sort_members(value: object) -> object:
         if isinstance(value, dict):
             return {
                 name: sorted(part) if name in ("voters", "learners") else sort_members(part)
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -24,7 +24,7 @@
     """Bytecode instructions of Python code that the work takes."""
     count = 0
 
-    def trace(frame: FrameType, event: str, _: Any) -> Any:
+    def trace(frame: FrameType, event: str, _: object) -> Callable[[FrameType, str, Any], Any]:
         nonlocal count
         frame.f_trace_opcodes = True
         count += event == "opcode"
