--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,6 +14,7 @@
 from tests.fleet import SETTINGS
 from tests.listening import ListenerRig
 from tests.loop_rig import SocketPair
+from tests.simulator_input import AdapterHarness
 from tests.standins import HASTY, QUICK, Bench, ScriptedPolicy, member
 from tests.zonerig import World
 
@@ -83,3 +84,9 @@
     made = World(tmp_path)
     yield made
     made.close()
+
+
+@pytest.fixture
+def adapter_harness() -> AdapterHarness:
+    """The simulator's adapter, with policies that record their events."""
+    return AdapterHarness()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -18,8 +18,8 @@
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.service.config import ConfigError, read_config
 from kelpcourse.settings import read_settings
+from tests.simulator_input import CONFIG
 from tests.standins import entry
-from tests.test_adapter import CONFIG
 
 SETTINGS: dict[str, Any] = {
     "az": "room-a",
