--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -20,7 +20,7 @@
 from kelpcourse.lab.loopback import free_address
 from kelpcourse.zones.zonefile import format_zone
 from tests.zonerig import KEY, PRIMARY, SECRET, added_endpoint, update_message
-from tests.zoning import ORIGIN, rec, rooms, zone
+from tests.zoning import ORIGIN, record, sample_endpoints, zone_with
 
 PATIENCE_S = 60.0
 
@@ -30,7 +30,7 @@
     key = tmp_path / "staff.key"
     key.write_bytes(SECRET)
     key.chmod(0o600)
-    (tmp_path / "games.zone").write_text(format_zone(zone(1, rooms())))
+    (tmp_path / "games.zone").write_text(format_zone(zone_with(1, sample_endpoints())))
     listen = free_address()
     (tmp_path / "z.kdl").write_text(
         PRIMARY.format(update="", more="").replace("127.0.0.1:1", f"127.0.0.1:{listen[1]}")
@@ -62,10 +62,13 @@
 
 
 def test_a_record_that_can_not_be_used_is_a_line_and_exit_1(folder: Path) -> None:
-    bad = zone(
+    bad = zone_with(
         1,
-        rooms(),
-        [rec("s-9", "TXT", '"cell=x"'), rec("_game._tcp.room-a", "SRV", f"0 1 5 s-9.{ORIGIN}")],
+        sample_endpoints(),
+        [
+            record("s-9", "TXT", '"cell=x"'),
+            record("_game._tcp.room-a", "SRV", f"0 1 5 s-9.{ORIGIN}"),
+        ],
     )
     (folder / "games.zone").write_text(format_zone(bad))
     done = run("zones", "check", folder / "games.zone", "--origin", ORIGIN)
--- a/tests/test_dns_bytes.py
+++ b/tests/test_dns_bytes.py
@@ -18,7 +18,7 @@
 import pytest
 
 from tests.zonerig import KEY, Client, World, ZoneNode, added_endpoint, update_message
-from tests.zoning import ORIGIN, SERVICE, host, rooms, zone
+from tests.zoning import ORIGIN, SERVICE, endpoint_records, sample_endpoints, zone_with
 
 GOLDEN = Path(__file__).parent / "golden" / "wire"
 NOW_S = 1_700_000_000
@@ -39,8 +39,10 @@
 
 
 def primary(world: World, more: str = "") -> tuple[ZoneNode, Client]:
-    many = [r for k in range(40) for r in host(f"n-{k}", "room-c", address=f"127.0.1.{k}")]
-    node = world.primary(zone(1, rooms(), many), more=more)
+    many = [
+        r for k in range(40) for r in endpoint_records(f"n-{k}", "room-c", address=f"127.0.1.{k}")
+    ]
+    node = world.primary(zone_with(1, sample_endpoints(), many), more=more)
     world.run_until(lambda: node.zones.zone_states[ORIGIN].zone.exists)
     return node, Client(world, node)
 
--- a/tests/test_zone_answer.py
+++ b/tests/test_zone_answer.py
@@ -6,11 +6,11 @@
 
 from kelpcourse.zones.answer import look_up
 from kelpcourse.zones.endpoint_extraction import SRV, A
-from tests.zoning import ORIGIN, SERVICE, rec, rooms, zone
+from tests.zoning import ORIGIN, SERVICE, record, sample_endpoints, zone_with
 
 
 def test_queries_are_answered_from_the_zone() -> None:
-    start = zone(1, rooms(), [rec("alias", "CNAME", "s-0." + ORIGIN)])
+    start = zone_with(1, sample_endpoints(), [record("alias", "CNAME", "s-0." + ORIGIN)])
     found = look_up(start, f"{SERVICE}.room-a.{ORIGIN}", SRV)
     assert (len(found.answer[0]), sorted(str(r.name) for r in found.additional)) == (
         2,
--- a/tests/test_zone_endpoint_extraction.py
+++ b/tests/test_zone_endpoint_extraction.py
@@ -8,7 +8,7 @@
 from kelpcourse.zones.endpoint_extraction import EndpointExtractor
 from kelpcourse.zones.records import Record
 from kelpcourse.zones.versions import build_zone
-from tests.zoning import ORIGIN, SERVICE, draft_of, host, rec, zone
+from tests.zoning import ORIGIN, SERVICE, endpoint_records, pending_version_of, record, zone_with
 
 
 def extractor_of(*records: Record) -> EndpointExtractor:
@@ -19,7 +19,9 @@
 
 def test_an_endpoint_has_the_attributes_of_its_records() -> None:
     extractor = extractor_of(
-        *host("s-1", txt='"kind=m2" "cell=3" "phase=draining" "started=1767225600000"', weight=7)
+        *endpoint_records(
+            "s-1", txt='"kind=m2" "cell=3" "phase=draining" "started=1767225600000"', weight=7
+        )
     )
     (one,) = extractor.endpoints.values()
     assert (one.name, one.address, one.zone, one.kind, one.cell) == (
@@ -38,62 +40,70 @@
 
 
 def test_an_endpoint_needs_an_srv_and_an_address_record() -> None:
-    srv, address = host("s-1")
+    srv, address = endpoint_records("s-1")
     assert extractor_of(address).endpoints == {}
     alone = extractor_of(srv)
     assert alone.endpoints == {}
     assert [(p.owner, p.field) for p in alone.problems()] == [("s-1." + ORIGIN, "address")]
-    assert extractor_of(srv, rec("s-1", "AAAA", "::1")).endpoints["s-1"].address == ("::1", 5000)
+    assert extractor_of(srv, record("s-1", "AAAA", "::1")).endpoints["s-1"].address == ("::1", 5000)
 
 
 @pytest.mark.parametrize(
     ("record", "owner", "field"),
     [
-        (rec("s-1", "TXT", '"phase=drainin"'), "s-1", "phase"),
-        (rec("s-1", "TXT", '"cell=-1"'), "s-1", "cell"),
-        (rec("s-1", "TXT", '"cell=1" "cell=2"'), "s-1", "cell"),
-        (rec("s-1", "TXT", '"started=now"'), "s-1", "started"),
-        (rec("s-1", "TXT", '"kind="'), "s-1", "kind"),
-        (rec("s-1", "TXT", '"started=99999999999999999999"'), "s-1", "started"),
-        (rec(f"{SERVICE}.room-b", "SRV", "0 1 5000 s-9." + ORIGIN), "s-9", "address"),
-        (rec(f"{SERVICE}.room-b", "SRV", "0 1 5000 s-1.elsewhere."), f"{SERVICE}.room-b", "target"),
-        (rec(f"{SERVICE}.room-b", "SRV", "0 1 5000 ."), f"{SERVICE}.room-b", "target"),
+        (record("s-1", "TXT", '"phase=drainin"'), "s-1", "phase"),
+        (record("s-1", "TXT", '"cell=-1"'), "s-1", "cell"),
+        (record("s-1", "TXT", '"cell=1" "cell=2"'), "s-1", "cell"),
+        (record("s-1", "TXT", '"started=now"'), "s-1", "started"),
+        (record("s-1", "TXT", '"kind="'), "s-1", "kind"),
+        (record("s-1", "TXT", '"started=99999999999999999999"'), "s-1", "started"),
+        (record(f"{SERVICE}.room-b", "SRV", "0 1 5000 s-9." + ORIGIN), "s-9", "address"),
         (
-            rec(f"{SERVICE}.x.room-b", "SRV", "0 1 5000 s-1." + ORIGIN),
+            record(f"{SERVICE}.room-b", "SRV", "0 1 5000 s-1.elsewhere."),
+            f"{SERVICE}.room-b",
+            "target",
+        ),
+        (record(f"{SERVICE}.room-b", "SRV", "0 1 5000 ."), f"{SERVICE}.room-b", "target"),
+        (
+            record(f"{SERVICE}.x.room-b", "SRV", "0 1 5000 s-1." + ORIGIN),
             f"{SERVICE}.x.room-b",
             "owner",
         ),
-        (rec(f"{SERVICE}.room-b", "SRV", "0 1 0 s-2." + ORIGIN), f"{SERVICE}.room-b", "port"),
-        (rec(f"{SERVICE}.room-b", "SRV", "0 1 5000 s-1." + ORIGIN), f"{SERVICE}.room-b", "target"),
-        (rec("s-1", "A", "10.0.0.2"), "s-1", "address"),
+        (record(f"{SERVICE}.room-b", "SRV", "0 1 0 s-2." + ORIGIN), f"{SERVICE}.room-b", "port"),
+        (
+            record(f"{SERVICE}.room-b", "SRV", "0 1 5000 s-1." + ORIGIN),
+            f"{SERVICE}.room-b",
+            "target",
+        ),
+        (record("s-1", "A", "10.0.0.2"), "s-1", "address"),
     ],
 )
 def test_an_unusable_record_is_reported_and_the_others_count(
     record: Record, owner: str, field: str
 ) -> None:
-    extractor = extractor_of(*host("s-1"), *host("s-3"), record)
+    extractor = extractor_of(*endpoint_records("s-1"), *endpoint_records("s-3"), record)
     assert [(p.owner, p.field) for p in extractor.problems()] == [(f"{owner}.{ORIGIN}", field)]
     assert sorted(extractor.endpoints) == ["s-1", "s-3"]
     assert extractor.endpoints["s-1"].status is EndpointStatus.READY
 
 
 def test_of_two_srv_records_for_a_target_every_controller_chooses_the_same() -> None:
-    first, second = host("s-1", "room-a"), host("s-1", "room-b")
+    first, second = endpoint_records("s-1", "room-a"), endpoint_records("s-1", "room-b")
     for order in ([*first, *second], [*second, *first]):
         assert extractor_of(*order).endpoints["s-1"].zone == "room-a"
-    backup = rec(f"{SERVICE}.room-0", "SRV", "9 1 5000 s-1." + ORIGIN)
+    backup = record(f"{SERVICE}.room-0", "SRV", "9 1 5000 s-1." + ORIGIN)
     extractor = extractor_of(*first, backup)
     assert (extractor.endpoints["s-1"].zone, extractor.problems()) == ("room-a", [])
 
 
 def test_a_new_address_of_a_target_is_one_change() -> None:
-    start = zone(1, host("s-1"), host("s-2"))
+    start = zone_with(1, endpoint_records("s-1"), endpoint_records("s-2"))
     extractor = EndpointExtractor(ORIGIN, SERVICE)
     extractor.start(start)
-    draft = draft_of(
+    draft = pending_version_of(
         start,
-        [rec("s-1", "A", "10.9.9.9"), rec("s-1", "TXT", '"started=7"')],
-        [rec("s-1", "A", "10.0.0.1")],
+        [record("s-1", "A", "10.9.9.9"), record("s-1", "TXT", '"started=7"')],
+        [record("s-1", "A", "10.0.0.1")],
     )
     step = draft.difference(0)
     start.apply(step)
--- a/tests/test_zone_files.py
+++ b/tests/test_zone_files.py
@@ -6,7 +6,7 @@
 
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.zonefile import format_zone, parse_zone_text
-from tests.zoning import LIMITS, ORIGIN, rec, rooms, zone
+from tests.zoning import LIMITS, ORIGIN, record, sample_endpoints, zone_with
 
 HEAD = "$TTL 60\n@ SOA ns staff 1 60 10 600 30\n@ NS ns\n"
 
@@ -44,8 +44,10 @@
 
 
 def test_a_zone_written_out_is_the_same_zone() -> None:
-    start = zone(
-        7, rooms(), [rec("x", "TXT", '"a b" "c;d"'), rec("*", "MX", "5 mail.example.org.")]
+    start = zone_with(
+        7,
+        sample_endpoints(),
+        [record("x", "TXT", '"a b" "c;d"'), record("*", "MX", "5 mail.example.org.")],
     )
     assert sorted(parse_zone_text(format_zone(start), ORIGIN, LIMITS).records()) == sorted(
         start.records()
--- a/tests/test_zone_follower.py
+++ b/tests/test_zone_follower.py
@@ -12,7 +12,14 @@
 from kelpcourse.zones.versions import Zone
 from tests.zoneprimary import ScriptedPrimary
 from tests.zonerig import MS, OTHER, SECOND, World, ZoneNode
-from tests.zoning import ORIGIN, draft_of, host, rooms, soa, zone
+from tests.zoning import (
+    ORIGIN,
+    endpoint_records,
+    pending_version_of,
+    sample_endpoints,
+    soa_record,
+    zone_with,
+)
 
 
 def with_soa(start: Zone, record: Record) -> Zone:
@@ -27,7 +34,8 @@
     world: World, serial: int = 100, expire: int = 600
 ) -> tuple[ScriptedPrimary, ZoneNode]:
     primary = ScriptedPrimary(
-        world.loop, with_soa(zone(serial, rooms()), soa(serial, expire=expire))
+        world.loop,
+        with_soa(zone_with(serial, sample_endpoints()), soa_record(serial, expire=expire)),
     )
     node = world.secondary(primary.address)
     world.run_until(lambda: node.serial == serial)
@@ -50,14 +58,14 @@
     world: World, serial: int, verdict: str
 ) -> None:
     primary, node = following(world)
-    primary.zone = zone(serial, host("s-9"))
+    primary.zone = zone_with(serial, endpoint_records("s-9"))
     for _ in range(3):
         query_again(world, node, primary)
     assert (node.serial, set(node.statuses)) == (100, {f"s-{k}" for k in range(4)})
     (line,) = node.log.named("zone_versions_inconsistent")
     assert (line["verdict"], line["current"], line["received"]) == (verdict, 100, serial)
     assert "AXFR" not in primary.queries
-    primary.zone = zone(101, rooms(), host("s-9"))
+    primary.zone = zone_with(101, sample_endpoints(), endpoint_records("s-9"))
     query_again(world, node, primary)
     assert "s-9" in node.statuses
     assert len(node.log.named("zone_versions_consistent")) == 1
@@ -66,7 +74,10 @@
 def test_an_old_zone_behind_a_newer_soa_is_not_accepted(world: World) -> None:
     """Behind one address stand two servers, of which one is late."""
     primary, node = following(world)
-    primary.zone, primary.transferred_zone = zone(102, rooms(), host("s-9")), zone(98, host("s-8"))
+    primary.zone, primary.transferred_zone = (
+        zone_with(102, sample_endpoints(), endpoint_records("s-9")),
+        zone_with(98, endpoint_records("s-8")),
+    )
     query_again(world, node, primary)
     assert (node.serial, len(node.statuses)) == (100, 4)
     primary.transferred_zone = None
@@ -76,8 +87,12 @@
 
 def test_differences_that_do_not_fit_fall_back_to_axfr(world: World) -> None:
     primary, node = following(world)
-    new = zone(101, rooms(3), host("s-9"))
-    stranger = draft_of(zone(100, host("nobody")), host("s-9"), host("nobody")).difference(0)
+    new = zone_with(101, sample_endpoints(3), endpoint_records("s-9"))
+    stranger = pending_version_of(
+        zone_with(100, endpoint_records("nobody")),
+        endpoint_records("s-9"),
+        endpoint_records("nobody"),
+    ).difference(0)
     primary.zone, primary.ixfr = new, lambda _: ixfr_records(new, [stranger])
     query_again(world, node, primary)
     assert primary.queries == ["SOA", "IXFR", "AXFR"]
@@ -87,7 +102,11 @@
 
 def test_differences_that_fit_are_applied(world: World) -> None:
     primary, node = following(world)
-    draft = draft_of(primary.zone, host("s-9"), [r for r in rooms() if r.owner.startswith("s-0.")])
+    draft = pending_version_of(
+        primary.zone,
+        endpoint_records("s-9"),
+        [r for r in sample_endpoints() if r.owner.startswith("s-0.")],
+    )
     step = draft.difference(0)
     new = primary.zone.copy()
     new.apply(step)
@@ -100,7 +119,7 @@
 @pytest.mark.parametrize("cut", [0, 1, 2])
 def test_an_interrupted_transfer_leaves_the_zone_unchanged(world: World, cut: int) -> None:
     primary, node = following(world)
-    primary.zone = zone(101, [r for k in range(500) for r in host(f"h-{k}")])
+    primary.zone = zone_with(101, [r for k in range(500) for r in endpoint_records(f"h-{k}")])
     primary.cut_after = cut
     query_again(world, node, primary)
     assert (node.serial, len(node.statuses)) == (100, 4)
@@ -122,7 +141,7 @@
     assert not answer.is_available
     primary.silent, primary.zone = (
         False,
-        zone(7, rooms(), host("s-9")),
+        zone_with(7, sample_endpoints(), endpoint_records("s-9")),
     )  # and what it has then is believed
     world.run_until(lambda: node.serial == 7)
     assert answer.is_available
@@ -131,7 +150,7 @@
 
 def test_a_serial_that_went_back_is_accepted_after_expire(world: World) -> None:
     primary, node = following(world, expire=30)
-    primary.zone = with_soa(zone(7, host("s-9")), soa(7, expire=30))
+    primary.zone = with_soa(zone_with(7, endpoint_records("s-9")), soa_record(7, expire=30))
     world.run_until(lambda: node.serial == 7)
     assert node.log.named("zone_expired")
     assert set(node.statuses) == {"s-9"}
@@ -139,7 +158,7 @@
 
 def test_forged_responses_are_ignored_until_the_true_one(world: World) -> None:
     primary, node = following(world)
-    forged = zone(105, host("evil"))
+    forged = zone_with(105, endpoint_records("evil"))
 
     def forge(query: dns.message.Message) -> list[bytes]:
         other_id = primary.soa_answer(query, forged)
@@ -154,15 +173,15 @@
         return [other_id.to_wire(), unsigned.to_wire(), wrongly.to_wire(), b"\xff" * 20]
 
     primary.forged_responses = forge
-    primary.zone = zone(101, rooms(), host("s-9"))
+    primary.zone = zone_with(101, sample_endpoints(), endpoint_records("s-9"))
     query_again(world, node, primary)
     assert (node.serial, "s-9" in node.statuses, "evil" in node.statuses) == (101, True, False)
     assert node.counters["zone_answers_unverified"] >= 4
 
 
 def test_without_a_key_a_response_from_another_port_is_ignored(world: World) -> None:
-    primary = ScriptedPrimary(world.loop, zone(100, rooms()), signed=False)
-    other = ScriptedPrimary(world.loop, zone(105, host("evil")), signed=False)
+    primary = ScriptedPrimary(world.loop, zone_with(100, sample_endpoints()), signed=False)
+    other = ScriptedPrimary(world.loop, zone_with(105, endpoint_records("evil")), signed=False)
     node = world.secondary(primary.address, key=False)
     heard: list[int] = []
 
@@ -178,8 +197,8 @@
 
 
 def test_two_primaries_of_which_one_is_behind_and_one_is_dead(world: World) -> None:
-    ahead = ScriptedPrimary(world.loop, zone(101, rooms(), host("s-9")))
-    behind = ScriptedPrimary(world.loop, zone(100, rooms()))
+    ahead = ScriptedPrimary(world.loop, zone_with(101, sample_endpoints(), endpoint_records("s-9")))
+    behind = ScriptedPrimary(world.loop, zone_with(100, sample_endpoints()))
     node = world.secondary(("127.0.0.1", 9), behind.address, ahead.address)
     world.run_until(lambda: node.serial == 100)
     behind.silent = True
@@ -194,14 +213,14 @@
 
 def test_two_histories_under_one_serial_are_reported(world: World) -> None:
     one, node = following(world)
-    one.zone = with_soa(zone(100, host("s-9")), soa(100, refresh=61))
+    one.zone = with_soa(zone_with(100, endpoint_records("s-9")), soa_record(100, refresh=61))
     query_again(world, node, one)
     assert [line["verdict"] for line in node.log.named("zone_versions_inconsistent")] == ["differs"]
     assert len(node.statuses) == 4
 
 
 def test_a_restarted_secondary_keeps_its_zone_and_its_expire_time(world: World) -> None:
-    primary = ScriptedPrimary(world.loop, zone(100, rooms()))
+    primary = ScriptedPrimary(world.loop, zone_with(100, sample_endpoints()))
     node = world.secondary(primary.address, more='state "state"')
     world.run_until(
         lambda: (
@@ -210,7 +229,7 @@
             and not node.zones.store.writer.broken
         )
     )
-    primary.zone = zone(101, rooms(), host("s-9"))
+    primary.zone = zone_with(101, sample_endpoints(), endpoint_records("s-9"))
     query_again(world, node, primary)
     world.run_until(
         lambda: node.zones.store.writer is not None and not node.zones.store.writer.waiting
@@ -225,8 +244,13 @@
 
 def test_no_endpoint_is_removed_until_every_zone_was_loaded(world: World) -> None:
     """A director that starts knows hosts of a zone that it can't ask yet: they must not count as gone."""
-    there, other = ScriptedPrimary(world.loop, zone(1, rooms(2))), "chess.example.org."
-    late = ScriptedPrimary(world.loop, zone(1, host("c-1", origin=other), origin=other))
+    there, other = (
+        ScriptedPrimary(world.loop, zone_with(1, sample_endpoints(2))),
+        "chess.example.org.",
+    )
+    late = ScriptedPrimary(
+        world.loop, zone_with(1, endpoint_records("c-1", origin=other), origin=other)
+    )
     late.silent = True
     path = world.new_folder("two", None)
     (path / "z.kdl").write_text(f"""zones {{
--- a/tests/test_zone_history.py
+++ b/tests/test_zone_history.py
@@ -6,13 +6,13 @@
 
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.history import History, restore_version
-from tests.zoning import draft_of, rec, zone
+from tests.zoning import pending_version_of, record, zone_with
 
 
 def test_history_is_bounded_and_forgets_the_oldest() -> None:
-    history, one = History(8), zone(1)
+    history, one = History(8), zone_with(1)
     for k in range(10):
-        step = draft_of(one, [rec(f"x-{k}", "A", "10.0.0.1")]).difference(0)
+        step = pending_version_of(one, [record(f"x-{k}", "A", "10.0.0.1")]).difference(0)
         one.apply(step)
         history.add(step)
     assert history.serials() == [10, 9, 8][::-1][-2:]
--- a/tests/test_zone_merged_list.py
+++ b/tests/test_zone_merged_list.py
@@ -8,7 +8,7 @@
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.merged_list import MergedEndpointList
 from kelpcourse.zones.refresh import SECOND_US
-from tests.zoning import member
+from tests.zoning import listed_endpoint
 
 MS = 1000
 
@@ -19,27 +19,29 @@
 
 def test_an_endpoint_that_returns_after_the_grace_counts_as_started_then() -> None:
     one = merged_list()
-    one.update("z", {"s": member("s", started=5.0)}, 0, 1_000)
+    one.update("z", {"s": listed_endpoint("s", started_ms=5.0)}, 0, 1_000)
     gone, _ = one.update("z", {"s": None}, 10 * MS, 1_010)
     assert [m.status for m in gone] == [EndpointStatus.GONE]
-    back, _ = one.update("z", {"s": member("s", started=5.0)}, 60 * MS, 1_060)
-    assert back == [member("s", started=5.0)]
+    back, _ = one.update("z", {"s": listed_endpoint("s", started_ms=5.0)}, 60 * MS, 1_060)
+    assert back == [listed_endpoint("s", started_ms=5.0)]
     one.update("z", {"s": None}, 100 * MS, 1_100)
-    back, _ = one.update("z", {"s": member("s", started=5.0)}, 100 * MS + 2 * SECOND_US + 1, 3_101)
+    back, _ = one.update(
+        "z", {"s": listed_endpoint("s", started_ms=5.0)}, 100 * MS + 2 * SECOND_US + 1, 3_101
+    )
     assert [m.started_ms for m in back] == [3_101.0]
     drained, _ = one.update(
-        "z", {"s": member("s", phase=EndpointStatus.DRAINING)}, 9 * SECOND_US, 9_000
+        "z", {"s": listed_endpoint("s", status=EndpointStatus.DRAINING)}, 9 * SECOND_US, 9_000
     )
     assert [(m.status, m.started_ms) for m in drained] == [(EndpointStatus.DRAINING, 3_101.0)]
 
 
 def test_an_endpoint_is_listed_while_any_zone_announces_it_and_drains_if_any_says_so() -> None:
     merged = merged_list("a", "b")
-    merged.update("a", {"s": member("s", started=5.0)}, 0, 0)
-    assert merged.update("b", {"s": member("s", started=9.0)}, 0, 0)[0] == [
-        member("s", started=9.0)
+    merged.update("a", {"s": listed_endpoint("s", started_ms=5.0)}, 0, 0)
+    assert merged.update("b", {"s": listed_endpoint("s", started_ms=9.0)}, 0, 0)[0] == [
+        listed_endpoint("s", started_ms=9.0)
     ]
-    out, _ = merged.update("b", {"s": member("s", phase=EndpointStatus.DRAINING)}, 0, 0)
+    out, _ = merged.update("b", {"s": listed_endpoint("s", status=EndpointStatus.DRAINING)}, 0, 0)
     assert [m.status for m in out] == [EndpointStatus.DRAINING]
     assert (
         merged.update("a", {"s": None}, 0, 0)[0] != []
@@ -50,11 +52,14 @@
 
 def test_a_conflict_of_zones_is_reported_once_and_the_first_zone_decides() -> None:
     merged = merged_list("a", "b")
-    merged.update("b", {"s": member("s", address="10.0.0.2")}, 0, 0)
-    out, conflicts = merged.update("a", {"s": member("s", address="10.0.0.1")}, 0, 0)
+    merged.update("b", {"s": listed_endpoint("s", address="10.0.0.2")}, 0, 0)
+    out, conflicts = merged.update("a", {"s": listed_endpoint("s", address="10.0.0.1")}, 0, 0)
     assert [m.address[0] for m in out] == ["10.0.0.1"]
     assert [(c.endpoint, c.begins) for c in conflicts] == [("s", True)]
-    assert merged.update("a", {"s": member("s", address="10.0.0.1", started=1.0)}, 0, 0)[1] == []
+    assert (
+        merged.update("a", {"s": listed_endpoint("s", address="10.0.0.1", started_ms=1.0)}, 0, 0)[1]
+        == []
+    )
     out, conflicts = merged.update("a", {"s": None}, 0, 0)
     assert [m.address[0] for m in out] == ["10.0.0.2"]
     assert [c.begins for c in conflicts] == [False]
@@ -62,9 +67,9 @@
 
 def test_a_change_of_several_endpoints_is_one_version_and_no_change_is_none() -> None:
     one = merged_list()
-    out, _ = one.update("z", {f"s-{k}": member(f"s-{k}") for k in range(5)}, 0, 0)
+    out, _ = one.update("z", {f"s-{k}": listed_endpoint(f"s-{k}") for k in range(5)}, 0, 0)
     assert (len(out), one.version) == (5, 1)
-    assert one.update("z", {"s-0": member("s-0")}, 0, 0) == ([], [])
+    assert one.update("z", {"s-0": listed_endpoint("s-0")}, 0, 0) == ([], [])
     assert one.version == 1
     out, _ = one.update("z", {f"s-{k}": None for k in range(5)}, 0, 0)
     assert (len(out), one.version, one.endpoints) == (5, 2, {})
@@ -97,7 +102,7 @@
         announced[zone].pop(name, None)
         if status is not None:
             announced[zone][name] = status
-        endpoint = member(name, phase=status) if status else None
+        endpoint = listed_endpoint(name, status=status) if status else None
         changed, _ = merged.update(zone, {name: endpoint}, now, now)
         for entry in changed:
             listed.pop(entry.name, None)
--- a/tests/test_zone_names.py
+++ b/tests/test_zone_names.py
@@ -5,7 +5,7 @@
 import pytest
 
 from kelpcourse.zones.names import is_under, labels, relative
-from tests.zoning import ORIGIN, rec
+from tests.zoning import ORIGIN, record
 
 
 @pytest.mark.parametrize(
@@ -28,4 +28,4 @@
 
 
 def test_records_of_tests_have_lower_case_owners() -> None:
-    assert rec("S-1", "A", "10.0.0.1").owner == "s-1." + ORIGIN
+    assert record("S-1", "A", "10.0.0.1").owner == "s-1." + ORIGIN
--- a/tests/test_zone_persistence.py
+++ b/tests/test_zone_persistence.py
@@ -13,15 +13,26 @@
     encode_snapshot,
 )
 from kelpcourse.zones.versions import Zone, difference_between
-from tests.zoning import LIMITS, ORIGIN, SERVICE, draft_of, held, host, rooms, zone
+from tests.zoning import (
+    LIMITS,
+    ORIGIN,
+    SERVICE,
+    endpoint_records,
+    pending_version_of,
+    sample_endpoints,
+    zone_state_of,
+    zone_with,
+)
 
 
 def test_stored_entries_replay_to_the_same_zones() -> None:
-    one = held(zone(1, rooms()))
+    one = zone_state_of(zone_with(1, sample_endpoints()))
     payloads = []
     first = difference_between(Zone(ORIGIN), one.zone, 5)
     payloads.append(encode_entry(ZoneChanged(ORIGIN, first)))
-    step = draft_of(one.zone, remove=host("s-0", address="127.0.0.10")).difference(9)
+    step = pending_version_of(
+        one.zone, remove=endpoint_records("s-0", address="127.0.0.10")
+    ).difference(9)
     one.apply(step, 0)
     payloads.append(encode_entry(ZoneChanged(ORIGIN, step)))
     replay = ZoneReplay([ORIGIN], SERVICE, LIMITS)
--- a/tests/test_zone_query_handler.py
+++ b/tests/test_zone_query_handler.py
@@ -12,7 +12,7 @@
     World,
     start_primary,
 )
-from tests.zoning import ORIGIN, SERVICE, host, rec, rooms, zone
+from tests.zoning import ORIGIN, SERVICE, endpoint_records, record, sample_endpoints, zone_with
 
 NOERROR, REFUSED = dns.rcode.NOERROR, dns.rcode.REFUSED
 
@@ -31,9 +31,11 @@
 
 def test_an_answer_too_large_for_udp_is_truncated_and_complete_over_tcp(world: World) -> None:
     many = [
-        r for k in range(60) for r in host(f"host-with-a-long-name-{k}", address=f"127.0.1.{k}")
+        r
+        for k in range(60)
+        for r in endpoint_records(f"host-with-a-long-name-{k}", address=f"127.0.1.{k}")
     ]
-    node = world.primary(zone(1, many))
+    node = world.primary(zone_with(1, many))
     client, owner = Client(world, node), f"{SERVICE}.room-a.{ORIGIN}"
     cut = client.query(owner, "SRV")
     assert cut.flags & dns.flags.TC
@@ -44,8 +46,10 @@
 
 def test_records_of_other_types_are_served(world: World) -> None:
     node = world.primary(
-        zone(
-            1, rooms(), [rec("x", "MX", "5 mail.example.org."), rec("x", "TYPE65400", "\\# 2 abcd")]
+        zone_with(
+            1,
+            sample_endpoints(),
+            [record("x", "MX", "5 mail.example.org."), record("x", "TYPE65400", "\\# 2 abcd")],
         )
     )
     assert len(Client(world, node).query("x." + ORIGIN, "TYPE65400").answer) == 1
--- a/tests/test_zone_request_handler.py
+++ b/tests/test_zone_request_handler.py
@@ -18,7 +18,7 @@
     added_endpoint,
     update_message,
 )
-from tests.zoning import LIMITS, ORIGIN, held, rooms, zone
+from tests.zoning import LIMITS, ORIGIN, sample_endpoints, zone_state_of, zone_with
 
 
 class RejectingContext:
@@ -67,7 +67,7 @@
 def test_arbitrary_bytes_get_at_most_one_response_and_change_nothing(
     wire: bytes, tcp: bool
 ) -> None:
-    start = held(zone(1, rooms()))
+    start = zone_state_of(zone_with(1, sample_endpoints()))
     said: list[bytes] = []
     handler = DnsRequestHandler(
         {ORIGIN: start}, {}, {"k": OTHER}, LIMITS, Counters(), RecordingLog(), RejectingContext()
--- a/tests/test_zone_server.py
+++ b/tests/test_zone_server.py
@@ -19,7 +19,7 @@
     open_descriptor_count,
     start_primary,
 )
-from tests.zoning import ORIGIN, rooms, zone
+from tests.zoning import ORIGIN, sample_endpoints, zone_with
 
 NOERROR, REFUSED = dns.rcode.NOERROR, dns.rcode.REFUSED
 
@@ -60,7 +60,9 @@
 
 
 def test_connections_are_bounded_and_the_longest_idle_is_evicted(world: World) -> None:
-    node = world.primary(zone(1, rooms()), limits=replace(QUICK, max_dns_tcp_connections=8))
+    node = world.primary(
+        zone_with(1, sample_endpoints()), limits=replace(QUICK, max_dns_tcp_connections=8)
+    )
     client = Client(world, node)
     crowd = []
     for _ in range(30):
--- a/tests/test_zone_transfers.py
+++ b/tests/test_zone_transfers.py
@@ -17,7 +17,7 @@
     added_endpoint,
     start_primary,
 )
-from tests.zoning import ORIGIN, host, zone
+from tests.zoning import ORIGIN, endpoint_records, zone_with
 
 NOERROR, REFUSED = dns.rcode.NOERROR, dns.rcode.REFUSED
 
@@ -75,9 +75,9 @@
     many = [
         r
         for k in range(700)
-        for r in host(f"h-{k}", address=f"127.{k % 200}.1.{k // 200}", txt='"kind=m2"')
+        for r in endpoint_records(f"h-{k}", address=f"127.{k % 200}.1.{k // 200}", txt='"kind=m2"')
     ]
-    node = world.primary(zone(1, many))
+    node = world.primary(zone_with(1, many))
     second = world.secondary(node.address)
     world.run_until(lambda: second.serial == 1)
     assert len(second.statuses) == 700
--- a/tests/test_zone_update.py
+++ b/tests/test_zone_update.py
@@ -10,7 +10,7 @@
 from kelpcourse.zones.records import SOA, Record, parse_soa
 from kelpcourse.zones.update import UpdateRejectedError, evaluate
 from kelpcourse.zones.versions import Zone
-from tests.zoning import ORIGIN, rec, rooms, zone
+from tests.zoning import ORIGIN, record, sample_endpoints, zone_with
 
 
 def update_message(*calls: tuple[str, ...]) -> dns.update.UpdateMessage:
@@ -48,7 +48,7 @@
     ],
 )
 def test_update_prerequisites(calls: tuple[str, ...], rcode: dns.rcode.Rcode | None) -> None:
-    start = zone(1, rooms())
+    start = zone_with(1, sample_endpoints())
     pending = PendingVersion(start)
     if rcode is None:
         evaluate(update_message(calls), pending)
@@ -59,7 +59,7 @@
 
 
 def test_an_update_changes_records_but_keeps_soa_ns_and_cname_rules() -> None:
-    start = zone(1, rooms(), [rec("alias", "CNAME", "s-0." + ORIGIN)])
+    start = zone_with(1, sample_endpoints(), [record("alias", "CNAME", "s-0." + ORIGIN)])
     assert {r.owner for r in changes_of(start, ("delete", "s-0"))} == {"s-0." + ORIGIN}
     assert changes_of(start, ("delete", "s-0", "A", "10.9.9.9")) == set()
     assert (
@@ -74,7 +74,7 @@
 
 
 def test_the_serial_advances_by_one_or_to_the_soa_of_the_update_and_never_goes_back() -> None:
-    start = zone(7)
+    start = zone_with(7)
     for told, result in ((9, 9), (6, 8), (7, 8)):
         pending = PendingVersion(start)
         text = f"ns.{ORIGIN} staff.{ORIGIN} {told} 60 10 600 30"
--- a/tests/test_zone_update_policy.py
+++ b/tests/test_zone_update_policy.py
@@ -4,9 +4,10 @@
 
 import pytest
 
-from kelpcourse.memory.endpoints import ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
+from kelpcourse.zones.endpoint_extraction import SRV, TXT
 from kelpcourse.zones.errors import ZoneError
+from kelpcourse.zones.records import SOA
 from kelpcourse.zones.refresh import SECOND_US
 from kelpcourse.zones.update_policy import (
     EndpointClass,
@@ -17,7 +18,16 @@
     read_grant,
     rejection_reason,
 )
-from tests.zoning import LIMITS, ORIGIN, draft_of, held, host, member, rooms, zone
+from tests.zoning import (
+    LIMITS,
+    ORIGIN,
+    endpoint_records,
+    listed_endpoint,
+    pending_version_of,
+    sample_endpoints,
+    zone_state_of,
+    zone_with,
+)
 
 
 @pytest.mark.parametrize(
@@ -38,28 +48,32 @@
 
 def test_a_grant_resolves_relative_names_and_rejects_what_it_does_not_list() -> None:
     grant = read_grant("k", ORIGIN, ["*.room-a", "s-1"], ["srv", "A"], 1.0, 0)
-    assert grant.allows_record("_game._tcp.room-a." + ORIGIN, 33)
-    assert not grant.allows_record("_game._tcp.room-b." + ORIGIN, 33)
-    assert not grant.allows_record("s-1." + ORIGIN, 16)
-    assert grant.allows_record(ORIGIN, 6)  # the serial
+    assert grant.allows_record("_game._tcp.room-a." + ORIGIN, SRV)
+    assert not grant.allows_record("_game._tcp.room-b." + ORIGIN, SRV)
+    assert not grant.allows_record("s-1." + ORIGIN, TXT)
+    assert grant.allows_record(ORIGIN, SOA)  # the serial
     for names, types in ((["s-1.elsewhere."], []), ([], ["HOST"]), (["a..b"], [])):
         with pytest.raises(ZoneError):
             read_grant("k", ORIGIN, names, types, 1.0, 0)
 
 
 def rejection_of(
-    most: float, taken: int, within_us: int = 0, classes: tuple[EndpointClass, ...] = ()
+    max_removed_fraction: float, removed_count: int, classes: tuple[EndpointClass, ...] = ()
 ) -> str:
-    """An update that takes away so many of four hosts, s-0 and s-2 of room-a first."""
-    start = held(zone(1, rooms()))
-    names = ["s-0", "s-2", "s-1", "s-3"][:taken]
-    draft = draft_of(
+    """Stages an update that removes some of four endpoints, s-0 and s-2 of room-a first."""
+    start = zone_state_of(zone_with(1, sample_endpoints()))
+    names = ["s-0", "s-2", "s-1", "s-3"][:removed_count]
+    draft = pending_version_of(
         start.head,
-        remove=[r for r in rooms() if any(n in r.owner or n.encode() in r.data for n in names)],
+        remove=[
+            r
+            for r in sample_endpoints()
+            if any(n in r.owner or n.encode() in r.data for n in names)
+        ],
     )
     return start.stage_update(
         draft.difference(0),
-        UpdateGrant("k", max_removed_fraction=most, window_us=within_us),
+        UpdateGrant("k", max_removed_fraction=max_removed_fraction),
         classes,
         0,
     )
@@ -85,42 +99,54 @@
 
 
 def test_small_updates_within_the_window_add_up() -> None:
-    hosts = {f"s-{k}": member(f"s-{k}") for k in range(10)}
-    losses = RemovalHistory(LIMITS.zone_removal_window_us)
+    endpoints = {f"s-{k}": listed_endpoint(f"s-{k}") for k in range(10)}
+    removals = RemovalHistory(LIMITS.zone_removal_window_us)
     grant = UpdateGrant("k", max_removed_fraction=0.3, window_us=60 * SECOND_US)
-    start = held(zone(1, rooms()))
-    nothing = draft_of(start.head).difference(0)
+    start = zone_state_of(zone_with(1, sample_endpoints()))
+    nothing = pending_version_of(start.head).difference(0)
 
-    def take(name: str, now_us: int, to: ListedEndpoint | None = None) -> str:
-        why = rejection_reason(grant, nothing, hosts, {name: to}, losses, (), now_us)
-        if not why:
-            losses.record({name: hosts[name]}, {name: to}, now_us)
-            del hosts[name]
-        return why
+    def remove(name: str, now_us: int) -> str:
+        reason = rejection_reason(grant, nothing, endpoints, {name: None}, removals, (), now_us)
+        if not reason:
+            removals.record({name: endpoints[name]}, {name: None}, now_us)
+            del endpoints[name]
+        return reason
 
-    assert [take(f"s-{k}", k) for k in range(3)] == ["", "", ""]
-    assert "takes away 4 of 10" in take("s-3", 3)
-    assert take("s-3", 60 * SECOND_US + 3) == ""  # what was lost before is no longer counted
-    losses.record({"s-0": None}, {"s-0": member("s-0")}, 60 * SECOND_US + 4)
-    assert losses.removed_since(0).keys() == {"s-1", "s-2", "s-3"}
+    assert [remove(f"s-{k}", k) for k in range(3)] == ["", "", ""]
+    assert "takes away 4 of 10" in remove("s-3", 3)
+    assert remove("s-3", 60 * SECOND_US + 3) == ""  # earlier removals are outside the window
+    removals.record({"s-0": None}, {"s-0": listed_endpoint("s-0")}, 60 * SECOND_US + 4)
+    assert removals.removed_since(0).keys() == {"s-1", "s-2", "s-3"}
 
 
 def test_draining_counts_as_a_removal_and_restoring_does_not() -> None:
-    hosts = {"a": member("a"), "b": member("b", phase=EndpointStatus.DRAINING)}
-    start = held(zone(1, rooms()))
-    nothing = draft_of(start.head).difference(0)
+    endpoints = {
+        "a": listed_endpoint("a"),
+        "b": listed_endpoint("b", status=EndpointStatus.DRAINING),
+    }
+    start = zone_state_of(zone_with(1, sample_endpoints()))
+    nothing = pending_version_of(start.head).difference(0)
     grant = UpdateGrant("k", max_removed_fraction=0.0)
-    losses = RemovalHistory(0)
+    removals = RemovalHistory(0)
     assert rejection_reason(
-        grant, nothing, hosts, {"a": member("a", phase=EndpointStatus.DRAINING)}, losses, (), 0
+        grant,
+        nothing,
+        endpoints,
+        {"a": listed_endpoint("a", status=EndpointStatus.DRAINING)},
+        removals,
+        (),
+        0,
+    )
+    assert (
+        rejection_reason(grant, nothing, endpoints, {"b": listed_endpoint("b")}, removals, (), 0)
+        == ""
     )
-    assert rejection_reason(grant, nothing, hosts, {"b": member("b")}, losses, (), 0) == ""
-    assert rejection_reason(grant, nothing, hosts, {"b": None}, losses, (), 0) == ""
+    assert rejection_reason(grant, nothing, endpoints, {"b": None}, removals, (), 0) == ""
 
 
 def test_a_rejected_update_leaves_the_head_as_it_was() -> None:
-    start = held(zone(1, rooms()))
-    draft = draft_of(start.head, remove=host("s-0", address="127.0.0.10")[1:])
+    start = zone_state_of(zone_with(1, sample_endpoints()))
+    draft = pending_version_of(start.head, remove=endpoint_records("s-0", address="127.0.0.10")[1:])
     assert start.stage_update(
         draft.difference(0), UpdateGrant("k", max_removed_fraction=0.0), (), 0
     )
@@ -134,8 +160,10 @@
         EndpointClass("submit", frozenset({"room-a"}), frozenset()),
         EndpointClass("big", frozenset(), frozenset({"m8"})),
     )
-    assert classes_without_endpoints(classes, [member("s", "room-b")]) == ["submit", "big"]
-    assert classes_without_endpoints(classes, [member("s", phase=EndpointStatus.DRAINING)]) == [
+    assert classes_without_endpoints(classes, [listed_endpoint("s", "room-b")]) == ["submit", "big"]
+    assert classes_without_endpoints(
+        classes, [listed_endpoint("s", status=EndpointStatus.DRAINING)]
+    ) == [
         "any",
         "submit",
         "big",
--- a/tests/test_zone_versions.py
+++ b/tests/test_zone_versions.py
@@ -15,14 +15,24 @@
 from kelpcourse.zones.records import SOA, Record
 from kelpcourse.zones.serials import next_serial
 from kelpcourse.zones.versions import Zone
-from tests.zoning import LIMITS, ORIGIN, SERVICE, draft_of, host, rec, rooms, soa, zone
+from tests.zoning import (
+    LIMITS,
+    ORIGIN,
+    SERVICE,
+    endpoint_records,
+    pending_version_of,
+    record,
+    sample_endpoints,
+    soa_record,
+    zone_with,
+)
 
 RECORD_POOL = [
-    *rooms(3),
-    *host("s-0", "room-b", "127.0.0.99"),
-    rec("s-1", "TXT", '"phase=draining"'),
-    rec("s-2", "AAAA", "::1"),
-    rec(f"{SERVICE}.room-a", "SRV", "0 1 5000 s-1.elsewhere."),
+    *sample_endpoints(3),
+    *endpoint_records("s-0", "room-b", "127.0.0.99"),
+    record("s-1", "TXT", '"phase=draining"'),
+    record("s-2", "AAAA", "::1"),
+    record(f"{SERVICE}.room-a", "SRV", "0 1 5000 s-1.elsewhere."),
 ]
 
 change_steps = st.lists(
@@ -35,7 +45,7 @@
     steps: Sequence[Sequence[tuple[bool, Record]]],
 ) -> tuple[Zone, set[Record], EndpointExtractor, History, list[Zone]]:
     """Plays steps on a zone through pending versions, and beside it on a plain set of records."""
-    one = zone(1)
+    one = zone_with(1)
     plain_records = set(one.records())
     extractor = EndpointExtractor(ORIGIN, SERVICE)
     history = History(LIMITS.max_zone_history_records)
@@ -43,20 +53,20 @@
     extractor.start(one)
     for step in steps:
         pending = PendingVersion(one)
-        for add, record in step:
+        for add, changed in step:
             if add:
-                pending.add(record)
-                plain_records.add(record)
+                pending.add(changed)
+                plain_records.add(changed)
             else:
-                assert pending.remove(record.owner, record.type, record.data) is (
-                    record in plain_records
+                assert pending.remove(changed.owner, changed.type, changed.data) is (
+                    changed in plain_records
                 )
-                plain_records.discard(record)
+                plain_records.discard(changed)
         if not pending.is_changed():
             continue
         pending.advance_serial()
         plain_records = {r for r in plain_records if r.type != SOA} | {
-            soa(pending.difference(0).new_serial)
+            soa_record(pending.difference(0).new_serial)
         }
         difference = pending.difference(0)
         one.apply(difference)
@@ -95,11 +105,11 @@
 
 
 def test_a_difference_that_does_not_fit_changes_nothing() -> None:
-    one = zone(1, host("s-1"))
+    one = zone_with(1, endpoint_records("s-1"))
     before = sorted(one.records())
-    step = draft_of(one, host("s-2"), host("s-1")).difference(0)
-    one.remove(host("s-1")[0])
-    one.add(rec("x", "A", "10.0.0.3"))
+    step = pending_version_of(one, endpoint_records("s-2"), endpoint_records("s-1")).difference(0)
+    one.remove(endpoint_records("s-1")[0])
+    one.add(record("x", "A", "10.0.0.3"))
     with pytest.raises(ZoneError, match="no such SRV"):
         one.apply(step)
     assert sorted(one.records()) != before
@@ -108,9 +118,9 @@
 
 
 def test_a_new_ttl_replaces_the_whole_record_set() -> None:
-    one = zone(1, [rec("x", "A", "10.0.0.1"), rec("x", "A", "10.0.0.2")])
+    one = zone_with(1, [record("x", "A", "10.0.0.1"), record("x", "A", "10.0.0.2")])
     pending = PendingVersion(one)
-    pending.add(rec("x", "A", "10.0.0.3", ttl=5))
+    pending.add(record("x", "A", "10.0.0.3", ttl=5))
     pending.advance_serial()
     step = pending.difference(0)
     one.apply(step)
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -31,7 +31,7 @@
 from kelpcourse.zones.versions import Zone
 from kelpcourse.zones.zonefile import format_zone
 from tests.standins import FakeClock, RecordingLog
-from tests.zoning import ORIGIN, SERVICE, rooms, zone
+from tests.zoning import ORIGIN, SERVICE, sample_endpoints, zone_with
 
 MS = 1000
 SECOND = 1_000_000
@@ -325,7 +325,9 @@
     more: str = "",
     classes: tuple[EndpointClass, ...] = (),
 ) -> tuple[ZoneNode, Client]:
-    node = world.primary(zone(1, rooms()), update=update, more=more, classes=classes)
+    node = world.primary(
+        zone_with(1, sample_endpoints()), update=update, more=more, classes=classes
+    )
     world.run_until(
         lambda: node.zones.store.writer is not None and not node.zones.store.writer.broken
     )
--- a/tests/zoning.py
+++ b/tests/zoning.py
@@ -21,85 +21,89 @@
 LIMITS = Limits()
 
 
-def rec(owner: str, type_: str, text: str, ttl: int = 60, origin: str = ORIGIN) -> Record:
+def record(owner: str, type_: str, text: str, ttl: int = 60, origin: str = ORIGIN) -> Record:
+    """Returns a record; the owner is relative to the origin, `@` is the origin itself."""
     number = dns.rdatatype.from_text(type_)
-    full = origin if owner == "@" else f"{owner}.{origin}"
-    return Record(
-        full.lower(),
-        int(number),
-        ttl,
-        canonical_data(dns.rdata.from_text(dns.rdataclass.IN, number, text)),
-    )
+    absolute = origin if owner == "@" else f"{owner}.{origin}"
+    rdata = dns.rdata.from_text(dns.rdataclass.IN, number, text)
+    return Record(absolute.lower(), int(number), ttl, canonical_data(rdata))
 
 
-def soa(
+def soa_record(
     serial: int, origin: str = ORIGIN, refresh: int = 60, retry: int = 10, expire: int = 600
 ) -> Record:
-    return rec(
-        "@",
-        "SOA",
-        f"ns.{origin} staff.{origin} {serial} {refresh} {retry} {expire} 30",
-        origin=origin,
-    )
+    """Returns the SOA record of a zone; times are in seconds."""
+    text = f"ns.{origin} staff.{origin} {serial} {refresh} {retry} {expire} 30"
+    return record("@", "SOA", text, origin=origin)
 
 
-def host(
+def endpoint_records(
     name: str,
-    room: str = "room-a",
+    zone: str = "room-a",
     address: str = "10.0.0.1",
     port: int = 5000,
     txt: str = "",
     weight: int = 1,
     origin: str = ORIGIN,
 ) -> list[Record]:
-    """The records of one host."""
-    out = [
-        rec(f"{SERVICE}.{room}", "SRV", f"0 {weight} {port} {name}.{origin}", origin=origin),
-        rec(name, "A", address, origin=origin),
+    """Returns the records of one endpoint; `zone` is the policy's."""
+    srv_text = f"0 {weight} {port} {name}.{origin}"
+    records = [
+        record(f"{SERVICE}.{zone}", "SRV", srv_text, origin=origin),
+        record(name, "A", address, origin=origin),
     ]
-    return [*out, rec(name, "TXT", txt, origin=origin)] if txt else out
-
-
-def zone(serial: int, *records: Iterable[Record], origin: str = ORIGIN) -> Zone:
-    ns = rec("@", "NS", f"ns.{origin}", origin=origin)
-    return build_zone(origin, [soa(serial, origin), ns, *(r for some in records for r in some)])
-
-
-def rooms(count: int = 4) -> list[Record]:
-    """Hosts s-0.. in room-a and room-b by turns."""
-    return [
-        r
-        for k in range(count)
-        for r in host(
-            f"s-{k}", f"room-{'ab'[k % 2]}", f"127.0.0.{k + 10}", txt=f'"cell={k}" "kind=m2"'
+    if txt:
+        records.append(record(name, "TXT", txt, origin=origin))
+    return records
+
+
+def zone_with(serial: int, *records: Iterable[Record], origin: str = ORIGIN) -> Zone:
+    """Returns a zone with an SOA and an NS record and these."""
+    ns_record = record("@", "NS", f"ns.{origin}", origin=origin)
+    others = [each for group in records for each in group]
+    return build_zone(origin, [soa_record(serial, origin), ns_record, *others])
+
+
+def sample_endpoints(count: int = 4) -> list[Record]:
+    """Returns the records of s-0 and the next ones, in room-a and room-b in turn."""
+    records = []
+    for number in range(count):
+        records += endpoint_records(
+            f"s-{number}",
+            zone=f"room-{'ab'[number % 2]}",
+            address=f"127.0.0.{number + 10}",
+            txt=f'"cell={number}" "kind=m2"',
         )
-    ]
+    return records
 
 
-def held(start: Zone, limits: Limits = LIMITS) -> ZoneState:
-    made = ZoneState(start.origin, SERVICE, limits)
-    made.apply(made.difference_to(start, 0), 0)
-    return made
+def zone_state_of(zone: Zone, limits: Limits = LIMITS) -> ZoneState:
+    """Returns the state of a zone whose current version is this one."""
+    state = ZoneState(zone.origin, SERVICE, limits)
+    state.apply(state.difference_to(zone, 0), 0)
+    return state
 
 
-def draft_of(
-    start: Zone, add: Iterable[Record] = (), remove: Iterable[Record] = ()
+def pending_version_of(
+    zone: Zone, add: Iterable[Record] = (), remove: Iterable[Record] = ()
 ) -> PendingVersion:
-    draft = PendingVersion(start)
-    for record in remove:
-        assert draft.remove(record.owner, record.type, record.data)
-    for record in add:
-        draft.add(record)
-    draft.advance_serial()
-    return draft
+    """Returns a pending version with these changes and the next serial."""
+    pending = PendingVersion(zone)
+    for each in remove:
+        assert pending.remove(each.owner, each.type, each.data)
+    for each in add:
+        pending.add(each)
+    pending.advance_serial()
+    return pending
 
 
-def member(
+def listed_endpoint(
     name: str,
-    room: str = "room-a",
-    phase: EndpointStatus = EndpointStatus.READY,
-    started: float = 0.0,
+    zone: str = "room-a",
+    status: EndpointStatus = EndpointStatus.READY,
+    started_ms: float = 0.0,
     address: str = "10.0.0.1",
     kind: str = "default",
 ) -> ListedEndpoint:
-    return ListedEndpoint(name, (address, 5000), room, kind, 0, phase, 1.0, started)
+    """Returns an entry of the endpoint list."""
+    return ListedEndpoint(name, (address, 5000), zone, kind, 0, status, 1.0, started_ms)
