--- a/kelpcourse/zones/dns_client.py
+++ b/kelpcourse/zones/dns_client.py
@@ -20,7 +20,11 @@
 from kelpcourse.wire.stream import Stream, address_family, connect
 from kelpcourse.wire.worker import run_in_thread
 from kelpcourse.zones.dns_request import MAX_MESSAGE_BYTES
-from kelpcourse.zones.errors import InvalidResponseError
+from kelpcourse.zones.errors import (
+    UnreadableResponseError,
+    UnrelatedResponseError,
+    UnsignedResponseError,
+)
 from kelpcourse.zones.names import canonical, to_name
 from kelpcourse.zones.reconciliation import Version
 from kelpcourse.zones.records import canonical_data, soa_serial
@@ -183,10 +187,10 @@
             try:
                 space = self._buffer.writable()
             except MessageTooLongError as error:
-                raise StreamError("a message over its limit") from error
+                raise StreamError("the message is longer than the limit") from error
             count = yield from self._stream.recv_into(space, deadline_us)
             if not count:
-                raise StreamError("closed before the end")
+                raise StreamError("the connection was closed before the end of the response")
             self._buffer.commit(count)
 
     def _parse(self, wire: bytes) -> TcpResponse:
@@ -196,11 +200,9 @@
                 wire, self._query, self._peer, self._signing_context, is_transfer
             )
         except UNREADABLE_ERRORS as error:
-            raise InvalidResponseError(
-                f"an answer that can't be used: {type(error).__name__}: {error}"
-            ) from error
+            raise UnreadableResponseError(error) from error
         if message.id != self._query.id or not message.flags & dns.flags.QR:
-            raise InvalidResponseError("an answer to another question")
+            raise UnrelatedResponseError(self._query.id, message.id)
         self._signing_context = message.tsig_ctx
         return TcpResponse(wire, message)
 
@@ -227,7 +229,7 @@
         xfr=is_transfer,
     )
     if peer.key is not None and not is_transfer and not message.had_tsig:
-        raise InvalidResponseError("an unsigned answer to a signed question")
+        raise UnsignedResponseError
     return message
 
 
--- a/kelpcourse/zones/errors.py
+++ b/kelpcourse/zones/errors.py
@@ -153,7 +153,7 @@
 
     def __init__(self, max_bytes: int) -> None:
         """Keeps the limit."""
-        super().__init__(f"a transfer over {max_bytes} bytes")
+        super().__init__(f"the transfer is larger than {max_bytes} bytes")
         self.max_bytes = max_bytes
 
 
@@ -176,7 +176,7 @@
 
     def __init__(self, origin: str) -> None:
         """Keeps the origin of the zone."""
-        super().__init__("the transfer brought nothing newer")
+        super().__init__(f"the transfer of zone {origin!r} brought no newer version")
         self.origin = origin
 
 
@@ -184,12 +184,39 @@
     """A response of another server cannot be used."""
 
 
+class UnreadableResponseError(InvalidResponseError):
+    """A response cannot be parsed, or its signature is wrong."""
+
+    def __init__(self, error: Exception) -> None:
+        """Keeps the error of the parser."""
+        super().__init__(f"the response cannot be read: {type(error).__name__}: {error}")
+        self.error = error
+
+
+class UnsignedResponseError(InvalidResponseError):
+    """The response to a signed query has no signature (RFC 8945, section 5.4)."""
+
+    def __init__(self) -> None:
+        """The message is the same for all responses."""
+        super().__init__("the response to a signed query is not signed")
+
+
+class UnrelatedResponseError(InvalidResponseError):
+    """A message is not the response to the query."""
+
+    def __init__(self, query_id: int, message_id: int) -> None:
+        """Keeps the ids of the query and of the message."""
+        super().__init__(f"message {message_id} is not a response to query {query_id}")
+        self.query_id = query_id
+        self.message_id = message_id
+
+
 class SoaQueryError(ZoneError):
     """A primary answered a query for the SOA without one."""
 
     def __init__(self, origin: str, rcode: str) -> None:
         """Keeps the origin of the zone and the mnemonic of the response code."""
-        super().__init__(f"no SOA of {origin}: {rcode}")
+        super().__init__(f"the response has no SOA of zone {origin!r}: {rcode}")
         self.origin = origin
         self.rcode = rcode
 
