--- a/kelpcourse/limits.py
+++ b/kelpcourse/limits.py
@@ -1,6 +1,7 @@
 """Every limit that is not a decision of the policy: sizes, counts and times, grouped by component.
 
 Times are in microseconds, sizes in bytes. A component is handed `Limits`, which has the fields of all groups.
+The groups alone are never constructed, so that no methods are generated for them at start.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 REPORT_PERIODS = 4  # reports are late, and one may be lost
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, init=False, repr=False, eq=False)
 class ProcessLimits:
     """Steps of the policy, supervised coroutines, reloads and the log."""
 
@@ -34,7 +35,7 @@
     log_burst_window_us: int = 10_000_000
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, init=False, repr=False, eq=False)
 class ListenerLimits:
     """Connections of report collectors and of clients that only ping."""
 
@@ -51,7 +52,7 @@
     bind_retry_us: int = 100_000  # while the address is still in use
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, init=False, repr=False, eq=False)
 class ReportLimits:
     """Figures of reports."""
 
@@ -61,7 +62,7 @@
     max_checkpoints: int = 16_384  # remembered, of which a proxy may acknowledge one
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, init=False, repr=False, eq=False)
 class ClientLimits:
     """Outgoing connections."""
 
@@ -73,7 +74,7 @@
     max_backoff_us: int = 100_000
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, init=False, repr=False, eq=False)
 class RelayLimits:
     """Calls to the relay, its event streams, and the orders that wait for it."""
 
@@ -91,7 +92,7 @@
     max_superseded_checkpoints: int = 64  # remembered
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, init=False, repr=False, eq=False)
 class DiscoveryLimits:
     """The watch of the endpoint list."""
 
@@ -102,7 +103,7 @@
     max_endpoint_names: int = 16_384  # remembered; those listed are, however many
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, init=False, repr=False, eq=False)
 class HealthCheckLimits:
     """Health checks of endpoints."""
 
@@ -111,7 +112,7 @@
     max_queued_health_checks: int = 4_096
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, init=False, repr=False, eq=False)
 class DnsServerLimits:
     """The server for DNS queries and updates."""
 
@@ -123,7 +124,7 @@
     max_pending_dns_updates: int = 256  # signed updates that wait to be durable
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, init=False, repr=False, eq=False)
 class ZoneLimits:
     """Zones: their size, transfers, files and commands."""
 
@@ -148,7 +149,7 @@
     max_logged_zone_problems: int = 20  # in one log line
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, init=False, repr=False, eq=False)
 class PeerLimits:
     """Connections between controllers that share a fleet."""
 
@@ -160,7 +161,7 @@
     peer_silence_timeout_us: int = 10_000_000
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, init=False, repr=False, eq=False)
 class StoreLimits:
     """State that survives crashes."""
 
