--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -266,9 +266,15 @@
         return dns.message.from_wire(wire, keyring=ring, request_mac=message.mac or b"")
 
     def query(
-        self, owner: str, type_: str, tcp: bool = False, **options: Any
+        self,
+        owner: str,
+        type_: str,
+        tcp: bool = False,
+        use_edns: int | None = None,
+        payload: int | None = None,
     ) -> dns.message.Message:
-        return self.exchange(dns.message.make_query(owner, type_, **options), tcp)
+        message = dns.message.make_query(owner, type_, use_edns=use_edns, payload=payload)
+        return self.exchange(message, tcp)
 
     def update(
         self,
