--- a/tests/leaseworld.py
+++ b/tests/leaseworld.py
@@ -14,7 +14,7 @@
 from tests.raftworld import MS, TIMING, InvariantError, Node, World
 
 GROUPS = 6
-TERMS = LeaseTiming(
+LEASE_TIMING = LeaseTiming(
     duration_us=300 * MS,
     max_clock_drift=0.1,
     renewal_interval_us=50 * MS,
@@ -23,7 +23,7 @@
 )
 
 
-LONG = LeaseTiming(
+LONG_LEASE_TIMING = LeaseTiming(
     duration_us=800 * MS,
     max_clock_drift=0.1,
     renewal_interval_us=50 * MS,
@@ -42,11 +42,12 @@
         holder: type[LeaseHolder] = LeaseHolder,
         manager: type[LeaseManager] = LeaseManager,
         rates: tuple[float, ...] = (0.96, 1.0, 1.04),
-        terms: LeaseTiming = TERMS,
+        timing: LeaseTiming = LEASE_TIMING,
         max_log_entries: int = 4096,
     ) -> None:
-        self.options = ControllerOptions(GROUPS, TIMING, terms, max_log_entries)
-        self.holder_factory, self.manager_factory = holder, manager
+        self.options = ControllerOptions(GROUPS, TIMING, timing, max_log_entries)
+        self.holder_factory = holder
+        self.manager_factory = manager
         self.controllers: dict[MemberId, Controller] = {}
         self.epoch_holders: dict[tuple[int, int], MemberId] = {}  # who ordered under it
         self.highest_epochs: dict[int, int] = {}
@@ -58,7 +59,7 @@
 
     def start(self, node: Node) -> None:
         stored = node.disk.stored
-        made = Controller(
+        controller = Controller(
             node.name,
             stored,
             self.options,
@@ -67,37 +68,39 @@
             holder_factory=self.holder_factory,
             manager_factory=self.manager_factory,
         )
-        self.controllers[node.name] = made
-        node.raft, node.applied = made.raft, [(stored.snapshot.index, b"")]
-        made.on_applied = lambda entry, _: self._apply(node, entry)
-        self._tick_controller(node, made)
-
-    def _tick_controller(self, node: Node, made: Controller) -> None:
-        if node.raft is not made.raft:
+        self.controllers[node.name] = controller
+        node.raft = controller.raft
+        node.applied = [(stored.snapshot.index, b"")]
+        controller.on_applied = lambda entry, _: self._apply(node, entry)
+        self._tick_controller(node, controller)
+
+    def _tick_controller(self, node: Node, controller: Controller) -> None:
+        if node.raft is not controller.raft:
             return
         if not node.paused:
-            made.tick(self.clock(node))
+            controller.tick(self.clock(node))
             self.take(node)
-        self.schedule(5 * MS, lambda: self._tick_controller(node, made))
+        self.schedule(5 * MS, lambda: self._tick_controller(node, controller))
 
     def _received(self, node: Node, sender: MemberId, message: PeerMessage) -> None:
         self.controllers[node.name].receive(self.clock(node), sender, message)
         self.take(node)
 
     def take(self, node: Node) -> None:
-        made = self.controllers[node.name]
-        out = made.take_output()
+        controller = self.controllers[node.name]
+        out = controller.take_output()
         if out.writes:
             node.disk.pending_writes += out.writes
             self.schedule(
-                self.random.randint(*self.sync_us), lambda: self._synced_controller(node, made)
+                self.random.randint(*self.sync_us),
+                lambda: self._synced_controller(node, controller),
             )
         for to, message in out.messages:
             self._send(node.name, to, message)
 
-    def _synced_controller(self, node: Node, made: Controller) -> None:
-        if node.raft is made.raft and node.disk.pending_writes:
-            made.note_written(self.clock(node), node.disk.sync())
+    def _synced_controller(self, node: Node, controller: Controller) -> None:
+        if node.raft is controller.raft and node.disk.pending_writes:
+            controller.note_written(self.clock(node), node.disk.sync())
             self.take(node)
 
     def _apply(self, node: Node, entry: LogEntry) -> None:
@@ -113,11 +116,11 @@
     def check(self) -> None:
         super().check()
         holding: dict[int, tuple[MemberId, int]] = {}
-        for name, made in self.controllers.items():
+        for name, controller in self.controllers.items():
             node = self.nodes[name]
             if node.raft is None:
                 continue
-            for group, epoch in made.lease_holder.held_epochs(self.clock(node)).items():
+            for group, epoch in controller.lease_holder.held_epochs(self.clock(node)).items():
                 if group in holding:
                     raise InvariantError(f"group {group} is held by {name} and {holding[group][0]}")
                 holding[group] = name, epoch
--- a/tests/recording.py
+++ b/tests/recording.py
@@ -263,11 +263,11 @@
         return self._join(self.draw.sample(sorted(self.joined), min(len(self.joined), 2)))
 
     def _incident_reconnect_storm(self) -> list[Event]:
-        everyone = range(self.settings.proxy_count)
+        all_proxies = range(self.settings.proxy_count)
         events: list[Event] = []
         if self.draw.random() < 0.5:
             events = [ProxyLeft(proxy) for proxy in sorted(self.joined)]
-        return events + self._join(everyone)
+        return events + self._join(all_proxies)
 
     def _incident_drain(self) -> list[Event]:
         ready = self._ready()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -83,7 +83,7 @@
     assert done.stderr.startswith(f"{folder}/games.zone:1: ")
 
 
-def test_settings_are_checked_and_every_mistake_is_told_at_once(folder: Path) -> None:
+def test_settings_are_validated_and_all_mistakes_are_reported_together(folder: Path) -> None:
     assert run("check", folder / "z.kdl").exit_code == 0
     (folder / "staff.key").chmod(0o644)
     text = (
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize(
     ("secret", "said"), [(b"%%", "not the base64"), (b"c2hvcnQ=", "5 bytes, 16 at least")]
 )
-def test_a_secret_that_is_none_is_told(folder: Path, secret: bytes, said: str) -> None:
+def test_an_invalid_secret_is_reported(folder: Path, secret: bytes, said: str) -> None:
     (folder / "staff.key").write_bytes(secret)
     assert said in run("check", folder / "z.kdl").stderr
 
--- a/tests/test_kdl.py
+++ b/tests/test_kdl.py
@@ -73,7 +73,7 @@
         ('a 1\n\nb "\\q"\nc 1', 3),
     ],
 )
-def test_a_text_that_is_no_kdl_is_told_with_its_line(text: str, line: int) -> None:
+def test_invalid_kdl_is_reported_with_its_line(text: str, line: int) -> None:
     with pytest.raises(SettingsError) as error:
         parse(text, "f", Outer)
     assert [m.line for m in error.value.problems] == [line]
--- a/tests/test_lease_faults.py
+++ b/tests/test_lease_faults.py
@@ -13,7 +13,7 @@
 from kelpcourse.shared.controller import Controller
 from kelpcourse.shared.controller_events import ControllerOutput, LeaseAcquired
 from kelpcourse.shared.raft.messages import Configuration
-from tests.leaseworld import GROUPS, TERMS, Fleet, run_lease_faults
+from tests.leaseworld import GROUPS, LEASE_TIMING, Fleet, run_lease_faults
 from tests.raftworld import MS, Node
 
 
@@ -37,7 +37,10 @@
     fleet.run_until(lambda: fleet.held_group_count == GROUPS)
     assert (
         fleet.now_us - began
-        < 200 * MS + TERMS.leader_duration_us * 1.1 + 2 * TERMS.renewal_interval_us + 200 * MS
+        < 200 * MS
+        + LEASE_TIMING.leader_duration_us * 1.1
+        + 2 * LEASE_TIMING.renewal_interval_us
+        + 200 * MS
     )
 
 
--- a/tests/test_lease_mutants.py
+++ b/tests/test_lease_mutants.py
@@ -11,7 +11,7 @@
 from kelpcourse.shared.lease_timing import LeaseReply, LeaseRequest, LeaseTiming
 from kelpcourse.shared.raft.messages import MemberId
 from kelpcourse.shared.replicated_state import ReplicatedState
-from tests.leaseworld import LONG, SCENES, TERMS, Fleet, run_lease_faults
+from tests.leaseworld import LEASE_TIMING, LONG_LEASE_TIMING, SCENES, Fleet, run_lease_faults
 from tests.raftworld import MS, InvariantError
 
 
@@ -67,7 +67,7 @@
 def test_a_missing_defence_of_leases_is_found(mutant: type) -> None:
     for seed in range(150):
         made: dict[str, Any] = {"holder" if issubclass(mutant, LeaseHolder) else "manager": mutant}
-        fleet = Fleet(seed, 5, **made, terms=LONG if seed % 3 == 1 else TERMS)
+        fleet = Fleet(seed, 5, **made, timing=LONG_LEASE_TIMING if seed % 3 == 1 else LEASE_TIMING)
         try:
             SCENES[seed % 3](fleet)
         except InvariantError:
@@ -78,14 +78,14 @@
 @pytest.mark.parametrize("scene", [1, 2])
 def test_scenes_that_find_mutants_of_leases_find_nothing_in_the_original(scene: int) -> None:
     for seed in range(8):
-        SCENES[scene](Fleet(seed, 5, terms=LONG if scene == 1 else TERMS))
+        SCENES[scene](Fleet(seed, 5, timing=LONG_LEASE_TIMING if scene == 1 else LEASE_TIMING))
 
 
 def test_clocks_that_drift_beyond_the_maximum_are_found() -> None:
     """The drift is an assumption, so breaking it must show: else the check could not fail by it."""
     for seed in range(80):
         fleet = Fleet(
-            seed, 3, rates=(0.6, 1.0, 1.5), terms=LeaseTiming(300 * MS, 0.0, 50 * MS, 200 * MS, 2)
+            seed, 3, rates=(0.6, 1.0, 1.5), timing=LeaseTiming(300 * MS, 0.0, 50 * MS, 200 * MS, 2)
         )
         try:
             run_lease_faults(fleet, 40)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -11,7 +11,7 @@
 from kelpcourse.shared.lease_manager import LeaseManager
 from kelpcourse.shared.lease_timing import LeaseReply, LeaseRequest
 from kelpcourse.shared.replicated_state import ReplicatedState
-from tests.leaseworld import GROUPS, TERMS
+from tests.leaseworld import GROUPS, LEASE_TIMING
 from tests.raftworld import MS
 
 
@@ -23,42 +23,42 @@
 
 
 def test_a_grant_gives_no_right_before_it_is_renewed_and_ends_in_time() -> None:
-    holder = LeaseHolder("a", TERMS)
+    holder = LeaseHolder("a", LEASE_TIMING)
     holder.update_grants(granted())
     assert holder.epoch(0, 0) is None
     request = holder.next_request(1000)
     assert request == LeaseRequest(1000, {0: 1})
     assert holder.next_request(1001) is None
     assert holder.on_reply(LeaseReply(1000, {0: 1})) == [0]
-    assert holder.epoch(0, 1000 + TERMS.holder_duration_us - 1) == 1
+    assert holder.epoch(0, 1000 + LEASE_TIMING.holder_duration_us - 1) == 1
     # Also if nobody checked in between, as in a suspended process.
-    assert holder.epoch(0, 1000 + TERMS.holder_duration_us) is None
-    assert holder.take_expired(1000 + TERMS.holder_duration_us) == [0]
+    assert holder.epoch(0, 1000 + LEASE_TIMING.holder_duration_us) is None
+    assert holder.take_expired(1000 + LEASE_TIMING.holder_duration_us) == [0]
     assert holder.on_reply(LeaseReply(500, {0: 2})) == []  # of an epoch that it does not know
 
 
 def test_a_late_reply_counts_from_its_request() -> None:
-    holder, manager = LeaseHolder("a", TERMS), LeaseManager(TERMS, granted(), 0)
+    holder, manager = LeaseHolder("a", LEASE_TIMING), LeaseManager(LEASE_TIMING, granted(), 0)
     holder.update_grants(granted())
     request = holder.next_request(0)
     assert request is not None
     reply = manager.on_request("a", request, 250 * MS, 1 << 60)
     assert reply is not None
     holder.on_reply(reply)
-    assert holder.remaining_us(0, 250 * MS) == TERMS.holder_duration_us - 250 * MS
+    assert holder.remaining_us(0, 250 * MS) == LEASE_TIMING.holder_duration_us - 250 * MS
     assert manager.on_request("a", request, 300 * MS, 300 * MS) is None  # it is not sure to lead
 
 
 def test_a_new_leader_waits_for_leases_that_it_did_not_give() -> None:
     state = granted("dead")
-    manager = LeaseManager(TERMS, state, 1000 * MS)
+    manager = LeaseManager(LEASE_TIMING, state, 1000 * MS)
     proposed = []
     for now in range(1000 * MS, 2000 * MS, 10 * MS):
         manager.on_request("b", LeaseRequest(0, {}), now, 1 << 60)
         proposed += [(now, command) for command in manager.next_commands(now, ["b", "dead"])]
     # Once, while it is not committed.
     assert [command for _, command in proposed] == [GrantLease(0, "b", 2)]
-    assert proposed[0][0] == 1000 * MS + TERMS.leader_duration_us
+    assert proposed[0][0] == 1000 * MS + LEASE_TIMING.leader_duration_us
     manager.on_dropped(proposed[0][1])
     assert manager.next_commands(2000 * MS, ["b", "dead"])  # and again once it is lost
 
@@ -68,7 +68,7 @@
     state.apply(SetGroupCount(GROUPS))
     for group in range(GROUPS):
         state.apply(GrantLease(group, "a", 1))
-    manager = LeaseManager(TERMS, state, 0)
+    manager = LeaseManager(LEASE_TIMING, state, 0)
     holds = dict.fromkeys(range(GROUPS), 1)
     now = 150 * MS
     manager.on_request("a", LeaseRequest(now, holds), now, 1 << 60)
@@ -76,11 +76,11 @@
     assert manager.next_commands(now, ["a", "b"]) == []
     reply = manager.on_request("a", LeaseRequest(now, holds), now, 1 << 60)
     assert reply is not None
-    assert len(reply.epochs) == GROUPS - TERMS.max_migrations
-    now += TERMS.leader_duration_us
+    assert len(reply.epochs) == GROUPS - LEASE_TIMING.max_migrations
+    now += LEASE_TIMING.leader_duration_us
     manager.on_request("b", LeaseRequest(now, {}), now, 1 << 60)
     manager.on_request("a", LeaseRequest(now, reply.epochs), now, 1 << 60)
-    assert len(manager.next_commands(now, ["a", "b"])) == TERMS.max_migrations
+    assert len(manager.next_commands(now, ["a", "b"])) == LEASE_TIMING.max_migrations
 
 
 def test_the_fence_keeps_the_highest_epoch() -> None:
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -48,7 +48,7 @@
     assert all(abs(harness.weight_share(h.id) - 0.1) < 0.02 for h in make_endpoints(10))
 
 
-def test_a_dead_endpoint_is_told_from_loaded_ones() -> None:
+def test_a_dead_endpoint_is_distinguished_from_loaded_ones() -> None:
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 4)
     run_with_failures(harness, 4, failed={h.id: 0.3 for h in make_endpoints(10)} | {100: 1.0})
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -120,7 +120,7 @@
     assert relay.stand_in.connections == 2
 
 
-def test_a_relay_that_was_down_is_reached_again(bench: Bench) -> None:
+def test_calls_resume_when_a_failed_relay_is_back(bench: Bench) -> None:
     relay, order_queue = Relay(bench), order_queue_of(SET_WEIGHT, CHECKPOINT)
     relay.stand_in.close()
     start_calls(bench, relay, order_queue)
--- a/tests/test_store_recovery.py
+++ b/tests/test_store_recovery.py
@@ -41,7 +41,7 @@
             assert contents.damage is not Damage.NONE
 
 
-def test_damage_inside_is_told_apart_from_a_torn_end() -> None:
+def test_corruption_is_distinguished_from_a_torn_tail() -> None:
     inside = bytearray(JOURNAL)
     inside[ENDS[1] + 3] ^= 1
     assert read(Kind.JOURNAL, bytes(inside)).damage is Damage.INSIDE
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -110,7 +110,7 @@
     assert {b.proxy for b in binds} == set(harness.proxies)
 
 
-def test_an_endpoint_that_goes_is_replaced_in_the_tables_that_held_it_and_no_others() -> None:
+def test_a_gone_endpoint_is_replaced_only_in_the_tables_that_contained_it() -> None:
     harness = joined(60, 60)
     before = {table: dict(entries) for table, entries in harness.tables.items()}
     harness.send(list_changes([make_endpoint(103, "east", EndpointStatus.GONE)]))
@@ -123,7 +123,7 @@
             )  # a zone's part of the entries may round differently
 
 
-def test_a_withdrawal_costs_entries_where_the_endpoint_is_held() -> None:
+def test_a_withdrawal_costs_entries_only_at_proxies_with_the_endpoint() -> None:
     """Counted at every proxy, it kept endpoints that drain waiting for capacity that was free."""
     harness = joined(60, 60)
     harness.acknowledges = False
