--- a/kelpcourse/service/config.py
+++ b/kelpcourse/service/config.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass
-from pathlib import Path
 
 import orjson
 
@@ -103,7 +102,8 @@
 
 def _load(path: str) -> Mapping[str, object]:
     try:
-        root = orjson.loads(Path(path).read_bytes())
+        with open(path, "rb") as file:
+            root = orjson.loads(file.read())
     except OSError as error:
         raise ConfigError(f"variable NODE_CONFIG: {path}: {error.strerror}") from error
     except orjson.JSONDecodeError as error:
