--- a/kelpcourse/shared/controller.py
+++ b/kelpcourse/shared/controller.py
@@ -110,9 +110,9 @@
                 self.raft.receive(now_us, sender, message)
         self._process(now_us)
 
-    def note_written(self, now_us: int, number: int) -> None:
+    def on_writes_durable(self, now_us: int, number: int) -> None:
         """All writes up to this number are durable."""
-        self.raft.note_written(now_us, number)
+        self.raft.on_writes_durable(now_us, number)
         self._process(now_us)
 
     def submit(self, now_us: int, command: Command) -> None:
--- a/kelpcourse/shared/member.py
+++ b/kelpcourse/shared/member.py
@@ -156,7 +156,7 @@
 
     def _on_written(self, number: int) -> None:
         if self.controller is not None:
-            self.controller.note_written(self._loop.clock(), number)
+            self.controller.on_writes_durable(self._loop.clock(), number)
             self._process_output()
 
     def _on_storage_failed(self, reason: str) -> None:
--- a/kelpcourse/shared/raft/base.py
+++ b/kelpcourse/shared/raft/base.py
@@ -152,7 +152,7 @@
         self._unsynced_writes.append(UnsyncedWrite(self._last_write, self.log.last_index))
         return self._last_write
 
-    def _note_durable(self, number: int) -> None:
+    def _mark_writes_durable(self, number: int) -> None:
         """All writes up to this number are durable: sends what waited for them."""
         self._durable_write = max(self._durable_write, number)
         while self._unsynced_writes and self._unsynced_writes[0].number <= self._durable_write:
--- a/kelpcourse/shared/raft/leader.py
+++ b/kelpcourse/shared/raft/leader.py
@@ -126,7 +126,7 @@
         self, now_us: int, sender: MemberId, reply: AppendEntriesReply
     ) -> None:
         progress = self.progress[sender]
-        progress.note_acknowledged(reply.sent_us, now_us)
+        progress.record_reply(reply.sent_us, now_us)
         if not reply.success:
             self._on_append_rejected(now_us, sender, reply)
             return
@@ -210,7 +210,7 @@
         self, now_us: int, sender: MemberId, reply: InstallSnapshotReply
     ) -> None:
         progress = self.progress[sender]
-        progress.note_acknowledged(reply.sent_us, now_us)
+        progress.record_reply(reply.sent_us, now_us)
         progress.chunk_sent_us = 0
         snapshot = self.log.snapshot
         if reply.last_included_index != snapshot.index:
--- a/kelpcourse/shared/raft/node.py
+++ b/kelpcourse/shared/raft/node.py
@@ -98,9 +98,9 @@
     def _is_reply_to_leader(self, sender: MemberId, term: int) -> bool:
         return self.role is Role.LEADER and term == self.term and sender in self.progress
 
-    def note_written(self, now_us: int, number: int) -> None:
+    def on_writes_durable(self, now_us: int, number: int) -> None:
         """All writes up to this number are durable."""
-        self._note_durable(number)
+        self._mark_writes_durable(number)
         if self.role is Role.CANDIDATE and self._vote_write <= self._durable_write:
             self._count_vote(now_us, self.member_id)
         if self.role is Role.LEADER:
--- a/kelpcourse/shared/raft/progress.py
+++ b/kelpcourse/shared/raft/progress.py
@@ -18,6 +18,6 @@
     is_probing: bool = True  # where its log and the leader's diverge is not known yet
     has_lost_entries: bool = False  # its disk lost what it had acknowledged: it counts for nothing
 
-    def note_acknowledged(self, sent_us: int, now_us: int) -> None:
+    def record_reply(self, sent_us: int, now_us: int) -> None:
         """Records a reply to a request sent at `sent_us`, on the leader's clock."""
         self.acknowledged_us = max(self.acknowledged_us, min(sent_us, now_us))
--- a/tests/leaseworld.py
+++ b/tests/leaseworld.py
@@ -100,7 +100,7 @@
 
     def _synced_controller(self, node: Node, controller: Controller) -> None:
         if node.raft is controller.raft and node.disk.pending_writes:
-            controller.note_written(self.clock(node), node.disk.sync())
+            controller.on_writes_durable(self.clock(node), node.disk.sync())
             self.take(node)
 
     def _apply(self, node: Node, entry: LogEntry) -> None:
--- a/tests/raftworld.py
+++ b/tests/raftworld.py
@@ -170,7 +170,7 @@
 
     def _synced(self, node: Node, raft: Raft) -> None:
         if node.raft is raft and node.disk.pending_writes:
-            raft.note_written(self.clock(node), node.disk.sync())
+            raft.on_writes_durable(self.clock(node), node.disk.sync())
             self.take(node)
 
     def _send(self, sender: MemberId, to: MemberId, message: PeerMessage) -> None:
--- a/tests/test_raft_model.py
+++ b/tests/test_raft_model.py
@@ -100,7 +100,7 @@
                     raise InvariantError(f"two entries are committed at {entry.index}")
             if not out.writes:
                 break
-            node.note_written(self.now_us, out.writes[-1].number)
+            node.on_writes_durable(self.now_us, out.writes[-1].number)
         if node.role is Role.LEADER and self.leaders.setdefault(node.term, name) != name:
             raise InvariantError(f"two leaders of term {node.term}")
         if node.role is Role.LEADER and node.term == max(self.leaders):
