--- a/kelpcourse/shared/controller.py
+++ b/kelpcourse/shared/controller.py
@@ -231,8 +231,8 @@
         while _has_content(output):
             self._output.messages += output.messages
             self._output.writes += output.writes
-            if output.installed is not None:
-                self._install(output.installed)
+            if output.installed_snapshot is not None:
+                self._install(output.installed_snapshot)
             for entry in output.committed:
                 self._apply(now_us, entry)
             self._compact()
@@ -303,5 +303,8 @@
 
 def _has_content(output: RaftOutput) -> bool:
     return bool(
-        output.messages or output.writes or output.committed or output.installed is not None
+        output.messages
+        or output.writes
+        or output.committed
+        or output.installed_snapshot is not None
     )
--- a/kelpcourse/shared/raft/follower.py
+++ b/kelpcourse/shared/raft/follower.py
@@ -157,5 +157,5 @@
         self.log.compact(snapshot)
         self.commit_index = snapshot.index
         self._output.committed.clear()
-        self._output.installed = snapshot
+        self._output.installed_snapshot = snapshot
         self._write(snapshot=snapshot)
--- a/kelpcourse/shared/raft/output.py
+++ b/kelpcourse/shared/raft/output.py
@@ -25,4 +25,6 @@
     messages: list[OutgoingMessage[RaftMessage]] = field(default_factory=list)
     writes: list[StateWrite] = field(default_factory=list)
     committed: list[LogEntry] = field(default_factory=list)
-    installed: Snapshot | None = None  # the state machine restarts from it, before `committed`
+    installed_snapshot: Snapshot | None = (
+        None  # the state machine restarts from it, before `committed`
+    )
--- a/tests/raftworld.py
+++ b/tests/raftworld.py
@@ -163,8 +163,8 @@
             self.schedule(self.random.randint(*self.sync_us), lambda: self._synced(node, raft))
         for to, message in out.messages:
             self._send(node.name, to, message)
-        if out.installed is not None:
-            node.applied = [(out.installed.index, out.installed.data)]
+        if out.installed_snapshot is not None:
+            node.applied = [(out.installed_snapshot.index, out.installed_snapshot.data)]
         for entry in out.committed:
             self._apply(node, entry)
 
