--- a/kelpcourse/shared/controller.py
+++ b/kelpcourse/shared/controller.py
@@ -79,7 +79,7 @@
         self.lease_holder = holder_factory(member_id, options.lease)
         self.lease_holder.update_grants(self.state)
         self.lease_manager: LeaseManager | None = None
-        self.on_applied: Callable[[LogEntry, bool], None] = lambda entry, fits: None
+        self.on_applied: Callable[[LogEntry, bool], None] = lambda entry, accepted: None
         self._manager_factory = manager_factory
         self._manager_term = 0
         self._proposed: dict[ProposalId, Command] = {}
@@ -89,7 +89,7 @@
             options.lease.renewal_interval_us,
             now_us,
         )
-        self._known_leadership = LeadershipChanged(None, 0)
+        self._reported_leadership = LeadershipChanged(None, 0)
         self._output = ControllerOutput()
 
     def tick(self, now_us: int) -> None:
@@ -170,7 +170,7 @@
             )
             self._output.events.append(event)
 
-    def _note_lost(self, groups: list[GroupId]) -> None:
+    def _report_lost_leases(self, groups: list[GroupId]) -> None:
         self._output.events += [LeaseLost(group) for group in groups]
 
     def _request_leases(self, now_us: int) -> None:
@@ -213,8 +213,8 @@
 
     def _process(self, now_us: int) -> None:
         self._take_raft_output(now_us)
-        self._note_leadership()
-        self._note_lost(self.lease_holder.take_expired(now_us))
+        self._report_leadership_change()
+        self._report_lost_leases(self.lease_holder.take_expired(now_us))
         self._manage_leases(now_us)
         self._request_leases(now_us)
         self._forward_pending(now_us)
@@ -240,18 +240,18 @@
 
     def _install(self, snapshot: Snapshot) -> None:
         self.state = ReplicatedState.decode(snapshot.data)
-        self._note_lost(self.lease_holder.update_grants(self.state))
+        self._report_lost_leases(self.lease_holder.update_grants(self.state))
 
     def _apply(self, now_us: int, entry: LogEntry) -> None:
-        fits = True
+        accepted = True
         if entry.kind is EntryKind.DATA:
-            fits = self._apply_command(now_us, entry.data)
+            accepted = self._apply_command(now_us, entry.data)
         self._proposed = {
             proposal: command
             for proposal, command in self._proposed.items()
             if proposal.index > entry.index
         }
-        self.on_applied(entry, fits)
+        self.on_applied(entry, accepted)
 
     def _apply_command(self, now_us: int, data: bytes) -> bool:
         """Applies a command; one of a later version is ignored, as it is proposed only once all members know it."""
@@ -259,24 +259,24 @@
             command = decode_command(data)
         except msgspec.DecodeError:
             return False
-        fits = self.state.apply(command)
-        self._note_lost(self.lease_holder.update_grants(self.state))
+        accepted = self.state.apply(command)
+        self._report_lost_leases(self.lease_holder.update_grants(self.state))
         if self.lease_manager is not None:
-            if fits:
+            if accepted:
                 self.lease_manager.on_committed(command, now_us)
             else:
                 self.lease_manager.on_dropped(command)
-        return fits
+        return accepted
 
     def _compact(self) -> None:
         is_long = len(self.raft.log) > self.options.max_log_entries
         if is_long and self.raft.commit_index > self.raft.log.snapshot.index:
             self.raft.compact(self.raft.commit_index, self.state.encode())
 
-    def _note_leadership(self) -> None:
+    def _report_leadership_change(self) -> None:
         leadership = LeadershipChanged(self.raft.leader_id, self.raft.term)
-        if leadership != self._known_leadership:
-            self._known_leadership = leadership
+        if leadership != self._reported_leadership:
+            self._reported_leadership = leadership
             self._output.events.append(leadership)
 
     def _manage_leases(self, now_us: int) -> None:
--- a/kelpcourse/shared/group_controller.py
+++ b/kelpcourse/shared/group_controller.py
@@ -103,7 +103,9 @@
             f"/v3/kv/groups/{self.group}/events",
         )
         self._tasks: list[Task] = []
-        self._draining_since: dict[str, int] = dict(lease.pending_drains)  # Unix ms, by endpoint
+        self._draining_since_unix_ms: dict[str, int] = dict(
+            lease.pending_drains
+        )  # Unix ms, by endpoint
         # First what the previous holder had begun, whatever tables the proxies hold.
         self._order_queue.add([WithdrawEndpoint(endpoint) for endpoint in lease.pending_drains])
 
@@ -155,8 +157,8 @@
             self._discovery.watch(work.watch)
         for _ in range(work.fetches):
             self._discovery.fetch()
-        for note in work.log_messages:
-            self._context.log.event("policy_message", text=f"group {self.group}: {note}")
+        for message in work.log_messages:
+            self._context.log.event("policy_message", text=f"group {self.group}: {message}")
 
     # Drains
 
@@ -164,16 +166,16 @@
         """Makes drains known to all controllers before any order on them, so that a next holder completes them."""
         for endpoint in endpoints:
             is_ready = endpoint.status is EndpointStatus.READY
-            is_draining = endpoint.name in self._draining_since
+            is_draining = endpoint.name in self._draining_since_unix_ms
             if not is_ready and not is_draining:
                 since_unix_ms = self._context.unix_ms()
-                self._draining_since[endpoint.name] = since_unix_ms
+                self._draining_since_unix_ms[endpoint.name] = since_unix_ms
                 self._context.submit(StartDrain(endpoint.name, since_unix_ms))
             elif is_ready and is_draining:
                 self._complete_drain(endpoint.name)
 
     def _complete_drain(self, endpoint: str) -> None:
-        since_unix_ms = self._draining_since.pop(endpoint)
+        since_unix_ms = self._draining_since_unix_ms.pop(endpoint)
         self._context.submit(CompleteDrain(endpoint, self.group, since_unix_ms))
 
     def _run_drain_checks(self) -> Coroutine[None]:
@@ -181,7 +183,9 @@
             yield Wait(self._context.loop.clock() + DRAIN_CHECK_INTERVAL_US)
             oldest_ms = self._context.unix_ms() - DRAIN_COMPLETE_US // US_PER_MS
             complete = [
-                endpoint for endpoint, since in self._draining_since.items() if since < oldest_ms
+                endpoint
+                for endpoint, since in self._draining_since_unix_ms.items()
+                if since < oldest_ms
             ]
             for endpoint in complete:
                 self._complete_drain(endpoint)
--- a/kelpcourse/shared/lease_manager.py
+++ b/kelpcourse/shared/lease_manager.py
@@ -10,7 +10,7 @@
 from kelpcourse.shared.raft.messages import MemberId
 from kelpcourse.shared.replicated_state import ReplicatedState
 
-NEVER_US = -1 << 62
+NO_REQUEST_US = -1 << 62
 
 
 class LeaseManager:
@@ -21,7 +21,7 @@
         self._timing = timing
         self._state = state
         self._started_us = started_us
-        self._free_from_us: dict[GroupId, int] = {}  # when a group's lease has surely expired
+        self._grantable_from_us: dict[GroupId, int] = {}  # when a group's lease has surely expired
         self._last_request_us: dict[MemberId, int] = {}
         self._proposed_epochs: dict[GroupId, int] = {}  # grants that are not committed yet
         self._migrating: set[GroupId] = set()  # held, and renewed no more
@@ -41,7 +41,7 @@
         for group, epoch in request.epochs.items():
             if self._can_renew(member, group, epoch):
                 renewed[group] = epoch
-                self._free_from_us[group] = now_us + self._timing.leader_duration_us
+                self._grantable_from_us[group] = now_us + self._timing.leader_duration_us
         return LeaseReply(request.sent_us, renewed)
 
     def _can_renew(self, member: MemberId, group: GroupId, epoch: int) -> bool:
@@ -56,7 +56,7 @@
         return {
             member
             for member in members
-            if now_us - self._last_request_us.get(member, NEVER_US) < timeout_us
+            if now_us - self._last_request_us.get(member, NO_REQUEST_US) < timeout_us
         }
 
     def next_commands(
@@ -81,17 +81,17 @@
         leases = self._state.leases
         holders = {group: lease.holder for group, lease in leases.items()}
         placement = place(sorted(leases), sorted(eligible), holders)
-        self._forget_ended_migrations(live, placement)
+        self._discard_ended_migrations(live, placement)
         commands: list[Command] = []
         for group, member in sorted(placement.items()):
-            if not self._try_release(group, member, live, now_us):
+            if not self._prepare_grant(group, member, live, now_us):
                 continue
             epoch = leases[group].epoch + 1
             self._proposed_epochs[group] = epoch
             commands.append(GrantLease(group, member, epoch))
         return commands
 
-    def _forget_ended_migrations(
+    def _discard_ended_migrations(
         self, live: Set[MemberId], placement: Mapping[GroupId, MemberId]
     ) -> None:
         self._migrating &= {
@@ -100,7 +100,7 @@
             if lease.holder in live and placement[group] != lease.holder
         }
 
-    def _try_release(
+    def _prepare_grant(
         self, group: GroupId, member: MemberId, live: Set[MemberId], now_us: int
     ) -> bool:
         """Whether a group may go to `member` now; a live holder's lease begins to run out first."""
@@ -111,20 +111,20 @@
             if len(self._migrating) >= self._timing.max_migrations:
                 return False
             self._migrating.add(group)
-        return self._is_free(group, now_us)
+        return self._is_grantable(group, now_us)
 
-    def _is_free(self, group: GroupId, now_us: int) -> bool:
+    def _is_grantable(self, group: GroupId, now_us: int) -> bool:
         if not self._state.leases[group].holder:
             return True
-        unknown_until_us = self._started_us + self._timing.leader_duration_us
-        return now_us >= self._free_from_us.get(group, unknown_until_us)
+        unknown_leases_until_us = self._started_us + self._timing.leader_duration_us
+        return now_us >= self._grantable_from_us.get(group, unknown_leases_until_us)
 
     def on_committed(self, command: Command, now_us: int) -> None:
         """A command was applied to the replicated state."""
         if isinstance(command, GrantLease):
             self._proposed_epochs.pop(command.group, None)
             self._migrating.discard(command.group)
-            self._free_from_us[command.group] = now_us + self._timing.leader_duration_us
+            self._grantable_from_us[command.group] = now_us + self._timing.leader_duration_us
 
     def on_dropped(self, command: Command) -> None:
         """A command will not be committed, or did not fit."""
--- a/kelpcourse/shared/placement.py
+++ b/kelpcourse/shared/placement.py
@@ -56,24 +56,24 @@
     placed: dict[GroupId, str] = {}
     load = dict.fromkeys(members, 0)
     # By hash, so that the result does not depend on the order of the groups.
-    for group in _by_hash(groups):
+    for group in _sort_by_hash(groups):
         holder = (current or {}).get(group)
         if holder in load and load[holder] < max_load:
             placed[group] = holder
             load[holder] += 1
-    for group in _by_hash(set(groups) - placed.keys()):
-        chosen = next(member for member in _ranked(group, members) if load[member] < max_load)
+    for group in _sort_by_hash(set(groups) - placed.keys()):
+        chosen = next(member for member in _rank_members(group, members) if load[member] < max_load)
         placed[group] = chosen
         load[chosen] += 1
     _fill_underloaded(placed, load, min_groups_per_member(len(groups), len(members)))
     return placed
 
 
-def _by_hash(groups: Iterable[GroupId]) -> list[GroupId]:
+def _sort_by_hash(groups: Iterable[GroupId]) -> list[GroupId]:
     return sorted(groups, key=lambda group: (stable_hash(group), group))
 
 
-def _ranked(group: GroupId, members: Sequence[str]) -> list[str]:
+def _rank_members(group: GroupId, members: Sequence[str]) -> list[str]:
     """Members by descending rendezvous weight for a group."""
     key = group_key(group)
     return sorted(members, key=lambda member: (-stable_hash(key, member), member))
@@ -86,13 +86,13 @@
     """
     for member in sorted(load):
         while load[member] < min_load:
-            group = _best_to_move(placed, load, member)
+            group = _select_group_to_move(placed, load, member)
             load[placed[group]] -= 1
             placed[group] = member
             load[member] += 1
 
 
-def _best_to_move(placed: dict[GroupId, str], load: dict[str, int], member: str) -> GroupId:
+def _select_group_to_move(placed: dict[GroupId, str], load: dict[str, int], member: str) -> GroupId:
     """The group of a most loaded member that ranks `member` highest."""
     highest = max(load.values())
     movable = [
--- a/kelpcourse/shared/raft/base.py
+++ b/kelpcourse/shared/raft/base.py
@@ -70,13 +70,13 @@
         self._options = options
         self._random = random.Random(seed)
         self._output = RaftOutput()
-        self._last_write = 0
-        self._durable_write = 0
+        self._last_write_number = 0
+        self._durable_write_number = 0
         self._blocked_messages: list[BlockedMessage] = []
         self._unsynced_writes: list[UnsyncedWrite] = []
         self._durable_index = self.log.last_index
         self._votes_granted: set[MemberId] = set()
-        self._vote_write = 0
+        self._vote_write_number = 0
         # Before a restart, it may have heard from a leader until now.
         self._last_leader_contact_us = now_us
         self._next_heartbeat_us = now_us
@@ -104,7 +104,7 @@
         """Starts to lead after a won election."""
 
     @abstractmethod
-    def _hears_from_quorum(self, now_us: int) -> bool:
+    def _has_quorum_contact(self, now_us: int) -> bool:
         """Whether a majority answered this leader within an election timeout (check-quorum)."""
 
     def _become_follower(self, now_us: int, term: int, leader_id: MemberId | None) -> None:
@@ -123,7 +123,7 @@
         timeout_us = self._options.min_election_timeout_us
         self._election_deadline_us = now_us + timeout_us + self._random.randrange(timeout_us)
 
-    def _advance_to_commit(self, index: int) -> None:
+    def _commit_up_to(self, index: int) -> None:
         indexes = range(self.commit_index + 1, index + 1)
         self._output.committed += [self.log.entry_at(index) for index in indexes]
         self.commit_index = index
@@ -137,25 +137,27 @@
         snapshot: Snapshot | None = None,
     ) -> int:
         """Adds a write of the current term and vote; returns its number."""
-        self._last_write += 1
+        self._last_write_number += 1
         write = StateWrite(
-            self._last_write, self.term, self.voted_for, truncate_index, entries, snapshot
+            self._last_write_number, self.term, self.voted_for, truncate_index, entries, snapshot
         )
         self._output.writes.append(write)
         if truncate_index is not None:
-            last_kept = truncate_index - 1
-            self._durable_index = min(self._durable_index, last_kept)
+            last_kept_index = truncate_index - 1
+            self._durable_index = min(self._durable_index, last_kept_index)
             self._unsynced_writes = [
-                UnsyncedWrite(unsynced.number, min(unsynced.last_index, last_kept))
+                UnsyncedWrite(unsynced.number, min(unsynced.last_index, last_kept_index))
                 for unsynced in self._unsynced_writes
             ]
-        self._unsynced_writes.append(UnsyncedWrite(self._last_write, self.log.last_index))
-        return self._last_write
+        self._unsynced_writes.append(UnsyncedWrite(self._last_write_number, self.log.last_index))
+        return self._last_write_number
 
     def _mark_writes_durable(self, number: int) -> None:
         """All writes up to this number are durable: sends what waited for them."""
-        self._durable_write = max(self._durable_write, number)
-        while self._unsynced_writes and self._unsynced_writes[0].number <= self._durable_write:
+        self._durable_write_number = max(self._durable_write_number, number)
+        while (
+            self._unsynced_writes and self._unsynced_writes[0].number <= self._durable_write_number
+        ):
             self._durable_index = self._unsynced_writes.pop(0).last_index
         blocked_messages = self._blocked_messages
         self._blocked_messages = []
@@ -167,7 +169,7 @@
 
     def _send_after(self, write_number: int, recipient: MemberId, message: RaftMessage) -> None:
         """Sends once the write is durable, and not at all if the term has changed by then."""
-        if write_number > self._durable_write:
+        if write_number > self._durable_write_number:
             self._blocked_messages.append(BlockedMessage(write_number, recipient, message))
             return
         is_pre_vote_reply = isinstance(message, RequestVoteReply) and message.pre_vote
--- a/kelpcourse/shared/raft/election.py
+++ b/kelpcourse/shared/raft/election.py
@@ -17,9 +17,9 @@
         majority answered, on which leases of groups rest.
         """
         if self.role is Role.LEADER:
-            return self._hears_from_quorum(now_us)
-        silence_us = now_us - self._last_leader_contact_us
-        return silence_us < self._options.min_election_timeout_us
+            return self._has_quorum_contact(now_us)
+        since_contact_us = now_us - self._last_leader_contact_us
+        return since_contact_us < self._options.min_election_timeout_us
 
     def _start_election(self, now_us: int, pre_vote: bool, is_transfer: bool = False) -> None:
         self._reset_election_timer(now_us)
@@ -42,8 +42,10 @@
         self.role = Role.CANDIDATE
         self.term += 1
         self.voted_for = self.member_id
-        self._vote_write = self._write()
-        self._request_votes(self._vote_write, self.term, pre_vote=False, is_transfer=is_transfer)
+        self._vote_write_number = self._write()
+        self._request_votes(
+            self._vote_write_number, self.term, pre_vote=False, is_transfer=is_transfer
+        )
 
     def _request_votes(
         self, write_number: int, term: int, pre_vote: bool, is_transfer: bool
@@ -66,7 +68,7 @@
             and self.voted_for in (None, sender)
             and self.role is Role.FOLLOWER
         )
-        write_number = self._last_write
+        write_number = self._last_write_number
         if granted and self.voted_for is None:
             self.voted_for = sender
             write_number = self._write()
@@ -77,12 +79,12 @@
     def _on_request_vote_reply(
         self, now_us: int, sender: MemberId, reply: RequestVoteReply
     ) -> None:
-        if reply.granted and self._is_awaited(reply):
+        if reply.granted and self._belongs_to_current_election(reply):
             self._count_vote(now_us, sender)
         elif reply.pre_vote and not reply.granted and reply.term > self.term:
             self._become_follower(now_us, reply.term, None)
 
-    def _is_awaited(self, reply: RequestVoteReply) -> bool:
+    def _belongs_to_current_election(self, reply: RequestVoteReply) -> bool:
         """Whether a reply belongs to the election that is under way."""
         if reply.pre_vote:
             return self.role is Role.PRE_CANDIDATE and reply.term == self.term + 1
@@ -94,5 +96,5 @@
             return
         if self.role is Role.PRE_CANDIDATE:
             self._start_election(now_us, pre_vote=False)
-        elif self.role is Role.CANDIDATE and self._vote_write <= self._durable_write:
+        elif self.role is Role.CANDIDATE and self._vote_write_number <= self._durable_write_number:
             self._become_leader(now_us)
--- a/kelpcourse/shared/raft/follower.py
+++ b/kelpcourse/shared/raft/follower.py
@@ -50,16 +50,16 @@
             self._reply_to_append(sender, request, success=False, match_index=0)
             return
         if request.prev_log_index < self.log.snapshot.index:
-            request = self._without_compacted(request)
+            request = self._skip_compacted_entries(request)
         if self.log.term_at(request.prev_log_index) != request.prev_log_term:
-            hint = self._retry_index(request)
-            self._reply_to_append(sender, request, success=False, match_index=hint)
+            retry_index = self._retry_index(request)
+            self._reply_to_append(sender, request, success=False, match_index=retry_index)
             return
         self._store_entries(request.entries)
         match_index = request.prev_log_index + len(request.entries)
         commit_index = min(request.leader_commit, match_index)
         if commit_index > self.commit_index:
-            self._advance_to_commit(commit_index)
+            self._commit_up_to(commit_index)
         self._reply_to_append(sender, request, success=True, match_index=match_index)
 
     def _reply_to_append(
@@ -69,9 +69,9 @@
         reply = AppendEntriesReply(
             self.term, success, match_index, self.log.last_index, request.sent_us
         )
-        self._send_after(self._last_write, leader, reply)
+        self._send_after(self._last_write_number, leader, reply)
 
-    def _without_compacted(self, request: AppendEntries) -> AppendEntries:
+    def _skip_compacted_entries(self, request: AppendEntries) -> AppendEntries:
         """Entries up to the snapshot are committed, so the logs match there."""
         snapshot = self.log.snapshot
         return AppendEntries(
@@ -146,7 +146,9 @@
         return incoming
 
     def _reply_snapshot_complete(self, leader: MemberId, chunk: InstallSnapshot) -> None:
-        self._send_after(self._last_write, leader, self._chunk_reply(chunk, chunk.total_bytes))
+        self._send_after(
+            self._last_write_number, leader, self._chunk_reply(chunk, chunk.total_bytes)
+        )
 
     def _chunk_reply(self, chunk: InstallSnapshot, next_offset_bytes: int) -> InstallSnapshotReply:
         return InstallSnapshotReply(
--- a/kelpcourse/shared/raft/leader.py
+++ b/kelpcourse/shared/raft/leader.py
@@ -18,7 +18,7 @@
 from kelpcourse.shared.raft.progress import Progress
 from kelpcourse.shared.raft.role import Role
 
-FOREVER_US = 1 << 62  # a member is always in contact with itself
+ALWAYS_IN_CONTACT_US = 1 << 62  # a member is always in contact with itself
 
 
 class LeaderRole(RaftBase):
@@ -32,13 +32,13 @@
         """
         if self.role is not Role.LEADER or self._transfer_sent:
             return 0
-        contacts_us = sorted(map(self._last_contact_us, self.config.voters), reverse=True)
-        majority_us = contacts_us[len(contacts_us) // 2]
-        return majority_us + self._options.min_election_timeout_us
+        last_contacts_us = sorted(map(self._last_contact_us, self.config.voters), reverse=True)
+        quorum_contact_us = last_contacts_us[len(last_contacts_us) // 2]
+        return quorum_contact_us + self._options.min_election_timeout_us
 
     def _last_contact_us(self, member: MemberId) -> int:
         if member == self.member_id:
-            return FOREVER_US
+            return ALWAYS_IN_CONTACT_US
         progress = self.progress.get(member)
         if progress is None or progress.has_lost_entries:
             return 0
@@ -64,18 +64,18 @@
         for member in set(self.progress) - self.config.members:
             del self.progress[member]
 
-    def _hears_from_quorum(self, now_us: int) -> bool:
+    def _has_quorum_contact(self, now_us: int) -> bool:
         """Check-quorum (thesis 6.2): a leader that a majority does not answer stops to lead."""
         timeout_us = self._options.min_election_timeout_us
         if now_us - self._leader_since_us < timeout_us:
             return True
         oldest_us = max(now_us - timeout_us, 0)
-        heard = {
+        responsive_members = {
             member
             for member, progress in self.progress.items()
             if progress.acknowledged_us > oldest_us and not progress.has_lost_entries
         }
-        return self.config.has_quorum(heard | {self.member_id})
+        return self.config.has_quorum(responsive_members | {self.member_id})
 
     def _check_accepts_proposals(self) -> None:
         if self.role is not Role.LEADER:
@@ -160,7 +160,7 @@
         index = match_indexes[len(match_indexes) // 2]
         if index <= self.commit_index or self.log.term_at(index) != self.term:
             return
-        self._advance_to_commit(index)
+        self._commit_up_to(index)
         self._broadcast(now_us)
         is_voter = self.member_id in self.config.voters
         if not is_voter and self.log.configuration_index <= self.commit_index:
--- a/kelpcourse/shared/raft/node.py
+++ b/kelpcourse/shared/raft/node.py
@@ -47,7 +47,7 @@
         if self.role is not Role.LEADER:
             if now_us >= self._election_deadline_us:
                 self._start_election(now_us, pre_vote=True)
-        elif not self._hears_from_quorum(now_us):
+        elif not self._has_quorum_contact(now_us):
             self._become_follower(now_us, self.term, None)
         elif now_us >= self._next_heartbeat_us:
             self._broadcast(now_us)
@@ -101,7 +101,7 @@
     def on_writes_durable(self, now_us: int, number: int) -> None:
         """All writes up to this number are durable."""
         self._mark_writes_durable(number)
-        if self.role is Role.CANDIDATE and self._vote_write <= self._durable_write:
+        if self.role is Role.CANDIDATE and self._vote_write_number <= self._durable_write_number:
             self._count_vote(now_us, self.member_id)
         if self.role is Role.LEADER:
             self._advance_commit_index(now_us)
--- a/kelpcourse/shared/replicated_state.py
+++ b/kelpcourse/shared/replicated_state.py
@@ -181,8 +181,8 @@
         """Reads the stored form; the initial state if there is none. Raises msgspec.DecodeError."""
         if not data:
             return cls()
-        stored_type = tuple[dict[GroupId, Lease], dict[str, Drain], set[MemberId]]
-        leases, drains, drained_members = msgspec.msgpack.decode(data, type=stored_type)
+        snapshot_type = tuple[dict[GroupId, Lease], dict[str, Drain], set[MemberId]]
+        leases, drains, drained_members = msgspec.msgpack.decode(data, type=snapshot_type)
         return cls(leases, drains, drained_members)
 
 
--- a/tests/raftmutants.py
+++ b/tests/raftmutants.py
@@ -127,7 +127,7 @@
             reverse=True,
         )
         if matches[len(matches) // 2] > self.commit_index:
-            self._advance_to_commit(matches[len(matches) // 2])
+            self._commit_up_to(matches[len(matches) // 2])
             self._broadcast(now_us)
 
 
@@ -142,7 +142,7 @@
         )
         index = matches[max(0, len(matches) // 2 - 1)]
         if index > self.commit_index and self.log.term_at(index) == self.term:
-            self._advance_to_commit(index)
+            self._commit_up_to(index)
             self._broadcast(now_us)
 
 
--- a/tests/test_lease_mutants.py
+++ b/tests/test_lease_mutants.py
@@ -34,8 +34,8 @@
 
 
 class DoesNotWaitAsNewLeader(LeaseManager):
-    def _is_free(self, group: int, now_us: int) -> bool:
-        return now_us >= self._free_from_us.get(group, 0)
+    def _is_grantable(self, group: int, now_us: int) -> bool:
+        return now_us >= self._grantable_from_us.get(group, 0)
 
 
 class RenewsWithoutBeingSure(LeaseManager):
