--- a/kelpcourse/shared/raft/base.py
+++ b/kelpcourse/shared/raft/base.py
@@ -1,4 +1,7 @@
-"""State that all roles of a Raft member share, and the rule that a promise leaves only once it is durable."""
+"""State that all roles of a Raft member share.
+
+A message that depends on persistent state is sent only after that state is durable.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
 
 @dataclass(frozen=True)
 class BlockedMessage:
-    """A message that waits until a write is durable."""
+    """A message that may be sent only after a write is durable."""
 
     write_number: int
     recipient: MemberId
@@ -33,14 +36,19 @@
 
 @dataclass(frozen=True)
 class UnsyncedWrite:
-    """A write that is not durable yet, and the last log index that is durable with it."""
+    """A write that is not durable yet.
+
+    Attributes:
+        number: Number of the write.
+        last_index: Last log index that is durable once this write is.
+    """
 
     number: int
     last_index: int
 
 
 class RaftBase(ABC):
-    """Term, vote, log and output of a member."""
+    """The term, vote, log and pending output of a member."""
 
     def __init__(
         self,
@@ -50,14 +58,14 @@
         seed: int,
         now_us: int,
     ) -> None:
-        """Starts as a follower with what the disk holds.
+        """Initializes a follower from its persistent state.
 
         Args:
-            member_id: This member.
+            member_id: Identifier of this member.
             state: The persistent state found on disk.
             options: Intervals and limits.
-            seed: For random election timeouts.
-            now_us: The time on the member's own monotonic clock.
+            seed: Seed of the random election timeouts.
+            now_us: Current time on the member's own monotonic clock, in microseconds.
         """
         self.member_id = member_id
         self.term = state.term
@@ -77,22 +85,23 @@
         self._durable_index = self.log.last_index
         self._votes_granted: set[MemberId] = set()
         self._vote_write_number = 0
-        # Before a restart, it may have heard from a leader until now.
+        # Before a restart, the member may have been in contact with a leader until this moment.
         self._last_leader_contact_us = now_us
         self._next_heartbeat_us = now_us
         self._leader_since_us = now_us
         self._transfer_target: MemberId | None = None
-        self._transfer_sent = False  # the target may become leader at any time
+        # Set once TimeoutNow is sent: from then on the target may become leader at any time.
+        self._transfer_sent = False
         self._election_deadline_us = 0
         self._reset_election_timer(now_us)
 
     @property
     def config(self) -> Configuration:
-        """The configuration in force: the newest in the log, committed or not (thesis 4.1)."""
+        """The latest configuration in the log, which applies even before it is committed (thesis 4.1)."""
         return self.log.configuration
 
     def take_output(self) -> RaftOutput:
-        """Returns what is to be done since the last call."""
+        """Returns the output accumulated since the last call."""
         output = self._output
         self._output = RaftOutput()
         return output
@@ -101,11 +110,11 @@
 
     @abstractmethod
     def _become_leader(self, now_us: int) -> None:
-        """Starts to lead after a won election."""
+        """Becomes leader after winning an election."""
 
     @abstractmethod
     def _has_quorum_contact(self, now_us: int) -> bool:
-        """Whether a majority answered this leader within an election timeout (check-quorum)."""
+        """Returns whether a majority replied to this leader within an election timeout (check-quorum)."""
 
     def _become_follower(self, now_us: int, term: int, leader_id: MemberId | None) -> None:
         if term > self.term:
@@ -136,7 +145,7 @@
         entries: tuple[LogEntry, ...] = (),
         snapshot: Snapshot | None = None,
     ) -> int:
-        """Adds a write of the current term and vote; returns its number."""
+        """Adds a write that includes the current term and vote, and returns its number."""
         self._last_write_number += 1
         write = StateWrite(
             self._last_write_number, self.term, self.voted_for, truncate_index, entries, snapshot
@@ -153,7 +162,7 @@
         return self._last_write_number
 
     def _mark_writes_durable(self, number: int) -> None:
-        """All writes up to this number are durable: sends what waited for them."""
+        """Records that all writes up to this number are durable, and sends the messages blocked on them."""
         self._durable_write_number = max(self._durable_write_number, number)
         while (
             self._unsynced_writes and self._unsynced_writes[0].number <= self._durable_write_number
@@ -168,7 +177,7 @@
         self._output.messages.append(OutgoingMessage(recipient, message))
 
     def _send_after(self, write_number: int, recipient: MemberId, message: RaftMessage) -> None:
-        """Sends once the write is durable, and not at all if the term has changed by then."""
+        """Sends a message once the write is durable, unless the term of the message is outdated by then."""
         if write_number > self._durable_write_number:
             self._blocked_messages.append(BlockedMessage(write_number, recipient, message))
             return
--- a/kelpcourse/shared/raft/election.py
+++ b/kelpcourse/shared/raft/election.py
@@ -8,13 +8,13 @@
 
 
 class ElectionRole(RaftBase):
-    """A member as pre-candidate, candidate or voter."""
+    """The election rules of a pre-candidate, candidate or voter."""
 
     def _has_current_leader(self, now_us: int) -> bool:
-        """Whether a leader was heard within the minimum election timeout (thesis 4.2.3).
+        """Returns whether a leader was in contact within the minimum election timeout (thesis 4.2.3).
 
-        Such a member grants no vote. With check-quorum this makes a leader's word good for a bounded time after a
-        majority answered, on which leases of groups rest.
+        Such a member grants no vote. Together with check-quorum, this guarantees that for a bounded time after a
+        majority replied to a leader no other leader is elected. Leases of proxy groups rely on this guarantee.
         """
         if self.role is Role.LEADER:
             return self._has_quorum_contact(now_us)
@@ -35,7 +35,7 @@
     def _start_pre_vote(self, now_us: int) -> None:
         self.role = Role.PRE_CANDIDATE
         self._count_vote(now_us, self.member_id)
-        # A lone voter has won its pre-vote by now, and nobody is left to be asked.
+        # In a single-voter cluster the pre-vote is already won, and this sends no request.
         self._request_votes(0, self.term + 1, pre_vote=True, is_transfer=False)
 
     def _start_vote(self, is_transfer: bool) -> None:
@@ -85,7 +85,7 @@
             self._become_follower(now_us, reply.term, None)
 
     def _belongs_to_current_election(self, reply: RequestVoteReply) -> bool:
-        """Whether a reply belongs to the election that is under way."""
+        """Returns whether a reply belongs to the current election."""
         if reply.pre_vote:
             return self.role is Role.PRE_CANDIDATE and reply.term == self.term + 1
         return self.role is Role.CANDIDATE and reply.term == self.term
--- a/kelpcourse/shared/raft/follower.py
+++ b/kelpcourse/shared/raft/follower.py
@@ -1,4 +1,4 @@
-"""A follower: takes entries (paper 5.3) and snapshots (paper 7) from the leader."""
+"""The follower role: accepts entries (paper 5.3) and snapshots (paper 7) from the leader."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass
 class IncomingSnapshot:
-    """Chunks of a snapshot that is not complete yet."""
+    """A snapshot of which not all chunks have been received."""
 
     last_included_index: int
     leader_term: int
@@ -29,12 +29,12 @@
 
 
 class FollowerRole(RaftBase):
-    """A member that follows a leader."""
+    """The replication rules of a follower."""
 
     _incoming_snapshot: IncomingSnapshot | None = None
 
     def _accept_leader(self, now_us: int, sender: MemberId, term: int) -> bool:
-        """Whether the sender leads the current term; if so, its contact is noted."""
+        """Returns whether the sender leads the current term; if so, records the contact with it."""
         if term < self.term:
             return False
         if self.role is not Role.FOLLOWER or self.leader_id != sender:
@@ -65,14 +65,14 @@
     def _reply_to_append(
         self, leader: MemberId, request: AppendEntries, success: bool, match_index: int
     ) -> None:
-        """Answers once all that is written so far is durable."""
+        """Replies once all writes so far are durable."""
         reply = AppendEntriesReply(
             self.term, success, match_index, self.log.last_index, request.sent_us
         )
         self._send_after(self._last_write_number, leader, reply)
 
     def _skip_compacted_entries(self, request: AppendEntries) -> AppendEntries:
-        """Entries up to the snapshot are committed, so the logs match there."""
+        """Returns the request without the entries that the snapshot covers: they are committed, so they match."""
         snapshot = self.log.snapshot
         return AppendEntries(
             request.term,
@@ -84,17 +84,17 @@
         )
 
     def _retry_index(self, request: AppendEntries) -> int:
-        """Where the logs may match, one conflicting term further back (paper 5.3)."""
+        """Returns an index at which the logs may match, skipping the conflicting term (paper 5.3)."""
         index = min(request.prev_log_index - 1, self.log.last_index)
         if self.log.term_at(request.prev_log_index) is not None:
             index = self.log.first_index_of_term(request.prev_log_index) - 1
         return max(index, self.commit_index)
 
     def _store_entries(self, entries: Sequence[LogEntry]) -> None:
-        """Appends what is new; only an entry of another term is replaced, as an old message must not shorten the log.
+        """Appends new entries; truncates only at a conflicting term, as a delayed request must not shorten the log.
 
         Raises:
-            LogConflictError: A committed entry would be replaced.
+            LogConflictError: The request conflicts with a committed entry.
         """
         for position, entry in enumerate(entries):
             if self.log.term_at(entry.index) == entry.term:
--- a/kelpcourse/shared/raft/leader.py
+++ b/kelpcourse/shared/raft/leader.py
@@ -1,4 +1,4 @@
-"""A leader: replicates entries and snapshots, commits, and knows for how long it surely leads."""
+"""The leader role: replicates entries and snapshots, commits entries, and bounds how long leadership is certain."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from kelpcourse.shared.raft.progress import Progress
 from kelpcourse.shared.raft.role import Role
 
-ALWAYS_IN_CONTACT_US = 1 << 62  # a member is always in contact with itself
+ALWAYS_IN_CONTACT_US = 1 << 62  # Contact time of a member with itself, later than any clock.
 
 
 class LeaderRole(RaftBase):
-    """A member that leads its term."""
+    """The replication rules of a leader."""
 
     def leadership_guaranteed_until_us(self) -> int:
-        """Returns until when no other member can have been elected, judged by a majority's replies.
+        """Returns the time until which no other member can be elected, derived from the replies of a majority.
 
-        The time is on this member's clock, if that runs like the others' clocks. 0: this member does not lead, or
-        has transferred its leadership.
+        The time is on this member's clock and assumes that the clocks of all members run at the same rate. It is 0
+        if this member is not the leader, or if the target of a leadership transfer may already be elected.
         """
         if self.role is not Role.LEADER or self._transfer_sent:
             return 0
@@ -54,7 +54,7 @@
         self._append_entry(now_us, EntryKind.NO_OP, b"", None)
 
     def _track_members(self, now_us: int) -> None:
-        """Keeps progress for the members of the newest configuration."""
+        """Tracks the progress of exactly the other members of the latest configuration."""
         others = self.config.members - {self.member_id}
         acknowledged_us = now_us - self._options.min_election_timeout_us
         for member in others:
@@ -65,7 +65,7 @@
             del self.progress[member]
 
     def _has_quorum_contact(self, now_us: int) -> bool:
-        """Check-quorum (thesis 6.2): a leader that a majority does not answer stops to lead."""
+        """Returns whether this leader is newly elected or a majority replied lately (check-quorum, thesis 6.2)."""
         timeout_us = self._options.min_election_timeout_us
         if now_us - self._leader_since_us < timeout_us:
             return True
@@ -80,8 +80,8 @@
     def _check_accepts_proposals(self) -> None:
         if self.role is not Role.LEADER:
             if self.leader_id is None:
-                raise NotLeaderError("there is no leader")
-            raise NotLeaderError(f"not the leader; that is {self.leader_id}", self.leader_id)
+                raise NotLeaderError("no leader is known")
+            raise NotLeaderError(f"not the leader; the leader is {self.leader_id}", self.leader_id)
         if self._transfer_target is not None:
             raise TransferInProgressError(self._transfer_target)
 
@@ -98,7 +98,7 @@
         self._broadcast(now_us)
 
     def _broadcast(self, now_us: int) -> None:
-        """Sends entries, or a heartbeat, to all members."""
+        """Sends entries, or a heartbeat, to all other members."""
         self._next_heartbeat_us = now_us + self._options.heartbeat_interval_us
         for member in sorted(self.progress):
             self._replicate_to(now_us, member)
@@ -115,7 +115,7 @@
             entries = self.log.entries_from(
                 progress.next_index, self._options.max_entries_per_message
             )
-        # Sent ahead of the reply; a lost message is found when the next heartbeat is rejected.
+        # Pipelining: assumes that the entries arrive. If they are lost, the next heartbeat is rejected.
         progress.next_index += len(entries)
         request = AppendEntries(
             self.term, prev_index, prev_term, entries, self.commit_index, now_us
@@ -152,9 +152,9 @@
         self._replicate_to(now_us, sender)
 
     def _advance_commit_index(self, now_us: int) -> None:
-        """Commits what is durable at a majority, if it is of the current term.
+        """Commits entries that are durable on a majority, if the last of them is of the current term.
 
-        An entry of an earlier term could still be replaced (paper 5.4.2).
+        An entry of an earlier term could still be overwritten (paper 5.4.2).
         """
         match_indexes = sorted(map(self._match_index, self.config.voters), reverse=True)
         index = match_indexes[len(match_indexes) // 2]
@@ -164,11 +164,11 @@
         self._broadcast(now_us)
         is_voter = self.member_id in self.config.voters
         if not is_voter and self.log.configuration_index <= self.commit_index:
-            # Its removal is committed and announced: the others elect another leader (thesis 4.2.2).
+            # This leader's removal is committed and sent to the others, which elect a new leader (thesis 4.2.2).
             self._become_follower(now_us, self.term, None)
 
     def _match_index(self, member: MemberId) -> int:
-        """Up to where a member's log is durable and matches ours."""
+        """Returns the index up to which a member's log is durable and matches the leader's log."""
         if member == self.member_id:
             return self._durable_index
         progress = self.progress.get(member)
@@ -177,7 +177,7 @@
         return progress.match_index
 
     def _transfer_if_ready(self) -> None:
-        """The target of a transfer is told to start an election once its log is complete."""
+        """Sends TimeoutNow to the target of a leadership transfer once its log is complete."""
         target = self._transfer_target
         if target is not None and self._match_index(target) == self.log.last_index:
             self._send(target, TimeoutNow(self.term))
@@ -187,7 +187,7 @@
     # Snapshots
 
     def _send_chunk(self, now_us: int, member: MemberId, progress: Progress) -> None:
-        """Sends one chunk; the next follows its reply, and a lost one is resent with a later heartbeat."""
+        """Sends one chunk; the next is sent after its reply, and a lost one is resent with a later heartbeat."""
         if now_us - progress.chunk_sent_us < self._options.heartbeat_interval_us:
             return
         snapshot = self.log.snapshot
@@ -214,7 +214,7 @@
         progress.chunk_sent_us = 0
         snapshot = self.log.snapshot
         if reply.last_included_index != snapshot.index:
-            progress.snapshot_offset_bytes = 0  # of an earlier snapshot
+            progress.snapshot_offset_bytes = 0  # The offset belonged to an earlier snapshot.
         if reply.last_included_index < snapshot.index:
             return
         is_complete = reply.next_offset_bytes >= len(snapshot.data)
--- a/kelpcourse/shared/raft/log.py
+++ b/kelpcourse/shared/raft/log.py
@@ -9,10 +9,10 @@
 
 
 class Log:
-    """Entries by index, beginning after a snapshot."""
+    """A snapshot and the log entries that follow it, by index."""
 
     def __init__(self, snapshot: Snapshot, entries: Sequence[LogEntry]) -> None:
-        """Takes a snapshot and the entries right after it."""
+        """Initializes the log from a snapshot and the entries right after it."""
         self.snapshot = snapshot
         self._entries = list(entries)
 
@@ -31,7 +31,7 @@
         return len(self._entries)
 
     def term_at(self, index: int) -> int | None:
-        """Returns the term of an entry, or None if the log does not hold it (any more)."""
+        """Returns the term of an entry, or None if the log does not hold the entry or has compacted it."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if not self.snapshot.index < index <= self.last_index:
@@ -63,7 +63,7 @@
         del self._entries[index - self.snapshot.index - 1 :]
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Replaces the log up to a snapshot; entries after it stay only if they belong to it (paper 7)."""
+        """Replaces the log up to a snapshot; later entries are kept only if the log holds its last entry (paper 7)."""
         if self.term_at(snapshot.index) == snapshot.term:
             del self._entries[: snapshot.index - self.snapshot.index]
         else:
@@ -72,7 +72,7 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The newest configuration, committed or not: it is in force once it is appended (thesis 4.1)."""
+        """The latest configuration, committed or not: it applies as soon as it is appended (thesis 4.1)."""
         entry = self._latest_configuration_entry()
         if entry is None or entry.config is None:
             return self.snapshot.config
@@ -80,12 +80,12 @@
 
     @property
     def configuration_index(self) -> int:
-        """Index of the newest configuration's entry, or of the snapshot that holds it."""
+        """Index of the latest configuration entry, or of the snapshot if no such entry follows it."""
         entry = self._latest_configuration_entry()
         return self.snapshot.index if entry is None else entry.index
 
     def configuration_at(self, index: int) -> Configuration:
-        """Returns the configuration in force at an index."""
+        """Returns the configuration that applies at an index."""
         for entry in reversed(self._entries[: index - self.snapshot.index]):
             if entry.kind is EntryKind.CONFIG and entry.config is not None:
                 return entry.config
--- a/kelpcourse/shared/raft/messages.py
+++ b/kelpcourse/shared/raft/messages.py
@@ -1,7 +1,7 @@
-"""Messages between members, log entries and cluster configurations, as plain values without a wire form.
+"""Messages between members, log entries and cluster configurations, independent of their encoding.
 
-Names follow the Raft paper and Ongaro's thesis. Fields of `LogEntry`, `Configuration` and `Snapshot` are named so
-in stored data too: see `persistent`.
+Names follow the Raft paper and Ongaro's thesis. The field names of `LogEntry`, `Configuration` and `Snapshot` are
+also used in stored data: see `persistent`.
 """
 
 from __future__ import annotations
@@ -10,31 +10,32 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MemberId = str  # a controller and its disk, as NAME@TOKEN: an empty disk makes a new member
+# Identifies a controller together with its disk, as NAME@TOKEN: a controller with an empty disk is a new member.
+MemberId = str
 
 
 class EntryKind(Enum):
-    """What a log entry is for. The values are stored and sent."""
+    """The kind of a log entry. The values are stored and sent."""
 
     DATA = "data"
     CONFIG = "config"
-    NO_OP = "nothing"  # a new leader's first entry, with which earlier entries are committed
+    NO_OP = "nothing"  # First entry of a new leader; committing it commits all earlier entries.
 
 
 @dataclass(frozen=True)
 class Configuration:
-    """The members of a cluster. Learners receive the log and do not vote."""
+    """The members of a cluster. Learners receive the log but do not vote."""
 
     voters: frozenset[MemberId]
     learners: frozenset[MemberId] = frozenset()
 
     @property
     def members(self) -> frozenset[MemberId]:
-        """Voters and learners."""
+        """All voters and learners."""
         return self.voters | self.learners
 
     def has_quorum(self, members: Set[MemberId]) -> bool:
-        """Whether a majority of the voters is among these members."""
+        """Returns whether these members include a majority of the voters."""
         return len(self.voters & members) > len(self.voters) // 2
 
 
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """The state machine after the entry at `index`, in place of all entries up to it."""
+    """The state of the state machine after the entry at `index`, which replaces all entries up to it."""
 
     index: int
     term: int
@@ -61,18 +62,26 @@
 
 @dataclass(frozen=True)
 class RequestVote:
-    """A candidate or pre-candidate asks for a vote (paper 5.2, thesis 9.6)."""
+    """Request of a candidate or pre-candidate for a vote (paper 5.2, thesis 9.6).
+
+    Attributes:
+        term: Term of the election; for a pre-vote, the term that an election would have.
+        last_log_index: Index of the candidate's last log entry.
+        last_log_term: Term of the candidate's last log entry.
+        pre_vote: Whether this is a pre-vote, which changes no term and no vote.
+        is_transfer: Whether the current leader requested this election to transfer its leadership.
+    """
 
     term: int
     last_log_index: int
     last_log_term: int
     pre_vote: bool
-    is_transfer: bool = False  # the leader itself asked for this election
+    is_transfer: bool = False
 
 
 @dataclass(frozen=True)
 class RequestVoteReply:
-    """The answer to `RequestVote`."""
+    """Reply to `RequestVote`."""
 
     term: int
     pre_vote: bool
@@ -81,23 +90,33 @@
 
 @dataclass(frozen=True)
 class AppendEntries:
-    """The leader replicates entries; without entries it is a heartbeat (paper 5.3)."""
+    """Request of the leader to append entries; without entries it is a heartbeat (paper 5.3)."""
 
     term: int
     prev_log_index: int
     prev_log_term: int
     entries: tuple[LogEntry, ...]
     leader_commit: int
-    sent_us: int  # on the leader's clock, repeated in the reply: leases count from the request
+    # Send time on the leader's clock. The reply repeats it, because the guarantee of leadership counts from it.
+    sent_us: int
 
 
 @dataclass(frozen=True)
 class AppendEntriesReply:
-    """The answer to `AppendEntries`."""
+    """Reply to `AppendEntries`.
+
+    Attributes:
+        term: Current term of the member.
+        success: Whether the request was accepted: its term is current, and the logs match at its `prev_log_index`.
+        match_index: On success, the index up to which the log is durable and matches; otherwise, the index at which
+            the leader retries.
+        last_log_index: Index of the member's last log entry.
+        sent_us: Send time of the request, on the leader's clock.
+    """
 
     term: int
     success: bool
-    match_index: int  # durable up to here; without success, the index to try next
+    match_index: int
     last_log_index: int
     sent_us: int
 
@@ -118,17 +137,17 @@
 
 @dataclass(frozen=True)
 class InstallSnapshotReply:
-    """The answer to `InstallSnapshot`: which chunk is wanted next."""
+    """Reply to `InstallSnapshot`, with the offset of the next chunk to send."""
 
     term: int
     last_included_index: int
-    next_offset_bytes: int  # the total size, once the snapshot is complete and durable
+    next_offset_bytes: int  # Equals the total size once the snapshot is complete and durable.
     sent_us: int
 
 
 @dataclass(frozen=True)
 class TimeoutNow:
-    """The leader transfers its leadership to the recipient (thesis 3.10)."""
+    """Request of the leader to start an election immediately, which transfers its leadership (thesis 3.10)."""
 
     term: int
 
--- a/kelpcourse/shared/raft/node.py
+++ b/kelpcourse/shared/raft/node.py
@@ -1,4 +1,4 @@
-"""The Raft step function: dispatches time, messages and completed writes to the member's current role."""
+"""The Raft step function: dispatches clock ticks, messages and durable writes to the member's current role."""
 
 from __future__ import annotations
 
@@ -33,17 +33,21 @@
 
 @dataclass(frozen=True)
 class ProposalId:
-    """A proposed entry: committed if an entry of both is, lost if another term takes its index."""
+    """Identifies a proposed entry by its index and term.
+
+    The proposal is committed if an entry with this index and term is, and lost if an entry of another term is
+    committed at this index.
+    """
 
     index: int
     term: int
 
 
 class Raft(ElectionRole, FollowerRole, LeaderRole):
-    """One member. After each call, `take_output` says what is to be done."""
+    """A Raft member. After each call, `take_output` returns the resulting messages, writes and committed entries."""
 
     def tick(self, now_us: int) -> None:
-        """Does what time makes due: heartbeats, giving up leadership, elections."""
+        """Performs the actions that are due: sends heartbeats, steps down, or starts an election."""
         if self.role is not Role.LEADER:
             if now_us >= self._election_deadline_us:
                 self._start_election(now_us, pre_vote=True)
@@ -53,13 +57,13 @@
             self._broadcast(now_us)
 
     def next_due_us(self) -> int:
-        """Returns when `tick` is to be called next."""
+        """Returns the time at which `tick` must be called next."""
         if self.role is Role.LEADER:
             return self._next_heartbeat_us
         return self._election_deadline_us
 
     def receive(self, now_us: int, sender: MemberId, message: RaftMessage) -> None:
-        """Handles a message of another member."""
+        """Handles a message from another member."""
         if self._is_disruptive(now_us, message):
             return
         self._adopt_newer_term(now_us, sender, message)
@@ -81,13 +85,13 @@
                     self._start_election(now_us, pre_vote=False, is_transfer=True)
 
     def _is_disruptive(self, now_us: int, message: RaftMessage) -> bool:
-        """Whether a member that can't hear the current leader asks for votes (thesis 4.2.3)."""
+        """Returns whether to ignore a vote request because a current leader exists (thesis 4.2.3)."""
         if not isinstance(message, RequestVote) or not self._has_current_leader(now_us):
             return False
         return not message.is_transfer
 
     def _adopt_newer_term(self, now_us: int, sender: MemberId, message: RaftMessage) -> None:
-        """A newer term makes a follower (paper 5.1); pre-votes are of no term yet."""
+        """Becomes a follower on a message of a newer term (paper 5.1), except on pre-votes, which start no term."""
         if message.term <= self.term:
             return
         if isinstance(message, RequestVote | RequestVoteReply) and message.pre_vote:
@@ -99,7 +103,7 @@
         return self.role is Role.LEADER and term == self.term and sender in self.progress
 
     def on_writes_durable(self, now_us: int, number: int) -> None:
-        """All writes up to this number are durable."""
+        """Handles the completion of all writes up to this number, which are now durable."""
         self._mark_writes_durable(number)
         if self.role is Role.CANDIDATE and self._vote_write_number <= self._durable_write_number:
             self._count_vote(now_us, self.member_id)
@@ -110,8 +114,8 @@
         """Appends an entry for the state machine.
 
         Raises:
-            RequestRejectedError: This member does not lead, transfers its leadership, or has too many entries
-                that are not committed.
+            RequestRejectedError: This member is not the leader, is transferring its leadership, or has too many
+                uncommitted entries.
         """
         self._check_accepts_proposals()
         max_entries = self._options.max_uncommitted_entries
@@ -121,17 +125,17 @@
         return ProposalId(self.log.last_index, self.term)
 
     def change_membership(self, now_us: int, config: Configuration) -> ProposalId:
-        """Appends a configuration with one voter more or less, or with any learners.
+        """Appends a configuration that differs by at most one voter, and by any number of learners.
 
         Raises:
-            RequestRejectedError: This member does not lead, or the change would be unsafe.
+            RequestRejectedError: This member is not the leader, or the change would be unsafe.
         """
         self._check_accepts_proposals()
         if self.log.configuration_index > self.commit_index:
-            raise MembershipChangeError("another change is under way")
+            raise MembershipChangeError("another membership change is in progress")
         if self.log.term_at(self.commit_index) != self.term:
-            # Else majorities of two configurations might not overlap.
-            raise MembershipChangeError("nothing of this term is committed yet")
+            # Without this check, majorities of two configurations might not overlap.
+            raise MembershipChangeError("the leader has not committed an entry of its term yet")
         current = self.config
         check_voter_change(current, config)
         check_new_voters_caught_up(
@@ -145,10 +149,10 @@
         return ProposalId(self.log.last_index, self.term)
 
     def transfer_leadership(self, target: MemberId) -> None:
-        """Transfers leadership to another voter once that has all entries (thesis 3.10).
+        """Transfers leadership to another voter as soon as its log is complete (thesis 3.10).
 
         Raises:
-            RequestRejectedError: This member does not lead, or the target is no other voter.
+            RequestRejectedError: This member is not the leader, or the target is not another voter.
         """
         self._check_accepts_proposals()
         if target not in self.config.voters or target == self.member_id:
@@ -157,10 +161,10 @@
         self._transfer_if_ready()
 
     def compact(self, index: int, data: bytes) -> None:
-        """Replaces the log up to a committed index by the state machine's state after it (paper 7).
+        """Replaces the log up to a committed index with a snapshot of the state machine at that index (paper 7).
 
         Raises:
-            LogIndexError: The entry is not committed, or was compacted before.
+            LogIndexError: The entry is not committed, or is already compacted.
         """
         if not self.log.snapshot.index <= index <= self.commit_index:
             raise LogIndexError(index, self.log.snapshot.index, self.commit_index)
--- a/kelpcourse/shared/raft/output.py
+++ b/kelpcourse/shared/raft/output.py
@@ -1,4 +1,4 @@
-"""What the Raft step function puts out."""
+"""Output of the Raft step function."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class OutgoingMessage(NamedTuple, Generic[MessageT_co]):
-    """A message to be sent."""
+    """A message to send, with its recipient."""
 
     recipient: MemberId
     message: MessageT_co
@@ -20,11 +20,10 @@
 
 @dataclass
 class RaftOutput:
-    """What the caller is to do, in this order: writes, messages, and applying entries."""
+    """Actions for the caller, in this order: perform writes, send messages, apply committed entries."""
 
     messages: list[OutgoingMessage[RaftMessage]] = field(default_factory=list)
     writes: list[StateWrite] = field(default_factory=list)
     committed: list[LogEntry] = field(default_factory=list)
-    installed_snapshot: Snapshot | None = (
-        None  # the state machine restarts from it, before `committed`
-    )
+    # The state machine restarts from this snapshot before it applies `committed`.
+    installed_snapshot: Snapshot | None = None
--- a/kelpcourse/shared/raft/persistent.py
+++ b/kelpcourse/shared/raft/persistent.py
@@ -1,8 +1,8 @@
-"""Persistent state of a member (paper, figure 2) and the writes that change it, with their stored form.
+"""The persistent state of a member (paper, figure 2), the writes that change it, and their encoding.
 
-Writes are stored as MessagePack maps. Stored names that differ from the names here:
+Writes are stored as MessagePack maps. Stored names that differ from the attribute names:
 
-| stored | here             |
+| stored | attribute        |
 | ------ | ---------------- |
 | `vote` | `voted_for`      |
 | `cut`  | `truncate_index` |
@@ -24,18 +24,27 @@
     frozen=True,
     rename={"voted_for": "vote", "truncate_index": "cut"},
 ):
-    """A change of the persistent state, to be made durable in the order of numbers."""
+    """A change of the persistent state. Writes must become durable in the order of their numbers.
+
+    Attributes:
+        number: Number of the write.
+        term: Current term.
+        voted_for: Member that received the vote in the current term, if any.
+        truncate_index: Index from which on entries are removed before `entries` are appended, if any.
+        entries: Log entries to append.
+        snapshot: Snapshot that replaces all entries up to its index, if any.
+    """
 
     number: int
     term: int
     voted_for: MemberId | None
-    truncate_index: int | None = None  # entries from here on are dropped before `entries` follow
+    truncate_index: int | None = None
     entries: tuple[LogEntry, ...] = ()
-    snapshot: Snapshot | None = None  # replaces all entries up to its index
+    snapshot: Snapshot | None = None
 
 
 class PersistentState(msgspec.Struct, frozen=True, rename={"voted_for": "vote"}):
-    """What a member's disk holds."""
+    """The persistent state of a member, as its disk holds it."""
 
     term: int
     voted_for: MemberId | None
@@ -49,22 +58,22 @@
 
 
 def encode_write(write: StateWrite) -> bytes:
-    """Returns the stored form of a write."""
+    """Returns the encoded write."""
     return _encoder.encode(write)
 
 
 def decode_write(payload: bytes) -> StateWrite:
-    """Reads a stored write. Raises msgspec.DecodeError."""
+    """Decodes a stored write. Raises msgspec.DecodeError."""
     return _write_decoder.decode(payload)
 
 
 def encode_state(state: PersistentState) -> bytes:
-    """Returns the stored form of a whole state."""
+    """Returns the encoded persistent state."""
     return _encoder.encode(state)
 
 
 def decode_state(payload: bytes) -> PersistentState:
-    """Reads a stored state. Raises msgspec.DecodeError."""
+    """Decodes a stored state. Raises msgspec.DecodeError."""
     return _state_decoder.decode(payload)
 
 
@@ -73,7 +82,7 @@
 
     Args:
         config: The configuration of a new cluster. A member that joins an existing cluster starts with an empty
-            one, so that it starts no election, and learns the rest from the leader.
+            configuration, so that it starts no election, and receives the actual one from the leader.
     """
     return PersistentState(0, None, Snapshot(0, 0, config, b""))
 
@@ -91,18 +100,18 @@
 
 
 def _entries_after(entries: list[LogEntry], snapshot: Snapshot) -> list[LogEntry]:
-    """Entries behind a snapshot stay only if the log holds the snapshot's last entry (paper 7)."""
+    """Returns the entries after a snapshot, or none if the log does not hold its last entry (paper 7)."""
     if any(entry.index == snapshot.index and entry.term == snapshot.term for entry in entries):
         return [entry for entry in entries if entry.index > snapshot.index]
     return []
 
 
 def replay(start: PersistentState, payloads: Iterable[bytes]) -> PersistentState:
-    """Returns the state after all stored writes, without a copy of the log for each as in `apply_write`.
+    """Returns the state after all stored writes, without copying the log for each write as `apply_write` does.
 
     Raises:
-        msgspec.DecodeError: A write can't be read: the disk holds less than was promised, and the member has to
-            join again.
+        msgspec.DecodeError: A write can't be decoded. The disk then lacks state that was acknowledged as durable, and
+            the member has to join again.
     """
     writes = [decode_write(payload) for payload in payloads]
     entries = list(start.entries)
--- a/kelpcourse/shared/raft/role.py
+++ b/kelpcourse/shared/raft/role.py
@@ -1,4 +1,4 @@
-"""Roles of a Raft member."""
+"""The roles of a Raft member."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class Role(Enum):
-    """What a member currently is. The values are shown by `kelpcourse shared status`."""
+    """The current role of a member. `kelpcourse shared status` shows the values."""
 
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "asker"  # asks whether an election could succeed (thesis 9.6)
+    PRE_CANDIDATE = "asker"  # Checks by a pre-vote whether an election could succeed (thesis 9.6).
     CANDIDATE = "candidate"
     LEADER = "leader"
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -150,12 +150,14 @@
     world = World(7, 4, learners=1)
     world.run_until(lambda: world.propose(b"<a>"))
     world.run_until(lambda: world.is_applied_everywhere(b"<a>"))
-    with pytest.raises(RequestRejectedError, match="voters change one at a time"):
+    with pytest.raises(
+        RequestRejectedError, match="only one voter can be added or removed at a time"
+    ):
         world.change(["n0"])
-    with pytest.raises(RequestRejectedError, match="is to be a learner first"):
+    with pytest.raises(RequestRejectedError, match="must be a learner first"):
         world.change(["n0", "n1", "n2", "n8"])
     world.change(["n0", "n1", "n2", "n3"])
-    with pytest.raises(RequestRejectedError, match="another change is under way"):
+    with pytest.raises(RequestRejectedError, match="another membership change is in progress"):
         world.change(["n0", "n1", "n2", "n3"], ["n4"])
     world.run(200 * MS)
     leader = world.leader
@@ -235,5 +237,5 @@
     world.run(300 * MS)
     follower = next(n for n in world.nodes.values() if n is not world.leader)
     assert follower.raft is not None
-    with pytest.raises(RequestRejectedError, match="not the leader; that is"):
+    with pytest.raises(RequestRejectedError, match="not the leader; the leader is"):
         follower.raft.propose(0, b"x")
