--- a/kelpcourse/shared/commands.py
+++ b/kelpcourse/shared/commands.py
@@ -1,7 +1,7 @@
-"""Commands of the replicated state machine: the data of log entries.
+"""Commands of the replicated state machine, which are the data of log entries.
 
-Commands are stored and sent as MessagePack arrays that begin with a tag. Tags and the order of fields stay as they
-are; the tag says nothing about the name here:
+Commands are stored and sent as MessagePack arrays that begin with a tag. Tags and the order of fields must not change.
+The tags differ from the names of the classes:
 
 | tag        | command            |
 | ---------- | ------------------ |
@@ -23,7 +23,7 @@
 
 
 class GrantLease(msgspec.Struct, tag="granted", array_like=True, frozen=True):
-    """A group goes to a holder, in the epoch after its current one."""
+    """Grants a group to a holder, in the epoch after the group's current one."""
 
     group: GroupId
     holder: MemberId
@@ -31,29 +31,31 @@
 
 
 class ReleaseLease(msgspec.Struct, tag="released", array_like=True, frozen=True):
-    """The holder gives no more orders under this epoch."""
+    """Releases a group: its holder sends no more orders under this epoch."""
 
     group: GroupId
     epoch: int
 
 
 class StartDrain(msgspec.Struct, tag="withdrew", array_like=True, frozen=True):
-    """An endpoint drains or is gone, and may still be in some proxy's tables."""
+    """Starts a drain: the endpoint is draining or gone, and tables of some proxies may still contain it."""
 
     endpoint: str
-    since_unix_ms: int  # when a controller first learned of it
+    since_unix_ms: (
+        int  # Unix time in milliseconds at which a controller first learned of the drain.
+    )
 
 
 class CompleteDrain(msgspec.Struct, tag="cleared", array_like=True, frozen=True):
-    """Every proxy of the group has left the endpoint, or the endpoint is back."""
+    """Completes a drain in one group: its proxies have left the endpoint, or the endpoint is ready again."""
 
     endpoint: str
     group: GroupId
-    since_unix_ms: int  # of the drain that is complete: not of a later one
+    since_unix_ms: int  # Start of the completed drain, which tells it apart from a later one.
 
 
 class SaveHandover(msgspec.Struct, tag="carried", array_like=True, frozen=True):
-    """What the holder of a group learned slowly, for its next holder."""
+    """Saves values that a group's holder took a long time to learn, for the group's next holder."""
 
     group: GroupId
     epoch: int
@@ -62,13 +64,13 @@
 
 
 class SetGroupCount(msgspec.Struct, tag="began", array_like=True, frozen=True):
-    """The proxies are divided into this many groups from now on."""
+    """Sets the number of groups into which the proxies are divided."""
 
     group_count: int
 
 
 class SetMemberDrained(msgspec.Struct, tag="drained", array_like=True, frozen=True):
-    """An operator wants a member to hold no group, or takes that back. In the log, so that every leader knows."""
+    """Sets whether a member is drained, that is, holds no group. Replicated, so that it applies under every leader."""
 
     member: MemberId
     is_drained: bool
@@ -88,17 +90,17 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Returns the stored form of a command."""
+    """Returns the encoded command."""
     return _encoder.encode(command)
 
 
 def decode_command(data: bytes) -> Command:
-    """Reads a stored command. Raises msgspec.DecodeError, also for a command of a later version."""
+    """Decodes a command. Raises msgspec.DecodeError, also for a command of a later version."""
     return _decoder.decode(data)
 
 
 def command_key(command: Command) -> tuple[object, ...]:
-    """Returns what a command is about: a later command with the same key replaces it."""
+    """Returns the key of a command: a later command with the same key replaces it."""
     match command:
         case CompleteDrain(endpoint, group, _):
             return CompleteDrain, endpoint, group
--- a/kelpcourse/shared/controller.py
+++ b/kelpcourse/shared/controller.py
@@ -1,7 +1,8 @@
-"""One of several controllers: Raft, the replicated state and leases as one step function, without input or output.
+"""A shared controller: Raft, the replicated state and leases as one step function, without input or output of its own.
 
-`epoch` says under which epoch this controller may order for a group now, if at all; all else serves to keep that
-true. Commands that it submits are sent to the leader again and again until the replicated state holds their effect.
+`epoch` returns the epoch under which this controller may order for a group now, if it holds the group's lease. The rest
+of the module guarantees that no other controller holds that lease at the same time. Submitted commands are resent to
+the leader until the replicated state holds their effect.
 """
 
 from __future__ import annotations
@@ -47,7 +48,7 @@
 
 
 class Controller:
-    """A member's whole state. After each call, `take_output` says what is to be done."""
+    """The whole state of a member. After each call, `take_output` returns the resulting messages, writes and events."""
 
     def __init__(
         self,
@@ -60,17 +61,17 @@
         holder_factory: type[LeaseHolder] = LeaseHolder,
         manager_factory: type[LeaseManager] = LeaseManager,
     ) -> None:
-        """Starts with what the disk holds.
+        """Initializes the controller from its persistent state.
 
         Args:
-            member_id: This member.
+            member_id: Identifier of this member.
             state: The persistent state found on disk.
-            options: How the fleet is shared.
-            seed: For random election timeouts.
-            now_us: The time on the member's own monotonic clock.
-            raft_factory: Makes the Raft step function.
-            holder_factory: Makes the holder's side of leases.
-            manager_factory: Makes the leader's side of leases.
+            options: Options by which the proxy groups are shared among controllers.
+            seed: Seed of the random election timeouts.
+            now_us: Current time on the member's own monotonic clock, in microseconds.
+            raft_factory: Class of the Raft step function.
+            holder_factory: Class of the holder's side of leases.
+            manager_factory: Class of the leader's side of leases.
         """
         self.member_id = member_id
         self.options = options
@@ -93,12 +94,12 @@
         self._output = ControllerOutput()
 
     def tick(self, now_us: int) -> None:
-        """Does what time makes due."""
+        """Performs the actions that are due."""
         self.raft.tick(now_us)
         self._process(now_us)
 
     def receive(self, now_us: int, sender: MemberId, message: PeerMessage) -> None:
-        """Handles a message of another member."""
+        """Handles a message from another member, or from this one."""
         match message:
             case LeaseRequest():
                 self._on_lease_request(now_us, sender, message)
@@ -111,35 +112,36 @@
         self._process(now_us)
 
     def on_writes_durable(self, now_us: int, number: int) -> None:
-        """All writes up to this number are durable."""
+        """Handles the completion of all writes up to this number, which are now durable."""
         self.raft.on_writes_durable(now_us, number)
         self._process(now_us)
 
     def submit(self, now_us: int, command: Command) -> None:
-        """Submits a command for the replicated state; a later one with the same key replaces it.
+        """Submits a command for the replicated state; a later command with the same key replaces it.
 
-        Beyond `max_pending_commands` the oldest is dropped: what still holds is submitted again by whoever knows it.
+        If more than `max_pending_commands` are pending, the oldest is dropped. Its submitter submits it again if it is
+        still needed.
         """
         self._pending.add(command, now_us)
         self._process(now_us)
 
     def change_membership(self, now_us: int, config: Configuration) -> None:
-        """Changes the members. Raises RequestRejectedError."""
+        """Proposes a change of the cluster's members. Raises RequestRejectedError."""
         self.raft.change_membership(now_us, config)
         self._process(now_us)
 
     def take_output(self) -> ControllerOutput:
-        """Returns what is to be done since the last call."""
+        """Returns the output accumulated since the last call."""
         output = self._output
         self._output = ControllerOutput()
         return output
 
     def next_due_us(self) -> int:
-        """Returns when `tick` is to be called next."""
+        """Returns the time at which `tick` must be called next."""
         return min(self.raft.next_due_us(), self.lease_holder.next_due_us())
 
     def epoch(self, group: GroupId, now_us: int) -> int | None:
-        """Returns under which epoch the group may be ordered for now, or None."""
+        """Returns the epoch under which this controller may order for the group now, or None."""
         return self.lease_holder.epoch(group, now_us)
 
     # Leases
@@ -185,7 +187,7 @@
             try:
                 command = decode_command(data)
             except msgspec.DecodeError:
-                continue  # of a later version: a member that understands it may lead later
+                continue  # Written by a later version; a member of that version may become leader.
             self._propose(now_us, command)
 
     def _propose(self, now_us: int, command: Command) -> None:
@@ -200,7 +202,7 @@
         self._proposed[proposal] = command
 
     def _forward_pending(self, now_us: int) -> None:
-        """Sends commands whose effect is not replicated yet to the current leader."""
+        """Sends commands whose effect is not yet replicated to the current leader."""
         self._pending.discard_settled(self.state)
         leader = self.raft.leader_id
         if leader is None:
@@ -209,7 +211,7 @@
         if commands:
             self._send(now_us, leader, ForwardedCommands(commands))
 
-    # After each input
+    # Processing after each input
 
     def _process(self, now_us: int) -> None:
         self._take_raft_output(now_us)
@@ -221,12 +223,12 @@
         output = self.raft.take_output()
         self._output.messages += output.messages
         self._output.writes += output.writes
-        # A lone voter commits an entry as soon as it is written.
+        # In a single-voter cluster, an entry is committed as soon as it is written.
         for entry in output.committed:
             self._apply(now_us, entry)
 
     def _take_raft_output(self, now_us: int) -> None:
-        """Takes what Raft put out, and what applying it caused, until nothing is left."""
+        """Processes the output of Raft repeatedly, as applying an entry may produce further output."""
         output = self.raft.take_output()
         while _has_content(output):
             self._output.messages += output.messages
@@ -254,7 +256,7 @@
         self.on_applied(entry, accepted)
 
     def _apply_command(self, now_us: int, data: bytes) -> bool:
-        """Applies a command; one of a later version is ignored, as it is proposed only once all members know it."""
+        """Applies a command; ignores one of a later version, as it is proposed only once all members support it."""
         try:
             command = decode_command(data)
         except msgspec.DecodeError:
@@ -286,7 +288,7 @@
             self._proposed.clear()
             return
         if raft.log.term_at(raft.commit_index) != raft.term:
-            return  # grants of earlier leaders may not be applied yet
+            return  # Grants of earlier leaders may not be applied yet.
         if self.lease_manager is None or self._manager_term != raft.term:
             self._manager_term = raft.term
             self.lease_manager = self._manager_factory(self.options.lease, self.state, now_us)
--- a/kelpcourse/shared/fencing.py
+++ b/kelpcourse/shared/fencing.py
@@ -1,4 +1,4 @@
-"""Fencing: whoever receives orders rejects those of an earlier holder of a group."""
+"""Fencing: a receiver of orders rejects those of an earlier holder of a group."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class EpochFence:
-    """The highest epoch of each group that was seen."""
+    """Tracks the highest epoch seen for each group."""
 
     def __init__(self) -> None:
-        """Starts without any epoch seen."""
+        """Initializes the fence before any epoch is seen."""
         self._highest: dict[GroupId, int] = {}
 
     def admits(self, group: GroupId, epoch: int) -> bool:
-        """Whether an order under this epoch is not older than one before it."""
+        """Returns whether an order under this epoch is accepted: no order under a higher epoch came before it."""
         if epoch < self._highest.get(group, 0):
             return False
         self._highest[group] = epoch
--- a/kelpcourse/shared/group_controller.py
+++ b/kelpcourse/shared/group_controller.py
@@ -1,8 +1,8 @@
-"""Groups of proxies under leases: each group that this controller holds has a group controller of its own.
+"""Controls proxy groups under leases, with one group controller for each group that this controller holds.
 
-Each group has its own decisions, order queue, calls and event streams, as if its proxies were a whole fleet. Before
-each call the lease is checked again, and the call carries its epoch: what a suspended process had half written is
-rejected by the relay.
+Each group has its own facade, order queue, relay calls and event streams, as if its proxies were a whole fleet. The
+lease is checked again before each call, and the call carries the epoch of the lease: if the process was suspended while
+it sent a call and another controller has ordered since, the relay rejects the call by its outdated epoch.
 """
 
 from __future__ import annotations
@@ -29,16 +29,28 @@
 from kelpcourse.wire.runtime import EventLog, Runtime
 from kelpcourse.wire.stream import Address
 
-DRAIN_COMPLETE_US = (
-    30_000_000  # proxies that were ordered to leave an endpoint have left it by then
-)
+DRAIN_COMPLETE_US = 30_000_000  # Time after which all proxies have left a withdrawn endpoint.
 DRAIN_CHECK_INTERVAL_US = DRAIN_COMPLETE_US // 10
 US_PER_MS = 1_000
 
 
 @dataclass(frozen=True)
 class GroupContext:
-    """What every group controller is handed."""
+    """Dependencies shared by all group controllers.
+
+    Attributes:
+        loop: The event loop.
+        limits: Limits of the process.
+        counters: Counters of the process.
+        log: The event log.
+        settings: Settings of the update policy.
+        relay: Address of the relay.
+        discovery: Address of discovery.
+        seed: Base of the random seed of each group controller.
+        unix_ms: Returns the current Unix time, in milliseconds.
+        epoch: Returns the epoch under which this controller may order for a group now, or None.
+        submit: Submits a command for the replicated state.
+    """
 
     loop: Loop
     limits: Limits
@@ -49,12 +61,12 @@
     discovery: Address
     seed: int
     unix_ms: Callable[[], int]
-    epoch: Callable[[GroupId], int | None]  # under which a group may be ordered for now
+    epoch: Callable[[GroupId], int | None]
     submit: Callable[[Command], None]
 
 
 class ObservedFacade(Facade):
-    """A facade that shows each endpoint list to an observer before it takes it."""
+    """A facade that passes each endpoint list to an observer before it processes the list."""
 
     def __init__(
         self,
@@ -63,21 +75,21 @@
         limits: Limits,
         observer: Callable[[Sequence[ListedEndpoint]], None],
     ) -> None:
-        """Takes what `Facade` does, and the observer."""
+        """Initializes the facade with an additional observer of endpoint lists."""
         super().__init__(settings, seed, limits)
         self._observer = observer
 
     def report_list(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
-        """Takes an endpoint list."""
+        """Passes an endpoint list to the observer and to the facade."""
         self._observer(members)
         super().report_list(members, version, whole)
 
 
 class GroupController:
-    """Controls the proxies of one group, from the acquisition of its lease to its loss."""
+    """Controls the proxies of one group while its lease is held."""
 
     def __init__(self, context: GroupContext, lease: LeaseAcquired) -> None:
-        """Prepares the group's parts; `start` starts them."""
+        """Creates the group's components; `start` starts their coroutines."""
         self.group = lease.group
         self._context = context
         limits = context.limits
@@ -103,15 +115,14 @@
             f"/v3/kv/groups/{self.group}/events",
         )
         self._tasks: list[Task] = []
-        self._draining_since_unix_ms: dict[str, int] = dict(
-            lease.pending_drains
-        )  # Unix ms, by endpoint
-        # First what the previous holder had begun, whatever tables the proxies hold.
+        # Start of each drain, by endpoint.
+        self._draining_since_unix_ms: dict[str, int] = dict(lease.pending_drains)
+        # Pending drains of the previous holder are completed first, regardless of the proxies' current tables.
         self._order_queue.add([WithdrawEndpoint(endpoint) for endpoint in lease.pending_drains])
 
     @property
     def facade(self) -> Facade:
-        """The group's decisions."""
+        """The facade that makes the group's decisions."""
         return self._facade
 
     def _orders_target(self) -> str | None:
@@ -132,13 +143,13 @@
         self._tasks = [loop.start(f"group {self.group}", coroutine) for coroutine in coroutines]
 
     def stop(self) -> None:
-        """Stops immediately: the group is another controller's, whatever is queued."""
+        """Stops immediately and abandons queued orders, as another controller may hold the group."""
         for task in self._tasks:
             self._context.loop.stop(task)
         self._discovery.watch(False)
 
     def _run_decisions(self) -> Coroutine[None]:
-        """Calls the facade when something is due, and at least once in each batching interval."""
+        """Calls the facade when an action is due, and at least once in each batching interval."""
         clock = self._context.loop.clock
         interval_us = self._context.limits.step_batching_us
         self._facade.start(clock())
@@ -163,7 +174,7 @@
     # Drains
 
     def _on_endpoint_list(self, endpoints: Sequence[ListedEndpoint]) -> None:
-        """Makes drains known to all controllers before any order on them, so that a next holder completes them."""
+        """Submits changed drains before any order for them is sent, so that a next holder can complete them."""
         for endpoint in endpoints:
             is_ready = endpoint.status is EndpointStatus.READY
             is_draining = endpoint.name in self._draining_since_unix_ms
@@ -192,15 +203,15 @@
 
 
 class GroupControllers:
-    """The group controllers of all groups that this controller holds."""
+    """Manages the group controllers of all groups that this controller holds."""
 
     def __init__(self, context: GroupContext) -> None:
-        """Starts without a group."""
+        """Initializes the collection without groups."""
         self._context = context
         self.groups: dict[GroupId, GroupController] = {}
 
     def on_event(self, event: ControllerEvent) -> None:
-        """Handles an event in a task of its own, as a group controller that starts may submit commands."""
+        """Handles an event in a separate task, because a starting group controller may submit commands."""
         match event:
             case LeaseAcquired():
                 action = partial(self._on_acquired, event)
--- a/kelpcourse/shared/lease_holder.py
+++ b/kelpcourse/shared/lease_holder.py
@@ -1,4 +1,4 @@
-"""The holder's side of leases: which groups this controller may order for."""
+"""The holder's side of leases: tracks the groups for which this controller may order."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class LeaseHolder:
-    """Leases of one member, on its own clock."""
+    """The leases of one member, on its own clock."""
 
     def __init__(self, member_id: MemberId, timing: LeaseTiming) -> None:
-        """Starts without a lease."""
+        """Initializes the holder without leases."""
         self._member_id = member_id
         self._timing = timing
         self._expires_us: dict[GroupId, int] = {}
@@ -20,20 +20,20 @@
         self._next_request_us = 0
 
     def epoch(self, group: GroupId, now_us: int) -> int | None:
-        """Returns under which epoch the group may be ordered for now, or None.
+        """Returns the epoch under which this controller may order for the group now, or None.
 
-        To be asked before each order: the process may have been suspended since the last one.
+        Must be called before each order, as the process may have been suspended since the last one.
         """
         if self._expires_us.get(group, 0) > now_us:
             return self._epochs[group]
         return None
 
     def remaining_us(self, group: GroupId, now_us: int) -> int:
-        """Returns how long the group's lease still lasts."""
+        """Returns the remaining duration of the group's lease, in microseconds."""
         return max(0, self._expires_us.get(group, 0) - now_us)
 
     def held_epochs(self, now_us: int) -> dict[GroupId, int]:
-        """Returns all groups that may be ordered for now, and their epochs."""
+        """Returns all groups for which this controller may order now, with their epochs."""
         held = {}
         for group in self._epochs:
             epoch = self.epoch(group, now_us)
@@ -42,10 +42,10 @@
         return held
 
     def update_grants(self, state: ReplicatedState) -> list[GroupId]:
-        """Takes over grants from the replicated state; returns the groups that are lost by it.
+        """Adopts the grants in the replicated state, and returns the groups that this controller lost.
 
-        A loss counts immediately. A grant gives no right before it is renewed: it may be old by the time it is
-        heard of.
+        A loss takes effect immediately. A grant takes effect only once the leader renews it, as it may already be
+        outdated when it is applied here.
         """
         granted = state.epochs_held_by(self._member_id)
         lost = [group for group, epoch in self._epochs.items() if granted.get(group) != epoch]
@@ -59,18 +59,18 @@
         return lost
 
     def next_request(self, now_us: int) -> LeaseRequest | None:
-        """Returns what to send to the leader now, or None if it is not time."""
+        """Returns the request to send to the leader now, or None if none is due."""
         if now_us < self._next_request_us:
             return None
         self._next_request_us = now_us + self._timing.renewal_interval_us
         return LeaseRequest(now_us, dict(self._epochs))
 
     def next_due_us(self) -> int:
-        """Returns when the next request is to be sent."""
+        """Returns the time at which the next request is due."""
         return self._next_request_us
 
     def on_reply(self, reply: LeaseReply) -> list[GroupId]:
-        """Takes renewals; returns the groups that may be ordered for from now on and could not before."""
+        """Applies renewals, and returns the groups whose leases are newly acquired by them."""
         acquired = []
         for group, epoch in reply.epochs.items():
             if self._epochs.get(group) != epoch:
@@ -82,7 +82,7 @@
         return acquired
 
     def take_expired(self, now_us: int) -> list[GroupId]:
-        """Returns groups whose lease has expired since the last call."""
+        """Returns the groups whose leases have expired since the last call."""
         expired = [group for group, until_us in self._expires_us.items() if until_us <= now_us]
         for group in expired:
             del self._expires_us[group]
--- a/kelpcourse/shared/lease_manager.py
+++ b/kelpcourse/shared/lease_manager.py
@@ -1,4 +1,4 @@
-"""The leader's side of leases: renews them, and gives groups that nobody can hold any more to another member."""
+"""The leader's side of leases: renews them, and grants groups whose leases have expired to other members."""
 
 from __future__ import annotations
 
@@ -10,21 +10,23 @@
 from kelpcourse.shared.raft.messages import MemberId
 from kelpcourse.shared.replicated_state import ReplicatedState
 
-NO_REQUEST_US = -1 << 62
+NO_REQUEST_US = -1 << 62  # Request time of a member that has sent no request yet.
 
 
 class LeaseManager:
-    """Leases of all members, on the leader's clock. Made by each new leader."""
+    """Manages the leases of all members on the leader's clock. Each new leader creates its own manager."""
 
     def __init__(self, timing: LeaseTiming, state: ReplicatedState, started_us: int) -> None:
-        """Begins once the leader's first entry is committed, at `started_us`."""
+        """Initializes the manager at `started_us`, when the leader has committed its first entry."""
         self._timing = timing
         self._state = state
         self._started_us = started_us
-        self._grantable_from_us: dict[GroupId, int] = {}  # when a group's lease has surely expired
+        # Time from which on a group's lease has expired on its holder's clock too.
+        self._grantable_from_us: dict[GroupId, int] = {}
         self._last_request_us: dict[MemberId, int] = {}
-        self._proposed_epochs: dict[GroupId, int] = {}  # grants that are not committed yet
-        self._migrating: set[GroupId] = set()  # held, and renewed no more
+        self._proposed_epochs: dict[GroupId, int] = {}  # Epochs of proposed, uncommitted grants.
+        # Groups whose current lease is no longer renewed, so that they migrate to another member.
+        self._migrating: set[GroupId] = set()
 
     def on_request(
         self, member: MemberId, request: LeaseRequest, now_us: int, leadership_until_us: int
@@ -32,7 +34,7 @@
         """Renews a member's leases.
 
         Returns:
-            The reply, or None if another member may have been elected: then nothing may be promised.
+            The reply, or None if another member may have been elected leader, so that no lease may be renewed.
         """
         self._last_request_us[member] = now_us
         if now_us >= leadership_until_us:
@@ -51,7 +53,7 @@
         return group not in self._migrating and group not in self._proposed_epochs
 
     def live_members(self, members: Iterable[MemberId], now_us: int) -> set[MemberId]:
-        """Returns the members that have sent a request lately."""
+        """Returns the members that have sent a request within `member_timeout_us`."""
         timeout_us = self._timing.member_timeout_us
         return {
             member
@@ -65,16 +67,16 @@
         members: Iterable[MemberId],
         drained_members: Set[MemberId] = frozenset(),
     ) -> list[Command]:
-        """Returns grants to be proposed now.
+        """Returns the grants to propose now.
 
         Args:
-            now_us: The time on the leader's clock.
+            now_us: Current time on the leader's clock, in microseconds.
             members: All voters.
-            drained_members: Members that are to hold no group.
+            drained_members: Members that must hold no group.
         """
         live = self.live_members(members, now_us)
         eligible = live - drained_members
-        # By then every live member has sent a request.
+        # Every live member has sent a request within the warm-up time.
         warm_up_us = 2 * self._timing.renewal_interval_us
         if not eligible or now_us - self._started_us < warm_up_us:
             return []
@@ -103,7 +105,7 @@
     def _prepare_grant(
         self, group: GroupId, member: MemberId, live: Set[MemberId], now_us: int
     ) -> bool:
-        """Whether a group may go to `member` now; a live holder's lease begins to run out first."""
+        """Returns whether a group may be granted to `member` now; if a live member holds it, starts the migration."""
         holder = self._state.leases[group].holder
         if holder == member or group in self._proposed_epochs:
             return False
@@ -120,14 +122,14 @@
         return now_us >= self._grantable_from_us.get(group, unknown_leases_until_us)
 
     def on_committed(self, command: Command, now_us: int) -> None:
-        """A command was applied to the replicated state."""
+        """Handles a command that was applied to the replicated state."""
         if isinstance(command, GrantLease):
             self._proposed_epochs.pop(command.group, None)
             self._migrating.discard(command.group)
             self._grantable_from_us[command.group] = now_us + self._timing.leader_duration_us
 
     def on_dropped(self, command: Command) -> None:
-        """A command will not be committed, or did not fit."""
+        """Handles a command that was not proposed, or was rejected by the replicated state."""
         if not isinstance(command, GrantLease):
             return
         if self._proposed_epochs.get(command.group) == command.epoch:
--- a/kelpcourse/shared/pending_commands.py
+++ b/kelpcourse/shared/pending_commands.py
@@ -1,4 +1,4 @@
-"""Commands that a member submitted and whose effect is not replicated yet."""
+"""Commands that a member submitted and whose effect is not yet replicated."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 
 class PendingCommands:
-    """Commands to be sent to the leader again and again, one for each `command_key`."""
+    """Commands to resend to the leader until they take effect, at most one for each `command_key`."""
 
     def __init__(
         self, max_commands: int, max_batch: int, retry_interval_us: int, now_us: int
     ) -> None:
-        """Starts without a command.
+        """Initializes the collection without commands.
 
         Args:
-            max_commands: Beyond it the oldest is dropped.
-            max_batch: How many are sent at a time.
-            retry_interval_us: Between two batches.
-            now_us: The first batch may be sent from now on.
+            max_commands: Maximum number of commands, beyond which the oldest is dropped.
+            max_batch: Maximum number of commands in one batch.
+            retry_interval_us: Interval between two batches, in microseconds.
+            now_us: Current time, from which on the first batch may be sent, in microseconds.
         """
         self._max_commands = max_commands
         self._max_batch = max_batch
@@ -27,7 +27,7 @@
         self._commands: dict[tuple[object, ...], Command] = {}
 
     def add(self, command: Command, now_us: int) -> None:
-        """Adds a command, to be sent immediately; it replaces one with the same key."""
+        """Adds a command, due immediately; it replaces a command with the same key."""
         key = command_key(command)
         self._commands.pop(key, None)
         self._commands[key] = command
@@ -36,13 +36,13 @@
         self._next_batch_us = min(self._next_batch_us, now_us)
 
     def discard_settled(self, state: ReplicatedState) -> None:
-        """Drops commands whose effect the state holds."""
+        """Drops commands whose effect the state already holds or has superseded."""
         self._commands = {
             key: command for key, command in self._commands.items() if not state.is_settled(command)
         }
 
     def next_batch(self, now_us: int) -> tuple[bytes, ...]:
-        """Returns what to send now, in the stored form; empty: nothing is pending, or it is not time."""
+        """Returns the encoded commands to send now; empty if none is pending or no batch is due."""
         if now_us < self._next_batch_us or not self._commands:
             return ()
         self._next_batch_us = now_us + self._retry_interval_us
--- a/kelpcourse/shared/placement.py
+++ b/kelpcourse/shared/placement.py
@@ -1,8 +1,8 @@
-"""Which controller should hold which group of proxies.
+"""Placement of proxy groups on controllers.
 
 Rendezvous hashing (Thaler and Ravishankar, 1998) with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2016): each
-group ranks all members by a hash of both and goes to the first that has capacity. When a member comes or goes, only
-its part moves, and the few groups that the bound displaces.
+group ranks all members by a hash of group and member, and is placed on the first member below the bound. When a member
+is added or removed, only its own groups move, and the few groups that the bound displaces.
 """
 
 from __future__ import annotations
@@ -12,29 +12,30 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 GroupId = int
-LOAD_BOUND = 1.1  # a member holds at most this many even shares, and at least an even share over it
+# Each member holds at most this multiple of an even share, and at least an even share divided by it.
+LOAD_BOUND = 1.1
 
 
 def stable_hash(*parts: object) -> int:
-    """Returns 64 bits that are the same on every machine and in every process."""
+    """Returns a 64-bit hash that is the same on every machine and in every process."""
     text = "\0".join(map(str, parts)).encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big")
 
 
 def group_key(group: GroupId) -> str:
-    """Returns the text by which a group is hashed."""
+    """Returns the text that represents a group in hashes."""
     return f"group {group}"
 
 
 def max_groups_per_member(group_count: int, member_count: int) -> int:
-    """Returns how many groups one member may hold."""
+    """Returns the maximum number of groups that one member may hold."""
     if not member_count:
         return 0
     return max(1, math.ceil(LOAD_BOUND * group_count / member_count))
 
 
 def min_groups_per_member(group_count: int, member_count: int) -> int:
-    """Returns how many groups each member holds at least."""
+    """Returns the minimum number of groups that each member holds."""
     if not member_count:
         return 0
     return math.floor(group_count / member_count / LOAD_BOUND)
@@ -47,8 +48,8 @@
 ) -> dict[GroupId, str]:
     """Returns a member for each group.
 
-    A group stays at its current member unless that is gone or over the bound: a move costs its proxies a takeover,
-    and an even spread is worth less.
+    A group stays on its current member unless that member is gone or over the bound: each move makes another member
+    take over the group's proxies, which a more even spread does not justify.
     """
     if not members:
         return {}
@@ -74,7 +75,7 @@
 
 
 def _rank_members(group: GroupId, members: Sequence[str]) -> list[str]:
-    """Members by descending rendezvous weight for a group."""
+    """Returns members by descending rendezvous weight for a group."""
     key = group_key(group)
     return sorted(members, key=lambda member: (-stable_hash(key, member), member))
 
@@ -82,7 +83,7 @@
 def _fill_underloaded(placed: dict[GroupId, str], load: dict[str, int], min_load: int) -> None:
     """Moves groups from the most loaded members to those under the minimum.
 
-    A new member must not stay idle because the others are just within their bound.
+    Otherwise a new member could stay idle while the others are just within the upper bound.
     """
     for member in sorted(load):
         while load[member] < min_load:
@@ -93,7 +94,7 @@
 
 
 def _select_group_to_move(placed: dict[GroupId, str], load: dict[str, int], member: str) -> GroupId:
-    """The group of a most loaded member that ranks `member` highest."""
+    """Returns the group, among those on the most loaded members, that ranks `member` highest."""
     highest = max(load.values())
     movable = [
         group for group, holder in placed.items() if load[holder] == highest and holder != member
@@ -102,5 +103,5 @@
 
 
 def count_moved(before: Mapping[GroupId, str], after: Mapping[GroupId, str]) -> int:
-    """Returns how many groups have another member than before."""
+    """Returns the number of groups that are placed on another member than before."""
     return sum(1 for group, member in before.items() if after.get(group) != member)
--- a/kelpcourse/shared/raft/messages.py
+++ b/kelpcourse/shared/raft/messages.py
@@ -108,8 +108,8 @@
     Attributes:
         term: Current term of the member.
         success: Whether the request was accepted: its term is current, and the logs match at its `prev_log_index`.
-        match_index: On success, the index up to which the log is durable and matches; otherwise, the index at which
-            the leader retries.
+        match_index: On success, the index up to which the log is durable and matches; otherwise, an index at which the
+            logs may match, for the leader to retry with.
         last_log_index: Index of the member's last log entry.
         sent_us: Send time of the request, on the leader's clock.
     """
--- a/kelpcourse/shared/replicated_state.py
+++ b/kelpcourse/shared/replicated_state.py
@@ -1,7 +1,7 @@
-"""The replicated state machine: who holds which group in which epoch, and what a next holder has to finish.
+"""The replicated state machine: the holder and epoch of each group, and the handover state for its next holder.
 
-The same log entries give the same state at every controller. A command that does not fit the state changes nothing,
-at every controller alike, as whoever proposed it may have been overtaken.
+The same log entries produce the same state on every controller. A command that is invalid in the current state, for
+example because another command was committed before it, changes nothing on any controller.
 """
 
 from __future__ import annotations
@@ -26,31 +26,31 @@
 
 
 class Lease(msgspec.Struct, array_like=True):
-    """Who holds a group, and the handover state for whoever holds it next. Stored by the order of fields."""
+    """The holder of a group, and the handover state for its next holder. Stored as an array in the order of fields."""
 
-    holder: MemberId = ""  # empty: released, or never granted
+    holder: MemberId = ""  # Empty if the group was released or never granted.
     epoch: int = 0
     admission_ratios: tuple[float, ...] = ()
     capacity_per_s: float = 0.0
 
 
 class Drain(msgspec.Struct, array_like=True):
-    """An endpoint that drains. Stored by the order of fields."""
+    """The drain of an endpoint. Stored as an array in the order of fields."""
 
     since_unix_ms: int
-    open_groups: list[GroupId]  # groups of which some proxy may still use the endpoint
+    open_groups: list[GroupId]  # Groups in which some proxy may still use the endpoint.
 
 
 @dataclass
 class ReplicatedState:
-    """The state after some entry of the log."""
+    """The replicated state after a log entry."""
 
     leases: dict[GroupId, Lease] = field(default_factory=dict)
-    drains: dict[str, Drain] = field(default_factory=dict)  # by endpoint
-    drained_members: set[MemberId] = field(default_factory=set)  # to hold no group
+    drains: dict[str, Drain] = field(default_factory=dict)  # Drains by endpoint.
+    drained_members: set[MemberId] = field(default_factory=set)  # Members that must hold no group.
 
     def apply(self, command: Command) -> bool:
-        """Applies a command. False: it does not fit the state, and changes nothing."""
+        """Applies a command, and returns whether it was accepted. A rejected command changes nothing."""
         match command:
             case SetGroupCount(group_count):
                 return self._set_group_count(group_count)
@@ -131,7 +131,7 @@
         return True
 
     def is_settled(self, command: Command) -> bool:
-        """Whether the state already holds a command's effect, or has moved past it."""
+        """Returns whether the state already holds the command's effect, or a later state has superseded it."""
         match command:
             case StartDrain(endpoint, since_unix_ms):
                 drain = self.drains.get(endpoint)
@@ -165,7 +165,7 @@
         }
 
     def pending_drains(self, group: GroupId) -> dict[str, int]:
-        """Returns endpoints that a new holder of the group withdraws first, and since when they drain (Unix ms)."""
+        """Returns endpoints that a new holder of the group withdraws first, with the start of each drain (Unix ms)."""
         return {
             endpoint: drain.since_unix_ms
             for endpoint, drain in sorted(self.drains.items())
@@ -173,12 +173,12 @@
         }
 
     def encode(self) -> bytes:
-        """Returns the stored form, for a snapshot."""
+        """Returns the encoded state, for a snapshot."""
         return msgspec.msgpack.encode((self.leases, self.drains, sorted(self.drained_members)))
 
     @classmethod
     def decode(cls, data: bytes) -> ReplicatedState:
-        """Reads the stored form; the initial state if there is none. Raises msgspec.DecodeError."""
+        """Decodes a snapshot; empty data is the initial state. Raises msgspec.DecodeError."""
         if not data:
             return cls()
         snapshot_type = tuple[dict[GroupId, Lease], dict[str, Drain], set[MemberId]]
@@ -189,7 +189,7 @@
 def overdue_drains(
     pending_drains: Mapping[str, int], grace_ms: int, transit_ms: int, now_unix_ms: int
 ) -> list[str]:
-    """Returns endpoints whose drain can't complete within its grace period, however fast the new holder is."""
+    """Returns endpoints whose drain can't complete within its grace period, even if the withdrawal is sent now."""
     return [
         endpoint
         for endpoint, since_unix_ms in pending_drains.items()
