--- a/tests/leaseworld.py
+++ b/tests/leaseworld.py
@@ -1,4 +1,4 @@
-"""Controllers with leases on a virtual clock, faults for them, and what must hold."""
+"""Simulates controllers with leases on a virtual clock, injects faults, and checks the safety properties of leases."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from kelpcourse.shared.raft.messages import LogEntry, MemberId
 from tests.raftworld import MS, TIMING, InvariantError, Node, World
 
-GROUPS = 6
+GROUP_COUNT = 6
 LEASE_TIMING = LeaseTiming(
     duration_us=300 * MS,
     max_clock_drift=0.1,
@@ -33,7 +33,7 @@
 
 
 class Fleet(World):
-    """Controllers, each on its own clock; what must hold is looked at on the world's."""
+    """Simulates controllers, each on its own clock; safety properties are checked on the world's clock."""
 
     def __init__(
         self,
@@ -45,11 +45,11 @@
         timing: LeaseTiming = LEASE_TIMING,
         max_log_entries: int = 4096,
     ) -> None:
-        self.options = ControllerOptions(GROUPS, TIMING, timing, max_log_entries)
+        self.options = ControllerOptions(GROUP_COUNT, TIMING, timing, max_log_entries)
         self.holder_factory = holder
         self.manager_factory = manager
         self.controllers: dict[MemberId, Controller] = {}
-        self.epoch_holders: dict[tuple[int, int], MemberId] = {}  # who ordered under it
+        self.epoch_holders: dict[tuple[int, int], MemberId] = {}  # Holders by group and epoch.
         self.highest_epochs: dict[int, int] = {}
         self.held_group_count = 0
         self.states: dict[int, bytes] = {}
@@ -79,39 +79,39 @@
             return
         if not node.paused:
             controller.tick(self.clock(node))
-            self.take(node)
+            self.process_output(node)
         self.schedule(5 * MS, lambda: self._tick_controller(node, controller))
 
-    def _received(self, node: Node, sender: MemberId, message: PeerMessage) -> None:
+    def _handle_message(self, node: Node, sender: MemberId, message: PeerMessage) -> None:
         self.controllers[node.name].receive(self.clock(node), sender, message)
-        self.take(node)
+        self.process_output(node)
 
-    def take(self, node: Node) -> None:
+    def process_output(self, node: Node) -> None:
         controller = self.controllers[node.name]
-        out = controller.take_output()
-        if out.writes:
-            node.disk.pending_writes += out.writes
+        output = controller.take_output()
+        if output.writes:
+            node.disk.pending_writes += output.writes
             self.schedule(
                 self.random.randint(*self.sync_us),
-                lambda: self._synced_controller(node, controller),
+                lambda: self._complete_controller_sync(node, controller),
             )
-        for to, message in out.messages:
+        for to, message in output.messages:
             self._send(node.name, to, message)
 
-    def _synced_controller(self, node: Node, controller: Controller) -> None:
+    def _complete_controller_sync(self, node: Node, controller: Controller) -> None:
         if node.raft is controller.raft and node.disk.pending_writes:
             controller.on_writes_durable(self.clock(node), node.disk.sync())
-            self.take(node)
+            self.process_output(node)
 
     def _apply(self, node: Node, entry: LogEntry) -> None:
-        """Applies as `World` does, but for snapshots between two entries; all members reach the same state."""
+        """Applies an entry as `World` does, without applied data, and checks that all members reach equal states."""
         node.applied[-1] = entry.index - 1, b""
         super()._apply(node, entry)
         node.applied = node.applied[-1:]
         after = self.controllers[node.name].state.encode()
         known = self.states.setdefault(entry.index, after)
         if known != after:
-            raise InvariantError(f"two states after entry {entry.index}")
+            raise InvariantError(f"members differ in their state after entry {entry.index}")
 
     def check(self) -> None:
         super().check()
@@ -127,57 +127,57 @@
                 other = self.epoch_holders.setdefault((group, epoch), name)
                 if other != name:
                     raise InvariantError(
-                        f"epoch {epoch} of group {group} is {other}'s and {name}'s"
+                        f"epoch {epoch} of group {group} is held by {other} and {name}"
                     )
                 if epoch < self.highest_epochs.get(group, 0):
                     raise InvariantError(
-                        f"group {group} is held under {epoch} after {self.highest_epochs[group]}"
+                        f"group {group} is held in epoch {epoch} after {self.highest_epochs[group]}"
                     )
                 self.highest_epochs[group] = epoch
         self.held_group_count = len(holding)
 
 
 def run_lease_faults(fleet: Fleet, steps: int) -> None:
-    draw, names = fleet.random, sorted(fleet.nodes)
+    rng, names = fleet.random, sorted(fleet.nodes)
     for _ in range(steps):
-        node, what = fleet.nodes[draw.choice(names)], draw.randrange(8)
-        if what == 0:
+        node, fault = fleet.nodes[rng.choice(names)], rng.randrange(8)
+        if fault == 0:
             if node.raft is None:
                 fleet.start(node)
             else:
                 fleet.crash(node)
-        elif what == 1:
-            fleet.blocked_links = {(a, b) for a in names for b in names if draw.random() < 0.3}
-        elif what in (2, 3):
+        elif fault == 1:
+            fleet.blocked_links = {(a, b) for a in names for b in names if rng.random() < 0.3}
+        elif fault in (2, 3):
             fleet.blocked_links.clear()
-        elif what == 4:
-            fleet.loss_ratio = draw.choice([0.0, 0.2])
-        elif what == 5:
+        elif fault == 4:
+            fleet.loss_ratio = rng.choice([0.0, 0.2])
+        elif fault == 5:
             node.paused = not node.paused
-        elif what == 6:
-            fleet.delay_us = draw.choice([(1 * MS, 5 * MS), (1 * MS, 150 * MS)])
-        fleet.run(draw.randint(20 * MS, 300 * MS))
+        elif fault == 6:
+            fleet.delay_us = rng.choice([(1 * MS, 5 * MS), (1 * MS, 150 * MS)])
+        fleet.run(rng.randint(20 * MS, 300 * MS))
 
 
-def leader_dies_with_a_holder_cut_off(fleet: Fleet) -> None:
-    """The new leader has not heard of the holder's last renewal, and can't ask it."""
-    fleet.run_until(lambda: fleet.held_group_count == GROUPS)
+def crash_leader_and_isolate_holder(fleet: Fleet) -> None:
+    """Crashes the leader and isolates a holder, so that the new leader doesn't know the holder's last renewal."""
+    fleet.run_until(lambda: fleet.held_group_count == GROUP_COUNT)
     leader = fleet.leader
     assert leader is not None
-    alone = next(n for n in sorted(fleet.nodes) if n != leader.name)
+    isolated = next(n for n in sorted(fleet.nodes) if n != leader.name)
     fleet.crash(leader)
-    fleet.blocked_links = {(a, b) for a in fleet.nodes for b in fleet.nodes if alone in (a, b)}
+    fleet.blocked_links = {(a, b) for a in fleet.nodes for b in fleet.nodes if isolated in (a, b)}
     fleet.run(2000 * MS)
 
 
-def leader_wakes_with_requests_in_its_buffer(fleet: Fleet) -> None:
-    """It was suspended while another was elected; a holder that reaches nobody else went on sending requests."""
-    fleet.run_until(lambda: fleet.held_group_count == GROUPS)
+def resume_leader_with_buffered_requests(fleet: Fleet) -> None:
+    """Resumes a leader after another was elected, with requests of a holder that could only reach the old leader."""
+    fleet.run_until(lambda: fleet.held_group_count == GROUP_COUNT)
     old = fleet.leader
     assert old is not None
-    alone = next(n for n in sorted(fleet.nodes) if n != old.name)
+    isolated = next(n for n in sorted(fleet.nodes) if n != old.name)
     old.paused = True
-    pair = {old.name, alone}
+    pair = {old.name, isolated}
     fleet.blocked_links = {
         (a, b) for a in fleet.nodes for b in fleet.nodes if (a in pair) != (b in pair)
     }
@@ -186,8 +186,8 @@
     fleet.run(600 * MS)
 
 
-SCENES: list[Callable[[Fleet], None]] = [
+SCENARIOS: list[Callable[[Fleet], None]] = [
     partial(run_lease_faults, steps=40),
-    leader_dies_with_a_holder_cut_off,
-    leader_wakes_with_requests_in_its_buffer,
+    crash_leader_and_isolate_holder,
+    resume_leader_with_buffered_requests,
 ]
--- a/tests/raftmutants.py
+++ b/tests/raftmutants.py
@@ -1,4 +1,4 @@
-"""Raft with one defence taken out each, and scenes in which that shows."""
+"""Mutants of Raft, each without one safety rule, and scenarios that expose them."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
 
 
 def run_crashes(world: World, steps: int) -> None:
-    """What was acknowledged and is not durable is lost: a change is proposed, then most of them die at once."""
-    draw, names = world.random, sorted(world.nodes)
+    """Crashes a majority at once while a proposal is replicated, which loses writes that are not durable."""
+    rng, names = world.random, sorted(world.nodes)
     for step in range(steps):
         for node in world.nodes.values():
             if node.raft is None:
                 world.start(node)
-        world.run(draw.randint(150 * MS, 400 * MS))
+        world.run(rng.randint(150 * MS, 400 * MS))
         world.propose(b"<%d>" % step)
-        world.run(draw.randint(5 * MS, 40 * MS))
-        for name in draw.sample(names, len(names) // 2 + 1):
+        world.run(rng.randint(5 * MS, 40 * MS))
+        for name in rng.sample(names, len(names) // 2 + 1):
             world.crash(world.nodes[name])
-        world.run(draw.randint(5 * MS, 30 * MS))
+        world.run(rng.randint(5 * MS, 30 * MS))
         world.check_logs()
 
 
 def connect_only(world: World, *names: MemberId) -> None:
-    """These speak with each other, and nobody else with anybody."""
+    """Blocks all links but those among the named members."""
     world.blocked_links = {
         (a, b) for a in world.nodes for b in world.nodes if not (a in names and b in names)
     }
 
 
 def figure_8(world: World, _: int) -> None:
-    """Of the paper: an entry of an older term stands at a majority and can still be replaced."""
+    """Plays figure 8 of the paper: an entry of an earlier term is on a majority and can still be overwritten."""
     if len(world.nodes) != 5:
         return
     for node in world.nodes.values():
@@ -60,21 +60,20 @@
     world.crash(world.nodes[second])
     connect_only(world, *rest)
 
-    def led() -> Node | None:
-        leads = [
+    def current_leader() -> Node | None:
+        leaders = [
             world.nodes[n]
             for n in rest
             if (r := world.nodes[n].raft) is not None and r.role is Role.LEADER
         ]
-        return leads[0] if leads else None
+        return leaders[0] if leaders else None
 
-    while led() is None:
+    while current_leader() is None:
         world.run(1 * MS)
-    other = led()
+    other = current_leader()
     assert other is not None
-    world.blocked_links = {
-        (a, b) for a in world.nodes for b in world.nodes
-    }  # its first entry reaches nobody
+    # The first entry of the new leader reaches no other member.
+    world.blocked_links = {(a, b) for a in world.nodes for b in world.nodes}
     world.run(70 * MS)
     world.crash(other)
     third, fourth = (n for n in rest if n != other.name)
@@ -92,16 +91,16 @@
     world.start(other)
     connect_only(world, other.name, third, fourth)
     world.run(1500 * MS)
-    world.heal()
+    world.clear_faults()
     world.run(1500 * MS)
 
 
-class VotesBeforeItIsWritten(Raft):
+class SendsBeforeWriteIsDurable(Raft):
     def _send_after(self, write_number: int, recipient: MemberId, message: RaftMessage) -> None:
         self._send(recipient, message)
 
 
-class VotesForAnyLog(Raft):
+class GrantsVotesToOutdatedLogs(Raft):
     def _on_request_vote(self, now_us: int, sender: MemberId, request: RequestVote) -> None:
         super()._on_request_vote(
             now_us,
@@ -110,14 +109,14 @@
         )
 
 
-class VotesTwice(Raft):
+class VotesTwicePerTerm(Raft):
     def _on_request_vote(self, now_us: int, sender: MemberId, request: RequestVote) -> None:
         if not request.pre_vote and self.role is Role.FOLLOWER:
             self.voted_for = None
         super()._on_request_vote(now_us, sender, request)
 
 
-class CommitsOlderTerms(Raft):
+class CommitsEntriesOfEarlierTerms(Raft):
     def _advance_commit_index(self, now_us: int) -> None:
         matches = sorted(
             (
@@ -131,7 +130,7 @@
             self._broadcast(now_us)
 
 
-class CountsHalf(Raft):
+class CommitsWithoutMajority(Raft):
     def _advance_commit_index(self, now_us: int) -> None:
         matches = sorted(
             (
@@ -146,7 +145,7 @@
             self._broadcast(now_us)
 
 
-class TakesWhatDoesNotFollow(Raft):
+class SkipsLogMatchingCheck(Raft):
     def _on_append_entries(self, now_us: int, sender: MemberId, request: AppendEntries) -> None:
         if request.prev_log_index <= self.log.last_index:
             term = self.log.term_at(request.prev_log_index)
@@ -161,8 +160,8 @@
         super()._on_append_entries(now_us, sender, request)
 
 
-class ShortensItsLog(Raft):
-    """Takes an old message for the whole truth."""
+class TruncatesMatchingEntries(Raft):
+    """Truncates the log at every request, also at a delayed one."""
 
     def _store_entries(self, entries: tuple[LogEntry, ...]) -> None:  # type: ignore[override]
         if entries and self.commit_index < entries[0].index <= self.log.last_index:
@@ -171,7 +170,7 @@
         super()._store_entries(entries)
 
 
-class LeadsWithoutAMajority(Raft):
+class CountsDeniedVotes(Raft):
     def _on_request_vote_reply(
         self, now_us: int, sender: MemberId, reply: RequestVoteReply
     ) -> None:
@@ -181,18 +180,18 @@
 
 
 MUTANTS: list[type[Raft]] = [
-    VotesBeforeItIsWritten,
-    VotesForAnyLog,
-    VotesTwice,
-    CommitsOlderTerms,
-    CountsHalf,
-    TakesWhatDoesNotFollow,
-    ShortensItsLog,
-    LeadsWithoutAMajority,
+    SendsBeforeWriteIsDurable,
+    GrantsVotesToOutdatedLogs,
+    VotesTwicePerTerm,
+    CommitsEntriesOfEarlierTerms,
+    CommitsWithoutMajority,
+    SkipsLogMatchingCheck,
+    TruncatesMatchingEntries,
+    CountsDeniedVotes,
 ]
 
 
-SCENES: dict[type[Raft], Callable[[World, int], None]] = {
-    VotesBeforeItIsWritten: run_crashes,
-    CommitsOlderTerms: figure_8,
+SCENARIOS: dict[type[Raft], Callable[[World, int], None]] = {
+    SendsBeforeWriteIsDurable: run_crashes,
+    CommitsEntriesOfEarlierTerms: figure_8,
 }
--- a/tests/raftworld.py
+++ b/tests/raftworld.py
@@ -1,4 +1,4 @@
-"""Controllers that agree, on a virtual clock, with a network and disks that do their worst, and what must hold."""
+"""Simulates Raft members on a virtual clock, with network and disk faults, and checks Raft's safety properties."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
 
 
 class InvariantError(AssertionError):
-    """A rule of the agreement does not hold."""
+    """A safety property is violated."""
 
 
 @dataclass
 class Disk:
-    """What is durable, and what was handed over and is not yet."""
+    """The durable state of a member, and its writes that are not durable yet."""
 
     stored: PersistentState
     pending_writes: list[StateWrite] = field(default_factory=list)
 
     def sync(self) -> int:
-        """All that waits becomes durable; the last number."""
+        """Makes all pending writes durable, and returns the number of the last one."""
         for write in self.pending_writes:
             self.stored = apply_write(self.stored, write)
         number = self.pending_writes[-1].number if self.pending_writes else 0
@@ -79,13 +79,14 @@
         self.duplicate_ratio = 0.0
         self.delay_us = (1 * MS, 5 * MS)
         self.sync_us = (0, 3 * MS)
-        self.blocked_links: set[tuple[MemberId, MemberId]] = set()  # one way
+        self.blocked_links: set[tuple[MemberId, MemberId]] = set()  # Pairs of sender and recipient.
         self.compact_every = compact_every
-        self.leaders: dict[int, MemberId] = {}  # by term
-        self.committed: dict[int, tuple[int, bytes]] = {}  # by index: term and data
+        self.leaders: dict[int, MemberId] = {}  # Leaders by term.
+        # Term and data of committed entries by index.
+        self.committed: dict[int, tuple[int, bytes]] = {}
         self.accepted: list[bytes] = []
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
-        self._order = 0
+        self._sequence = 0
         names = [f"n{k}" for k in range(count)]
         config = Configuration(
             frozenset(names[: count - learners]), frozenset(names[count - learners :])
@@ -100,20 +101,20 @@
     # Time
 
     def schedule(self, after_us: int, action: Callable[[], None]) -> None:
-        self._order += 1
-        heapq.heappush(self._queue, (self.now_us + after_us, self._order, action))
+        self._sequence += 1
+        heapq.heappush(self._queue, (self.now_us + after_us, self._sequence, action))
 
     def clock(self, node: Node) -> int:
         return round(self.now_us * node.clock_rate) + node.clock_offset_us
 
-    def run(self, span_us: int, each: Callable[[], None] = lambda: None) -> None:
-        ends = self.now_us + span_us
-        while self._queue and self._queue[0][0] <= ends:
+    def run(self, span_us: int, after_each: Callable[[], None] = lambda: None) -> None:
+        end_us = self.now_us + span_us
+        while self._queue and self._queue[0][0] <= end_us:
             self.now_us, _, action = heapq.heappop(self._queue)
             action()
             self.check()
-            each()
-        self.now_us = ends
+            after_each()
+        self.now_us = end_us
 
     # Nodes
 
@@ -125,7 +126,7 @@
         self._tick(node, raft)
 
     def crash(self, node: Node) -> None:
-        """What was not durable is gone, but for what the disk happened to do already."""
+        """Stops a node. A random part of its pending writes becomes durable, the rest is lost."""
         keep = self.random.randint(0, len(node.disk.pending_writes))
         del node.disk.pending_writes[keep:]
         node.disk.sync()
@@ -136,42 +137,44 @@
             return
         if not node.paused:
             raft.tick(self.clock(node))
-            self.take(node)
+            self.process_output(node)
         self.schedule(5 * MS, lambda: self._tick(node, raft))
 
     def deliver(self, sender: MemberId, to: MemberId, message: PeerMessage) -> None:
         node = self.nodes.get(to)
         if node is None or node.raft is None or (sender, to) in self.blocked_links:
             return
-        if node.paused:  # it stays in the socket's buffer
+        if node.paused:  # The message stays in the socket buffer.
             self.schedule(20 * MS, lambda: self.deliver(sender, to, message))
             return
-        self._received(node, sender, message)
+        self._handle_message(node, sender, message)
 
-    def _received(self, node: Node, sender: MemberId, message: PeerMessage) -> None:
+    def _handle_message(self, node: Node, sender: MemberId, message: PeerMessage) -> None:
         assert node.raft is not None
         assert isinstance(message, RaftMessage)
         node.raft.receive(self.clock(node), sender, message)
-        self.take(node)
+        self.process_output(node)
 
-    def take(self, node: Node) -> None:
+    def process_output(self, node: Node) -> None:
         assert node.raft is not None
-        out = node.raft.take_output()
-        if out.writes:
-            node.disk.pending_writes += out.writes
+        output = node.raft.take_output()
+        if output.writes:
+            node.disk.pending_writes += output.writes
             raft = node.raft
-            self.schedule(self.random.randint(*self.sync_us), lambda: self._synced(node, raft))
-        for to, message in out.messages:
+            self.schedule(
+                self.random.randint(*self.sync_us), lambda: self._complete_sync(node, raft)
+            )
+        for to, message in output.messages:
             self._send(node.name, to, message)
-        if out.installed_snapshot is not None:
-            node.applied = [(out.installed_snapshot.index, out.installed_snapshot.data)]
-        for entry in out.committed:
+        if output.installed_snapshot is not None:
+            node.applied = [(output.installed_snapshot.index, output.installed_snapshot.data)]
+        for entry in output.committed:
             self._apply(node, entry)
 
-    def _synced(self, node: Node, raft: Raft) -> None:
+    def _complete_sync(self, node: Node, raft: Raft) -> None:
         if node.raft is raft and node.disk.pending_writes:
             raft.on_writes_durable(self.clock(node), node.disk.sync())
-            self.take(node)
+            self.process_output(node)
 
     def _send(self, sender: MemberId, to: MemberId, message: PeerMessage) -> None:
         for _ in range(1 + (self.random.random() < self.duplicate_ratio)):
@@ -183,18 +186,18 @@
     def _apply(self, node: Node, entry: LogEntry) -> None:
         last, state = node.applied[-1]
         if entry.index != last + 1:
-            raise InvariantError(f"{node.name} applies {entry.index} after {last}")
+            raise InvariantError(f"{node.name} applies entry {entry.index} after entry {last}")
         data = entry.data if entry.kind is EntryKind.DATA else b""
         node.applied.append((entry.index, state + data))
         known = self.committed.setdefault(entry.index, (entry.term, data))
         if known != (entry.term, data):
             raise InvariantError(
-                f"at {entry.index} {node.name} commits {entry.term, data}, another one {known}"
+                f"at {entry.index} {node.name} commits {entry.term, data}, another node {known}"
             )
         if self.compact_every and entry.index % self.compact_every == 0 and node.raft is not None:
             node.raft.compact(entry.index, node.applied[-1][1])
 
-    # What must hold
+    # Safety properties
 
     def check(self) -> None:
         for node in self.nodes.values():
@@ -210,7 +213,7 @@
                 self._check_complete(raft)
 
     def _check_complete(self, raft: Raft) -> None:
-        """A leader holds all that was committed (5.4)."""
+        """Checks leader completeness: a leader's log holds all committed entries (paper 5.4)."""
         if raft.term < max(self.leaders):
             return
         for index, (term, _) in self.committed.items():
@@ -220,29 +223,31 @@
                 )
 
     def check_logs(self) -> None:
-        """Log matching: an index and term in two logs mean the same up to there."""
+        """Checks log matching: logs with an entry of the same index and term are equal up to it (paper 5.3)."""
         logs = [n.raft.log for n in self.nodes.values() if n.raft is not None]
         for one in logs:
             for other in logs:
                 low = max(one.snapshot.index, other.snapshot.index)
                 high = min(one.last_index, other.last_index)
-                same = False
+                matched = False
                 for index in range(high, low, -1):
                     if one.term_at(index) == other.term_at(index):
-                        same = True
-                    if same and one.entry_at(index) != other.entry_at(index):
-                        raise InvariantError(f"logs part before {index}, where they agree")
+                        matched = True
+                    if matched and one.entry_at(index) != other.entry_at(index):
+                        raise InvariantError(
+                            f"logs differ at {index}, though the terms match there or later"
+                        )
 
-    # Use
+    # Operations
 
     @property
     def leader(self) -> Node | None:
-        led = [
+        leaders = [
             n
             for n in self.nodes.values()
             if n.raft is not None and n.raft.role is Role.LEADER and not n.paused
         ]
-        return max(led, key=lambda n: n.raft.term if n.raft is not None else 0, default=None)
+        return max(leaders, key=lambda n: n.raft.term if n.raft is not None else 0, default=None)
 
     def propose(self, data: bytes) -> bool:
         node = self.leader
@@ -252,26 +257,26 @@
             node.raft.propose(self.clock(node), data)
         except RequestRejectedError:
             return False
-        self.take(node)
+        self.process_output(node)
         return True
 
-    def change(self, voters: Iterable[MemberId], learners: Iterable[MemberId] = ()) -> None:
+    def change_members(self, voters: Iterable[MemberId], learners: Iterable[MemberId] = ()) -> None:
         node = self.leader
         assert node is not None
         assert node.raft is not None
         node.raft.change_membership(
             self.clock(node), Configuration(frozenset(voters), frozenset(learners))
         )
-        self.take(node)
+        self.process_output(node)
 
-    def run_until(self, condition: Callable[[], object], patience_us: int = 20_000 * MS) -> None:
-        ends = self.now_us + patience_us
+    def run_until(self, condition: Callable[[], object], timeout_us: int = 20_000 * MS) -> None:
+        end_us = self.now_us + timeout_us
         while not condition():
-            if self.now_us >= ends:
+            if self.now_us >= end_us:
                 raise InvariantError("the condition did not become true in time")
             self.run(10 * MS)
 
-    def heal(self) -> None:
+    def clear_faults(self) -> None:
         self.blocked_links.clear()
         self.loss_ratio = self.duplicate_ratio = 0.0
         for node in self.nodes.values():
@@ -280,12 +285,12 @@
                 self.start(node)
 
     def is_applied_everywhere(self, data: bytes) -> bool:
-        """Whether every running voter has applied it."""
+        """Returns whether every running node has applied the data."""
         return all(data in n.applied[-1][1] for n in self.nodes.values() if n.raft is not None)
 
 
 class Fault(Enum):
-    """What a step of a run with faults does."""
+    """The fault that a step of a run with faults injects."""
 
     CRASH_OR_START = 0
     BLOCK_RANDOM_LINKS = 1
@@ -296,13 +301,13 @@
     CHANGE_DELAY = 6
     ADVANCE_CLOCK = 7
     NONE = 8
-    NONE_EITHER = 9
+    NONE_SECOND = 9
 
 
-def inject_node_fault(world: World, node: Node, fault: Fault, churn: bool) -> None:
-    """Injects a fault that concerns one node; does nothing for the others."""
+def inject_node_fault(world: World, node: Node, fault: Fault, allow_crashes: bool) -> None:
+    """Injects a fault of one node; does nothing for other faults."""
     match fault:
-        case Fault.CRASH_OR_START if churn:
+        case Fault.CRASH_OR_START if allow_crashes:
             if node.raft is None:
                 world.start(node)
             else:
@@ -314,38 +319,38 @@
 
 
 def inject_network_fault(world: World, fault: Fault) -> None:
-    """Injects a fault of the network; does nothing for the others."""
-    draw = world.random
+    """Injects a fault of the network; does nothing for other faults."""
+    rng = world.random
     names = sorted(world.nodes)
     match fault:
         case Fault.BLOCK_RANDOM_LINKS:
-            world.blocked_links = {(a, b) for a in names for b in names if draw.random() < 0.3}
+            world.blocked_links = {(a, b) for a in names for b in names if rng.random() < 0.3}
         case Fault.PARTITION:
-            half = set(draw.sample(names, len(names) // 2))
+            half = set(rng.sample(names, len(names) // 2))
             world.blocked_links = {
                 (a, b) for a in names for b in names if (a in half) != (b in half)
             }
         case Fault.UNBLOCK_LINKS:
             world.blocked_links.clear()
         case Fault.CHANGE_LOSS:
-            ratios = draw.choice([(0.0, 0.0), (0.2, 0.0), (0.1, 0.3)])
+            ratios = rng.choice([(0.0, 0.0), (0.2, 0.0), (0.1, 0.3)])
             world.loss_ratio, world.duplicate_ratio = ratios
         case Fault.CHANGE_DELAY:
-            world.delay_us = draw.choice([(1 * MS, 5 * MS), (1 * MS, 80 * MS)])
+            world.delay_us = rng.choice([(1 * MS, 5 * MS), (1 * MS, 80 * MS)])
 
 
-def run_faults(world: World, steps: int, churn: bool = True) -> None:
-    """Faults drawn from the world's seed, proposals between them."""
-    draw = world.random
+def run_faults(world: World, steps: int, allow_crashes: bool = True) -> None:
+    """Injects faults drawn from the world's seed, with proposals between them."""
+    rng = world.random
     names = sorted(world.nodes)
     for step in range(steps):
-        node = world.nodes[draw.choice(names)]
-        fault = Fault(draw.randrange(10))
-        inject_node_fault(world, node, fault, churn)
+        node = world.nodes[rng.choice(names)]
+        fault = Fault(rng.randrange(10))
+        inject_node_fault(world, node, fault, allow_crashes)
         inject_network_fault(world, fault)
-        for position in range(draw.randint(0, 3)):
+        for position in range(rng.randint(0, 3)):
             data = b"<%d.%d>" % (step, position)
             if world.propose(data):
                 world.accepted.append(data)
-        world.run(draw.randint(5 * MS, 150 * MS))
+        world.run(rng.randint(5 * MS, 150 * MS))
         world.check_logs()
--- a/tests/test_group_controller.py
+++ b/tests/test_group_controller.py
@@ -1,4 +1,4 @@
-"""Groups steered under leases: three controllers on one fleet, each message over a socket; one dies or errs."""
+"""Group controllers under leases: three controllers of one fleet, connected by sockets, under failures."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 from tests.standins import RecordingLog
 
 MS = 1000
-GROUPS, FORWARDERS = 6, 6
+GROUP_COUNT, PROXY_COUNT = 6, 6
 
 
 class Fleet:
-    """Three controllers with directors behind them, a relay that fences, six forwarders, discovery, four hosts."""
+    """Three controllers with group controllers, a relay with fencing, six proxies, discovery and four hosts."""
 
     def __init__(self, folder: Path) -> None:
-        self.lab = Lab(folder, FORWARDERS, drain_grace_us=1 << 40, max_without_endpoint_us=1 << 40)
-        self.lab.relay.group_count = GROUPS
+        self.lab = Lab(folder, PROXY_COUNT, drain_grace_us=1 << 40, max_without_endpoint_us=1 << 40)
+        self.lab.relay.group_count = GROUP_COUNT
         self.folder = folder
         self.log = RecordingLog()
         self.addresses = {f"n{k}": free_address(LISTEN_HOST) for k in range(3)}
@@ -47,12 +47,12 @@
         for k in range(4):
             self.lab.add_endpoint(f"s-{k}", f"room-{'ab'[k % 2]}")
             self.lab.checker.endpoint_ready(f"s-{k}", 0)
-        self.lab.discovery.publish([self.entry(f"s-{k}") for k in range(4)])
+        self.lab.discovery.publish([self.list_entry(f"s-{k}") for k in range(4)])
         self.lab.loop.start("requests", self.lab.traffic.run())
         for name in self.addresses:
             self.start(name)
 
-    def entry(self, host: str, phase: str = "ready") -> dict[str, object]:
+    def list_entry(self, host: str, phase: str = "ready") -> dict[str, object]:
         return {
             "id": host,
             "host_port": format_address(self.lab.endpoints[host]),
@@ -65,7 +65,7 @@
         }
 
     def start(self, name: str) -> None:
-        settings_of_member = MemberSettings(
+        member_settings = MemberSettings(
             name,
             self.addresses[name],
             {n: a for n, a in self.addresses.items() if n != name},
@@ -74,7 +74,7 @@
             lambda: None,
         )
         options = ControllerOptions(
-            GROUPS,
+            GROUP_COUNT,
             RaftOptions(20 * MS, 150 * MS),
             LeaseTiming(400 * MS, 0.05, 60 * MS, 250 * MS, 4),
         )
@@ -84,7 +84,7 @@
             Limits(),
             Counters(),
             self.log,
-            settings_of_member,
+            member_settings,
             options,
             StorageThread(),
             lambda event: (
@@ -96,7 +96,7 @@
             Limits(),
             Counters(),
             self.log,
-            read_settings(Fields.from_nested(settings(FORWARDERS))),
+            read_settings(Fields.from_nested(settings(PROXY_COUNT))),
             self.lab.relay.address,
             self.lab.discovery.address,
             7,
@@ -115,17 +115,19 @@
         self.group_controllers.pop(name).close()
         self.members.pop(name).close()
 
-    def until(self, what: str, done: object) -> None:
+    def run_until(self, condition: str, done: object) -> None:
         assert callable(done)
-        assert self.lab.run_until(done), (what, self.log.lines[-5:], self.lab.errors)
+        assert self.lab.run_until(done), (condition, self.log.lines[-5:], self.lab.errors)
         assert not self.lab.errors, self.lab.errors
 
-    def grow(self) -> None:
+    def add_members(self) -> None:
         for name in ("n1", "n2"):
             for _ in range(2):
-                self.until(f"{name} is added", lambda name=name: self._add(name))
-        self.until("all are held", lambda: sum(map(len, self.held().values())) == GROUPS)
-        self.until("each holds one", lambda: all(self.held().values()))
+                self.run_until(f"{name} is added", lambda name=name: self._add(name))
+        self.run_until(
+            "all groups are held", lambda: sum(map(len, self.held_groups().values())) == GROUP_COUNT
+        )
+        self.run_until("each member holds a group", lambda: all(self.held_groups().values()))
 
     def _add(self, name: str) -> bool:
         for member in self.members.values():
@@ -135,16 +137,16 @@
                 continue
         return False
 
-    def held(self) -> dict[str, list[int]]:
+    def held_groups(self) -> dict[str, list[int]]:
         return {
-            name: [g for g in range(GROUPS) if m.epoch(g) is not None]
+            name: [g for g in range(GROUP_COUNT) if m.epoch(g) is not None]
             for name, m in self.members.items()
         }
 
-    def steered(self) -> bool:
+    def all_proxies_use_all_hosts(self) -> bool:
         return all(set(f.weights(READ)) == {"s-0", "s-1", "s-2", "s-3"} for f in self.lab.proxies)
 
-    def left(self, host: str) -> bool:
+    def all_proxies_left(self, host: str) -> bool:
         return all(host in f.withdrawn and host not in f.weights(READ) for f in self.lab.proxies)
 
     def close(self) -> None:
@@ -155,79 +157,85 @@
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Fleet]:
-    made = Fleet(tmp_path)
-    yield made
-    made.close()
+    fleet = Fleet(tmp_path)
+    yield fleet
+    fleet.close()
 
 
-def test_each_group_is_controlled_by_its_holder_and_a_drain_survives_a_takeover(
+def test_groups_are_controlled_by_their_holders_and_drains_survive_takeover(
     fleet: Fleet,
 ) -> None:
-    fleet.grow()
-    fleet.until("all are steered", fleet.steered)
-    assert {group for group, _ in fleet.lab.relay.calls} == set(range(GROUPS))
+    fleet.add_members()
+    fleet.run_until("all proxies use all hosts", fleet.all_proxies_use_all_hosts)
+    assert {group for group, _ in fleet.lab.relay.calls} == set(range(GROUP_COUNT))
     leader = next(n for n, m in fleet.members.items() if m.status()["role"] == "leader")
-    group = fleet.held()[leader][0]
+    group = fleet.held_groups()[leader][0]
     epoch_before = fleet.members[leader].epoch(group) or 0
-    # The holder learns of the drain, and dies before its relay has heard a word of it.
-    fleet.lab.discovery.publish([fleet.entry("s-1", "draining")], complete=False)
+    # The holder learns of the drain, and is killed as soon as the drain is replicated.
+    fleet.lab.discovery.publish([fleet.list_entry("s-1", "draining")], complete=False)
     other = next(m for n, m in fleet.members.items() if n != leader)
-    fleet.until("the fleet knows", lambda: other.status()["withdrawn"] == ["s-1"])
+    fleet.run_until("the drain is replicated", lambda: other.status()["withdrawn"] == ["s-1"])
     fleet.kill(leader)
     fleet.lab.checker.endpoint_stopped("s-1", now_us())
-    fleet.until("every forwarder has left the host", lambda: fleet.left("s-1"))
-    fleet.until(
-        "the group has a holder", lambda: any(group in groups for groups in fleet.held().values())
+    fleet.run_until("all proxies have left the host", lambda: fleet.all_proxies_left("s-1"))
+    fleet.run_until(
+        "the group has a holder",
+        lambda: any(group in groups for groups in fleet.held_groups().values()),
+    )
+    fleet.run_until(
+        "the new holder orders for the group",
+        lambda: (group, epoch_before + 1) in fleet.lab.relay.calls,
     )
-    fleet.until("its holder orders it", lambda: (group, epoch_before + 1) in fleet.lab.relay.calls)
     highest: dict[int | None, int] = {}
-    for (
-        called,
-        epoch,
-    ) in fleet.lab.relay.calls:  # no forwarder ever acted on a lower epoch after a higher one
+    # The relay accepted no call of a lower epoch after one of a higher epoch.
+    for called, epoch in fleet.lab.relay.calls:
         assert epoch >= highest.get(called, 0)
         highest[called] = epoch
     assert fleet.lab.checker.violations == []
     assert fleet.lab.checker.pick_count > 0
 
 
-def test_a_holder_that_wakes_late_is_fenced(fleet: Fleet) -> None:
-    """What it had half written before it stood still arrives under its old epoch."""
-    fleet.grow()
-    fleet.until("all are steered", fleet.steered)
-    held = fleet.held()
+def test_late_call_of_previous_holder_is_fenced(fleet: Fleet) -> None:
+    """A call that a suspended holder sends late arrives under its old epoch, and is rejected."""
+    fleet.add_members()
+    fleet.run_until("all proxies use all hosts", fleet.all_proxies_use_all_hosts)
+    held_groups = fleet.held_groups()
     victim = next(n for n, m in fleet.members.items() if m.status()["role"] != "leader")
-    group = held[victim][0]
+    group = held_groups[victim][0]
     epoch = fleet.members[victim].epoch(group) or 0
     fleet.kill(victim)
-    fleet.until("another orders it", lambda: (group, epoch + 1) in fleet.lab.relay.calls)
-    before, answers = len(fleet.lab.relay.orders), list[int]()
+    fleet.run_until(
+        "another holder orders for the group", lambda: (group, epoch + 1) in fleet.lab.relay.calls
+    )
+    before, statuses = len(fleet.lab.relay.orders), list[int]()
 
-    def wake() -> Coroutine[None]:
+    def send_late_call() -> Coroutine[None]:
         client = yield from connect_http(fleet.lab.relay.address, Limits(), now_us() + 1_000 * MS)
         body = b'{"orders":[{"verb":"OUT","host":"s-0"},{"verb":"OUT","host":"s-2"}]}'
         yield from client.send_request("POST", f"/v3/kv/groups/{group}/orders?epoch={epoch}", body)
-        answers.append((yield from client.read_status(now_us() + 1_000 * MS)))
+        statuses.append((yield from client.read_status(now_us() + 1_000 * MS)))
         client.close()
 
-    fleet.lab.loop.start("a late holder", wake())
-    fleet.until("it is answered", lambda: answers)
-    assert answers == [409]
+    fleet.lab.loop.start("late call", send_late_call())
+    fleet.run_until("the late call is answered", lambda: statuses)
+    assert statuses == [409]
     assert fleet.lab.relay.fenced_count == 1
     assert not any(isinstance(o, WithdrawEndpoint) for o in fleet.lab.relay.orders[before:])
     assert all("s-0" not in f.withdrawn for f in fleet.lab.proxies)
 
 
-def test_a_controller_that_loses_its_majority_stops_ordering(fleet: Fleet) -> None:
-    fleet.grow()
-    fleet.until("all are steered", fleet.steered)
-    alone, *others = fleet.members
+def test_controller_without_majority_stops_ordering(fleet: Fleet) -> None:
+    fleet.add_members()
+    fleet.run_until("all proxies use all hosts", fleet.all_proxies_use_all_hosts)
+    survivor, *others = fleet.members
     for name in others:
         fleet.kill(name)
-    fleet.until("its leases are over", lambda: fleet.held() == {alone: []})
-    fleet.until("its directors are gone", lambda: fleet.group_controllers[alone].groups == {})
+    fleet.run_until("its leases have expired", lambda: fleet.held_groups() == {survivor: []})
+    fleet.run_until(
+        "its group controllers have stopped", lambda: fleet.group_controllers[survivor].groups == {}
+    )
     calls = len(fleet.lab.relay.calls)
-    fleet.lab.discovery.publish([fleet.entry("s-1", "draining")], complete=False)
+    fleet.lab.discovery.publish([fleet.list_entry("s-1", "draining")], complete=False)
     fleet.lab.run_for(0.3)
     assert len(fleet.lab.relay.calls) == calls
-    assert fleet.steered()  # proxies go on with what they hold
+    assert fleet.all_proxies_use_all_hosts()  # Proxies keep their last tables.
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases by hand: the holder, the leader, and the fence."""
+"""Tests of the lease holder, the lease manager and the epoch fence."""
 
 from __future__ import annotations
 
@@ -11,79 +11,84 @@
 from kelpcourse.shared.lease_manager import LeaseManager
 from kelpcourse.shared.lease_timing import LeaseReply, LeaseRequest
 from kelpcourse.shared.replicated_state import ReplicatedState
-from tests.leaseworld import GROUPS, LEASE_TIMING
+from tests.leaseworld import GROUP_COUNT, LEASE_TIMING
 from tests.raftworld import MS
 
 
-def granted(holder: str = "a") -> ReplicatedState:
+def state_with_grant(holder: str = "a") -> ReplicatedState:
     state = ReplicatedState()
     state.apply(SetGroupCount(1))
     state.apply(GrantLease(0, holder, 1))
     return state
 
 
-def test_a_grant_gives_no_right_before_it_is_renewed_and_ends_in_time() -> None:
+def test_lease_starts_with_its_renewal_and_expires() -> None:
     holder = LeaseHolder("a", LEASE_TIMING)
-    holder.update_grants(granted())
+    holder.update_grants(state_with_grant())
     assert holder.epoch(0, 0) is None
     request = holder.next_request(1000)
     assert request == LeaseRequest(1000, {0: 1})
     assert holder.next_request(1001) is None
     assert holder.on_reply(LeaseReply(1000, {0: 1})) == [0]
     assert holder.epoch(0, 1000 + LEASE_TIMING.holder_duration_us - 1) == 1
-    # Also if nobody checked in between, as in a suspended process.
+    # The lease expires without any call in between, as in a suspended process.
     assert holder.epoch(0, 1000 + LEASE_TIMING.holder_duration_us) is None
     assert holder.take_expired(1000 + LEASE_TIMING.holder_duration_us) == [0]
-    assert holder.on_reply(LeaseReply(500, {0: 2})) == []  # of an epoch that it does not know
+    assert holder.on_reply(LeaseReply(500, {0: 2})) == []  # The epoch is unknown to the holder.
 
 
-def test_a_late_reply_counts_from_its_request() -> None:
-    holder, manager = LeaseHolder("a", LEASE_TIMING), LeaseManager(LEASE_TIMING, granted(), 0)
-    holder.update_grants(granted())
+def test_lease_counts_from_request_even_if_reply_is_late() -> None:
+    holder, manager = (
+        LeaseHolder("a", LEASE_TIMING),
+        LeaseManager(LEASE_TIMING, state_with_grant(), 0),
+    )
+    holder.update_grants(state_with_grant())
     request = holder.next_request(0)
     assert request is not None
     reply = manager.on_request("a", request, 250 * MS, 1 << 60)
     assert reply is not None
     holder.on_reply(reply)
     assert holder.remaining_us(0, 250 * MS) == LEASE_TIMING.holder_duration_us - 250 * MS
-    assert manager.on_request("a", request, 300 * MS, 300 * MS) is None  # it is not sure to lead
+    assert (
+        manager.on_request("a", request, 300 * MS, 300 * MS) is None
+    )  # Leadership is no longer guaranteed.
 
 
-def test_a_new_leader_waits_for_leases_that_it_did_not_give() -> None:
-    state = granted("dead")
+def test_new_leader_waits_for_leases_of_previous_leader() -> None:
+    state = state_with_grant("dead")
     manager = LeaseManager(LEASE_TIMING, state, 1000 * MS)
     proposed = []
     for now in range(1000 * MS, 2000 * MS, 10 * MS):
         manager.on_request("b", LeaseRequest(0, {}), now, 1 << 60)
         proposed += [(now, command) for command in manager.next_commands(now, ["b", "dead"])]
-    # Once, while it is not committed.
+    # Proposed only once while it is uncommitted.
     assert [command for _, command in proposed] == [GrantLease(0, "b", 2)]
     assert proposed[0][0] == 1000 * MS + LEASE_TIMING.leader_duration_us
     manager.on_dropped(proposed[0][1])
-    assert manager.next_commands(2000 * MS, ["b", "dead"])  # and again once it is lost
+    assert manager.next_commands(2000 * MS, ["b", "dead"])  # Proposed again after it is lost.
 
 
-def test_few_groups_migrate_at_a_time() -> None:
+def test_concurrent_migrations_are_limited() -> None:
     state = ReplicatedState()
-    state.apply(SetGroupCount(GROUPS))
-    for group in range(GROUPS):
+    state.apply(SetGroupCount(GROUP_COUNT))
+    for group in range(GROUP_COUNT):
         state.apply(GrantLease(group, "a", 1))
     manager = LeaseManager(LEASE_TIMING, state, 0)
-    holds = dict.fromkeys(range(GROUPS), 1)
+    held_epochs = dict.fromkeys(range(GROUP_COUNT), 1)
     now = 150 * MS
-    manager.on_request("a", LeaseRequest(now, holds), now, 1 << 60)
+    manager.on_request("a", LeaseRequest(now, held_epochs), now, 1 << 60)
     manager.on_request("b", LeaseRequest(now, {}), now, 1 << 60)
     assert manager.next_commands(now, ["a", "b"]) == []
-    reply = manager.on_request("a", LeaseRequest(now, holds), now, 1 << 60)
+    reply = manager.on_request("a", LeaseRequest(now, held_epochs), now, 1 << 60)
     assert reply is not None
-    assert len(reply.epochs) == GROUPS - LEASE_TIMING.max_migrations
+    assert len(reply.epochs) == GROUP_COUNT - LEASE_TIMING.max_migrations
     now += LEASE_TIMING.leader_duration_us
     manager.on_request("b", LeaseRequest(now, {}), now, 1 << 60)
     manager.on_request("a", LeaseRequest(now, reply.epochs), now, 1 << 60)
     assert len(manager.next_commands(now, ["a", "b"])) == LEASE_TIMING.max_migrations
 
 
-def test_the_fence_keeps_the_highest_epoch() -> None:
+def test_fence_rejects_lower_epochs() -> None:
     fence = EpochFence()
     assert [fence.admits(0, e) for e in (3, 2, 3, 4, 3)] == [True, False, True, True, False]
     assert fence.admits(1, 1)
--- a/tests/test_persistent_state.py
+++ b/tests/test_persistent_state.py
@@ -1,4 +1,4 @@
-"""Persistent state, and the writes that change it."""
+"""Tests of the persistent state and the writes that change it."""
 
 from __future__ import annotations
 
@@ -28,22 +28,28 @@
 
 @given(writes)
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_replay_gives_the_state_that_single_writes_make(steps: list[tuple[int, int, bool]]) -> None:
+def test_replay_equals_applying_writes_one_by_one(steps: list[tuple[int, int, bool]]) -> None:
     stored, start, payloads = initial_state(CONFIG), initial_state(CONFIG), []
     for number, (back, count, compacts) in enumerate(steps, 1):
         last = stored.entries[-1].index if stored.entries else stored.snapshot.index
-        cut = max(stored.snapshot.index + 1, last + 1 - back)
+        truncate_index = max(stored.snapshot.index + 1, last + 1 - back)
         write = StateWrite(
             number,
             number,
             "a",
-            cut if cut <= last else None,
-            tuple(LogEntry(cut + k, number, EntryKind.DATA, b"%d" % k) for k in range(count)),
+            truncate_index if truncate_index <= last else None,
+            tuple(
+                LogEntry(truncate_index + k, number, EntryKind.DATA, b"%d" % k)
+                for k in range(count)
+            ),
         )
         if compacts and stored.entries:
-            at = stored.entries[0]
+            first_entry = stored.entries[0]
             write = StateWrite(
-                number, number, None, snapshot=Snapshot(at.index, at.term, CONFIG, b"s")
+                number,
+                number,
+                None,
+                snapshot=Snapshot(first_entry.index, first_entry.term, CONFIG, b"s"),
             )
         payloads.append(encode_write(write))
         assert decode_write(payloads[-1]) == write
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -1,4 +1,4 @@
-"""Raft: in storms of faults drawn from seeds, and each of its rules by hand."""
+"""Raft under random faults, and single rules of it in fixed scenarios."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 def assert_recovers(world: World) -> None:
-    """After the last fault everything serves as before, and nothing that was committed is lost."""
-    world.heal()
+    """Checks that after the last fault entries are committed again, and all members reach the same state."""
+    world.clear_faults()
     world.delay_us = (1 * MS, 5 * MS)
     world.run_until(lambda: world.leader is not None)
-    for _ in range(20):  # one may be lost with the leader that took it
+    for _ in range(20):  # A proposal may be lost if its leader is replaced.
         world.propose(b"<last>")
         world.run(300 * MS)
         if world.is_applied_everywhere(b"<last>"):
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 5])
-def test_faults_break_no_rule_and_are_recovered_from(count: int) -> None:
+def test_invariants_hold_under_faults_and_members_recover(count: int) -> None:
     for seed in SEEDS:
         world = World(seed, count, compact_every=(0, 7)[seed % 2])
         for node in world.nodes.values():
@@ -40,7 +40,7 @@
         assert_recovers(world)
 
 
-def test_one_leader_is_found_and_followed() -> None:
+def test_leader_is_elected_and_replicates_entries() -> None:
     world = World(1)
     world.run_until(lambda: world.leader is not None)
     assert world.propose(b"<a>")
@@ -48,16 +48,16 @@
     assert world.now_us < 1000 * MS
 
 
-def test_a_partitioned_member_changes_no_term_and_unseats_no_leader() -> None:
-    """Pre-vote: a controller that was alone for long comes back as if nothing had been."""
+def test_partitioned_member_does_not_disrupt_leader() -> None:
+    """With pre-vote, a member that was partitioned for a long time rejoins without a new term or election."""
     world = World(2)
     world.run_until(lambda: world.leader is not None)
     leader = world.leader
     assert leader is not None
     assert leader.raft is not None
-    alone = next(n for n in world.nodes if n != leader.name)
+    isolated = next(n for n in world.nodes if n != leader.name)
     term = leader.raft.term
-    world.blocked_links = {(a, b) for a in world.nodes for b in world.nodes if alone in (a, b)}
+    world.blocked_links = {(a, b) for a in world.nodes for b in world.nodes if isolated in (a, b)}
     world.run(3000 * MS)
     world.blocked_links.clear()
     world.run(1000 * MS)
@@ -65,14 +65,14 @@
     assert leader.raft.term == term
 
 
-def test_a_leader_cut_off_in_one_direction_steps_down() -> None:
-    for heard in (True, False):
+def test_leader_with_one_way_connectivity_steps_down() -> None:
+    for can_send in (True, False):
         world = World(3)
         world.run_until(lambda: world.leader is not None)  # noqa: B023
         old = world.leader
         assert old is not None
         world.blocked_links = {
-            (old.name, n) if not heard else (n, old.name) for n in world.nodes if n != old.name
+            (old.name, n) if not can_send else (n, old.name) for n in world.nodes if n != old.name
         }
         world.run_until(lambda: world.leader is not None and world.leader is not old)  # noqa: B023
         assert old.raft is not None
@@ -81,33 +81,40 @@
 
 
 def test_no_other_leader_is_elected_while_leadership_is_guaranteed() -> None:
-    """`leadership_guaranteed_until_us`: no other leader is elected before it, with clocks that run alike."""
+    """No other leader is elected before `leadership_guaranteed_until_us`, if clocks run at the same rate."""
     for seed in range(40):
         world = World(seed, 5)
-        until: dict[str, int] = {}
+        guaranteed_until_us: dict[str, int] = {}
 
-        def note(world: World = world, until: dict[str, int] = until, seed: int = seed) -> None:
+        def record_guarantees(
+            world: World = world,
+            guaranteed_until_us: dict[str, int] = guaranteed_until_us,
+            seed: int = seed,
+        ) -> None:
             for node in world.nodes.values():
                 if node.raft is None or node.raft.role is not Role.LEADER:
                     continue
-                if node.name not in until or world.leaders.get(node.raft.term) == node.name:
+                if (
+                    node.name not in guaranteed_until_us
+                    or world.leaders.get(node.raft.term) == node.name
+                ):
                     newest = max(world.leaders)
                     if node.raft.term == newest:
-                        for other, ends in until.items():
-                            assert other == node.name or ends <= world.now_us, (
+                        for other, until_us in guaranteed_until_us.items():
+                            assert other == node.name or until_us <= world.now_us, (
                                 seed,
                                 other,
                                 node.name,
                             )
-                        until.clear()
-                    until[node.name] = node.raft.leadership_guaranteed_until_us()
+                        guaranteed_until_us.clear()
+                    guaranteed_until_us[node.name] = node.raft.leadership_guaranteed_until_us()
 
         for _ in range(20):
             names = sorted(world.nodes)
             world.blocked_links = {
                 (a, b) for a in names for b in names if world.random.random() < 0.35
             }
-            world.run(world.random.randint(50 * MS, 400 * MS), note)
+            world.run(world.random.randint(50 * MS, 400 * MS), record_guarantees)
             victim = world.nodes[world.random.choice(names)]
             if victim.raft is None:
                 world.start(victim)
@@ -115,19 +122,21 @@
                 world.crash(victim)
 
 
-def test_an_empty_disk_makes_a_new_member_without_a_vote() -> None:
+def test_member_with_empty_disk_starts_no_election() -> None:
     world = World(5)
     world.run_until(lambda: world.leader is not None)
-    fresh = world._node("n9", world.nodes["n0"].disk.stored.snapshot.config)
-    world.nodes["n9"] = fresh
-    world.start(fresh)
+    new_node = world._node("n9", world.nodes["n0"].disk.stored.snapshot.config)
+    world.nodes["n9"] = new_node
+    world.start(new_node)
     world.run(2000 * MS)
-    assert fresh.raft is not None
-    assert fresh.raft.role is Role.FOLLOWER
-    assert fresh.raft.term == 0  # nobody speaks with it, and it stands for nothing
+    assert new_node.raft is not None
+    assert new_node.raft.role is Role.FOLLOWER
+    assert (
+        new_node.raft.term == 0
+    )  # It is not in the configuration, so it receives no message and is no candidate.
 
 
-def test_an_outdated_disk_is_noticed_by_the_leader_and_no_longer_counts() -> None:
+def test_leader_detects_member_that_lost_entries() -> None:
     world = World(6)
     world.run_until(lambda: world.propose(b"<a>"))
     world.run_until(lambda: world.is_applied_everywhere(b"<a>"))
@@ -153,32 +162,32 @@
     with pytest.raises(
         RequestRejectedError, match="only one voter can be added or removed at a time"
     ):
-        world.change(["n0"])
+        world.change_members(["n0"])
     with pytest.raises(RequestRejectedError, match="must be a learner first"):
-        world.change(["n0", "n1", "n2", "n8"])
-    world.change(["n0", "n1", "n2", "n3"])
+        world.change_members(["n0", "n1", "n2", "n8"])
+    world.change_members(["n0", "n1", "n2", "n3"])
     with pytest.raises(RequestRejectedError, match="another membership change is in progress"):
-        world.change(["n0", "n1", "n2", "n3"], ["n4"])
+        world.change_members(["n0", "n1", "n2", "n3"], ["n4"])
     world.run(200 * MS)
     leader = world.leader
     assert leader is not None
-    world.change({"n0", "n1", "n2", "n3"} - {leader.name})  # the leader removes itself
+    world.change_members({"n0", "n1", "n2", "n3"} - {leader.name})  # The leader removes itself.
     world.run_until(lambda: world.leader is not None and world.leader is not leader)
     world.run_until(lambda: world.propose(b"<b>"))
     world.run(300 * MS)
     assert all(b"<b>" in n.applied[-1][1] for n in world.nodes.values() if n is not leader)
 
 
-def test_a_removed_member_that_does_not_know_causes_no_election() -> None:
+def test_removed_member_unaware_of_removal_causes_no_election() -> None:
     world = World(8)
     world.run_until(lambda: world.propose(b"<a>"))
     world.run_until(lambda: world.is_applied_everywhere(b"<a>"))
     leader = world.leader
     assert leader is not None
     assert leader.raft is not None
-    gone = next(n for n in world.nodes if n != leader.name)
-    world.blocked_links = {(a, b) for a in world.nodes for b in world.nodes if gone in (a, b)}
-    world.change(set(world.nodes) - {gone})
+    removed = next(n for n in world.nodes if n != leader.name)
+    world.blocked_links = {(a, b) for a in world.nodes for b in world.nodes if removed in (a, b)}
+    world.change_members(set(world.nodes) - {removed})
     world.run(500 * MS)
     world.blocked_links.clear()
     term = leader.raft.term
@@ -186,7 +195,7 @@
     assert (world.leader, leader.raft.term) == (leader, term)
 
 
-def test_a_snapshot_arrives_in_chunks_despite_losses_and_newer_snapshots() -> None:
+def test_snapshot_is_installed_in_chunks_despite_losses_and_newer_snapshots() -> None:
     world = World(9, compact_every=5)
     world.run_until(lambda: world.propose(b"<first>"))
     late = next(n for n in world.nodes.values() if n is not world.leader)
@@ -214,14 +223,14 @@
     assert leader.raft is not None
     to = next(n for n in world.nodes if n != leader.name)
     leader.raft.transfer_leadership(to)
-    world.take(leader)
+    world.process_output(leader)
     with pytest.raises(RequestRejectedError):
-        leader.raft.transfer_leadership("nobody")
+        leader.raft.transfer_leadership("unknown")
     world.run_until(lambda: world.leader is not None and world.leader.name == to, 200 * MS)
     assert leader.raft.leadership_guaranteed_until_us() == 0
 
 
-def test_uncommitted_entries_are_bounded_and_a_follower_rejects_proposals() -> None:
+def test_uncommitted_entries_are_bounded_and_followers_reject_proposals() -> None:
     world = World(11)
     world.run_until(lambda: world.leader is not None)
     leader = world.leader
--- a/tests/test_raft_model.py
+++ b/tests/test_raft_model.py
@@ -1,7 +1,7 @@
-"""Every order of messages, elections, run_crashes and one proposal for three members, to a stated depth.
+"""Explores every order of messages, elections, crashes and one proposal for three members, up to a fixed depth.
 
-Elections begin without asking first, so that fewer steps lead to where two of them meet; a message that is lost is one
-that is never delivered. Writes are durable at once: what happens before they are is the storms' matter.
+Elections start without pre-vote, so that competing elections take fewer steps. A lost message is one that is never
+delivered. Writes are durable immediately: the random faults of `test_raft` cover writes that are not durable yet.
 """
 
 from __future__ import annotations
@@ -26,25 +26,26 @@
 from kelpcourse.shared.raft.output import RaftOutput
 from kelpcourse.shared.raft.persistent import PersistentState, apply_write
 from kelpcourse.shared.raft.role import Role
-from tests.raftmutants import CountsHalf, LeadsWithoutAMajority, VotesTwice
+from tests.raftmutants import CommitsWithoutMajority, CountsDeniedVotes, VotesTwicePerTerm
 from tests.raftworld import InvariantError
 
 NAMES = ("a", "b", "c")
-FAR_US = 10_000_000  # between two steps: nobody is bound by having heard of a leader
+# Time between two steps, long enough that no member still has a current leader.
+STEP_US = 10_000_000
 DEPTH = 7
-MUTANT_DEPTH = 6  # by which each of them is found
-LEAST_STATES = 20_000
+MUTANT_DEPTH = 6  # Depth at which each mutant is detected.
+MIN_STATES = 20_000
 
 
 @dataclass
 class State:
     nodes: dict[MemberId, Raft]
     disks: dict[MemberId, PersistentState]
-    now_us: int = FAR_US
-    under_way: list[tuple[MemberId, MemberId, RaftMessage]] = field(default_factory=list)
-    begins: int = 3
-    run_crashes: int = 1
-    proposals: int = 1
+    now_us: int = STEP_US
+    in_flight: list[tuple[MemberId, MemberId, RaftMessage]] = field(default_factory=list)
+    elections_left: int = 3
+    crashes_left: int = 1
+    proposals_left: int = 1
     leaders: dict[int, MemberId] = field(default_factory=dict)
     committed: dict[int, LogEntry] = field(default_factory=dict)
 
@@ -63,11 +64,11 @@
             )
             for r in self.nodes.values()
         ]
-        messages = sorted(f"{a}{b}{_timeless(m)}" for a, b, m in self.under_way)
-        return repr((nodes, messages, self.begins, self.run_crashes, self.proposals))
+        messages = sorted(f"{a}{b}{_without_send_time(m)}" for a, b, m in self.in_flight)
+        return repr((nodes, messages, self.elections_left, self.crashes_left, self.proposals_left))
 
-    def touched(self, name: MemberId) -> State:
-        """A copy in which this node may change; the others are shared."""
+    def copy_for_step(self, name: MemberId) -> State:
+        """Returns a copy in which this node may change; the other nodes are shared with the original."""
         node = copy.copy(self.nodes[name])
         node.log = Log(node.log.snapshot, node.log.entries_from(1, 99))
         node.progress = {member: replace(peer) for member, peer in node.progress.items()}
@@ -81,26 +82,26 @@
             self,
             nodes={**self.nodes, name: node},
             disks=dict(self.disks),
-            now_us=self.now_us + FAR_US,
-            under_way=list(self.under_way),
+            now_us=self.now_us + STEP_US,
+            in_flight=list(self.in_flight),
             leaders=dict(self.leaders),
             committed=dict(self.committed),
         )
 
-    def settle(self, name: MemberId) -> None:
-        """What a step made is written and sent."""
+    def process_output(self, name: MemberId) -> None:
+        """Performs the writes of a step, sends its messages, and checks safety properties."""
         node = self.nodes[name]
         while True:
-            out = node.take_output()
-            for write in out.writes:
+            output = node.take_output()
+            for write in output.writes:
                 self.disks[name] = apply_write(self.disks[name], write)
-            self.under_way += [(name, to, message) for to, message in out.messages]
-            for entry in out.committed:
+            self.in_flight += [(name, to, message) for to, message in output.messages]
+            for entry in output.committed:
                 if self.committed.setdefault(entry.index, entry) != entry:
                     raise InvariantError(f"two entries are committed at {entry.index}")
-            if not out.writes:
+            if not output.writes:
                 break
-            node.on_writes_durable(self.now_us, out.writes[-1].number)
+            node.on_writes_durable(self.now_us, output.writes[-1].number)
         if node.role is Role.LEADER and self.leaders.setdefault(node.term, name) != name:
             raise InvariantError(f"two leaders of term {node.term}")
         if node.role is Role.LEADER and node.term == max(self.leaders):
@@ -109,64 +110,64 @@
                     raise InvariantError(f"a leader lacks the committed entry {index}")
 
 
-def _timeless(message: RaftMessage) -> str:
+def _without_send_time(message: RaftMessage) -> str:
     return repr(message).partition("sent_us")[0]
 
 
-def start(make: type[Raft]) -> State:
+def initial_state(raft_factory: type[Raft]) -> State:
     stored = PersistentState(0, None, Snapshot(0, 0, Configuration(frozenset(NAMES)), b""))
-    nodes = {name: make(name, stored, RaftOptions(), 1, 0) for name in NAMES}
+    nodes = {name: raft_factory(name, stored, RaftOptions(), 1, 0) for name in NAMES}
     return State(nodes, dict.fromkeys(NAMES, stored))
 
 
-def steps(state: State, make: type[Raft]) -> Iterator[State]:
-    for at, (sender, to, message) in enumerate(state.under_way):
-        after = state.touched(to)
-        del after.under_way[at]
+def next_states(state: State, raft_factory: type[Raft]) -> Iterator[State]:
+    for at, (sender, to, message) in enumerate(state.in_flight):
+        after = state.copy_for_step(to)
+        del after.in_flight[at]
         after.nodes[to].receive(after.now_us, sender, message)
-        after.settle(to)
+        after.process_output(to)
         yield after
     for name in NAMES:
         node = state.nodes[name]
-        if state.begins and node.role is not Role.LEADER:
-            after = state.touched(name)
-            after.begins -= 1
+        if state.elections_left and node.role is not Role.LEADER:
+            after = state.copy_for_step(name)
+            after.elections_left -= 1
             after.nodes[name]._start_election(after.now_us, pre_vote=False)
-            after.settle(name)
+            after.process_output(name)
             yield after
-        if state.run_crashes and node.term:
-            after = state.touched(name)
-            after.run_crashes -= 1
-            after.nodes[name] = make(name, after.disks[name], RaftOptions(), 1, 0)
+        if state.crashes_left and node.term:
+            after = state.copy_for_step(name)
+            after.crashes_left -= 1
+            after.nodes[name] = raft_factory(name, after.disks[name], RaftOptions(), 1, 0)
             yield after
-        if state.proposals and node.role is Role.LEADER:
-            after = state.touched(name)
-            after.proposals -= 1
+        if state.proposals_left and node.role is Role.LEADER:
+            after = state.copy_for_step(name)
+            after.proposals_left -= 1
             after.nodes[name]._append_entry(after.now_us, EntryKind.DATA, b"x", None)
-            after.settle(name)
+            after.process_output(name)
             yield after
 
 
-def explore(make: type[Raft], depth: int) -> int:
-    """How many different states were met. Raises InvariantError."""
-    seen, level = set[str](), [start(make)]
+def explore(raft_factory: type[Raft], depth: int) -> int:
+    """Returns the number of distinct states that were reached. Raises InvariantError."""
+    seen, level = set[str](), [initial_state(raft_factory)]
     for _ in range(depth):
-        following = []
+        next_level = []
         for state in level:
-            for after in steps(state, make):
+            for after in next_states(state, raft_factory):
                 key = after.key()
                 if key not in seen:
                     seen.add(key)
-                    following.append(after)
-        level = following
+                    next_level.append(after)
+        level = next_level
     return len(seen)
 
 
-def test_nothing_breaks_in_any_order_to_this_depth() -> None:
-    assert explore(Raft, DEPTH) > LEAST_STATES
+def test_invariants_hold_in_every_order_up_to_depth() -> None:
+    assert explore(Raft, DEPTH) > MIN_STATES
 
 
-@pytest.mark.parametrize("mutant", [VotesTwice, LeadsWithoutAMajority, CountsHalf])
-def test_a_missing_defence_is_found_in_some_order(mutant: type[Raft]) -> None:
+@pytest.mark.parametrize("mutant", [VotesTwicePerTerm, CountsDeniedVotes, CommitsWithoutMajority])
+def test_mutant_violates_an_invariant_in_some_order(mutant: type[Raft]) -> None:
     with pytest.raises(InvariantError):
         explore(mutant, MUTANT_DEPTH)
--- a/tests/test_replicated_state.py
+++ b/tests/test_replicated_state.py
@@ -1,4 +1,4 @@
-"""The replicated state machine and its commands."""
+"""Tests of the replicated state machine and its commands."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 from kelpcourse.shared.replicated_state import Lease, ReplicatedState, overdue_drains
 
 
-def test_commands_that_do_not_fit_change_nothing() -> None:
+def test_rejected_commands_change_nothing() -> None:
     state = ReplicatedState()
     assert state.apply(SetGroupCount(2))
-    for command, fits in (
+    for command, accepted in (
         (GrantLease(0, "a", 2), False),
         (GrantLease(0, "a", 1), True),
         (GrantLease(0, "b", 1), False),
@@ -40,8 +40,8 @@
         (SetMemberDrained("a", False), True),
     ):
         before = state.encode()
-        assert state.apply(decode_command(encode_command(command))) is fits, command
-        assert (state.encode() == before) is not fits
+        assert state.apply(decode_command(encode_command(command))) is accepted, command
+        assert (state.encode() == before) is not accepted
     assert state.leases[0] == Lease("", 2, (0.5,), 9.0)
     assert state.drained_members == {"b"}
     assert ReplicatedState.decode(state.encode()) == state
@@ -50,16 +50,16 @@
         decode_command(b"\x00")
 
 
-def test_a_drain_is_open_until_every_group_has_left_the_endpoint() -> None:
+def test_drain_is_open_until_every_group_completes_it() -> None:
     state = ReplicatedState()
     state.apply(SetGroupCount(3))
     assert state.apply(StartDrain("h", 100))
-    assert not state.apply(StartDrain("h", 100))  # a second controller tells the same
+    assert not state.apply(StartDrain("h", 100))  # A second controller submits the same drain.
     assert state.apply(CompleteDrain("h", 0, 100))
     assert state.pending_drains(0) == {}
     assert state.pending_drains(1) == {"h": 100}
-    assert state.apply(StartDrain("h", 300))  # it came back and went again
-    assert not state.apply(CompleteDrain("h", 1, 100))  # a late word on the first time
+    assert state.apply(StartDrain("h", 300))  # The endpoint was ready in between and drains again.
+    assert not state.apply(CompleteDrain("h", 1, 100))  # A late completion of the first drain.
     assert state.pending_drains(0) == {"h": 300}
     for group in (0, 1, 2):
         assert state.apply(CompleteDrain("h", group, 300))
--- a/tests/test_stored_controller.py
+++ b/tests/test_stored_controller.py
@@ -1,8 +1,8 @@
-"""A shared controller's disk, as an earlier release wrote it: it opens, and damage to it is named.
+"""The state folder of a shared controller, as an earlier release wrote it, is read, and damage to it is reported.
 
-The folder under `golden/shared-disk` was written by revision 5b4a458. It holds a snapshot (of a disk with a Raft
-snapshot, configurations and log entries) and a journal of the writes after it: a vote, a new term, every command, a
-no-op, a configuration, and entries that replace others. What it means is recorded beside it in plain JSON.
+The folder `golden/shared-disk` was written by revision 5b4a458. It holds a snapshot (of a disk with a Raft snapshot,
+configurations and log entries) and a journal of later writes: a vote, a new term, every command, a no-op, a
+configuration, and entries that replace others. `golden/shared-disk.json` holds the expected contents.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class Opener:
-    """Opens folders, and closes them at the end of a test."""
+    """Opens state folders, and closes them at the end of a test."""
 
     def __init__(self) -> None:
         self._loop = Loop(lambda: 0, lambda *_: None)
@@ -70,15 +70,15 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A copy of the golden folder."""
+    """Returns a copy of the golden folder."""
     return shutil.copytree(GOLDEN, tmp_path / "state")
 
 
 @pytest.fixture
 def opener() -> Iterator[Opener]:
-    made = Opener()
-    yield made
-    made.close()
+    opener = Opener()
+    yield opener
+    opener.close()
 
 
 def plain_config(config: Configuration | None) -> list[list[str]] | None:
@@ -86,7 +86,7 @@
 
 
 def plain_state(snapshot: bytes, commands: list[bytes]) -> dict[str, Any]:
-    """The replicated state after a snapshot and commands that follow it; one that can't be read is passed over."""
+    """Returns the replicated state after a snapshot and the commands that follow it, without names of classes."""
     state = ReplicatedState.decode(snapshot)
     for command in commands:
         state.apply(decode_command(command))
@@ -99,7 +99,7 @@
 
 
 def plain(stored: PersistentState) -> dict[str, Any]:
-    """What a disk holds, without names of classes."""
+    """Returns the contents of a disk, without names of classes."""
     snapshot, entries = stored.snapshot, stored.entries
     commands = [entry.data for entry in entries if entry.kind.value == "data"]
     return {
@@ -118,9 +118,7 @@
     }
 
 
-def test_a_disk_of_an_earlier_release_is_read_as_it_was_written(
-    folder: Path, opener: Opener
-) -> None:
+def test_state_of_earlier_release_is_read(folder: Path, opener: Opener) -> None:
     storage = opener.open(folder)
     assert plain(storage.state) == RECORDED["whole"]
     assert storage.member_id == RECORDED["member"]
@@ -128,7 +126,7 @@
 
 
 @pytest.mark.parametrize("cut_bytes", [1, FRAME_BYTES, LAST_RECORD_BYTES - 1])
-def test_a_torn_last_write_is_named_and_every_write_before_it_is_kept(
+def test_torn_last_write_is_reported_and_earlier_writes_are_kept(
     folder: Path, opener: Opener, cut_bytes: int
 ) -> None:
     data = (folder / JOURNAL).read_bytes()
@@ -140,7 +138,7 @@
     ]
 
 
-def test_a_damaged_last_write_is_named_and_every_write_before_it_is_kept(
+def test_damaged_last_write_is_reported_and_earlier_writes_are_kept(
     folder: Path, opener: Opener
 ) -> None:
     data = bytearray((folder / JOURNAL).read_bytes())
@@ -153,10 +151,8 @@
     ]
 
 
-def test_damage_inside_a_journal_is_named_and_the_file_is_kept(
-    folder: Path, opener: Opener
-) -> None:
-    """Acknowledged writes are gone: the member must not go on as if it had never made them."""
+def test_damage_inside_journal_is_reported_and_file_is_kept(folder: Path, opener: Opener) -> None:
+    """Acknowledged writes are lost, so the member must not continue without them."""
     data = bytearray((folder / JOURNAL).read_bytes())
     data[HEADER_BYTES + FRAME_BYTES] ^= 1
     (folder / JOURNAL).write_bytes(data)
@@ -166,7 +162,7 @@
     assert (folder / SNAPSHOT).read_bytes() == (GOLDEN / SNAPSHOT).read_bytes()
 
 
-def test_a_cut_snapshot_is_named_and_its_files_are_kept(folder: Path, opener: Opener) -> None:
+def test_truncated_snapshot_is_reported_and_files_are_kept(folder: Path, opener: Opener) -> None:
     data = (folder / SNAPSHOT).read_bytes()[:-3]
     (folder / SNAPSHOT).write_bytes(data)
     with pytest.raises(StateLostError, match=r"state is damaged: the snapshot is not whole"):
@@ -176,8 +172,8 @@
     assert (folder / JOURNAL).exists()
 
 
-def test_an_unknown_kind_of_entry_is_named(folder: Path, opener: Opener) -> None:
-    """Written with a valid checksum: by a later release."""
+def test_unknown_entry_kind_is_reported(folder: Path, opener: Opener) -> None:
+    """The record has a valid checksum, as if a later release had written it."""
     contents = read(Kind.JOURNAL, (folder / JOURNAL).read_bytes())
     records = [
         Record(r.number, r.payload.replace(b"nothing", b"nonsens")) for r in contents.records
@@ -191,7 +187,7 @@
 
 
 def stored_maps(payload: bytes) -> tuple[list[str], object]:
-    """A record's MessagePack with sorted members: sets are written in any order."""
+    """Returns the decoded record with sorted members, since sets are encoded in any order."""
 
     def sort_members(value: object) -> object:
         if isinstance(value, dict):
@@ -205,7 +201,7 @@
     return list(decoded), sort_members(decoded)
 
 
-def test_each_write_and_state_is_written_with_the_names_that_it_had() -> None:
+def test_writes_and_states_keep_their_stored_names() -> None:
     writes = read(Kind.JOURNAL, (GOLDEN / JOURNAL).read_bytes()).records
     for record in writes:
         assert stored_maps(encode_write(decode_write(record.payload))) == stored_maps(
@@ -217,7 +213,7 @@
 
 
 @pytest.mark.parametrize("command", sorted(RECORDED["commands"]))
-def test_each_command_is_read_as_it_was_written(command: str) -> None:
+def test_stored_command_round_trips(command: str) -> None:
     data = bytes.fromhex(RECORDED["commands"][command])
     fields = msgspec.msgpack.decode(data)
     assert fields[0] == command
@@ -225,6 +221,6 @@
     assert encode_command(decode_command(data)) == data
 
 
-def test_an_unknown_tag_of_a_command_is_named() -> None:
+def test_unknown_command_tag_is_reported() -> None:
     with pytest.raises(msgspec.DecodeError, match="nonsense"):
         decode_command(msgspec.msgpack.encode(["nonsense", 1]))
