--- a/kelpcourse/shared/group_controller.py
+++ b/kelpcourse/shared/group_controller.py
@@ -217,7 +217,7 @@
                 action = partial(self._on_acquired, event)
                 self._context.loop.start("gain", self._run_later(action))
             case LeaseLost(group):
-                action = partial(self._stop_lost, group)
+                action = partial(self._stop_if_lost, group)
                 self._context.loop.start("lose", self._run_later(action))
 
     def _run_later(self, action: Callable[[], None]) -> Coroutine[None]:
@@ -225,13 +225,13 @@
         action()
 
     def _on_acquired(self, lease: LeaseAcquired) -> None:
-        self._stop_lost(lease.group)
+        self._stop_if_lost(lease.group)
         if self._context.epoch(lease.group) == lease.epoch:
             controller = GroupController(self._context, lease)
             self.groups[lease.group] = controller
             controller.start()
 
-    def _stop_lost(self, group: GroupId) -> None:
+    def _stop_if_lost(self, group: GroupId) -> None:
         if group in self.groups and self._context.epoch(group) is None:
             self.groups.pop(group).stop()
 
--- a/kelpcourse/shared/placement.py
+++ b/kelpcourse/shared/placement.py
@@ -56,7 +56,7 @@
     max_load = max_groups_per_member(len(groups), len(members))
     placed: dict[GroupId, str] = {}
     load = dict.fromkeys(members, 0)
-    # By hash, so that the result does not depend on the order of the groups.
+    # Sorted by hash, so that the result does not depend on the order of the groups.
     for group in _sort_by_hash(groups):
         holder = (current or {}).get(group)
         if holder in load and load[holder] < max_load:
--- a/tests/leaseworld.py
+++ b/tests/leaseworld.py
@@ -104,7 +104,7 @@
             self.process_output(node)
 
     def _apply(self, node: Node, entry: LogEntry) -> None:
-        """Applies an entry as `World` does, without applied data, and checks that all members reach equal states."""
+        """Applies an entry as `World` does, but allows gaps due to snapshots; checks that members reach equal states."""
         node.applied[-1] = entry.index - 1, b""
         super()._apply(node, entry)
         node.applied = node.applied[-1:]
@@ -173,16 +173,16 @@
 def resume_leader_with_buffered_requests(fleet: Fleet) -> None:
     """Resumes a leader after another was elected, with requests of a holder that could only reach the old leader."""
     fleet.run_until(lambda: fleet.held_group_count == GROUP_COUNT)
-    old = fleet.leader
-    assert old is not None
-    isolated = next(n for n in sorted(fleet.nodes) if n != old.name)
-    old.paused = True
-    pair = {old.name, isolated}
+    old_leader = fleet.leader
+    assert old_leader is not None
+    isolated = next(n for n in sorted(fleet.nodes) if n != old_leader.name)
+    old_leader.paused = True
+    pair = {old_leader.name, isolated}
     fleet.blocked_links = {
         (a, b) for a in fleet.nodes for b in fleet.nodes if (a in pair) != (b in pair)
     }
     fleet.run(fleet.random.randint(500 * MS, 900 * MS))
-    old.paused = False
+    old_leader.paused = False
     fleet.run(600 * MS)
 
 
--- a/tests/test_raft_model.py
+++ b/tests/test_raft_model.py
@@ -121,9 +121,9 @@
 
 
 def next_states(state: State, raft_factory: type[Raft]) -> Iterator[State]:
-    for at, (sender, to, message) in enumerate(state.in_flight):
+    for position, (sender, to, message) in enumerate(state.in_flight):
         after = state.copy_for_step(to)
-        del after.in_flight[at]
+        del after.in_flight[position]
         after.nodes[to].receive(after.now_us, sender, message)
         after.process_output(to)
         yield after
