--- a/kelpcourse/shared/raft/leader.py
+++ b/kelpcourse/shared/raft/leader.py
@@ -65,7 +65,7 @@
             del self.progress[member]
 
     def _has_quorum_contact(self, now_us: int) -> bool:
-        """Returns whether this leader is newly elected or a majority replied lately (check-quorum, thesis 6.2)."""
+        """Returns whether this leader is newly elected or a majority replied recently (check-quorum, thesis 6.2)."""
         timeout_us = self._options.min_election_timeout_us
         if now_us - self._leader_since_us < timeout_us:
             return True
--- a/tests/leaseworld.py
+++ b/tests/leaseworld.py
@@ -104,7 +104,7 @@
             self.process_output(node)
 
     def _apply(self, node: Node, entry: LogEntry) -> None:
-        """Applies an entry as `World` does, but allows gaps due to snapshots; checks that members reach equal states."""
+        """Applies an entry as `World` does, but allows gaps by snapshots; checks that members reach equal states."""
         node.applied[-1] = entry.index - 1, b""
         super()._apply(node, entry)
         node.applied = node.applied[-1:]
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -49,9 +49,8 @@
     assert reply is not None
     holder.on_reply(reply)
     assert holder.remaining_us(0, 250 * MS) == LEASE_TIMING.holder_duration_us - 250 * MS
-    assert (
-        manager.on_request("a", request, 300 * MS, 300 * MS) is None
-    )  # Leadership is no longer guaranteed.
+    # Leadership is no longer guaranteed.
+    assert manager.on_request("a", request, 300 * MS, 300 * MS) is None
 
 
 def test_new_leader_waits_for_leases_of_previous_leader() -> None:
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -131,9 +131,8 @@
     world.run(2000 * MS)
     assert new_node.raft is not None
     assert new_node.raft.role is Role.FOLLOWER
-    assert (
-        new_node.raft.term == 0
-    )  # It is not in the configuration, so it receives no message and is no candidate.
+    # The node is not in the configuration, so it receives no message and is no candidate.
+    assert new_node.raft.term == 0
 
 
 def test_leader_detects_member_that_lost_entries() -> None:
