--- a/tests/test_group_controller.py
+++ b/tests/test_group_controller.py
@@ -144,10 +144,15 @@
         }
 
     def all_proxies_use_all_hosts(self) -> bool:
-        return all(set(f.weights(READ)) == {"s-0", "s-1", "s-2", "s-3"} for f in self.lab.proxies)
+        return all(
+            set(proxy.weights(READ)) == {"s-0", "s-1", "s-2", "s-3"} for proxy in self.lab.proxies
+        )
 
     def all_proxies_left(self, host: str) -> bool:
-        return all(host in f.withdrawn and host not in f.weights(READ) for f in self.lab.proxies)
+        return all(
+            host in proxy.withdrawn and host not in proxy.weights(READ)
+            for proxy in self.lab.proxies
+        )
 
     def close(self) -> None:
         self.lab.close()
@@ -221,7 +226,7 @@
     assert statuses == [409]
     assert fleet.lab.relay.fenced_count == 1
     assert not any(isinstance(o, WithdrawEndpoint) for o in fleet.lab.relay.orders[before:])
-    assert all("s-0" not in f.withdrawn for f in fleet.lab.proxies)
+    assert all("s-0" not in proxy.withdrawn for proxy in fleet.lab.proxies)
 
 
 def test_controller_without_majority_stops_ordering(fleet: Fleet) -> None:
