--- a/kelpcourse/limits.py
+++ b/kelpcourse/limits.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass, replace
 
 # Parts of what the machine grants.
-CONNECTION_PARTS_OF_SOCKETS = 2
-HEALTH_CHECK_PARTS_OF_SOCKETS = 16
-BUFFER_PARTS_OF_MEMORY = 4
+CONNECTION_SOCKET_DIVISOR = 2
+HEALTH_CHECK_SOCKET_DIVISOR = 16
+READ_BUFFER_MEMORY_DIVISOR = 4
 MIN_CONNECTIONS = 4
 BUFFERED_EVENTS_PER_PROXY = 4
 QUEUED_ORDERS_PER_PROXY = 8
-REPORT_PERIODS = 4  # reports are late, and one may be lost
+REPORT_TIMEOUT_PERIODS = 4  # reports are late, and one may be lost
 
 
 @dataclass(frozen=True, init=False, repr=False, eq=False)
@@ -190,9 +190,9 @@
 
     def for_machine(self, sockets: int, memory_mb: int) -> Limits:
         """These limits on a machine that grants so many descriptors and so much memory."""
-        max_connections = max(MIN_CONNECTIONS, sockets // CONNECTION_PARTS_OF_SOCKETS)
-        max_health_checks = max(1, sockets // HEALTH_CHECK_PARTS_OF_SOCKETS)
-        max_buffers_bytes = (memory_mb << 20) // BUFFER_PARTS_OF_MEMORY
+        max_connections = max(MIN_CONNECTIONS, sockets // CONNECTION_SOCKET_DIVISOR)
+        max_health_checks = max(1, sockets // HEALTH_CHECK_SOCKET_DIVISOR)
+        max_buffers_bytes = (memory_mb << 20) // READ_BUFFER_MEMORY_DIVISOR
         return replace(
             self,
             max_connections=min(self.max_connections, max_connections),
@@ -205,7 +205,7 @@
 
         Each may be bound, reported as joined, left and applied, and need a table, before any of it is taken.
         """
-        patience_us = REPORT_PERIODS * report_period_us
+        patience_us = REPORT_TIMEOUT_PERIODS * report_period_us
         return replace(
             self,
             max_buffered_events=max(self.max_buffered_events, BUFFERED_EVENTS_PER_PROXY * proxies),
