--- a/kelpcourse/facade/validation.py
+++ b/kelpcourse/facade/validation.py
@@ -36,7 +36,7 @@
             request_class.name: index for index, request_class in enumerate(settings.classes)
         }
         max_deadline_us = max((each.deadline_us for each in settings.classes), default=0)
-        self._max_mean_us = limits.max_mean_time_deadlines * max_deadline_us
+        self._max_mean_us = limits.max_mean_time_deadline_ratio * max_deadline_us
 
     def proxy(self, proxy: int) -> int:
         """A proxy that the settings allow for."""
--- a/kelpcourse/limits.py
+++ b/kelpcourse/limits.py
@@ -58,7 +58,7 @@
 
     max_report_window_us: int = 60_000_000
     max_report_attempts_per_s: int = 10_000
-    max_mean_time_deadlines: float = 2.0  # mean time of successes, in longest deadlines
+    max_mean_time_deadline_ratio: float = 2.0  # mean time of successes, in longest deadlines
     max_checkpoints: int = 16_384  # remembered, of which a proxy may acknowledge one
 
 
