--- a/kelpcourse/policy/capacity.py
+++ b/kelpcourse/policy/capacity.py
@@ -35,7 +35,7 @@
         self.requests_per_s = 0.0
         self._fleet_size = 0.0
 
-    def follow_fleet(self, endpoint_capacity: float, proxy_rate: float) -> None:
+    def scale_to_fleet(self, endpoint_capacity: float, proxy_rate: float) -> None:
         """Scales the estimate: it was measured with other endpoints and proxies.
 
         Args:
--- a/kelpcourse/policy/controller.py
+++ b/kelpcourse/policy/controller.py
@@ -223,7 +223,7 @@
         )
 
     def _follow_fleet(self, now_us: int) -> None:
-        self.capacity.follow_fleet(
+        self.capacity.scale_to_fleet(
             self.registry.reachable_capacity(now_us), self.bindings.usual_rate()
         )
 
--- a/kelpcourse/policy/delivery.py
+++ b/kelpcourse/policy/delivery.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True)
-class UnseenDeparture:
+class UnreportedDeparture:
     """Entries for a proxy that joined again without a known departure: no acknowledgement of them will come."""
 
     expires_us: int
@@ -97,7 +97,7 @@
         self._queue_empty_us = 0
         self._deliveries: deque[Delivery] = deque()
         self._by_proxy: dict[ProxyId, deque[ProxyDelivery]] = {}  # unacknowledged, oldest first
-        self._unseen_departures: list[UnseenDeparture] = []
+        self._unseen_departures: list[UnreportedDeparture] = []
         self._last_acknowledged_sent_us = 0  # when what was acknowledged last was sent
         self._last_progress_us = 0  # last acknowledgement ahead of the oldest delivery still kept
         self._recent_messages: deque[Delivery] = deque(maxlen=max_messages)  # to any proxy
@@ -176,7 +176,7 @@
     def proxy_joined(self, proxy: ProxyId, now_us: int) -> None:
         """A proxy has joined. If it was not known to leave, what waits may reach it but is not acknowledged."""
         waiting = sum(part.entries for part in self._by_proxy.get(proxy, ()))
-        self._unseen_departures.append(UnseenDeparture(now_us + self._max_delivery_us, waiting))
+        self._unseen_departures.append(UnreportedDeparture(now_us + self._max_delivery_us, waiting))
         self._forget_entries(proxy)
 
     def _forget_entries(self, proxy: ProxyId) -> None:
