--- a/kelpcourse/policy/controller.py
+++ b/kelpcourse/policy/controller.py
@@ -197,7 +197,7 @@
     def _evaluate(self, now_us: int, actions: list[Action]) -> None:
         """Evaluates the reports since the last evaluation."""
         span_s = self.load.evaluate(now_us, self._window, self.admission.history)
-        outliers = self._outliers.evaluate(now_us, self._window, self.load.settle_us())
+        outliers = self._outliers.evaluate(now_us, self._window, self.load.settling_time_us())
         if outliers.ejected:
             self.publisher.urgent = True
         self._learn_relative_capacity(now_us)
--- a/kelpcourse/policy/load.py
+++ b/kelpcourse/policy/load.py
@@ -47,7 +47,7 @@
         """Whether rates cover a report span: first reports tell of more come than ended."""
         return now_us - self._measured_since_us >= self.report_span_us
 
-    def settle_us(self) -> int:
+    def settling_time_us(self) -> int:
         """Returns how long after an order reports may still tell of requests before it."""
         return self.feedback_delay_us + self.report_span_us // 2
 
--- a/kelpcourse/policy/outliers.py
+++ b/kelpcourse/policy/outliers.py
@@ -49,7 +49,7 @@
         """Keeps the endpoints that are judged."""
         self._registry = registry
 
-    def evaluate(self, now_us: int, window: ReportWindow, settle_us: int) -> OutlierResult:
+    def evaluate(self, now_us: int, window: ReportWindow, settling_time_us: int) -> OutlierResult:
         """Judges every endpoint by its decaying sums.
 
         Args:
@@ -67,7 +67,7 @@
         judged = [
             state for number, state in self._registry.endpoints.items() if number not in excluded
         ]
-        if self._eject_outliers(now_us, judged, settle_us):
+        if self._eject_outliers(now_us, judged, settling_time_us):
             ejected = True
         return OutlierResult(self._failure_ratio(), ejected)
 
@@ -81,7 +81,7 @@
         share = len(silent) / max(1, len(self._registry))
         return silent if PARTITION_MIN_SHARE <= share <= PARTITION_MAX_SHARE else []
 
-    def _eject_outliers(self, now_us: int, judged: list[EndpointState], settle_us: int) -> bool:
+    def _eject_outliers(self, now_us: int, judged: list[EndpointState], settling_time_us: int) -> bool:
         totals = _Totals(
             sum(state.attempts for state in judged), sum(state.failures for state in judged)
         )
@@ -90,7 +90,7 @@
         any_ejected = False
         for state in judged:
             is_ejected = state.health_factor < 1
-            settled = state.last_report_us - state.last_ejection_us >= settle_us
+            settled = state.last_report_us - state.last_ejection_us >= settling_time_us
             may_eject = is_ejected or ejected_count < max_ejected
             if settled and may_eject and _is_outlier(state, totals):
                 if not is_ejected:
