--- a/kelpcourse/policy/controller.py
+++ b/kelpcourse/policy/controller.py
@@ -109,7 +109,7 @@
             self._apply(now_us, event, actions)
         if self.load.is_due(now_us, self._window):
             self._evaluate(now_us, actions)
-        if self._list_watch.must_start(now_us):
+        if self._list_watch.start_if_due(now_us):
             actions.append(WatchEndpoints(True))
         self.publisher.publish(now_us, actions)
         return actions
--- a/kelpcourse/policy/list_watch.py
+++ b/kelpcourse/policy/list_watch.py
@@ -33,7 +33,7 @@
         """A list arrived."""
         self._backoff_us = FIRST_BACKOFF_US
 
-    def must_start(self, now_us: int) -> bool:
+    def start_if_due(self, now_us: int) -> bool:
         """Whether the watch is to start in this step; it counts as started then."""
         if not self._must_ask or self._watching or now_us < self._next_due_us:
             return False
