--- a/kelpcourse/policy/bindings.py
+++ b/kelpcourse/policy/bindings.py
@@ -98,6 +98,6 @@
         """Returns the usual request rate of the joined proxies."""
         return sum(self.origins[proxy].usual_rate for proxy in self)
 
-    def unknown_count(self) -> int:
+    def count_with_unknown_entries(self) -> int:
         """Returns of how many unbound proxies it is not known what they hold."""
         return len(self.unbound_since_us) - len(self.possibly_stale)
--- a/kelpcourse/policy/budget.py
+++ b/kelpcourse/policy/budget.py
@@ -37,7 +37,7 @@
     ordinary: float
     bindings: float
     urgent: float
-    binding_span: float  # entries that leave in the time that bindings may take
+    binding_span_entries: float  # entries that leave in the time that bindings may take
 
     @classmethod
     def of(cls, settings: Settings) -> BacklogLimits:
@@ -46,12 +46,12 @@
         per_us = settings.delivery_entries_per_s / US_PER_S
         grace_us = settings.drain_grace_us
         span_us = min(BINDING_GRACE_SHARE * grace_us, grace_us - max_delivery_us(settings))
-        binding_span = per_us * max(MIN_BINDING_SPAN_US, span_us)
+        binding_span_entries = per_us * max(MIN_BINDING_SPAN_US, span_us)
         return cls(
             ordinary=min(ORDINARY_BACKLOG_SHARE * backlog, per_us * UPDATE_PERIOD_US),
-            bindings=min(BINDING_BACKLOG_SHARE * backlog, binding_span),
+            bindings=min(BINDING_BACKLOG_SHARE * backlog, binding_span_entries),
             urgent=URGENT_BACKLOG_SHARE * backlog,
-            binding_span=binding_span,
+            binding_span_entries=binding_span_entries,
         )
 
 
@@ -89,7 +89,7 @@
         share = self._tables.unbound_share
         reached = 1 - (1 - share) ** endpoint_count
         per_proxy = share * endpoint_count + (self._message_overhead_entries + 1) * reached
-        return self._bindings.unknown_count() * per_proxy
+        return self._bindings.count_with_unknown_entries() * per_proxy
 
 
 class OrderBatch:
@@ -125,7 +125,7 @@
         self.queued_entries += self.change_cost(table)
         self.changes[table] += 1
 
-    def order_endpoint(self, action: Action) -> None:
+    def add_endpoint_order(self, action: Action) -> None:
         """Orders a withdrawal or its end, which proxies not bound yet hear as well."""
         self.actions.append(action)
         before = self._costs.of_unbound(self.endpoint_orders)
--- a/kelpcourse/policy/draining.py
+++ b/kelpcourse/policy/draining.py
@@ -97,7 +97,7 @@
                 del self._tables.entries[table][endpoint]
             else:
                 batch.reserve_change(table)
-        batch.order_endpoint(WithdrawEndpoint(endpoint))
+        batch.add_endpoint_order(WithdrawEndpoint(endpoint))
 
     def restore_returned(
         self, now_us: int, batch: OrderBatch, delayed: AbstractSet[EndpointId]
@@ -133,7 +133,7 @@
         """Whether a long withdrawal may wait for the delivery queue to empty."""
         if now_us - min(self.draining.values()) >= self._max_delay_us:
             return False
-        if cost <= self._limits.binding_span:
+        if cost <= self._limits.binding_span_entries:
             return False
         is_filled = batch.available_entries(self._limits.bindings) < 0
         return is_filled or self._bindings.in_reconnect_storm(now_us)
@@ -150,4 +150,4 @@
     def _restore(self, batch: OrderBatch, endpoint: EndpointId) -> None:
         for table in self._tables.containing(endpoint):
             batch.reserve_change(table)
-        batch.order_endpoint(RestoreEndpoint(endpoint))
+        batch.add_endpoint_order(RestoreEndpoint(endpoint))
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -180,7 +180,7 @@
     """Entries of withdrawn endpoints stay in the tables, as they did."""
     for table in withdrawals._tables.containing(endpoint):
         batch.reserve_change(table)
-    batch.order_endpoint(WithdrawEndpoint(endpoint))
+    batch.add_endpoint_order(WithdrawEndpoint(endpoint))
 
 
 def test_the_independent_count_finds_entries_left_in_tables(
