--- a/kelpcourse/policy/draining.py
+++ b/kelpcourse/policy/draining.py
@@ -16,7 +16,7 @@
 from kelpcourse.policy.settings import EndpointId, ProxyId, Settings
 from kelpcourse.policy.tables import RoutingTables
 
-FORGET_AFTER_US = 30_000_000  # an endpoint that is gone does not come back later
+WITHDRAWAL_RETENTION_US = 30_000_000  # an endpoint that is gone does not come back later
 
 
 class Withdrawals:
@@ -142,7 +142,7 @@
         return [
             endpoint
             for endpoint, withdrawn_us in self.withdrawn.items()
-            if now_us - withdrawn_us >= FORGET_AFTER_US
+            if now_us - withdrawn_us >= WITHDRAWAL_RETENTION_US
             and endpoint not in self._registry
             and not self._tables.has_entry(endpoint)
         ]
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -12,7 +12,7 @@
     SetWeight,
     WithdrawEndpoint,
 )
-from kelpcourse.policy.draining import FORGET_AFTER_US
+from kelpcourse.policy.draining import WITHDRAWAL_RETENTION_US
 from kelpcourse.policy.events import (
     Endpoint,
     EndpointList,
@@ -78,14 +78,14 @@
     harness = PolicyHarness(listed=make_endpoints(6))
     left = make_endpoints(6)[1:]
     harness.send(list_changes([make_endpoint(100, status=EndpointStatus.GONE)]))
-    served(harness, FORGET_AFTER_US // SECOND - 1, left)
+    served(harness, WITHDRAWAL_RETENTION_US // SECOND - 1, left)
     assert RestoreEndpoint(100) not in [action for _, action in harness.log]
     served(harness, 12, left)
     assert [action for _, action in harness.log].count(RestoreEndpoint(100)) == 1
     assert 100 not in harness.tables[0]
     drains = harness.send(list_changes([make_endpoint(100, status=EndpointStatus.DRAINING)], 3))
     assert endpoint_orders(drains) == [WithdrawEndpoint(100)]
-    served(harness, FORGET_AFTER_US // SECOND + 12, left)
+    served(harness, WITHDRAWAL_RETENTION_US // SECOND + 12, left)
     harness.send(list_changes([make_endpoint(100, started_us=harness.now_us)], 4))
     served(harness, 3, left)
     assert 0 < harness.weight_share(100) < 0.5 / 6  # it is warming up
@@ -97,7 +97,7 @@
     )
     harness.send(list_changes([make_endpoint(100, status=EndpointStatus.GONE)]))
     assert harness.policy.bindings.unbound_since_us
-    served(harness, FORGET_AFTER_US // SECOND + 12, make_endpoints(6)[1:])
+    served(harness, WITHDRAWAL_RETENTION_US // SECOND + 12, make_endpoints(6)[1:])
     assert RestoreEndpoint(100) not in [action for _, action in harness.log]
 
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -10,7 +10,7 @@
 from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.orders import Checkpoint, Order, RestoreEndpoint, SetWeight, WithdrawEndpoint
 from kelpcourse.memory.proxies import Applied, Joined, Left, ProxyEvent, ProxyRegistry
-from kelpcourse.policy.draining import FORGET_AFTER_US
+from kelpcourse.policy.draining import WITHDRAWAL_RETENTION_US
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.wire.buffers import ReadBuffer
 from kelpcourse.wire.report_codec import DemandReportMessage, EndpointReportMessage, decode_line
@@ -142,7 +142,7 @@
         gc.collect()
         entries.append(service.entries_of_a_binding())
         kept.append(len(gc.get_objects()))
-    assert max(entries) < 2 * HOSTS + FORGET_AFTER_US // SECOND
+    assert max(entries) < 2 * HOSTS + WITHDRAWAL_RETENTION_US // SECOND
     assert max(kept[1:]) < kept[0] + 200
 
 
