--- a/kelpcourse/policy/capacity.py
+++ b/kelpcourse/policy/capacity.py
@@ -7,9 +7,9 @@
 from kelpcourse.policy.arithmetic import US_PER_S
 
 MIN_CAPACITY_PER_S = 1.0
-FOLLOW_US = 3_000_000  # in which the estimate follows what fully used endpoints complete
-TESTED_SHARE = 0.75  # of the estimate that must complete before it grows
-GROWTH_PER_S = 1.18
+SMOOTHING_TIME_US = 3_000_000  # in which the estimate follows what fully used endpoints complete
+MIN_GROWTH_COMPLETED_SHARE = 0.75  # of the estimate that must complete before it grows
+GROWTH_FACTOR_PER_S = 1.18
 
 
 @dataclass(frozen=True)
@@ -52,10 +52,10 @@
         completed = sample.completed_per_s
         if sample.is_busy and sample.is_settled:
             served = completed + sample.unanswered_per_s / 2
-            gain = min(1.0, sample.span_s * US_PER_S / FOLLOW_US)
+            gain = min(1.0, sample.span_s * US_PER_S / SMOOTHING_TIME_US)
             self.requests_per_s += (served - self.requests_per_s) * gain
         elif completed > self.requests_per_s:
             self.requests_per_s = completed
-        elif shedding_load and completed > TESTED_SHARE * self.requests_per_s:
-            self.requests_per_s *= GROWTH_PER_S ** (sample.span_s * (1 - sample.busy_ratio))
+        elif shedding_load and completed > MIN_GROWTH_COMPLETED_SHARE * self.requests_per_s:
+            self.requests_per_s *= GROWTH_FACTOR_PER_S ** (sample.span_s * (1 - sample.busy_ratio))
         self.requests_per_s = max(self.requests_per_s, MIN_CAPACITY_PER_S)
