--- a/kelpcourse/policy/relative_capacity.py
+++ b/kelpcourse/policy/relative_capacity.py
@@ -13,11 +13,11 @@
 MIN_RELATIVE_CAPACITY = 0.4
 MAX_RELATIVE_CAPACITY = 2.5
 MIN_SUCCESSES = 3  # before an endpoint is measured
-AVERAGED_ANSWERS = 80.0  # of an endpoint, that a correction is averaged over
+AVERAGED_RESPONSES = 80.0  # of an endpoint, that a correction is averaged over
 FIRST_REPORT_COUNT = 1.0
-PRIOR_ANSWERS = 4.0  # with the mean time of the endpoint's kind
+PRIOR_RESPONSES = 4.0  # with the mean time of the endpoint's kind
 MIN_UTILIZATION = 0.1  # below it a load report is noise
-MIN_BELIEVED_ODDS = 0.4  # below it a load report contradicts the response times
+MIN_CONSISTENT_ODDS = 0.4  # below it a load report contradicts the response times
 MIN_LOAD_ODDS = 0.1
 INHERITANCE_ATTEMPTS = 12.0  # of an endpoint, before the weights of inherited tables show
 
@@ -56,7 +56,7 @@
     ]
     reference = _Reference.of(measured)
     answers = max(1.0, completed_per_s * report_span_us)
-    max_reports = AVERAGED_ANSWERS * len(registry) * US_PER_S / answers
+    max_reports = AVERAGED_RESPONSES * len(registry) * US_PER_S / answers
     for state in measured:
         if state.endpoint.id in window.outcomes:
             report_count = min(state.report_count, max_reports)
@@ -96,8 +96,8 @@
         """Returns by which factor an endpoint does better than its relative capacity says."""
         prior_us = self.prior_time_us[state.endpoint.kind]
         time_us = max(1.0, state.response_time_us + prior_us)
-        odds = self.mean_time_us * (state.successes + PRIOR_ANSWERS) / time_us
-        if not self.has_all_loads or odds <= MIN_BELIEVED_ODDS:
+        odds = self.mean_time_us * (state.successes + PRIOR_RESPONSES) / time_us
+        if not self.has_all_loads or odds <= MIN_CONSISTENT_ODDS:
             return odds
         throughput = self.throughputs[state.endpoint.id]
         relative = throughput * len(self.throughputs) / self.total_throughput
@@ -107,7 +107,7 @@
 def _prior_time_us(kind: str, measured: Sequence[EndpointState]) -> float:
     of_kind = [state for state in measured if state.endpoint.kind == kind]
     time_us = sum(state.response_time_us for state in of_kind)
-    return PRIOR_ANSWERS * time_us / sum(state.successes for state in of_kind)
+    return PRIOR_RESPONSES * time_us / sum(state.successes for state in of_kind)
 
 
 def _throughputs(measured: Sequence[EndpointState]) -> dict[EndpointId, float]:
