--- a/kelpcourse/policy/outliers.py
+++ b/kelpcourse/policy/outliers.py
@@ -73,13 +73,13 @@
 
     def _partitioned(self, window: ReportWindow) -> list[EndpointState]:
         """Many endpoints that answer nothing while the rest does: no measure for the others."""
-        silent = [
+        has_no_success = [
             state
             for state in self._registry.states()
-            if state.failures >= OUTLIER_MIN_FAILURES and window.silent(state.endpoint.id)
+            if state.failures >= OUTLIER_MIN_FAILURES and window.has_no_success(state.endpoint.id)
         ]
-        share = len(silent) / max(1, len(self._registry))
-        return silent if PARTITION_MIN_SHARE <= share <= PARTITION_MAX_SHARE else []
+        share = len(has_no_success) / max(1, len(self._registry))
+        return has_no_success if PARTITION_MIN_SHARE <= share <= PARTITION_MAX_SHARE else []
 
     def _eject_outliers(self, now_us: int, judged: list[EndpointState], settling_time_us: int) -> bool:
         totals = _Totals(
--- a/kelpcourse/policy/reports.py
+++ b/kelpcourse/policy/reports.py
@@ -58,7 +58,7 @@
         total_us = sum(outcome.response_time_us for outcome in self.outcomes.values())
         return total_us / successes
 
-    def silent(self, number: EndpointId) -> bool:
+    def has_no_success(self, number: EndpointId) -> bool:
         """Whether an endpoint was reported on without a success."""
         outcome = self.outcomes.get(number)
         return outcome is not None and not outcome.successes
