--- a/kelpcourse/policy/outliers.py
+++ b/kelpcourse/policy/outliers.py
@@ -73,15 +73,17 @@
 
     def _partitioned(self, window: ReportWindow) -> list[EndpointState]:
         """Many endpoints that answer nothing while the rest does: no measure for the others."""
-        has_no_success = [
+        unresponsive = [
             state
             for state in self._registry.states()
             if state.failures >= OUTLIER_MIN_FAILURES and window.has_no_success(state.endpoint.id)
         ]
-        share = len(has_no_success) / max(1, len(self._registry))
-        return has_no_success if PARTITION_MIN_SHARE <= share <= PARTITION_MAX_SHARE else []
+        share = len(unresponsive) / max(1, len(self._registry))
+        return unresponsive if PARTITION_MIN_SHARE <= share <= PARTITION_MAX_SHARE else []
 
-    def _eject_outliers(self, now_us: int, judged: list[EndpointState], settling_time_us: int) -> bool:
+    def _eject_outliers(
+        self, now_us: int, judged: list[EndpointState], settling_time_us: int
+    ) -> bool:
         totals = _Totals(
             sum(state.attempts for state in judged), sum(state.failures for state in judged)
         )
