--- a/kelpcourse/__main__.py
+++ b/kelpcourse/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point: `python -m kelpcourse` runs one controller on real sockets."""
+"""Entry point of `python -m kelpcourse`, which runs one controller on network sockets."""
 
 import os
 import sys
--- a/kelpcourse/fields.py
+++ b/kelpcourse/fields.py
@@ -1,4 +1,4 @@
-"""Reading `name=value` fields, with errors that name the field."""
+"""Parsing of `name=value` fields, with errors that name the field."""
 
 from __future__ import annotations
 
@@ -11,35 +11,49 @@
 
 
 class InputError(ValueError):
-    """A line or a settings object that can't be understood; the text says why."""
+    """Raised for a line or a settings object that can't be parsed; the message gives the reason."""
 
 
 class FieldError(InputError):
-    """A field that is missing or has no usable value."""
+    """Raised for a field that is missing or has an invalid value."""
 
     def __init__(self, field: str, problem: str) -> None:
-        """`problem` follows the field's name in the text."""
+        """Initializes the error.
+
+        Args:
+            field: Full name of the field.
+            problem: Predicate that follows the name of the field in the message.
+        """
         super().__init__(f"field '{field}' {problem}")
         self.field = field
         self.problem = problem
 
 
 class Fields:
-    """The fields of one line. Those that nobody asks for are disregarded."""
+    """The fields of one line or settings object. Fields that are never read are ignored."""
 
     def __init__(self, pairs: Mapping[str, str], prefix: str = "") -> None:
-        """`prefix` goes before each name that is asked for."""
+        """Initializes the fields.
+
+        Args:
+            pairs: Values by full field name.
+            prefix: Prefix that is put before each name that is read.
+        """
         self._pairs = pairs
         self._prefix = prefix
 
     @classmethod
     def parse(cls, parts: list[str]) -> Fields:
-        """Reads `name=value` parts. Raises FieldError."""
+        """Parses `name=value` parts.
+
+        Raises:
+            FieldError: A part is not of this form, or a name appears twice.
+        """
         pairs: dict[str, str] = {}
         for part in parts:
             name, separator, value = part.partition("=")
             if not separator or not name:
-                raise FieldError(part, "is not name=value")
+                raise FieldError(part, "is not of the form name=value")
             if name in pairs:
                 raise FieldError(name, "appears twice")
             pairs[name] = value
@@ -47,31 +61,32 @@
 
     @classmethod
     def from_nested(cls, value: Mapping[str, object]) -> Fields:
-        """The same fields out of nested JSON, as the simulator would write them on one line.
+        """Flattens nested JSON into the fields that the simulator would write on one line.
 
-        Raises FieldError for a value that has no place on a line.
+        Raises:
+            FieldError: A value can't be written on a line.
         """
         pairs: dict[str, str] = {}
         _flatten(value, "", pairs)
         return cls(pairs)
 
     def under(self, path: str) -> Fields:
-        """The fields whose names begin with a path and a dot."""
+        """Returns the fields whose names begin with a path and a dot."""
         return Fields(self._pairs, f"{self._prefix}{path}.")
 
     def has(self, name: str) -> bool:
-        """Whether the field is there."""
+        """Returns whether the field is present."""
         return self._prefix + name in self._pairs
 
     def text(self, name: str) -> str:
-        """The value as it is written. Raises FieldError, as all readers below do."""
+        """Returns the value as it is written. Raises FieldError, as all methods below do."""
         key = self._prefix + name
         if key not in self._pairs:
             raise FieldError(key, "is missing")
         return self._pairs[key]
 
     def integer(self, name: str) -> int:
-        """A whole number."""
+        """Returns a whole number."""
         value = self.text(name)
         digits = value[1:] if value.startswith("-") else value
         if not (digits.isascii() and digits.isdigit()):
@@ -79,50 +94,50 @@
         return int(value)
 
     def count(self, name: str) -> int:
-        """A whole number from 0 up."""
+        """Returns a whole number that is not negative."""
         value = self.integer(name)
         if value < 0:
             raise FieldError(self._prefix + name, f"is below 0: '{value}'")
         return value
 
     def number(self, name: str) -> float:
-        """A finite number."""
+        """Returns a finite number."""
         return read_number(self._prefix + name, self.text(name))
 
     def boolean(self, name: str) -> bool:
-        """A truth value: 1 or true, 0 or false."""
+        """Returns a boolean, written as `1` or `true`, `0` or `false`."""
         value = self.text(name)
         if value in ("1", "true"):
             return True
         if value in ("0", "false"):
             return False
-        raise FieldError(self._prefix + name, f"is not a bool: '{value}'")
+        raise FieldError(self._prefix + name, f"is not a boolean: '{value}'")
 
-    def words(self, name: str) -> tuple[str, ...]:
-        """Words between commas; none if the field is absent."""
+    def text_list(self, name: str) -> tuple[str, ...]:
+        """Returns the comma-separated parts that are not empty; none if the field is absent."""
         value = self.text(name) if self.has(name) else ""
-        return tuple(word for word in value.split(",") if word)
+        return tuple(part for part in value.split(",") if part)
 
     def choice(self, name: str, table: Mapping[str, EnumT]) -> EnumT:
-        """The member of an enumeration that the value stands for."""
+        """Returns the member of an enumeration that a table maps the value to."""
         value = self.text(name)
         if value not in table:
-            raise FieldError(self._prefix + name, f"has no such value: '{value}'")
+            raise FieldError(self._prefix + name, f"has an unknown value: '{value}'")
         return table[value]
 
     def load(self, name: str) -> tuple[tuple[str, float], ...]:
-        """A load report, name:value pairs; none if the field is absent."""
+        """Returns the comma-separated name:value pairs of a load report; none if the field is absent."""
         pairs = []
-        for word in self.words(name):
-            key, separator, value = word.partition(":")
+        for part in self.text_list(name):
+            key, separator, value = part.partition(":")
             if not separator or not key:
-                raise FieldError(self._prefix + name, f"is not a load report: '{word}'")
+                raise FieldError(self._prefix + name, f"is not a load report: '{part}'")
             pairs.append((key, read_number(self._prefix + name, value)))
         return tuple(pairs)
 
 
 def read_number(name: str, value: str) -> float:
-    """A finite number. Raises FieldError with the field's name."""
+    """Returns a finite number. Raises FieldError with the name of the field."""
     try:
         number = float(value)
     except ValueError:
@@ -160,4 +175,4 @@
         return value.replace(" ", "_").replace(",", "_")
     if isinstance(value, int | float):
         return str(value)
-    raise FieldError(key, "is not a plain value")
+    raise FieldError(key, "is neither a string, a number nor a boolean")
--- a/kelpcourse/settings.py
+++ b/kelpcourse/settings.py
@@ -1,6 +1,6 @@
-"""Reading `Settings`: one reader for the simulator's pairs and for the nested JSON of a configuration.
+"""Reading of `Settings`, both from the simulator's pairs and from the nested JSON of a configuration.
 
-Names on the wire and in files stay as they are; this is the one place that maps them.
+The names on the wire and in files are fixed; only this module maps them to those of `Settings`.
 
 | on the wire | in `Settings` |
 | --- | --- |
@@ -69,17 +69,17 @@
 }
 RETRY_POLICIES = {str(policy.value): policy for policy in RetryPolicy}
 
-Figure = Callable[[Settings], float]
+SettingValue = Callable[[Settings], float]
 
-# Without these nothing could ever be ordered.
-POSITIVE: dict[str, Figure] = {
+# If one of these were 0, no order could ever be sent.
+POSITIVE: dict[str, SettingValue] = {
     "family_info.proxy_count": lambda settings: settings.proxy_count,
     "family_info.egress_per_s": lambda settings: settings.delivery_entries_per_s,
     "family_info.pending_max": lambda settings: settings.max_backlog_entries,
     "zones": lambda settings: len(settings.zones),
     "lanes.count": lambda settings: len(settings.classes),
 }
-NOT_NEGATIVE: dict[str, Figure] = {
+NOT_NEGATIVE: dict[str, SettingValue] = {
     "family_info.head": lambda settings: settings.message_overhead_entries,
     "family_info.conns_least": lambda settings: settings.min_endpoint_connections,
     "invariants.cold_from": lambda settings: settings.warm_up_min_capacity,
@@ -87,26 +87,31 @@
 
 
 def read_settings(fields: Fields) -> Settings:
-    """Reads settings. Raises InputError for what can't be served, by the field's name."""
+    """Reads and checks settings.
+
+    Raises:
+        FieldError: A field is missing, or a deployment with its value can't be served.
+    """
     settings = _read(fields)
-    if not settings.slice_count:  # a site with slices is not served, so its figures don't matter
+    # Deployments with slices are not served, so their values are not checked.
+    if not settings.slice_count:
         _check(settings)
     return settings
 
 
 def _check(settings: Settings) -> None:
-    for name, figure in POSITIVE.items():
-        if not figure(settings) > 0:
+    for name, value_of in POSITIVE.items():
+        if not value_of(settings) > 0:
             raise FieldError(name, "is not above 0")
-    for name, figure in NOT_NEGATIVE.items():
-        if figure(settings) < 0:
+    for name, value_of in NOT_NEGATIVE.items():
+        if value_of(settings) < 0:
             raise FieldError(name, "is below 0")
     if settings.warm_up_min_capacity > 1:
         raise FieldError("invariants.cold_from", "is above 1")
     if settings.max_messages_per_proxy and not settings.message_window_us:
         raise FieldError(
             "family_info.messages_over_us",
-            "is not above 0 beside 'family_info.messages_most'",
+            "must be above 0 if 'family_info.messages_most' is",
         )
     _check_classes(settings.classes)
 
@@ -119,7 +124,7 @@
         if request_class.priority_weight < 0:
             raise FieldError(f"lanes.{index}.worth", "is below 0")
         if request_class.name in names:
-            raise FieldError(f"lanes.{index}.name", f"stands twice: '{request_class.name}'")
+            raise FieldError(f"lanes.{index}.name", f"appears twice: '{request_class.name}'")
         names.add(request_class.name)
 
 
@@ -136,7 +141,7 @@
         controller_index=fields.count("me"),
         controller_count=fields.count("siblings"),
         zone=fields.text("az"),
-        zones=fields.words("zones"),
+        zones=fields.text_list("zones"),
         classes=tuple(
             _request_class(fields.under(f"lanes.{index}"), same_zone_only[index], is_write[index])
             for index in range(class_count)
@@ -145,7 +150,7 @@
         discovery_poll_deadline_us=_optional_count(rules, "ask_within_us"),
         load_reports_inline=load_reports == "inline",
         load_reports_on_health_check=load_reports in ("inline", "on_probe"),
-        load_report_names=fields.words("stats.names"),
+        load_report_names=fields.text_list("stats.names"),
         health_checks_allowed=_optional_flag(bounds, "probing"),
         peer_messages_allowed=_optional_flag(bounds, "peers"),
         admission_mode=family.choice("admission", ADMISSION_MODES),
@@ -182,8 +187,8 @@
         idempotency=fields.choice("effect", IDEMPOTENCY),
         deduplication_scope=_deduplication_scope(fields),
         deduplication_window_us=_optional_count(fields, "window_us"),
-        allowed_zones=frozenset(fields.words("only_zones")),
-        allowed_kinds=frozenset(fields.words("only_kinds")),
+        allowed_zones=frozenset(fields.text_list("only_zones")),
+        allowed_kinds=frozenset(fields.text_list("only_kinds")),
         same_zone_only=same_zone_only,
         is_write=is_write,
     )
@@ -196,18 +201,18 @@
 
 
 def _optional_count(fields: Fields, name: str) -> int:
-    """A count that the wire may leave out, where absent is 0."""
+    """Returns a count from an optional field, which is 0 if it is absent."""
     return fields.count(name) if fields.has(name) else 0
 
 
 def _optional_flag(fields: Fields, name: str) -> bool:
-    """A flag that the wire may leave out, where absent is false."""
+    """Returns a flag from an optional field, which is false if it is absent."""
     return fields.has(name) and fields.boolean(name)
 
 
 def _flags(fields: Fields, name: str, size: int) -> tuple[bool, ...]:
-    """One flag for each class; absent means that all are false."""
-    words = fields.words(name) or ("false",) * size
-    if len(words) != size or any(word not in ("true", "false", "1", "0") for word in words):
-        raise FieldError(f"family_info.{name}", "is not one bool for each class")
-    return tuple(word in ("true", "1") for word in words)
+    """Returns one flag for each class; all are false if the field is absent."""
+    values = fields.text_list(name) or ("false",) * size
+    if len(values) != size or any(value not in ("true", "false", "1", "0") for value in values):
+        raise FieldError(f"family_info.{name}", "does not have one boolean for each class")
+    return tuple(value in ("true", "1") for value in values)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits grow with the fleet in the settings and shrink with what the machine grants."""
+"""Tests that limits grow with the fleet of the settings and shrink with the descriptors and memory of the machine."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from kelpcourse.memory.endpoints import EndpointRegistry, ListedEndpoint
 from kelpcourse.policy.events import EndpointStatus
 
-LISTS = (
+COUNT_LIMITS = (
     "max_endpoint_names",
     "max_checkpoints",
     "max_queued_orders",
@@ -21,27 +21,30 @@
 )
 
 
-@pytest.mark.parametrize("name", LISTS)
-def test_no_list_of_endpoints_proxies_or_controllers_is_capped_below_a_thousand(name: str) -> None:
+@pytest.mark.parametrize("name", COUNT_LIMITS)
+def test_limits_of_endpoints_proxies_and_controllers_allow_a_thousand(name: str) -> None:
     assert getattr(Limits(), name) >= 1_024
 
 
-def test_queues_grow_with_the_proxies_that_may_join() -> None:
-    """With 5,000 proxies two event streams may be a reconnect storm, as many acknowledgements and leaves apart."""
+def test_queue_limits_grow_with_the_proxy_count() -> None:
+    """With 5,000 proxies one event stream may be ahead of the other by a whole reconnect storm.
+
+    That is a joined, an applied and a left event for every proxy.
+    """
     limits = Limits().for_fleet(5_000)
     assert limits.max_buffered_events >= 3 * 5_000
     assert limits.max_queued_orders >= 5_000 + 5_000
     assert Limits().for_fleet(60) == Limits()
 
 
-def test_limits_of_reports_follow_the_report_period() -> None:
-    """With a report period of two minutes all reports were rejected, and collectors closed in between."""
+def test_report_limits_grow_with_the_report_period() -> None:
+    """With a report period of two minutes all reports were rejected, and connections of collectors timed out."""
     assert Limits().for_fleet(60, 2_000_000) == Limits()
-    patient = Limits().for_fleet(60, 120_000_000)
-    assert min(patient.max_report_window_us, patient.collector_idle_us) == 480_000_000
+    raised = Limits().for_fleet(60, 120_000_000)
+    assert min(raised.max_report_window_us, raised.collector_idle_us) == 480_000_000
 
 
-def test_descriptors_and_memory_of_the_machine_bound_connections_and_buffers() -> None:
+def test_descriptors_and_memory_limit_connections_and_buffers() -> None:
     limits = Limits().for_machine(256, 32)
     assert limits.max_connections == 128
     assert limits.max_concurrent_health_checks == 16
@@ -49,7 +52,7 @@
     assert Limits().for_machine(65_536, 8_192).max_connections == 1_024
 
 
-def test_listed_endpoints_are_remembered_whatever_the_limit() -> None:
+def test_listed_endpoints_are_remembered_beyond_the_limit() -> None:
     endpoints = EndpointRegistry(10)
     endpoints.update(
         [
