--- a/kelpcourse/policy/admission.py
+++ b/kelpcourse/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission ratios: which part of each request class proxies admit."""
+"""Admission ratios: the part of each request class that proxies admit."""
 
 from __future__ import annotations
 
@@ -12,16 +12,18 @@
 from kelpcourse.policy.settings import AdmissionMode, Settings
 
 MIN_ADMISSION_RATIO = 0.05
-MIN_CAPACITY_SHARE = 0.3  # of the capacity estimate, however long the backlog
-WARM_UP_CAPACITY_SHARE = 2.0  # of the capacity estimate, for endpoints among which some warm up
-MAX_BACKLOG_OBJECTIVE_SHARE = 0.4  # of the latency objective: keeps endpoints busy
-BACKLOG_DRAIN_US = 3_000_000
+MIN_CAPACITY_SHARE = 0.3  # least part of the capacity estimate that any backlog leaves
+# Maximum ratio of admitted load to estimated capacity of the endpoints of a class, while some of them warm up.
+WARM_UP_CAPACITY_SHARE = 2.0
+# Part of the latency objective that the backlog may take to serve; a lower one would leave endpoints idle.
+MAX_BACKLOG_OBJECTIVE_SHARE = 0.4
+BACKLOG_DRAIN_US = 3_000_000  # time in which a backlog above that limit is to drain
 HISTORY_LENGTH = 20
-FORECAST_STEPS = 8
+FORECAST_STEPS = 8  # points of the feedback delay at which unreported requests are estimated
 
 
 @dataclass(frozen=True)
-class _Ordered:
+class _OrderedRatios:
     time_us: int
     ratios: list[float]
 
@@ -31,15 +33,15 @@
 
     def __init__(self, class_count: int) -> None:
         """Starts with every class admitted in full."""
-        self._orders: deque[_Ordered] = deque(maxlen=HISTORY_LENGTH)
-        self._orders.append(_Ordered(0, [1.0] * class_count))
+        self._orders: deque[_OrderedRatios] = deque(maxlen=HISTORY_LENGTH)
+        self._orders.append(_OrderedRatios(0, [1.0] * class_count))
 
     def record(self, now_us: int, ratios: Sequence[float]) -> None:
-        """Keeps the ratios that were in force from now on."""
-        self._orders.append(_Ordered(now_us, list(ratios)))
+        """Records the ratios that are in force from now on."""
+        self._orders.append(_OrderedRatios(now_us, list(ratios)))
 
     def admitted(self, offered: Sequence[float], time_us: int) -> float:
-        """Returns how many of the offered requests the ratios in force at a time admit."""
+        """Returns the offered requests that are admitted by the ratios in force at the given time."""
         ratios = self._ratios_at(time_us)
         return sum(rate * ratio for rate, ratio in zip(offered, ratios, strict=True))
 
@@ -52,11 +54,19 @@
 
 @dataclass(frozen=True)
 class AdmissionInputs:
-    """The load that admission ratios are computed from."""
+    """The load that admission ratios are computed from.
+
+    Attributes:
+        offered_per_s: Offered load of each class, in requests per second.
+        capacity_per_s: Capacity estimate, in requests per second.
+        backlog: Requests in flight beyond the usual number.
+        latency_objective_us: Mean latency objective of the offered requests, in microseconds.
+        feedback_delay_us: Time, in microseconds, from an order until reports show its effect.
+    """
 
     offered_per_s: Sequence[float]
-    capacity_per_s: float  # the capacity estimate
-    backlog: float  # requests
+    capacity_per_s: float
+    backlog: float
     latency_objective_us: float
     feedback_delay_us: int
 
@@ -78,12 +88,12 @@
         self.history = AdmissionHistory(len(settings.classes))
 
     def update(self, now_us: int, inputs: AdmissionInputs, shedding_load: bool) -> None:
-        """Computes the ratios."""
+        """Computes the ratios for the present load."""
         if not self._enabled:
             return
         limits = self._warm_up_limits(now_us, inputs.capacity_per_s)
         if shedding_load:
-            admitted = self._shed(now_us, inputs, limits)
+            admitted = self._shed_load(now_us, inputs, limits)
         else:
             admitted = [
                 min(rate, limit) for rate, limit in zip(inputs.offered_per_s, limits, strict=True)
@@ -93,14 +103,14 @@
             for rate, offered in zip(admitted, inputs.offered_per_s, strict=True)
         ]
 
-    def _shed(self, now_us: int, inputs: AdmissionInputs, limits: list[float]) -> list[float]:
-        capacity = self._capacity_beside_backlog(now_us, inputs)
+    def _shed_load(self, now_us: int, inputs: AdmissionInputs, limits: list[float]) -> list[float]:
+        capacity = self._capacity_for_new_requests(now_us, inputs)
         lower_bounds = priority_lower_bounds(inputs.offered_per_s, self._priority_weights, capacity)
         upper_bounds = [min(1.0, limit / capacity) for limit in limits]
         return equal_fraction_fill(inputs.offered_per_s, capacity, lower_bounds, upper_bounds)
 
-    def _capacity_beside_backlog(self, now_us: int, inputs: AdmissionInputs) -> float:
-        """Returns the capacity left for new requests while the backlog drains."""
+    def _capacity_for_new_requests(self, now_us: int, inputs: AdmissionInputs) -> float:
+        """Returns the capacity that remains for new requests while the backlog drains."""
         estimate = inputs.capacity_per_s
         max_backlog_us = estimate * MAX_BACKLOG_OBJECTIVE_SHARE * inputs.latency_objective_us
         unreported = self._unreported_us(now_us, inputs)
@@ -109,9 +119,9 @@
         return max(MIN_CAPACITY_SHARE * estimate, reduced)
 
     def _unreported_us(self, now_us: int, inputs: AdmissionInputs) -> float:
-        """Returns what was admitted beyond the capacity and is not reported yet.
+        """Returns the requests that were admitted beyond the capacity and are not reported yet.
 
-        In requests per second times microseconds.
+        The unit is requests per second times microseconds.
         """
         delay_us = inputs.feedback_delay_us
         served = min(inputs.capacity_per_s, sum(inputs.offered_per_s))
@@ -123,7 +133,7 @@
         return excess * delay_us / FORECAST_STEPS
 
     def _warm_up_limits(self, now_us: int, capacity_per_s: float) -> list[float]:
-        """Returns the most that each class may bring to endpoints among which some warm up."""
+        """Returns the maximum rate of each class; it is infinite unless endpoints of the class are warming up."""
         capacities = {
             number: self._registry.current_capacity(state, now_us)
             for number, state in self._registry.endpoints.items()
--- a/kelpcourse/policy/capacity.py
+++ b/kelpcourse/policy/capacity.py
@@ -1,4 +1,4 @@
-"""The capacity estimate: requests per second that the endpoints can complete."""
+"""The capacity estimate: the requests per second that the endpoints can complete."""
 
 from __future__ import annotations
 
@@ -7,19 +7,28 @@
 from kelpcourse.policy.arithmetic import US_PER_S
 
 MIN_CAPACITY_PER_S = 1.0
-SMOOTHING_TIME_US = 3_000_000  # in which the estimate follows what fully used endpoints complete
-MIN_GROWTH_COMPLETED_SHARE = 0.75  # of the estimate that must complete before it grows
-GROWTH_FACTOR_PER_S = 1.18
+SMOOTHING_TIME_US = 3_000_000  # time in which the estimate follows the rate of busy endpoints
+MIN_GROWTH_COMPLETED_SHARE = 0.75  # part of the estimate to complete before the estimate grows
+GROWTH_FACTOR_PER_S = 1.18  # growth of the estimate in a second while endpoints are idle
 
 
 @dataclass(frozen=True)
 class CapacitySample:
-    """What an evaluation of reports shows."""
+    """The result of an evaluation of reports.
+
+    Attributes:
+        completed_per_s: Successful requests per second.
+        unanswered_per_s: Requests per second that proxies left unanswered.
+        span_s: Time since the last evaluation, in seconds.
+        busy_ratio: Ratio of the mean response time to the one at which endpoints are fully used.
+        is_busy: Whether endpoints are fully used or fail because of overload.
+        is_settled: Whether the rates cover a whole report span.
+    """
 
     completed_per_s: float
     unanswered_per_s: float
     span_s: float
-    busy_ratio: float  # of the mean time to the time at which endpoints are fully used
+    busy_ratio: float
     is_busy: bool
     is_settled: bool
 
@@ -27,7 +36,7 @@
 class CapacityEstimate:
     """The capacity estimate, the paper's V, in requests per second.
 
-    It is the best rate of completed requests lately, scaled as endpoints and proxies come and go.
+    It is the highest recent rate of completed requests, scaled with the number of endpoints and proxies.
     """
 
     def __init__(self) -> None:
@@ -36,11 +45,11 @@
         self._fleet_size = 0.0
 
     def scale_to_fleet(self, endpoint_capacity: float, proxy_rate: float) -> None:
-        """Scales the estimate: it was measured with other endpoints and proxies.
+        """Scales the estimate from the fleet in which it was measured to the present one.
 
         Args:
-            endpoint_capacity: sum of the current capacities of all endpoints.
-            proxy_rate: sum of the usual request rates of the joined proxies.
+            endpoint_capacity: Sum of the current capacities of all endpoints, relative to the mean endpoint.
+            proxy_rate: Sum of the usual request rates of the joined proxies, in requests per second.
         """
         fleet_size = endpoint_capacity * proxy_rate
         if fleet_size > 0 and self._fleet_size > 0:
@@ -48,7 +57,7 @@
         self._fleet_size = fleet_size
 
     def update(self, sample: CapacitySample, shedding_load: bool) -> None:
-        """Follows an evaluation of reports."""
+        """Adjusts the estimate to an evaluation of reports."""
         completed = sample.completed_per_s
         if sample.is_busy and sample.is_settled:
             served = completed + sample.unanswered_per_s / 2
--- a/kelpcourse/policy/controller.py
+++ b/kelpcourse/policy/controller.py
@@ -1,7 +1,7 @@
-"""The routing policy: it is fed batches of events, evaluates load and returns orders.
+"""The routing policy, which receives batches of events, evaluates load and returns orders.
 
-Read `RoutingPolicy.step` first: events are applied, reports are evaluated about once a second, and
-the publisher orders what has changed as far as the delivery queue allows.
+`RoutingPolicy.step` is the place to start reading. It applies events, evaluates reports about once a second, and has
+the publisher order the changes, as far as the delivery queue allows.
 """
 
 from __future__ import annotations
@@ -54,13 +54,13 @@
 
 
 class RoutingPolicy:
-    """Every decision of a controller, as a function of settings and events.
+    """The decisions of a controller as a function of settings and events.
 
-    It reads no clock and has no input or output of its own.
+    The policy reads no clock and does no input or output itself.
     """
 
     def __init__(self, settings: Settings) -> None:
-        """Builds the parts of the policy; nothing is known yet."""
+        """Builds the components of the policy, without any endpoint, proxy or load."""
         self.registry = EndpointRegistry(settings)
         self.tables = RoutingTables(settings)
         self.bindings = ProxyBindings(settings)
@@ -98,11 +98,11 @@
         self._list_watch = ListWatch(settings)
 
     def step(self, now_us: int, events: Sequence[Event]) -> list[Action]:
-        """Takes in what happened and returns what is to be done, in order.
+        """Applies events and returns the resulting actions, in order.
 
         Args:
-            now_us: the time of the step in microseconds; it never goes back.
-            events: what happened since the last step, oldest first.
+            now_us: Time of the step, in microseconds; it never decreases.
+            events: Events since the last step, oldest first.
         """
         actions: list[Action] = []
         for event in events:
@@ -115,7 +115,7 @@
         return actions
 
     def _apply(self, now_us: int, event: Event, actions: list[Action]) -> None:
-        match event:  # the most frequent first
+        match event:  # most frequent events first
             case EndpointReport():
                 self._add_endpoint_report(now_us, event)
             case DemandReport():
@@ -149,7 +149,7 @@
         self._update_admission(now_us)
 
     def _apply_complete_list(self, now_us: int, endpoints: Sequence[Endpoint]) -> None:
-        """Lays out the tables unless they are in use, and drains what the list lacks."""
+        """Lays out the tables unless they are in use, and drains the endpoints that the list lacks."""
         if self.tables.is_unused():
             self.tables.lay_out(len(endpoints))
         for missing in self.registry.missing_from(endpoints):
@@ -165,14 +165,14 @@
         self.withdrawals.cancel(endpoint.id)
         state = self.registry.endpoints[endpoint.id]
         if self.registry.is_warming_up(state, now_us):
-            self.bindings.inheriting = False  # inherited tables give it its full weight
+            self.bindings.inheriting = False  # inherited tables give the endpoint its full weight
             if self.tables.has_entry(endpoint.id):
                 self.publisher.urgent = True
 
     def _drain(self, now_us: int, endpoint: EndpointId) -> None:
         self.registry.remove(endpoint)
         self.withdrawals.drain(now_us, endpoint)
-        self.bindings.inheriting = False  # inherited tables may name it
+        self.bindings.inheriting = False  # inherited tables may have an entry of the endpoint
 
     def _add_proxy(self, now_us: int, event: ProxyJoined) -> None:
         may_be_bound = self.bindings.join(now_us, event)
--- a/kelpcourse/policy/delivery.py
+++ b/kelpcourse/policy/delivery.py
@@ -1,7 +1,8 @@
-"""Tracks orders that have not been acknowledged yet, and the messages lately sent to each proxy.
+"""Tracking of orders that are not acknowledged yet and of the recent messages to each proxy.
 
-Orders leave a controller through one ordered delivery queue. Its length can't be observed, only estimated: from what
-was ordered, from acknowledgements, and from the rate at which the queue drains. Costs are counted in table entries.
+The orders of a controller pass through one ordered delivery queue. The length of the queue can't be observed. It is
+estimated from the orders sent, from acknowledgements, and from the rate at which the queue drains. Costs are counted
+in table entries.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class Delivery:
-    """The messages of one step, identified by its checkpoint."""
+    """The messages of one step, which end with one checkpoint."""
 
     def __init__(
         self,
@@ -25,14 +26,15 @@
         entries: float,
         unconfirmed_entries: float,
     ) -> None:
-        """Records a step.
+        """Initializes the delivery with no acknowledgement.
 
         Args:
-            checkpoint_id: of the step's checkpoint.
-            sent_us: when its messages were sent.
-            due_us: when all of them have left the queue if it drains at its usual rate.
-            entries: that its orders put into the queue, for proxies that acknowledge them.
-            unconfirmed_entries: about so many more, for proxies that may not acknowledge them.
+            checkpoint_id: Id of the checkpoint that ends the step.
+            sent_us: Time, in microseconds, at which the messages were sent.
+            due_us: Time, in microseconds, by which all messages have left the queue if it drains at its usual rate.
+            entries: Table entries that the orders add to the queue for proxies that acknowledge them.
+            unconfirmed_entries: Estimate of the table entries that the orders add for proxies that may not
+                acknowledge them.
         """
         self.checkpoint_id = checkpoint_id
         self.sent_us = sent_us
@@ -45,13 +47,13 @@
 
     @property
     def total_entries(self) -> float:
-        """All entries, acknowledged or not."""
+        """The entries for all proxies, whether or not they acknowledge them."""
         return self.entries + self.unconfirmed_entries
 
 
 @dataclass(slots=True)
 class ProxyDelivery:
-    """The part of a delivery that goes to one proxy."""
+    """The part of a delivery that is sent to one proxy."""
 
     delivery: Delivery
     entries: float
@@ -59,7 +61,7 @@
 
 @dataclass(frozen=True)
 class UnreportedDeparture:
-    """Entries for a proxy that joined again without a known departure: no acknowledgement of them will come."""
+    """Entries for a proxy that joined again although no departure was reported; it will not acknowledge them."""
 
     expires_us: int
     entries: float
@@ -68,8 +70,8 @@
 class DeliveryTracker:
     """Estimates the backlog of the delivery queue and counts the messages sent to each proxy.
 
-    Messages leave in order: a delivery counts as waiting until all earlier ones are acknowledged, or until the time
-    has passed that a full queue takes.
+    Messages leave the queue in order. A delivery therefore counts as queued until all earlier deliveries are
+    acknowledged, or until the time has passed that a full queue takes to drain.
     """
 
     def __init__(
@@ -83,11 +85,11 @@
         """Starts with an empty queue.
 
         Args:
-            max_delivery_us: the longest time from an order to its acknowledgement.
-            entries_per_us: the usual rate at which the queue drains.
-            max_messages: that may be sent to one proxy within the window; 0: no limit.
-            message_window_us: of that count.
-            max_transit_us: the longest time from leaving the queue to the proxy.
+            max_delivery_us: Longest time, in microseconds, from an order to its acknowledgement.
+            entries_per_us: Usual rate, in table entries per microsecond, at which the queue drains.
+            max_messages: Maximum number of messages to one proxy within the window; 0 for no limit.
+            message_window_us: Length of the window, in microseconds, in which messages to one proxy are counted.
+            max_transit_us: Longest time, in microseconds, from leaving the queue to arriving at the proxy.
         """
         self._max_delivery_us = max_delivery_us
         self._entries_per_us = entries_per_us
@@ -96,17 +98,19 @@
         self._max_transit_us = max_transit_us
         self._queue_empty_us = 0
         self._deliveries: deque[Delivery] = deque()
-        self._by_proxy: dict[ProxyId, deque[ProxyDelivery]] = {}  # unacknowledged, oldest first
-        self._unseen_departures: list[UnreportedDeparture] = []
-        self._last_acknowledged_sent_us = 0  # when what was acknowledged last was sent
-        self._last_progress_us = 0  # last acknowledgement ahead of the oldest delivery still kept
-        self._recent_messages: deque[Delivery] = deque(maxlen=max_messages)  # to any proxy
+        # Parts that are not acknowledged yet, oldest first.
+        self._by_proxy: dict[ProxyId, deque[ProxyDelivery]] = {}
+        self._unreported_departures: list[UnreportedDeparture] = []
+        self._last_acknowledged_sent_us = 0  # latest send time of an acknowledged delivery
+        # Time of the latest acknowledgement of a delivery older than all those that are tracked.
+        self._last_progress_us = 0
+        self._recent_messages: deque[Delivery] = deque(maxlen=max_messages)  # to all proxies
         self._recent_by_proxy: dict[ProxyId, deque[Delivery]] = {}
         self._unknown_outcomes: tuple[int, ...] = ()
 
     @property
     def unknown_outcomes(self) -> tuple[int, ...]:
-        """Checkpoints of a call that failed after it was sent: whether it was carried out is unknown."""
+        """The checkpoint ids of a call that failed after it was sent, so that it is unknown whether it was executed."""
         return self._unknown_outcomes
 
     def record_sent(
@@ -117,7 +121,15 @@
         unconfirmed_entries: float = 0.0,
         unconfirmed_proxies: Iterable[ProxyId] = (),
     ) -> None:
-        """Records the messages of a step, and entries for proxies that may not acknowledge them."""
+        """Records the messages of a step.
+
+        Args:
+            checkpoint_id: Id of the checkpoint that ends the step.
+            now_us: Time of the step, in microseconds.
+            entries_by_proxy: Table entries sent to each proxy that acknowledges them.
+            unconfirmed_entries: Estimate of the table entries for proxies that may not acknowledge them.
+            unconfirmed_proxies: Proxies that may be sent the unconfirmed entries.
+        """
         entries = sum(entries_by_proxy.values())
         queue_us = int((entries + unconfirmed_entries) / self._entries_per_us)
         self._queue_empty_us = max(now_us, self._queue_empty_us) + queue_us
@@ -136,17 +148,20 @@
             recent.append(delivery)
 
     def within_message_budget(self, fraction: float, now_us: int) -> bool:
-        """Whether every proxy was sent fewer messages within the window than this fraction of the limit."""
+        """Returns whether each proxy was sent fewer messages within the window than this fraction of the limit."""
         count = math.ceil(self._max_messages * fraction)
         since_us = now_us - self._message_window_us
         if not _has_recent(self._recent_messages, count, since_us):
-            return True  # no proxy was sent more messages than all together
+            return True  # one proxy was sent at most as many messages as all proxies together
         return not any(
             _has_recent(recent, count, since_us) for recent in self._recent_by_proxy.values()
         )
 
     def accepted(self, checkpoint_id: int, now_us: int) -> None:
-        """The relay has accepted a step's orders: their times count from now, as they may have waited."""
+        """Records that the relay accepted the orders of a step.
+
+        Their times are counted from now, because the orders may have been queued before the call.
+        """
         for delivery in (*self._deliveries, *self._recent_messages):
             if delivery.checkpoint_id == checkpoint_id:
                 delivery.due_us += now_us - delivery.sent_us
@@ -155,7 +170,10 @@
             self._unknown_outcomes = ()
 
     def acknowledged(self, proxy: ProxyId, checkpoint_id: int, now_us: int = 0) -> None:
-        """A proxy has applied a checkpoint, and so every earlier message to it. Numbers wrap around."""
+        """Records that a proxy applied a checkpoint, and with it every earlier message to the proxy.
+
+        Checkpoint ids wrap around, so they are compared for equality only.
+        """
         deliveries = self._by_proxy.get(proxy, deque())
         checkpoint_ids = [part.delivery.checkpoint_id for part in deliveries]
         if checkpoint_id not in checkpoint_ids:
@@ -169,14 +187,22 @@
             )
 
     def proxy_left(self, proxy: ProxyId) -> None:
-        """A proxy has left: it acknowledges nothing more, and its messages count from when it joins again."""
+        """Records that a proxy left.
+
+        It acknowledges no more messages, and the count of its messages starts at 0 when it joins again.
+        """
         self._recent_by_proxy.pop(proxy, None)
         self._forget_entries(proxy)
 
     def proxy_joined(self, proxy: ProxyId, now_us: int) -> None:
-        """A proxy has joined. If it was not known to leave, what waits may reach it but is not acknowledged."""
+        """Records that a proxy joined.
+
+        If its departure was not reported, queued entries may still be sent to it, but it does not acknowledge them.
+        """
         waiting = sum(part.entries for part in self._by_proxy.get(proxy, ()))
-        self._unseen_departures.append(UnreportedDeparture(now_us + self._max_delivery_us, waiting))
+        self._unreported_departures.append(
+            UnreportedDeparture(now_us + self._max_delivery_us, waiting)
+        )
         self._forget_entries(proxy)
 
     def _forget_entries(self, proxy: ProxyId) -> None:
@@ -186,14 +212,14 @@
             part.delivery.may_lack_acknowledgement = True
 
     def outcome_unknown(self, checkpoint_ids: tuple[int, ...]) -> None:
-        """A call with these checkpoints failed after it was sent."""
+        """Records that a call with these checkpoints failed after it was sent."""
         self._unknown_outcomes = checkpoint_ids
 
     def try_resend(self, now_us: int, max_backlog_entries: float) -> bool:
-        """Lets orders of unknown outcome be sent again if that is safe, and tells whether none is left.
+        """Clears the unknown outcomes if their orders can safely be sent again; returns whether none remains.
 
-        It is safe where both copies fit the backlog, where the first has left the queue for sure, or where nobody
-        has acknowledged what must have arrived by now, so that the call was not carried out.
+        This is safe if both copies fit into the backlog, if the first copy has certainly left the queue, or if no
+        proxy acknowledged any of the messages although they must have arrived, so that the call was not executed.
         """
         deliveries = self._deliveries_of_unknown_outcome()
         was_dropped = all(self._was_dropped(delivery, now_us) for delivery in deliveries)
@@ -211,7 +237,7 @@
         return True
 
     def _deliveries_of_unknown_outcome(self) -> list[Delivery]:
-        """One delivery a checkpoint, the oldest of a number; the latest checkpoint first."""
+        """Returns the oldest delivery of each checkpoint with an unknown outcome, latest checkpoint first."""
         by_checkpoint = {
             delivery.checkpoint_id: delivery
             for delivery in reversed(self._deliveries)
@@ -220,12 +246,15 @@
         return list(by_checkpoint.values())
 
     def _was_dropped(self, delivery: Delivery, now_us: int) -> bool:
-        """Whether nobody has acknowledged anything of a delivery that must have arrived by now."""
+        """Returns whether no proxy acknowledged any part of a delivery that must have arrived."""
         arrived_us = delivery.due_us + 2 * self._max_transit_us
         return now_us >= arrived_us and delivery.unacknowledged_entries >= delivery.entries > 0
 
     def record_resent(self, checkpoint_id: int, now_us: int) -> None:
-        """A step's orders may be in the queue twice: no acknowledgement tells when the second copy has left."""
+        """Records that the orders of a step may be in the queue twice.
+
+        The second copy is unconfirmed, because no acknowledgement shows when it has left the queue.
+        """
         copy_entries = next(
             (d.total_entries for d in self._deliveries if d.checkpoint_id == checkpoint_id), 0.0
         )
@@ -236,58 +265,67 @@
                 recent.append(first)
 
     def backlog_entries(self, now_us: int) -> float:
-        """The entries that may still wait in the delivery queue; deliveries that have left it are forgotten."""
-        self._unseen_departures = [
+        """Returns the entries that may still be in the delivery queue; removes deliveries that have left it."""
+        self._unreported_departures = [
             departure
-            for departure in self._unseen_departures
+            for departure in self._unreported_departures
             if departure.expires_us >= now_us and departure.entries
         ]
-        total: float = sum(departure.entries for departure in self._unseen_departures)
+        total: float = sum(departure.entries for departure in self._unreported_departures)
         kept = deque[Delivery]()
-        is_behind = False  # behind a delivery that is surely still in the queue
+        follows_queued = False  # whether an earlier delivery is still in the queue
         progress_us = self._last_progress_us
         for delivery in self._deliveries:
             progress_us = max(progress_us, delivery.last_acknowledged_us)
             is_awaited = self._is_awaited(delivery, progress_us, now_us)
-            is_held = is_awaited or (delivery.may_lack_acknowledgement and now_us < delivery.due_us)
-            may_wait = is_behind or is_held or delivery.unacknowledged_entries != 0
-            if self._was_lost(delivery, now_us) or not may_wait:
+            is_queued = is_awaited or (
+                delivery.may_lack_acknowledgement and now_us < delivery.due_us
+            )
+            may_be_queued = follows_queued or is_queued or delivery.unacknowledged_entries != 0
+            if self._was_lost(delivery, now_us) or not may_be_queued:
                 if not kept:
                     self._last_progress_us = progress_us
                 continue
-            total += self._waiting_entries(delivery, is_behind, is_awaited, now_us)
-            is_behind = is_behind or is_held
+            total += self._queued_entries(delivery, follows_queued, is_awaited, now_us)
+            follows_queued = follows_queued or is_queued
             kept.append(delivery)
         self._deliveries = kept
         return total
 
     def _is_awaited(self, delivery: Delivery, progress_us: int, now_us: int) -> bool:
-        """Whether an acknowledgement may still come: while those ahead come in, its turn is yet to come."""
+        """Returns whether an acknowledgement may still arrive.
+
+        Each acknowledgement of an earlier delivery extends the time limit, because the queue keeps their order.
+        """
         waited_us = now_us - max(delivery.sent_us, progress_us)
         return delivery.unacknowledged_entries > 0 and waited_us < self._max_delivery_us
 
     def _was_lost(self, delivery: Delivery, now_us: int) -> bool:
-        """Whether much later deliveries are acknowledged and this one is long overdue."""
+        """Returns whether a delivery is long overdue although a much later one was acknowledged."""
         overtaken_us = self._last_acknowledged_sent_us - delivery.sent_us
         half_age_us = (now_us - delivery.sent_us) // 2
         return overtaken_us >= self._max_delivery_us and half_age_us >= self._max_delivery_us
 
-    def _waiting_entries(
-        self, delivery: Delivery, is_behind: bool, is_awaited: bool, now_us: int
+    def _queued_entries(
+        self, delivery: Delivery, follows_queued: bool, is_awaited: bool, now_us: int
     ) -> float:
-        """Unconfirmed entries are taken to leave as the others do, or at the queue's usual rate."""
+        """Returns the entries of a delivery that may still be in the queue.
+
+        Unconfirmed entries are assumed to leave in step with the acknowledged ones or at the usual rate of the
+        queue, whichever is slower.
+        """
         unacknowledged_part = 0.0
-        if is_behind:
+        if follows_queued:
             unacknowledged_part = 1.0
         elif is_awaited:
             unacknowledged_part = delivery.unacknowledged_entries / max(1.0, delivery.entries)
         left_entries = (delivery.due_us - now_us) * self._entries_per_us
         left_part = left_entries / max(1.0, delivery.total_entries)
         unconfirmed_part = min(1.0, max(unacknowledged_part, left_part))
-        confirmed = delivery.entries if is_behind else delivery.unacknowledged_entries
+        confirmed = delivery.entries if follows_queued else delivery.unacknowledged_entries
         return confirmed + delivery.unconfirmed_entries * unconfirmed_part
 
 
 def _has_recent(recent: deque[Delivery], count: int, since_us: int) -> bool:
-    """Whether at least `count` (above 0) of these messages were sent after a time."""
+    """Returns whether at least `count` of these messages, which is above 0, were sent after a time."""
     return 0 < count <= len(recent) and recent[-count].sent_us > since_us
--- a/kelpcourse/policy/outliers.py
+++ b/kelpcourse/policy/outliers.py
@@ -1,6 +1,6 @@
-"""Outlier ejection, the recovery ramp of ejected endpoints, and network partitions.
+"""Outlier ejection, gradual recovery of ejected endpoints, and network partitions.
 
-Errors of few endpoints are theirs; errors that are spread evenly are an overload.
+Errors of a few endpoints are attributed to these endpoints; errors spread evenly over all of them, to an overload.
 """
 
 from __future__ import annotations
@@ -12,9 +12,11 @@
 
 OUTLIER_MIN_FAILURE_RATIO = 0.05
 OUTLIER_MIN_FAILURES = 4
-OUTLIER_MIN_ODDS = 10.0  # of its failures to those of the other endpoints
+OUTLIER_MIN_ODDS = 10.0  # failures per success, relative to those at the other endpoints
 MAX_EJECTED_SHARE = 0.4
-PARTITION_MIN_SHARE = 0.25  # of all endpoints that answer nothing
+PARTITION_MIN_SHARE = (
+    0.25  # least part of all endpoints without a success that counts as a partition
+)
 PARTITION_MAX_SHARE = 0.6
 MIN_HEALTH_FACTOR = 0.04
 MAX_EJECTION_FACTOR = 0.5
@@ -24,10 +26,15 @@
 
 @dataclass(frozen=True)
 class OutlierResult:
-    """What an evaluation of all endpoints found."""
+    """The result of an evaluation of all endpoints.
 
-    failure_ratio: float  # at endpoints that are not ejected
-    ejected: bool  # weights have to fall without delay
+    Attributes:
+        failure_ratio: Ratio of failures to attempts at the endpoints that are not ejected.
+        ejected: Whether an endpoint was ejected, so that weights have to fall without delay.
+    """
+
+    failure_ratio: float
+    ejected: bool
 
 
 @dataclass(frozen=True)
@@ -36,7 +43,7 @@
     failures: float
 
     def failure_odds_without(self, state: EndpointState) -> float:
-        """Failures for each success at the other endpoints."""
+        """Returns the failures per success at the other endpoints."""
         failures = self.failures - state.failures
         successes = self.attempts - state.attempts - self.failures + state.failures
         return failures / max(1.0, successes)
@@ -46,16 +53,17 @@
     """Ejects outliers and lets them recover in steps."""
 
     def __init__(self, registry: EndpointRegistry) -> None:
-        """Keeps the endpoints that are judged."""
+        """Initializes the detector for the endpoints of a registry."""
         self._registry = registry
 
     def evaluate(self, now_us: int, window: ReportWindow, settling_time_us: int) -> OutlierResult:
-        """Judges every endpoint by its decaying sums.
+        """Evaluates every endpoint by its decaying sums.
 
         Args:
-            now_us: the time of the step.
-            window: the reports since the last evaluation.
-            settle_us: how long after an ejection reports may still tell of earlier requests.
+            now_us: Time of the step, in microseconds.
+            window: Reports since the last evaluation.
+            settling_time_us: Time, in microseconds, after an ejection in which reports may still cover earlier
+                requests.
         """
         partitioned = self._partitioned(window)
         ejected = any(state.health_factor > MIN_HEALTH_FACTOR for state in partitioned)
@@ -72,7 +80,11 @@
         return OutlierResult(self._failure_ratio(), ejected)
 
     def _partitioned(self, window: ReportWindow) -> list[EndpointState]:
-        """Many endpoints that answer nothing while the rest does: no measure for the others."""
+        """Returns the endpoints cut off by a network partition.
+
+        Many endpoints without a success, while the others have some, are a partition. Their failures are no measure
+        for the other endpoints.
+        """
         unresponsive = [
             state
             for state in self._registry.states()
--- a/kelpcourse/policy/overload.py
+++ b/kelpcourse/policy/overload.py
@@ -1,7 +1,7 @@
 """Overload detection.
 
-An overload shows as failures everywhere, as response times near the latency objective, or first as
-more requests admitted than ended.
+Signs of an overload are failures at all endpoints, response times near the latency objective, and, as the earliest
+sign, more requests admitted than ended.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 from kelpcourse.policy.load import BUSY_OBJECTIVE_SHARE, LoadEstimate
 
 MAX_FAILURE_RATIO = 0.05
-MIN_FAILURE_OBJECTIVE_SHARE = 0.4  # quicker failures come from a lossy path
-LATE_OBJECTIVE_SHARE = 0.55  # of the latency objective: expected times beyond it are too late
+MIN_FAILURE_OBJECTIVE_SHARE = 0.4  # faster failures are due to packet loss, not to overload
+LATE_OBJECTIVE_SHARE = 0.55  # part of the latency objective above which expected times are too long
 
 
 class OverloadDetector:
-    """Whether load is shed, by the capacity estimate that it keeps up to date."""
+    """Decides whether load is shed, and keeps the capacity estimate up to date."""
 
     def __init__(self, load: LoadEstimate, capacity: CapacityEstimate) -> None:
         """Starts without load shedding."""
@@ -25,7 +25,7 @@
         self.shedding_load = False
 
     def evaluate(self, now_us: int, failure_ratio: float, span_s: float) -> str | None:
-        """Judges an evaluated window; returns a log line if load shedding begins or ends."""
+        """Evaluates the load of a window; returns a log line if load shedding begins or ends."""
         load = self._load
         capacity = self._capacity
         objective_us = load.mean_latency_objective_us()
@@ -55,7 +55,7 @@
         return None
 
     def _expected_time_us(self, is_settled: bool) -> float:
-        """Returns the response time that the backlog lets expect."""
+        """Returns the expected response time, which includes the time to serve the backlog."""
         mean_us = self._load.mean_response_time_us
         if not is_settled:
             return mean_us
