--- a/kelpcourse/policy/bindings.py
+++ b/kelpcourse/policy/bindings.py
@@ -34,7 +34,7 @@
             set()
         )  # unbound, but still bound unless they left unseen
         self.origins: dict[ProxyId, ProxyOrigin] = {}  # of all proxies that ever joined
-        self.inheriting = True
+        self.inherited_tables_usable = True
         storm_joins = max(
             MIN_RECONNECT_STORM_JOINS, settings.proxy_count // RECONNECT_STORM_DIVISOR
         )
@@ -92,7 +92,7 @@
 
     def is_served_by_inherited_table(self, proxy: ProxyId, now_us: int) -> bool:
         """Whether binding the proxy can wait."""
-        return self.inheriting and now_us < self.inherited_until_us[proxy]
+        return self.inherited_tables_usable and now_us < self.inherited_until_us[proxy]
 
     def usual_rate(self) -> float:
         """Returns the usual request rate of the joined proxies."""
--- a/kelpcourse/policy/controller.py
+++ b/kelpcourse/policy/controller.py
@@ -165,14 +165,14 @@
         self.withdrawals.cancel(endpoint.id)
         state = self.registry.endpoints[endpoint.id]
         if self.registry.is_warming_up(state, now_us):
-            self.bindings.inheriting = False  # inherited tables give the endpoint its full weight
+            self.bindings.inherited_tables_usable = False  # inherited tables give the endpoint its full weight
             if self.tables.has_entry(endpoint.id):
                 self.publisher.urgent = True
 
     def _drain(self, now_us: int, endpoint: EndpointId) -> None:
         self.registry.remove(endpoint)
         self.withdrawals.drain(now_us, endpoint)
-        self.bindings.inheriting = False  # inherited tables may have an entry of the endpoint
+        self.bindings.inherited_tables_usable = False  # inherited tables may have an entry of the endpoint
 
     def _add_proxy(self, now_us: int, event: ProxyJoined) -> None:
         may_be_bound = self.bindings.join(now_us, event)
@@ -210,8 +210,8 @@
         self._update_admission(now_us)
 
     def _learn_relative_capacity(self, now_us: int) -> None:
-        if self.bindings.inheriting and shows_inherited_weights(self.registry):
-            self.bindings.inheriting = False
+        if self.bindings.inherited_tables_usable and shows_inherited_weights(self.registry):
+            self.bindings.inherited_tables_usable = False
             if self.bindings.mostly_inherited():
                 learn_from_inherited_tables(self.registry)
         learn_from_reports(
