--- a/kelpcourse/policy/settings.py
+++ b/kelpcourse/policy/settings.py
@@ -95,7 +95,7 @@
     mean_transit_us: int  # from leaving the delivery queue to the proxy
     max_transit_us: int
     queue_full_may_have_executed: bool
-    only_draining_binds: (
+    drain_rule_excludes_removed: (
         bool  # the drain rule applies to endpoints listed as draining, not to removed ones
     )
     max_unserved_us: int  # that a joined proxy may lack an endpoint
--- a/kelpcourse/settings.py
+++ b/kelpcourse/settings.py
@@ -23,7 +23,7 @@
 | `family_info.blackhole_us` | `max_unserved_us` |
 | `invariants.ask_within_us` | `discovery_poll_deadline_us` |
 | `invariants.full_may_have_run` | `queue_full_may_have_executed` |
-| `invariants.soft_removal` | `only_draining_binds` |
+| `invariants.soft_removal` | `drain_rule_excludes_removed` |
 | `invariants.stop_sending_within_us` | `drain_grace_us` |
 | `invariants.cold_from`, `invariants.cold_us` | `warm_up_min_capacity`, `warm_up_us` |
 | `invariants.overload_factor`, `invariants.fall_us` | `overload_factor`, `overload_tolerance_us` |
@@ -168,7 +168,7 @@
         mean_transit_us=family.count("propagation_us"),
         max_transit_us=family.count("transit_max_us"),
         queue_full_may_have_executed=_optional_flag(rules, "full_may_have_run"),
-        only_draining_binds=_optional_flag(rules, "soft_removal"),
+        drain_rule_excludes_removed=_optional_flag(rules, "soft_removal"),
         max_unserved_us=family.count("blackhole_us"),
         drain_grace_us=rules.count("stop_sending_within_us"),
         warm_up_min_capacity=rules.number("cold_from"),
