--- a/kelpcourse/policy/__init__.py
+++ b/kelpcourse/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Routing decisions: pure functions of settings and events that return actions, without input or output."""
+"""Routing decisions as functions of settings and events that return actions, without input or output."""
--- a/kelpcourse/policy/actions.py
+++ b/kelpcourse/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the decisions return. Times are microseconds on the caller's clock."""
+"""Actions that the policy returns. Times are in microseconds on the clock of the caller."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class SetTimer:
-    """Asks for a `TimerFired` at a time."""
+    """Requests a `TimerFired` event at a time."""
 
     name: str
     due_us: int
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class BindProxy:
-    """Makes a proxy use a table for some classes, given by their positions in `Settings.classes`."""
+    """Makes a proxy use a table for some classes, identified by their positions in `Settings.classes`."""
 
     proxy: ProxyId
     table: TableId
@@ -42,56 +42,68 @@
 
 @dataclass(frozen=True)
 class SetAdmission:
-    """How much of some classes the proxies of a table admit, and when they retry; no table: every joined proxy."""
+    """Sets the admission limit and the retry policy of some classes at the proxies of a table.
+
+    Attributes:
+        table: Id of the table; None for every joined proxy.
+        classes: Positions of the classes in `Settings.classes`.
+        limit: Admission ratio, or requests per second at each proxy, depending on `Settings.admission_mode`.
+        retry_policy: When the proxies retry requests of these classes.
+    """
 
     table: TableId | None
     classes: tuple[int, ...]
-    limit: float  # a ratio or requests per second at each proxy, as `Settings.admission_mode` tells
+    limit: float
     retry_policy: RetryPolicy
 
 
 @dataclass(frozen=True)
 class WithdrawEndpoint:
-    """Stops all joined proxies from sending to an endpoint, whatever their tables state."""
+    """Stops all joined proxies from sending to an endpoint, even if their tables have an entry of it."""
 
     endpoint: EndpointId
 
 
 @dataclass(frozen=True)
 class RestoreEndpoint:
-    """Lets proxies send to a withdrawn endpoint again."""
+    """Allows proxies to send to a withdrawn endpoint again."""
 
     endpoint: EndpointId
 
 
 @dataclass(frozen=True)
 class Checkpoint:
-    """Ends the orders of a step; each proxy that is sent one acknowledges it by its number."""
+    """Ends the orders of a step; each proxy that receives it acknowledges its id.
+
+    Attributes:
+        checkpoint_id: Id of the checkpoint.
+        all_proxies: Whether the checkpoint is also sent to joined proxies that receive no other order of the step.
+    """
 
     checkpoint_id: int
-    all_proxies: bool  # joined proxies that the step's other orders don't concern are sent it too
+    all_proxies: bool
 
 
 @dataclass(frozen=True)
 class ResendOrders:
-    """Orders whose outcome is unknown may be sent again."""
+    """Allows orders with an unknown outcome to be sent again."""
 
 
 @dataclass(frozen=True)
 class WatchEndpoints:
-    """Starts (again) or ends the watch of the endpoint list."""
+    """Starts, restarts or ends the watch of the endpoint list."""
 
     enabled: bool
 
 
 @dataclass(frozen=True)
 class FetchEndpoints:
-    """Asks discovery for the complete endpoint list."""
+    """Requests the complete endpoint list from discovery."""
 
 
 @dataclass(frozen=True)
 class CheckHealth:
-    """Asks for one health check of an endpoint."""
+    """Requests one health check of an endpoint."""
 
     endpoint: EndpointId
 
@@ -100,7 +112,7 @@
 class SendToPeer:
     """Sends bytes to another controller."""
 
-    peer: int | None  # None: all
+    peer: int | None  # index of the controller; None for all others
     payload: bytes
 
 
--- a/kelpcourse/policy/events.py
+++ b/kelpcourse/policy/events.py
@@ -1,4 +1,4 @@
-"""Events that are fed to the decisions. Times are microseconds on the caller's clock."""
+"""Events that are passed to the policy. Times are in microseconds on the clock of the caller."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EndpointStatus(Enum):
-    """What discovery tells of an endpoint."""
+    """The status of an endpoint according to discovery."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -17,7 +17,7 @@
 
 
 class EndpointListKind(Enum):
-    """How an endpoint list event relates to the list received before."""
+    """The relation of an endpoint list to the one received before."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -48,7 +48,7 @@
     cell: int
     weight: float
     status: EndpointStatus
-    started_us: int  # 0: long ago
+    started_us: int  # time of the start; 0 if it is long past
 
 
 @dataclass(frozen=True)
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class EndpointList:
-    """A complete endpoint list or changes to it, as `kind` tells."""
+    """A complete endpoint list or changes to it, depending on `kind`."""
 
     kind: EndpointListKind
     version: int
@@ -80,20 +80,20 @@
 
     proxy: ProxyId
     zone: str
-    request_rate_per_s: float  # that it ordinarily receives
-    has_no_table: bool  # it holds nothing but the table that it started with
+    request_rate_per_s: float  # usual rate of the requests that the proxy receives
+    has_no_table: bool  # whether the proxy has no table other than the one that it started with
 
 
 @dataclass(frozen=True)
 class ProxyLeft:
-    """The stream of a proxy has broken."""
+    """The stream of a proxy was disconnected."""
 
     proxy: ProxyId
 
 
 @dataclass(frozen=True)
 class OrdersAcknowledged:
-    """A proxy has applied everything up to a checkpoint."""
+    """A proxy has applied all orders up to a checkpoint."""
 
     proxy: ProxyId
     checkpoint_id: int
@@ -102,28 +102,28 @@
 
 @dataclass(frozen=True)
 class OrdersAccepted:
-    """The relay has accepted the orders of a step, which may have waited since the step."""
+    """The relay has accepted the orders of a step, which may have been queued since the step."""
 
     checkpoint_id: int
 
 
 @dataclass(frozen=True)
 class OrdersOutcomeUnknown:
-    """A call failed after the orders of these steps were sent; they wait for `ResendOrders`."""
+    """A call failed after the orders of these steps were sent; they are kept until `ResendOrders`."""
 
     checkpoint_ids: tuple[int, ...]
 
 
 @dataclass(frozen=True)
 class EndpointReport:
-    """What the proxies of a zone measured at an endpoint within a window."""
+    """Measurements of the proxies of a zone at an endpoint within a window."""
 
     endpoint: EndpointId
-    zone: str  # of the proxies that report
+    zone: str  # zone of the proxies that report
     attempts: int
     failed: int
     window_us: int
-    mean_success_us: int  # mean time of the successful attempts, 0 if there are none
+    mean_success_us: int  # mean time of the successful attempts; 0 if there are none
     load: tuple[tuple[str, float], ...]
 
 
@@ -161,7 +161,7 @@
 
 @dataclass(frozen=True)
 class SliceLeased:
-    """The store has given a slice to this controller, or taken it back."""
+    """The store has leased a slice to this controller or ended the lease."""
 
     slice: TableId
     is_held: bool
@@ -169,7 +169,7 @@
 
 @dataclass(frozen=True)
 class SliceWeight:
-    """An entry of a slice's table as the store has it."""
+    """An entry of the table of a slice in the store."""
 
     slice: TableId
     endpoint: EndpointId
--- a/kelpcourse/policy/settings.py
+++ b/kelpcourse/policy/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a deployment, as the decisions read them.
+"""Settings of a deployment as the policy uses them.
 
-Times are whole microseconds on the caller's clock; rates are per second. No field has a default: whoever reads the
-settings states every value. The names on the wire are mapped in `kelpcourse.settings`.
+Times are whole microseconds on the clock of the caller; rates are per second. No field has a default, so that every
+value is set explicitly where the settings are read. `kelpcourse.settings` maps the names on the wire to these names.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Idempotency(Enum):
-    """What a second execution of a request would do."""
+    """The effect of executing a request a second time."""
 
     IDEMPOTENT = "safe"
     WITH_KEY = "keyed"
@@ -23,7 +23,7 @@
 
 
 class DeduplicationScope(Enum):
-    """The endpoints that together drop repeats of a request with an idempotency key."""
+    """The endpoints that together drop repetitions of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -31,7 +31,7 @@
 
 
 class AdmissionMode(Enum):
-    """How proxies read an admission limit."""
+    """The unit in which proxies apply an admission limit."""
 
     RATIO = "share"
     RATE = "rate"
@@ -39,7 +39,7 @@
 
 
 class RetryPolicy(Enum):
-    """When a proxy retries a request at another endpoint."""
+    """The condition under which a proxy retries a request at another endpoint."""
 
     NEVER = 0
     IF_NOT_EXECUTED = 1
@@ -58,22 +58,22 @@
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
     deduplication_window_us: int
-    allowed_zones: frozenset[str]  # empty: every zone
-    allowed_kinds: frozenset[str]  # empty: every kind
-    same_zone_only: bool  # endpoints in the zone of the proxy
+    allowed_zones: frozenset[str]  # zones of the endpoints; empty for every zone
+    allowed_kinds: frozenset[str]  # kinds of the endpoints; empty for every kind
+    same_zone_only: bool  # whether only endpoints in the zone of the proxy may serve it
     is_write: bool
 
 
 @dataclass(frozen=True)
 class Settings:
-    """What a controller reads of its deployment at start."""
+    """The settings of its deployment that a controller reads at start."""
 
     controller_index: int
     controller_count: int
     zone: str
     zones: tuple[str, ...]
     classes: tuple[RequestClass, ...]
-    discovery_is_polled: bool  # discovery answers only when asked
+    discovery_is_polled: bool  # whether discovery responds only to requests
     discovery_poll_deadline_us: int
     load_reports_inline: bool
     load_reports_on_health_check: bool
@@ -83,24 +83,24 @@
     admission_mode: AdmissionMode
     default_retry_policy: RetryPolicy
     slice_count: int
-    has_single_owner: bool  # a slice has one endpoint at a time
-    proxy_count: int  # over all controllers
+    has_single_owner: bool  # whether a slice has one endpoint at a time
+    proxy_count: int  # proxies of all controllers
     report_period_us: int
-    delivery_entries_per_s: float  # table entries that leave the delivery queue
-    max_backlog_entries: float  # table entries that may wait in the delivery queue
-    message_overhead_entries: float  # that a message costs on top of its table entries
-    min_endpoint_connections: float  # that the smallest endpoint accepts; 0: unknown
-    max_messages_per_proxy: int  # within the message window; 0: no limit
-    message_window_us: int
-    mean_transit_us: int  # from leaving the delivery queue to the proxy
+    delivery_entries_per_s: float  # table entries that leave the delivery queue in a second
+    max_backlog_entries: float  # table entries that may be in the delivery queue
+    message_overhead_entries: float  # cost of a message without its entries
+    min_endpoint_connections: float  # accepted by the smallest endpoint; 0 if unknown
+    max_messages_per_proxy: int  # limit within the message window; 0 for none
+    message_window_us: int  # window in which messages to a proxy are counted
+    mean_transit_us: int  # time from leaving the delivery queue to arriving at the proxy
     max_transit_us: int
     queue_full_may_have_executed: bool
-    drain_rule_excludes_removed: (
-        bool  # the drain rule applies to endpoints listed as draining, not to removed ones
-    )
-    max_unserved_us: int  # that a joined proxy may lack an endpoint
-    drain_grace_us: int
-    warm_up_min_capacity: float  # of an endpoint that has just started, as a part of its capacity
+    # Whether the drain rule applies only to endpoints listed as draining, not to removed ones.
+    drain_rule_excludes_removed: bool
+    max_unserved_us: int  # maximum time for which a joined proxy may lack an endpoint
+    drain_grace_us: int  # time within which proxies must stop sending to a draining endpoint
+    warm_up_min_capacity: float  # part of its capacity that an endpoint has when it starts
     warm_up_us: int
-    overload_factor: float  # of its present capacity; a warming-up endpoint fails above it
-    overload_tolerance_us: int  # for which it stands this
+    # Multiple of its present capacity that a warming-up endpoint can serve; it fails after the tolerance above it.
+    overload_factor: float
+    overload_tolerance_us: int  # time for which a warming-up endpoint tolerates such an overload
--- a/kelpcourse/policy/tables.py
+++ b/kelpcourse/policy/tables.py
@@ -1,4 +1,4 @@
-"""Routing tables: which there are, their entries and the proxies that hold them."""
+"""Routing tables: their layout, their entries and the proxies bound to them."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from kelpcourse.policy.settings import EndpointId, ProxyId, RequestClass, Settings, TableId
 from kelpcourse.policy.subsetting import subset_of
 
-BINDING_GRACE_SHARE = 0.75  # of a drain's grace, in which all proxies can be bound
+BINDING_GRACE_SHARE = 0.75  # part of a drain's grace in which all proxies can be bound
 MIN_TABLE_ENTRIES = 12.0
-CONNECTION_SHARE = 0.5  # of the connections that the smallest endpoint accepts
-SUBSETS_PER_ENDPOINT = 2.0  # subsets that cover an endpoint, in the mean
-UNBOUND_SHARE_FACTOR = 1.3  # of a subset's share: entries of a proxy not bound yet
+CONNECTION_SHARE = 0.5  # usable part of the connections that the smallest endpoint accepts
+SUBSETS_PER_ENDPOINT = 2.0  # mean number of subsets that contain an endpoint
+UNBOUND_SHARE_FACTOR = 1.3  # entries of an unbound proxy, as a multiple of a subset's share
 
 ClassPositions = list[int]
 
 
 @dataclass(frozen=True)
 class TableKey:
-    """What request classes and proxies must have in common to share a table."""
+    """The properties that request classes and proxies must have in common to share a table."""
 
     selector: EndpointSelector
-    proxy_zone: str  # empty: proxies of all zones share the table
+    proxy_zone: str  # empty if proxies of all zones share the table
 
 
 class RoutingTables:
-    """The layout of tables, the entries that were ordered and the proxies bound to each table."""
+    """The layout of the tables, the ordered entries and the proxies bound to each table."""
 
     def __init__(self, settings: Settings) -> None:
         """Lays out empty tables for an unknown number of endpoints."""
@@ -42,7 +42,7 @@
         self.lay_out(0)
 
     def lay_out(self, endpoint_count: int) -> None:
-        """Sizes and empties all tables: of all endpoints, or of a subset of so many."""
+        """Lays out empty tables, of all endpoints or of subsets of them, depending on their number."""
         self.subset_share = self._subset_share(endpoint_count)
         self.subset_count = 1
         if self.subset_share < 1:
@@ -59,17 +59,19 @@
         table_ids = [table for ids in self.ids_by_key.values() for table in ids]
         self.entries: dict[TableId, dict[EndpointId, float]] = {table: {} for table in table_ids}
         self.holders: dict[TableId, dict[ProxyId, int]] = {table: {} for table in table_ids}
-        self.admission_sent: dict[tuple[TableId, int], float] = {}  # by table and class
+        self.admission_sent: dict[
+            tuple[TableId, int], float
+        ] = {}  # latest ordered ratio by table and class
         self.ids_by_class = [
             self._ids_of_class(position) for position in range(len(self._settings.classes))
         ]
 
     def is_unused(self) -> bool:
-        """Whether no table has an entry or a holder, so that the layout may change."""
+        """Returns whether no table has an entry or a bound proxy, so that the layout may change."""
         return not any(self.entries.values()) and not any(self.holders.values())
 
     def tables_of(self, proxy: ProxyId, zone: str) -> dict[TableId, ClassPositions]:
-        """Returns the tables of a proxy with the classes that each serves."""
+        """Returns the tables of a proxy with the classes that each of them serves."""
         subsets = self.classes_by_zone.get(zone)
         return subsets[subset_of(proxy, self.subset_count)] if subsets else {}
 
@@ -78,30 +80,30 @@
         return [table for table, entries in self.entries.items() if endpoint in entries]
 
     def has_entry(self, endpoint: EndpointId) -> bool:
-        """Whether any table has an entry of the endpoint."""
+        """Returns whether any table has an entry of the endpoint."""
         return any(endpoint in entries for entries in self.entries.values())
 
     def mean_size(self) -> float:
-        """Returns the mean count of entries of a table."""
+        """Returns the mean number of entries of a table."""
         return sum(map(len, self.entries.values())) / len(self.entries)
 
     def set_entry(self, table: TableId, endpoint: EndpointId, weight: float) -> None:
-        """Sets the entry of an endpoint, which becomes the last; a weight of 0 removes it."""
+        """Sets the entry of an endpoint and moves it to the end of the table; a weight of 0 removes it."""
         self.entries[table].pop(endpoint, None)
         if weight > 0:
             self.entries[table][endpoint] = weight
 
     def unbind(self, proxy: ProxyId) -> None:
-        """Takes a proxy out of the holders of all tables."""
+        """Removes a proxy from the holders of all tables."""
         for holders in self.holders.values():
             holders.pop(proxy, None)
 
     def holds_all(self, proxy: ProxyId, tables: Iterable[TableId]) -> bool:
-        """Whether the proxy is bound to all of these tables."""
+        """Returns whether the proxy is bound to all of these tables."""
         return all(proxy in self.holders[table] for table in tables)
 
     def _subset_share(self, endpoint_count: int) -> float:
-        """Returns the share of the endpoints that a proxy gets."""
+        """Returns the share of the endpoints that are in the subset of a proxy."""
         settings = self._settings
         max_entries = max(MIN_TABLE_ENTRIES, self.max_binding_entries)
         share = min(1.0, max_entries / max(1, endpoint_count))
