--- a/kelpcourse/policy/admission_orders.py
+++ b/kelpcourse/policy/admission_orders.py
@@ -1,4 +1,4 @@
-"""Orders of admission ratios to the proxies of each table."""
+"""Orders that set admission ratios at the proxies of each table."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from kelpcourse.policy.settings import AdmissionMode, RetryPolicy, Settings, TableId
 from kelpcourse.policy.tables import RoutingTables
 
-URGENT_RATIO_FALL = 0.1  # a greater fall is ordered in the same step
-MIN_RATIO_CHANGE = 0.03  # less is not ordered
+URGENT_RATIO_FALL = 0.1  # a greater decrease of a ratio is ordered in the same step
+MIN_RATIO_CHANGE = 0.03  # smaller changes of a ratio are not ordered
 UNSENT_RATIO = -1.0
 UNLIMITED_RATE_PER_S = 1e6
 
 
 class AdmissionOrders:
-    """Sends admission ratios that have changed, as a ratio or as each proxy's rate."""
+    """Sends admission ratios that have changed, either as ratios or as a rate of each proxy."""
 
     def __init__(
         self,
@@ -27,30 +27,30 @@
         load: LoadEstimate,
         admission: AdmissionControl,
     ) -> None:
-        """Keeps the parts that the ratios and their orders depend on."""
+        """Initializes the orders with the components that they depend on."""
         self._tables = tables
         self._bindings = bindings
         self._load = load
         self._admission = admission
         self._limits = BacklogLimits.of(settings)
-        self._proxies_limit_rates = settings.admission_mode is AdmissionMode.RATE
+        self._limits_are_rates = settings.admission_mode is AdmissionMode.RATE
 
     def is_urgent(self) -> bool:
-        """Whether a ratio fell so far that the orders must not wait for the next update."""
+        """Returns whether a ratio decreased so much that it is ordered before the next regular update."""
         return any(
             self._admission.ratios[position] < ratio - URGENT_RATIO_FALL
             for (_, position), ratio in self._tables.admission_sent.items()
         )
 
     def admitted_per_s(self) -> list[float]:
-        """Returns the rate of each class that the ratios admit."""
+        """Returns the admitted rate of each class, in requests per second."""
         return [
             offered * ratio
             for offered, ratio in zip(self._load.offered_per_s, self._admission.ratios, strict=True)
         ]
 
     def send(self, now_us: int, batch: OrderBatch) -> None:
-        """Orders the ratios that have changed, as the delivery queue allows."""
+        """Orders the ratios that have changed, as far as the delivery queue allows."""
         self._admission.history.record(now_us, self._admission.ratios)
         for position, ratio in enumerate(self._admission.ratios):
             for table in self._tables.ids_by_class[position]:
@@ -66,7 +66,7 @@
 
     def _send_ratio(self, batch: OrderBatch, table: TableId, position: int, ratio: float) -> None:
         self._tables.admission_sent[table, position] = ratio
-        limit = self._rate_of_proxy(position, ratio) if self._proxies_limit_rates else ratio
+        limit = self._rate_of_proxy(position, ratio) if self._limits_are_rates else ratio
         batch.change(table, SetAdmission(table, (position,), limit, RetryPolicy.IF_NOT_EXECUTED))
 
     def _rate_of_proxy(self, position: int, ratio: float) -> float:
--- a/kelpcourse/policy/binding_orders.py
+++ b/kelpcourse/policy/binding_orders.py
@@ -1,4 +1,4 @@
-"""Binding of joined proxies to their tables, as the delivery queue allows."""
+"""Binding of joined proxies to their tables, as far as the delivery queue allows."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class BindingOrders:
-    """Orders the bindings of proxies that joined."""
+    """Orders the bindings of joined proxies."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         withdrawals: Withdrawals,
         costs: OrderCosts,
     ) -> None:
-        """Keeps the parts that bindings depend on."""
+        """Initializes the orders with the components that they depend on."""
         self._tables = tables
         self._bindings = bindings
         self._withdrawals = withdrawals
@@ -41,10 +41,10 @@
         """Binds late joiners, then the others, until the delivery queue is full.
 
         Args:
-            now_us: the time of the step.
-            batch: takes the orders.
-            entries: of each proxy in this step; bindings are added.
-            late_joiners: unbound proxies that joined after a withdrawal.
+            now_us: Time of the step, in microseconds.
+            batch: Batch that the orders are added to.
+            entries: Table entries sent to each proxy in this step; those of the bindings are added.
+            late_joiners: Unbound proxies that joined after a withdrawal, with the time at which they joined.
         """
         in_storm = self._bindings.in_reconnect_storm(now_us)
         for proxy in self._candidates(now_us, late_joiners):
@@ -73,9 +73,9 @@
     def _binding_sizes(
         self, proxy: ProxyId, tables: Mapping[TableId, ClassPositions]
     ) -> dict[TableId, int]:
-        """Returns the entries of each binding to order.
+        """Returns the number of entries of each binding that is to be ordered.
 
-        A proxy is not bound to a table without entries: it would lose what it holds.
+        A proxy is not bound to a table without entries, because it would lose the entries that it has.
         """
         may_be_stale = proxy in self._bindings.possibly_stale
         sizes = {}
@@ -88,7 +88,7 @@
         return sizes
 
     def _fits(self, batch: OrderBatch, cost: float, limit: float) -> bool:
-        """Whether a binding fits; it must not keep pending withdrawals out of the delivery queue."""
+        """Returns whether a binding fits; bindings must not delay pending withdrawals in the delivery queue."""
         if not batch.queued_entries:
             return True
         return not self._withdrawals.draining and batch.available_entries(limit) >= cost
--- a/kelpcourse/policy/bindings.py
+++ b/kelpcourse/policy/bindings.py
@@ -1,4 +1,4 @@
-"""Joined proxies: which are bound to all their tables, and which keep a previous controller's."""
+"""Joined proxies: which are bound to all their tables, and which use tables of a previous controller."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from kelpcourse.policy.settings import ProxyId, Settings
 
 RECONNECT_STORM_SPAN_US = 1_000_000
-RECONNECT_STORM_DIVISOR = 15  # of all proxies, joining within the span
+RECONNECT_STORM_DIVISOR = 15  # divisor of the proxy count that gives the joins of a storm
 MIN_RECONNECT_STORM_JOINS = 2
-INHERITANCE_US = 6_000_000  # for which proxies keep the tables of a previous controller
+INHERITANCE_US = 6_000_000  # time for which proxies may use tables of a previous controller
 
 
 @dataclass(frozen=True)
 class ProxyOrigin:
-    """What a proxy reported when it joined."""
+    """The zone and the usual request rate that a proxy reported when it joined."""
 
     zone: str
     usual_rate: float  # requests per second
@@ -27,13 +27,14 @@
     """The joined proxies and the state of their bindings."""
 
     def __init__(self, settings: Settings) -> None:
-        """Starts without proxies, which may come with inherited tables."""
-        self.inherited_until_us: dict[ProxyId, int] = {}  # every joined proxy; 0 for a new one
-        self.unbound_since_us: dict[ProxyId, int] = {}  # these may hold any endpoint
-        self.possibly_stale: set[ProxyId] = (
-            set()
-        )  # unbound, but still bound unless they left unseen
-        self.origins: dict[ProxyId, ProxyOrigin] = {}  # of all proxies that ever joined
+        """Starts without proxies; those that join may have inherited tables."""
+        # For every joined proxy, the time until which its inherited table may be used; 0 if it has none.
+        self.inherited_until_us: dict[ProxyId, int] = {}
+        # Proxies that are not bound to all their tables; they may have entries of any endpoint.
+        self.unbound_since_us: dict[ProxyId, int] = {}
+        # Unbound proxies that still have their former bindings, unless they left without a report.
+        self.possibly_stale: set[ProxyId] = set()
+        self.origins: dict[ProxyId, ProxyOrigin] = {}  # origins of all proxies that ever joined
         self.inherited_tables_usable = True
         storm_joins = max(
             MIN_RECONNECT_STORM_JOINS, settings.proxy_count // RECONNECT_STORM_DIVISOR
@@ -41,21 +42,21 @@
         self._joined_us: deque[int] = deque(maxlen=storm_joins)
 
     def __len__(self) -> int:
-        """Returns the count of joined proxies."""
+        """Returns the number of joined proxies."""
         return len(self.inherited_until_us)
 
     def __iter__(self) -> Iterator[ProxyId]:
-        """Yields the joined proxies, first those that joined first."""
+        """Yields the joined proxies in the order in which they joined."""
         return iter(self.inherited_until_us)
 
     def __contains__(self, proxy: ProxyId) -> bool:
-        """Whether the proxy is joined."""
+        """Returns whether the proxy is joined."""
         return proxy in self.inherited_until_us
 
     def join(self, now_us: int, joined: ProxyJoined) -> bool:
-        """Takes in a proxy; returns whether it may still be bound from before.
+        """Adds a proxy; returns whether it may still have its former bindings.
 
-        A proxy that is not known to have left is either bound still or left unseen.
+        If no departure of a joined proxy was reported, it either still has its bindings or left without a report.
         """
         proxy = joined.proxy
         self._joined_us.append(now_us)
@@ -74,30 +75,30 @@
         return may_be_bound
 
     def remove(self, proxy: ProxyId) -> None:
-        """Forgets a proxy, but for its origin."""
+        """Removes a proxy, except for its origin."""
         self.possibly_stale.discard(proxy)
         self.inherited_until_us.pop(proxy, None)
         self.unbound_since_us.pop(proxy, None)
 
     def in_reconnect_storm(self, now_us: int) -> bool:
-        """Whether so many proxies joined lately that a controller must have been lost."""
+        """Returns whether enough proxies joined recently to infer that another controller failed."""
         if len(self._joined_us) < (self._joined_us.maxlen or 0):
             return False
         return now_us - self._joined_us[0] <= RECONNECT_STORM_SPAN_US
 
     def mostly_inherited(self) -> bool:
-        """Whether more than half of the proxies came with a table of a previous controller."""
+        """Returns whether more than half of the proxies joined with a table of a previous controller."""
         inherited = sum(until_us > 0 for until_us in self.inherited_until_us.values())
         return 2 * inherited > len(self.inherited_until_us)
 
     def is_served_by_inherited_table(self, proxy: ProxyId, now_us: int) -> bool:
-        """Whether binding the proxy can wait."""
+        """Returns whether the proxy can use its inherited table, so that its binding is not urgent."""
         return self.inherited_tables_usable and now_us < self.inherited_until_us[proxy]
 
     def usual_rate(self) -> float:
-        """Returns the usual request rate of the joined proxies."""
+        """Returns the usual request rate of all joined proxies together."""
         return sum(self.origins[proxy].usual_rate for proxy in self)
 
     def count_with_unknown_entries(self) -> int:
-        """Returns of how many unbound proxies it is not known what they hold."""
+        """Returns the number of unbound proxies whose table entries are unknown."""
         return len(self.unbound_since_us) - len(self.possibly_stale)
--- a/kelpcourse/policy/budget.py
+++ b/kelpcourse/policy/budget.py
@@ -1,6 +1,6 @@
-"""What orders cost in the delivery queue, how far each kind may fill it, and the orders of one step.
+"""Costs of orders in the delivery queue, limits of each kind of order, and the orders of one step.
 
-Costs are in table entries, the unit in which the delivery queue's pace and backlog are given.
+Costs are in table entries, the unit in which the rate and the backlog of the delivery queue are given.
 """
 
 from __future__ import annotations
@@ -15,29 +15,39 @@
 from kelpcourse.policy.settings import EndpointId, ProxyId, Settings, TableId
 from kelpcourse.policy.tables import RoutingTables
 
-UPDATE_PERIOD_US = 2_000_000  # of ordinary table updates
-ORDINARY_BACKLOG_SHARE = 0.5  # of the delivery queue's backlog
+UPDATE_PERIOD_US = 2_000_000  # time between two ordinary table updates
+
+# Parts of the maximum backlog of the delivery queue that each kind of order may fill.
+ORDINARY_BACKLOG_SHARE = 0.5
 BINDING_BACKLOG_SHARE = 0.6
 URGENT_BACKLOG_SHARE = 0.95
-BINDING_GRACE_SHARE = 0.25  # of a drain's grace
-MIN_BINDING_SPAN_US = 1_000_000
-MAX_ACTIONS = 700  # of one step: fit in 60,000 bytes
+
+BINDING_GRACE_SHARE = 0.25  # part of a drain's grace for queued bindings, or to delay a withdrawal
+MIN_BINDING_SPAN_US = 1_000_000  # least time for queued bindings
+MAX_ACTIONS = 700  # actions of one step that fit in 60,000 bytes
 
 
 def max_delivery_us(settings: Settings) -> int:
-    """Returns the longest time that an order takes through a full delivery queue."""
+    """Returns the longest time, in microseconds, that an order takes through a full delivery queue."""
     per_us = settings.delivery_entries_per_s / US_PER_S
     return int(settings.max_backlog_entries / per_us) + settings.max_transit_us
 
 
 @dataclass(frozen=True)
 class BacklogLimits:
-    """Up to how many entries each kind of order may fill the delivery queue."""
+    """Numbers of entries up to which each kind of order may fill the delivery queue.
+
+    Attributes:
+        ordinary: Limit of ordinary table updates.
+        bindings: Limit of bindings.
+        urgent: Limit of urgent orders.
+        binding_span_entries: Entries that leave the queue in the time that bindings may take.
+    """
 
     ordinary: float
     bindings: float
     urgent: float
-    binding_span_entries: float  # entries that leave in the time that bindings may take
+    binding_span_entries: float
 
     @classmethod
     def of(cls, settings: Settings) -> BacklogLimits:
@@ -56,20 +66,20 @@
 
 
 class OrderCosts:
-    """Entries that orders put into the delivery queue."""
+    """Computes the entries that orders add to the delivery queue."""
 
     def __init__(self, settings: Settings, tables: RoutingTables, bindings: ProxyBindings) -> None:
-        """Keeps what costs depend on."""
+        """Initializes the costs with the components that they depend on."""
         self._message_overhead_entries = settings.message_overhead_entries
         self._tables = tables
         self._bindings = bindings
 
     def with_message(self, entries: float) -> float:
-        """Returns the cost of a message with so many entries: its head and checkpoint count."""
+        """Returns the cost of a message with the given entries, including its head and its checkpoint."""
         return entries + self._message_overhead_entries + 1
 
     def of_change(self, table: TableId, is_first: bool) -> float:
-        """Returns the cost of one more change of a table; a step's first takes a message."""
+        """Returns the cost of one more change of a table; the first one in a step adds a message to each holder."""
         per_proxy = 1 + (self._message_overhead_entries + 1) if is_first else 1
         return len(self._tables.holders[table]) * per_proxy
 
@@ -85,7 +95,7 @@
         return bound + self.of_unbound(len(endpoints))
 
     def of_unbound(self, endpoint_count: int) -> float:
-        """Returns what orders on so many endpoints cost proxies of which it is unknown what they hold."""
+        """Returns the cost of orders on a number of endpoints at the proxies whose table entries are unknown."""
         share = self._tables.unbound_share
         reached = 1 - (1 - share) ** endpoint_count
         per_proxy = share * endpoint_count + (self._message_overhead_entries + 1) * reached
@@ -93,22 +103,28 @@
 
 
 class OrderBatch:
-    """The actions of one step, and the entries that wait in the delivery queue with them."""
+    """The actions of one step and the entries in the delivery queue, which include them."""
 
     def __init__(self, actions: list[Action], costs: OrderCosts, queued_entries: float) -> None:
-        """Begins a step with the entries that wait in the delivery queue already."""
+        """Starts a step.
+
+        Args:
+            actions: Actions of the step, to which orders are added.
+            costs: Costs of orders.
+            queued_entries: Entries that are in the delivery queue before the step.
+        """
         self.actions = actions
         self.queued_entries = queued_entries
-        self.changes: Counter[TableId] = Counter()  # orders to all holders of a table
-        self.endpoint_orders = 0  # withdrawals and their ends
+        self.changes: Counter[TableId] = Counter()  # number of orders to all holders of each table
+        self.endpoint_orders = 0  # number of withdrawals and restores
         self._costs = costs
 
     def available_entries(self, limit: float) -> float:
-        """Returns the entries that may still be ordered under a limit."""
+        """Returns the entries that can still be ordered under a limit."""
         return limit - self.queued_entries
 
     def fits_reply(self, action_count: int) -> bool:
-        """Whether one more action fits in the step's reply beside so many others."""
+        """Returns whether one more action fits in the reply of the step together with the given number of others."""
         return len(self.actions) + action_count < MAX_ACTIONS
 
     def change_cost(self, table: TableId) -> float:
@@ -121,23 +137,23 @@
         self.reserve_change(table)
 
     def reserve_change(self, table: TableId) -> None:
-        """Counts a change that proxies hear of through another order."""
+        """Counts a change of a table that proxies make because of another order."""
         self.queued_entries += self.change_cost(table)
         self.changes[table] += 1
 
     def add_endpoint_order(self, action: Action) -> None:
-        """Orders a withdrawal or its end, which proxies not bound yet hear as well."""
+        """Adds a withdrawal or restore, which is also sent to proxies that are not bound yet."""
         self.actions.append(action)
         before = self._costs.of_unbound(self.endpoint_orders)
         self.queued_entries += self._costs.of_unbound(self.endpoint_orders + 1) - before
         self.endpoint_orders += 1
 
     def unbound_entries(self) -> float:
-        """Returns the entries for proxies of which it is unknown what they hold."""
+        """Returns the entries for proxies whose table entries are unknown."""
         return self._costs.of_unbound(self.endpoint_orders)
 
     def entries_by_proxy(self, tables: RoutingTables) -> Counter[ProxyId]:
-        """Returns the entries for each proxy that is bound already: a later binding restates them."""
+        """Returns the entries for each bound proxy; a later binding of the step contains them as well."""
         entries: Counter[ProxyId] = Counter()
         for table, count in self.changes.items():
             entries.update(dict.fromkeys(tables.holders[table], count))
--- a/kelpcourse/policy/controller.py
+++ b/kelpcourse/policy/controller.py
@@ -165,14 +165,16 @@
         self.withdrawals.cancel(endpoint.id)
         state = self.registry.endpoints[endpoint.id]
         if self.registry.is_warming_up(state, now_us):
-            self.bindings.inherited_tables_usable = False  # inherited tables give the endpoint its full weight
+            # Inherited tables give the endpoint its full weight.
+            self.bindings.inherited_tables_usable = False
             if self.tables.has_entry(endpoint.id):
                 self.publisher.urgent = True
 
     def _drain(self, now_us: int, endpoint: EndpointId) -> None:
         self.registry.remove(endpoint)
         self.withdrawals.drain(now_us, endpoint)
-        self.bindings.inherited_tables_usable = False  # inherited tables may have an entry of the endpoint
+        # Inherited tables may have an entry of the endpoint.
+        self.bindings.inherited_tables_usable = False
 
     def _add_proxy(self, now_us: int, event: ProxyJoined) -> None:
         may_be_bound = self.bindings.join(now_us, event)
--- a/kelpcourse/policy/draining.py
+++ b/kelpcourse/policy/draining.py
@@ -1,4 +1,4 @@
-"""Withdrawal of endpoints that drain or are gone, and its end when they are back."""
+"""Withdrawal of endpoints that are draining or removed, and their restore when they return."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from kelpcourse.policy.settings import EndpointId, ProxyId, Settings
 from kelpcourse.policy.tables import RoutingTables
 
-WITHDRAWAL_RETENTION_US = 30_000_000  # an endpoint that is gone does not come back later
+WITHDRAWAL_RETENTION_US = 30_000_000  # a removed endpoint does not return after this time
 
 
 class Withdrawals:
-    """Endpoints that are to be withdrawn, and those that are."""
+    """The endpoints that are to be withdrawn and those that are withdrawn."""
 
     def __init__(
         self,
@@ -31,8 +31,8 @@
         costs: OrderCosts,
     ) -> None:
         """Starts without withdrawals."""
-        self.draining: dict[EndpointId, int] = {}  # to be withdrawn, since when
-        self.withdrawn: dict[EndpointId, int] = {}  # ordered, since when
+        self.draining: dict[EndpointId, int] = {}  # to be withdrawn, with the time of the request
+        self.withdrawn: dict[EndpointId, int] = {}  # withdrawn, with the time of the order
         self._registry = registry
         self._tables = tables
         self._bindings = bindings
@@ -41,18 +41,18 @@
         self._max_delay_us = BINDING_GRACE_SHARE * settings.drain_grace_us
 
     def drain(self, now_us: int, endpoint: EndpointId) -> None:
-        """Asks for the withdrawal of an endpoint."""
+        """Requests the withdrawal of an endpoint."""
         if endpoint not in self.withdrawn:
             self.draining.setdefault(endpoint, now_us)
 
     def cancel(self, endpoint: EndpointId) -> None:
-        """The endpoint is ready again."""
+        """Cancels the requested withdrawal of an endpoint that is ready again."""
         self.draining.pop(endpoint, None)
 
     def late_joiners(self, now_us: int) -> dict[ProxyId, int]:
-        """Returns unbound proxies that joined after a withdrawal, to be bound before others.
+        """Returns unbound proxies that joined after a withdrawal and are to be bound before others.
 
-        Where that costs more, the endpoints are withdrawn once more instead.
+        If binding them costs more than withdrawing the endpoints again, a second withdrawal is requested instead.
         """
         if not self._bindings.unbound_since_us:
             return {}
@@ -72,15 +72,15 @@
         return {}
 
     def withdraw_pending(self, now_us: int, batch: OrderBatch) -> None:
-        """Withdraws all that drain in one step, as message heads cost more than entries.
+        """Withdraws all draining endpoints in one step, because message heads cost more than entries.
 
-        What takes long in the delivery queue waits for a while, and others gather.
+        A withdrawal that takes long to pass the delivery queue is delayed, so that others are combined with it.
         """
         if not self.draining:
             return
-        endpoints, cost = self._fitting(batch)
+        endpoints, cost = self._fitting_endpoints(batch)
         fits = cost <= batch.available_entries(self._limits.urgent) or not batch.queued_entries
-        if not fits or self._can_wait(now_us, cost, batch):
+        if not fits or self._can_be_delayed(now_us, cost, batch):
             return
         for endpoint in endpoints:
             self.withdraw(batch, endpoint)
@@ -88,7 +88,7 @@
             self.withdrawn[endpoint] = now_us
 
     def withdraw(self, batch: OrderBatch, endpoint: EndpointId) -> None:
-        """Orders a withdrawal; entries go with it, so that later orders need not name them."""
+        """Orders a withdrawal and removes the entries of the endpoint, so that later orders need not do so."""
         tables = self._tables.containing(endpoint)
         removes_entries = batch.fits_reply(len(tables))
         for table in tables:
@@ -102,9 +102,9 @@
     def restore_returned(
         self, now_us: int, batch: OrderBatch, delayed: AbstractSet[EndpointId]
     ) -> None:
-        """Ends withdrawals of endpoints that are back, unless their new weights are delayed.
+        """Restores endpoints that have returned, unless their new weights are delayed.
 
-        Those that are gone for good are forgotten beside other orders.
+        Withdrawals of permanently removed endpoints are ended in steps that have other orders.
         """
         returned = [
             endpoint
@@ -112,15 +112,15 @@
             if endpoint in self._registry and endpoint not in delayed
         ]
         if batch.changes and not self._bindings.unbound_since_us:
-            returned += self._forgettable(now_us)
+            returned += self._expired(now_us)
         available = batch.available_entries(self._limits.bindings)
         max_count = max(0, int(available / max(1, len(self._bindings))))
         for endpoint in sorted(returned)[:max_count]:
             del self.withdrawn[endpoint]
             self._restore(batch, endpoint)
 
-    def _fitting(self, batch: OrderBatch) -> tuple[list[EndpointId], float]:
-        """Returns draining endpoints that an empty delivery queue could take in one step, and their cost."""
+    def _fitting_endpoints(self, batch: OrderBatch) -> tuple[list[EndpointId], float]:
+        """Returns the draining endpoints whose withdrawal fits in an empty delivery queue, and its cost."""
         endpoints = list(self.draining)
         cost = self._costs.of_withdrawal(endpoints)
         max_cost = batch.available_entries(self._limits.urgent) + batch.queued_entries
@@ -129,8 +129,8 @@
             cost = self._costs.of_withdrawal(endpoints)
         return endpoints, cost
 
-    def _can_wait(self, now_us: int, cost: float, batch: OrderBatch) -> bool:
-        """Whether a long withdrawal may wait for the delivery queue to empty."""
+    def _can_be_delayed(self, now_us: int, cost: float, batch: OrderBatch) -> bool:
+        """Returns whether an expensive withdrawal can be delayed until the delivery queue has drained."""
         if now_us - min(self.draining.values()) >= self._max_delay_us:
             return False
         if cost <= self._limits.binding_span_entries:
@@ -138,7 +138,7 @@
         is_filled = batch.available_entries(self._limits.bindings) < 0
         return is_filled or self._bindings.in_reconnect_storm(now_us)
 
-    def _forgettable(self, now_us: int) -> list[EndpointId]:
+    def _expired(self, now_us: int) -> list[EndpointId]:
         return [
             endpoint
             for endpoint, withdrawn_us in self.withdrawn.items()
--- a/kelpcourse/policy/endpoints.py
+++ b/kelpcourse/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints in force: what lists say of them and what reports have shown."""
+"""Ready endpoints, with their list entries and the results of reports."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from kelpcourse.policy.events import Endpoint, EndpointReport
 from kelpcourse.policy.settings import EndpointId, RequestClass, Settings
 
-REPORT_DECAY = 0.5  # part of the sums that a report period leaves
+REPORT_DECAY = 0.5  # factor by which the sums decay in a report period
 MIN_SPAN_US = 1
 
 
 @dataclass
 class EndpointState:
-    """What is known of one endpoint.
+    """The state of one endpoint.
 
     Attempts, failures, successes and response times are sums that decay with each report.
     """
@@ -34,7 +34,11 @@
     load: dict[str, float] = field(default_factory=dict)
 
     def record(self, now_us: int, report: EndpointReport) -> None:
-        """Adds a report; on large fleets reports on an endpoint come by turns."""
+        """Adds a report to the sums.
+
+        The sums decay by the time since the last report, because on large fleets the reports on an endpoint are
+        spread over the report period.
+        """
         periods = (now_us - self.last_report_us) / max(MIN_SPAN_US, report.window_us)
         kept = REPORT_DECAY ** min(1.0, periods)
         successes = report.attempts - report.failed
@@ -49,7 +53,7 @@
 
 @dataclass(frozen=True)
 class EndpointSelector:
-    """Which endpoints may serve a request class; empty fields allow all."""
+    """Selects the endpoints that may serve a request class; an empty field allows all."""
 
     zones: frozenset[str]
     kinds: frozenset[str]
@@ -66,7 +70,7 @@
         return not self.zones and not self.kinds and not self.bound_zone
 
     def matches(self, endpoint: Endpoint) -> bool:
-        """Whether the endpoint may serve the class."""
+        """Returns whether the endpoint may serve the class."""
         if self.zones and endpoint.zone not in self.zones:
             return False
         if self.kinds and endpoint.kind not in self.kinds:
@@ -85,11 +89,11 @@
         self._mean_weight = 1.0
 
     def __contains__(self, number: EndpointId) -> bool:
-        """Whether the endpoint is ready."""
+        """Returns whether the endpoint is ready."""
         return number in self.endpoints
 
     def __len__(self) -> int:
-        """Returns the count of ready endpoints."""
+        """Returns the number of ready endpoints."""
         return len(self.endpoints)
 
     def states(self) -> Iterable[EndpointState]:
@@ -97,12 +101,12 @@
         return self.endpoints.values()
 
     def missing_from(self, endpoints: Sequence[Endpoint]) -> list[EndpointId]:
-        """Returns the ready endpoints that a complete list no longer names, in ascending order."""
+        """Returns the ready endpoints that a complete list no longer contains, in ascending order."""
         listed = {endpoint.id for endpoint in endpoints}
         return sorted(self.endpoints.keys() - listed)
 
     def update(self, now_us: int, endpoint: Endpoint) -> bool:
-        """Takes in a ready endpoint; returns whether it is new or restarted."""
+        """Adds or updates a ready endpoint; returns whether it is new or has restarted."""
         known = self.endpoints.get(endpoint.id)
         if known is not None and known.endpoint.started_us == endpoint.started_us:
             known.endpoint = endpoint
@@ -111,11 +115,11 @@
         return True
 
     def remove(self, number: EndpointId) -> None:
-        """Forgets an endpoint that is draining or gone."""
+        """Removes an endpoint that is draining or no longer listed."""
         self.endpoints.pop(number, None)
 
     def update_mean_weight(self) -> None:
-        """Computes the mean of the listed weights that nominal capacities are relative to."""
+        """Computes the mean of the listed weights, to which nominal capacities are relative."""
         listed = [
             state.endpoint.weight for state in self.endpoints.values() if state.endpoint.weight > 0
         ]
@@ -128,7 +132,7 @@
         return [state for state in self.endpoints.values() if selector.matches(state.endpoint)]
 
     def warm_up_factor(self, state: EndpointState, now_us: int) -> float:
-        """Returns the least part of its capacity that an endpoint has by now (slow start)."""
+        """Returns the part of its capacity that an endpoint has at least, which rises during warm-up (slow start)."""
         started_us = state.endpoint.started_us
         age_us = now_us - started_us
         if started_us <= 0 or self._warm_up_us <= 0 or age_us >= self._warm_up_us:
@@ -137,22 +141,22 @@
         return initial + (1 - initial) * max(0, age_us) / self._warm_up_us
 
     def is_warming_up(self, state: EndpointState, now_us: int) -> bool:
-        """Whether the endpoint has less than its full capacity."""
+        """Returns whether the endpoint has less than its full capacity because of its warm-up."""
         return self.warm_up_factor(state, now_us) < 1
 
     def nominal_capacity(self, state: EndpointState) -> float:
-        """Returns the capacity of an endpoint that is healthy and warm, relative to the mean."""
+        """Returns the capacity of the endpoint when healthy and warmed up, relative to the mean endpoint."""
         weight = state.endpoint.weight
         listed = weight / self._mean_weight if weight > 0 else 1.0
         return listed * state.relative_capacity
 
     def current_capacity(self, state: EndpointState, now_us: int) -> float:
-        """Returns the nominal capacity as faults and slow start reduce it."""
+        """Returns the nominal capacity, reduced by faults and by slow start."""
         warm_up_factor = self.warm_up_factor(state, now_us)
         return self.nominal_capacity(state) * state.health_factor * warm_up_factor
 
     def reachable_capacity(self, now_us: int) -> float:
-        """Returns the sum of current capacities; partitioned endpoints count as healthy."""
+        """Returns the sum of current capacities, in which partitioned endpoints count as healthy."""
         return sum(self._reachable_capacity_of(state, now_us) for state in self.states())
 
     def _reachable_capacity_of(self, state: EndpointState, now_us: int) -> float:
