--- a/kelpcourse/policy/fill.py
+++ b/kelpcourse/policy/fill.py
@@ -10,7 +10,7 @@
 
 from kelpcourse.policy.arithmetic import MIN_DIVISOR
 
-FRACTION_STEPS = 2**30  # for a fraction of 1
+FRACTION_STEPS = 2**30  # steps that divide a fraction of 1
 MAX_FRACTION_STEPS = 2 * FRACTION_STEPS  # at a fraction of 2 every class is admitted in full
 
 Rates = Sequence[float]
@@ -25,10 +25,10 @@
     x_i <= n_i for the greatest theta, where n_i is the offered load and V the capacity.
 
     Args:
-        offered: requests per second offered in each class.
-        capacity: the paper's V in requests per second.
-        lower_bounds: the least part of the capacity for each class.
-        upper_bounds: the greatest part of the capacity for each class.
+        offered: Offered load of each class, in requests per second.
+        capacity: The capacity V of the paper, in requests per second.
+        lower_bounds: Least part of the capacity for each class.
+        upper_bounds: Greatest part of the capacity for each class.
     """
     floors = [
         min(rate, lower * capacity, upper * capacity)
@@ -52,7 +52,7 @@
 
 
 def priority_lower_bounds(offered: Rates, priority_weights: Rates, capacity: float) -> list[float]:
-    """Returns lower bounds that serve classes above the mean priority weight before the others."""
+    """Returns lower bounds that give classes above the mean priority weight precedence over the others."""
     weighted = sum(rate * weight for rate, weight in zip(offered, priority_weights, strict=True))
     mean_weight = weighted / max(MIN_DIVISOR, sum(offered))
     preferred = [
--- a/kelpcourse/policy/load.py
+++ b/kelpcourse/policy/load.py
@@ -1,4 +1,4 @@
-"""Offered load, completed requests and backlog, as reports show them."""
+"""Offered load, completed requests and backlog, estimated from reports."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from kelpcourse.policy.settings import Settings
 
 EVALUATION_PERIOD_US = 1_000_000
-REPORT_DELAY_US = 700_000  # assumed
-MAX_GAP_SPANS = 4.0  # report spans without an evaluation, before rates start again
-BUSY_OBJECTIVE_SHARE = 0.5  # of the latency objective: endpoints are fully used
+REPORT_DELAY_US = 700_000  # delay of a report after the end of its window
+MAX_EVALUATION_GAP_SPANS = 4.0  # report spans without an evaluation that reset the rates
+BUSY_OBJECTIVE_SHARE = 0.5  # mean time, as a part of the latency objective, of fully used endpoints
 MIN_UNIQUE_REQUEST_RATIO = 0.3
 UNIQUE_RATIO_LEARNING_US = 5_000_000
 BACKLOG_DECAY_US = 6_000_000
 
 
 class LoadEstimate:
-    """Rates of requests in all classes, requests in flight beyond what is usual, and mean times.
+    """Request rates of all classes, requests in flight beyond the usual number, and mean times.
 
-    Rates are all counts reported in a time over what a report covers: on large fleets reports
-    come by turns.
+    Rates are computed from the counts of all reports in a time and averaged over a report span, because on large
+    fleets the reports are spread over the report period.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -40,19 +40,19 @@
         self.feedback_delay_us = 0
 
     def is_due(self, now_us: int, window: ReportWindow) -> bool:
-        """Whether there are reports to evaluate and enough time has passed."""
+        """Returns whether there are reports to evaluate and enough time has passed."""
         return bool(window.outcomes) and now_us - self._evaluated_us >= self._min_period_us
 
     def is_settled(self, now_us: int) -> bool:
-        """Whether rates cover a report span: first reports tell of more come than ended."""
+        """Returns whether rates cover a report span; the first reports show more requests started than ended."""
         return now_us - self._measured_since_us >= self.report_span_us
 
     def settling_time_us(self) -> int:
-        """Returns how long after an order reports may still tell of requests before it."""
+        """Returns the time, in microseconds, after an order in which reports may cover requests before it."""
         return self.feedback_delay_us + self.report_span_us // 2
 
     def evaluate(self, now_us: int, window: ReportWindow, history: AdmissionHistory) -> float:
-        """Takes in a window of reports; returns the seconds that it covers."""
+        """Updates the estimates from a window of reports; returns the time that it covers, in seconds."""
         self.report_span_us = window.mean_span_us()
         elapsed_us = self._elapsed_us(now_us)
         span_s = elapsed_us / US_PER_S
@@ -63,7 +63,7 @@
         return span_s
 
     def mean_latency_objective_us(self) -> float:
-        """Returns the latency objective of the mean offered request; infinite without any."""
+        """Returns the mean latency objective, in microseconds, of offered requests; infinite if there are none."""
         total = sum(
             offered * request_class.latency_objective_us
             for offered, request_class in zip(self.offered_per_s, self._classes, strict=True)
@@ -71,19 +71,23 @@
         return total / sum(self.offered_per_s) if total > 0 else float("inf")
 
     def decay_backlog(self, span_s: float) -> None:
-        """Moves the backlog towards what is in flight if nothing piles up: estimates err."""
+        """Moves the backlog towards the usual number of requests in flight, because the estimate is inaccurate."""
         usual = self.completed_per_s * self.mean_response_time_us / US_PER_S
         gain = min(1.0, span_s * US_PER_S / BACKLOG_DECAY_US)
         self.backlog = max(0.0, self.backlog + (usual - self.backlog) * gain)
 
     def remove_proxy(self, proxy_count: int) -> None:
-        """Takes out the part of one of so many proxies: what it holds is no longer reported."""
+        """Removes the share of one proxy from the backlog, because its requests are no longer reported.
+
+        Args:
+            proxy_count: Number of joined proxies, including the removed one.
+        """
         self.backlog *= 1 - 1 / proxy_count
 
     def _elapsed_us(self, now_us: int) -> int:
         elapsed_us = now_us - self._evaluated_us
         self._evaluated_us = now_us
-        if elapsed_us > MAX_GAP_SPANS * self.report_span_us:
+        if elapsed_us > MAX_EVALUATION_GAP_SPANS * self.report_span_us:
             self._measured_since_us = now_us
             return self.report_span_us
         return elapsed_us
@@ -99,25 +103,29 @@
     def _update_backlog(
         self, now_us: int, window: ReportWindow, history: AdmissionHistory, span_s: float
     ) -> None:
-        """Compares admitted with ended requests; while times are sound, learns the client retries."""
+        """Updates the backlog from admitted and ended requests; learns the client retries unless endpoints are busy."""
         ended = window.successes() + window.unanswered
         admitted_at_us = now_us - self.feedback_delay_us
         ratio = self.unique_request_ratio
         admitted = history.admitted(window.offered, admitted_at_us) * ratio
         rejected = sum(window.offered) * ratio - admitted
         busy_us = BUSY_OBJECTIVE_SHARE * self.mean_latency_objective_us()
-        is_sound = self.mean_response_time_us < busy_us
-        if is_sound:
+        is_fast = self.mean_response_time_us < busy_us
+        if is_fast:
             usual = self.completed_per_s * self.mean_response_time_us / US_PER_S
             self.backlog = min(self.backlog, usual)
         self.backlog += admitted - ended
-        if is_sound and rejected > 0 and min(admitted, ended) > 0:
+        if is_fast and rejected > 0 and min(admitted, ended) > 0:
             self._learn_unique_ratio(admitted, rejected, ended, span_s)
 
     def _learn_unique_ratio(
         self, admitted: float, rejected: float, ended: float, span_s: float
     ) -> None:
-        """Client retries of rejected requests are not offered load: fewer end than were admitted."""
+        """Learns the share of requests that are not client retries.
+
+        Client retries of rejected requests are not offered load; because of them fewer requests end than were
+        admitted.
+        """
         gain = min(1.0, span_s * US_PER_S / UNIQUE_RATIO_LEARNING_US)
         exponent = rejected / (rejected + admitted) * gain
         learned = self.unique_request_ratio * (ended / admitted) ** exponent
--- a/kelpcourse/policy/publisher.py
+++ b/kelpcourse/policy/publisher.py
@@ -1,4 +1,4 @@
-"""What goes out in a step, and in which order, within the budgets of the delivery queue and of messages."""
+"""Selection and order of the orders of a step, within the budgets of the delivery queue and of messages."""
 
 from __future__ import annotations
 
@@ -23,12 +23,14 @@
 from kelpcourse.policy.weights import WeightInputs
 
 CHECKPOINT_IDS = 65_536
-URGENT_MESSAGE_SHARE = 0.8  # of the messages that a proxy may be sent
+
+# Parts of the message limit of a proxy up to which orders are sent.
+URGENT_MESSAGE_SHARE = 0.8
 ORDINARY_MESSAGE_SHARE = 0.6
 
 
 class Publisher:
-    """Turns the decisions in force into orders."""
+    """Converts the current decisions into orders."""
 
     def __init__(
         self,
@@ -41,10 +43,10 @@
         updates: TableUpdates,
         delivery: DeliveryTracker,
     ) -> None:
-        """Keeps the parts whose decisions are published."""
+        """Initializes the publisher with the components whose decisions it publishes."""
         self.withdrawals = withdrawals
         self.checkpoint_id = 0
-        self.urgent = False  # until the next table updates
+        self.urgent = False  # whether table updates are urgent; reset by the next ones
         self._tables = tables
         self._bindings = bindings
         self._costs = costs
@@ -72,7 +74,7 @@
             self._send_checkpoint(now_us, batch, entries)
 
     def _may_publish(self, now_us: int, actions: list[Action]) -> bool:
-        """Whether orders may go out; those behind a call with an unknown outcome wait for it."""
+        """Returns whether orders may be sent; after a call with an unknown outcome only if resending is safe."""
         if self._is_sliced or not self._delivery.within_message_budget(1.0, now_us):
             return False
         if self._delivery.unknown_outcomes:
@@ -97,9 +99,9 @@
         )
 
     def _ordinary_updates_due(self, now_us: int) -> bool:
-        """Whether the period is over, or an overload is to be answered without delay.
+        """Returns whether the update period has passed or an overload requires orders without delay.
 
-        Subsets are fitted to how traffic splits over zones, which needs joined proxies.
+        Subsets are fitted to the distribution of traffic over zones, which is known only from joined proxies.
         """
         if not len(self._bindings) and self._tables.subset_count > 1:
             return False
@@ -111,7 +113,7 @@
         inputs = WeightInputs(now_us, traffic, admitted_per_s)
         delayed = self._updates.send(batch, inputs)
         self.withdrawals.restore_returned(now_us, batch, delayed.endpoints)
-        self.urgent = delayed.has_warm_up_fall
+        self.urgent = delayed.has_warm_up_decrease
         self._updated_us = now_us
 
     def _send_checkpoint(self, now_us: int, batch: OrderBatch, entries: Counter[ProxyId]) -> None:
--- a/kelpcourse/policy/relative_capacity.py
+++ b/kelpcourse/policy/relative_capacity.py
@@ -12,14 +12,14 @@
 
 MIN_RELATIVE_CAPACITY = 0.4
 MAX_RELATIVE_CAPACITY = 2.5
-MIN_SUCCESSES = 3  # before an endpoint is measured
-AVERAGED_RESPONSES = 80.0  # of an endpoint, that a correction is averaged over
+MIN_SUCCESSES = 3  # successes below which an endpoint is not measured
+AVERAGED_RESPONSES = 80.0  # responses of an endpoint over which corrections are averaged
 FIRST_REPORT_COUNT = 1.0
-PRIOR_RESPONSES = 4.0  # with the mean time of the endpoint's kind
-MIN_UTILIZATION = 0.1  # below it a load report is noise
-MIN_CONSISTENT_ODDS = 0.4  # below it a load report contradicts the response times
+PRIOR_RESPONSES = 4.0  # assumed responses that take the mean time of the endpoint's kind
+MIN_UTILIZATION = 0.1  # utilization below which a load report is noise
+MIN_CONSISTENT_ODDS = 0.4  # odds by response time below which a load report contradicts them
 MIN_LOAD_ODDS = 0.1
-INHERITANCE_ATTEMPTS = 12.0  # of an endpoint, before the weights of inherited tables show
+INHERITANCE_ATTEMPTS = 12.0  # mean attempts at an endpoint that reveal inherited weights
 
 
 def _within_range(relative_capacity: float) -> float:
@@ -27,13 +27,13 @@
 
 
 def shows_inherited_weights(registry: EndpointRegistry) -> bool:
-    """Whether there are enough attempts to read the weights of inherited tables from them."""
+    """Returns whether there are enough attempts to infer the weights of inherited tables from them."""
     attempts = sum(state.attempts for state in registry.states())
     return attempts >= INHERITANCE_ATTEMPTS * len(registry)
 
 
 def learn_from_inherited_tables(registry: EndpointRegistry) -> None:
-    """Takes over what the previous controller had learned: attempts follow its weights."""
+    """Adopts the relative capacities of the previous controller, inferred from attempts, which follow its weights."""
     attempts = sum(state.attempts for state in registry.states())
     for state in registry.states():
         nominal = registry.nominal_capacity(state)
@@ -69,11 +69,19 @@
 
 @dataclass(frozen=True)
 class _Reference:
-    """What the measured endpoints show together."""
+    """Means and totals of the measured endpoints, to which each of them is compared.
+
+    Attributes:
+        mean_time_us: Mean response time, in microseconds.
+        prior_time_us: Total response time, in microseconds, of `PRIOR_RESPONSES` responses, by kind of endpoint.
+        throughputs: Requests per second of each endpoint when fully used.
+        total_throughput: Sum of the throughputs, in requests per second.
+        has_all_loads: Whether the load reports of all measured endpoints give a throughput.
+    """
 
     mean_time_us: float
-    prior_time_us: dict[str, float]  # of PRIOR_ANSWERS answers, by kind
-    throughputs: dict[EndpointId, float]  # requests per second of a fully used endpoint
+    prior_time_us: dict[str, float]
+    throughputs: dict[EndpointId, float]
     total_throughput: float
     has_all_loads: bool
 
@@ -93,7 +101,7 @@
         )
 
     def odds(self, state: EndpointState) -> float:
-        """Returns by which factor an endpoint does better than its relative capacity says."""
+        """Returns the factor by which an endpoint performs better than its relative capacity suggests."""
         prior_us = self.prior_time_us[state.endpoint.kind]
         time_us = max(1.0, state.response_time_us + prior_us)
         odds = self.mean_time_us * (state.successes + PRIOR_RESPONSES) / time_us
--- a/kelpcourse/policy/subsetting.py
+++ b/kelpcourse/policy/subsetting.py
@@ -1,7 +1,7 @@
-"""Subsets of the endpoints: each proxy group's table is a ring segment of every zone.
+"""Subsets of the endpoints: the table of a proxy group consists of a ring segment of each zone.
 
-Where connections, or table entries in a drain's grace, are scarce, a proxy gets a part of the
-endpoints only.
+A proxy gets only a part of the endpoints if connections are limited, or if too few table entries can be sent within
+the grace period of a drain.
 """
 
 from __future__ import annotations
@@ -23,7 +23,10 @@
 
 
 def subset_of(proxy: ProxyId, subset_count: int) -> int:
-    """Returns the subset of a proxy; even also within a zone whose proxies are numbered in steps."""
+    """Returns the subset of a proxy.
+
+    Subsets are of even size also within a zone whose proxies are numbered in steps.
+    """
     return int(proxy * GOLDEN_RATIO % 1 * subset_count)
 
 
@@ -39,7 +42,7 @@
         self.total_per_s = max(MIN_DIVISOR, sum(origin.usual_rate for origin in origins.values()))
 
     def of_zone(self, zone: str) -> list[float]:
-        """Returns the rates of a zone's subsets."""
+        """Returns the rate of each subset in a zone, in requests per second."""
         rates = self._rates.get(zone)
         if rates is None:
             rates = [MIN_DIVISOR] * self._subset_count
@@ -50,13 +53,13 @@
 def subset_weights(
     weights: Weights, registry: EndpointRegistry, rates: Sequence[float], subset_size: float
 ) -> list[Weights]:
-    """Returns each subset's table, fitted to keep the share of every endpoint.
+    """Returns the weights of the table of each subset, fitted so that every endpoint keeps its share.
 
     Args:
-        weights: of all endpoints of the table.
-        registry: tells the zones of the endpoints.
-        rates: the usual request rate of each subset's proxies.
-        subset_size: about how many endpoints a subset has.
+        weights: Weights of all endpoints of the table.
+        registry: Registry that has the zones of the endpoints.
+        rates: Usual request rate of the proxies of each subset.
+        subset_size: Approximate number of endpoints of a subset.
     """
     segments = _ring_segments(weights, registry, len(rates), subset_size)
     factors = _fit(weights, segments, rates)
@@ -86,7 +89,7 @@
 def _fit(
     weights: Weights, segments: Sequence[Segment], rates: Sequence[float]
 ) -> dict[EndpointId, float]:
-    """Returns factors of the weights that give each endpoint its share over all subsets."""
+    """Returns factors of the weights with which each endpoint gets its share of the requests of all subsets."""
     total_weight = sum(weights.values())
     total_rate = sum(rates)
     factors = dict.fromkeys(weights, 1.0)
@@ -104,7 +107,7 @@
     segments: Sequence[Segment],
     rates: Sequence[float],
 ) -> dict[EndpointId, float]:
-    """Returns the request rate that each endpoint gets from all subsets."""
+    """Returns the request rate that each endpoint receives from all subsets."""
     received = dict.fromkeys(weights, 0.0)
     fitted = {number: weights[number] * factors[number] for number in weights}
     for segment, rate in zip(segments, rates, strict=True):
--- a/kelpcourse/policy/table_updates.py
+++ b/kelpcourse/policy/table_updates.py
@@ -1,4 +1,4 @@
-"""Changes of table entries: found by comparison with the weights, sent in order of urgency."""
+"""Changes of table entries, found by comparison with the weights and sent in order of urgency."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from kelpcourse.policy.tables import MIN_TABLE_ENTRIES, RoutingTables, TableKey
 from kelpcourse.policy.weights import EndpointWeights, WeightInputs, Weights
 
-MIN_WEIGHT_CHANGE = 0.08  # of the weight: less is not ordered
+MIN_WEIGHT_CHANGE = 0.08  # part of the weight; smaller changes are not ordered
 
 
 class ChangePriority(IntEnum):
-    """Which changes go first, the highest value before the others."""
+    """The priority of a change; changes with the highest value are sent first."""
 
     ORDINARY = 0
     NEW_ENTRY = 1
-    WARM_UP_FALL = 2  # an endpoint that warms up must not get more than it can serve
+    WARM_UP_DECREASE = 2  # a warming-up endpoint must not get more than it can serve
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
     """A change of a table entry that is to be ordered."""
 
     priority: ChangePriority
-    size_per_cost: float  # weight changed in the table for what its messages cost
+    size_per_cost: float  # total change of weights in the table per entry of message cost
     size: float
     endpoint: EndpointId
     table: TableId
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True)
 class DelayedChanges:
-    """Changes for which the delivery queue did not allow."""
+    """The changes that did not fit in the delivery queue."""
 
     endpoints: set[EndpointId]
-    has_warm_up_fall: bool
+    has_warm_up_decrease: bool
 
 
 class TableUpdates:
-    """Brings the tables to the weights as the delivery queue allows."""
+    """Updates the tables to the weights, as far as the delivery queue allows."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         withdrawals: Withdrawals,
         costs: OrderCosts,
     ) -> None:
-        """Keeps the parts that weights and costs depend on."""
+        """Initializes the updates with the components that weights and costs depend on."""
         self._registry = registry
         self._tables = tables
         self._bindings = bindings
@@ -79,28 +79,28 @@
         self._limits = BacklogLimits.of(settings)
 
     def send(self, batch: OrderBatch, inputs: WeightInputs) -> DelayedChanges:
-        """Orders what fits: falls of endpoints that warm up, new entries, then the largest changes."""
+        """Orders the changes that fit: decreases during warm-up, new entries, then the largest changes."""
         changes = list(self._pending_changes(inputs))
         changes.sort(key=_urgency)
         ordinary_limit = self._limits.ordinary
         if self._withdrawals.withdrawn and self._bindings.unbound_since_us:
-            ordinary_limit = 0.0  # bindings go first
+            ordinary_limit = 0.0  # bindings are sent first
         delayed = set()
-        has_warm_up_fall = False
+        has_warm_up_decrease = False
         for change in changes:
-            is_warm_up_fall = change.priority is ChangePriority.WARM_UP_FALL
-            limit = self._limits.urgent if is_warm_up_fall else ordinary_limit
+            is_warm_up_decrease = change.priority is ChangePriority.WARM_UP_DECREASE
+            limit = self._limits.urgent if is_warm_up_decrease else ordinary_limit
             if self._fits(batch, change.table, limit):
                 self._tables.set_entry(change.table, change.endpoint, change.weight)
                 action = SetWeight(change.table, change.endpoint, change.weight)
                 batch.change(change.table, action)
                 continue
             delayed.add(change.endpoint)
-            has_warm_up_fall = has_warm_up_fall or is_warm_up_fall
-        return DelayedChanges(delayed, has_warm_up_fall)
+            has_warm_up_decrease = has_warm_up_decrease or is_warm_up_decrease
+        return DelayedChanges(delayed, has_warm_up_decrease)
 
     def _fits(self, batch: OrderBatch, table: TableId, limit: float) -> bool:
-        """Whether a change fits; an empty table is filled in any case."""
+        """Returns whether a change fits; an empty table is always filled."""
         if not self._tables.entries[table]:
             return True
         available = batch.available_entries(limit) if batch.fits_reply(0) else 0.0
@@ -150,7 +150,7 @@
         old = entries.get(endpoint, 0.0)
         if not old:
             return ChangePriority.NEW_ENTRY
-        falls = 0 < weights.get(endpoint, 0.0) < old
-        if falls and self._registry.is_warming_up(self._registry.endpoints[endpoint], now_us):
-            return ChangePriority.WARM_UP_FALL
+        is_decrease = 0 < weights.get(endpoint, 0.0) < old
+        if is_decrease and self._registry.is_warming_up(self._registry.endpoints[endpoint], now_us):
+            return ChangePriority.WARM_UP_DECREASE
         return ChangePriority.ORDINARY
--- a/kelpcourse/policy/weights.py
+++ b/kelpcourse/policy/weights.py
@@ -12,26 +12,27 @@
 from kelpcourse.policy.tables import TableKey
 
 MIN_WEIGHT = 0.001
-MIN_RESIDUAL_SHARE = 0.1  # of an endpoint's weight, however much classes with own tables bring
-WARM_UP_ROUNDS = 4  # an endpoint's share depends on all others, so settle them together
+# Least part of an endpoint's weight that remains, whatever its load from classes with tables of their own.
+MIN_RESIDUAL_SHARE = 0.1
+WARM_UP_ROUNDS = 4  # iterations, because the share of each endpoint depends on all others
 
 Weights = dict[EndpointId, float]
 
 
 @dataclass(frozen=True)
 class WeightInputs:
-    """What weights depend on besides the endpoints."""
+    """The values, besides the endpoints, that weights depend on."""
 
     now_us: int
     traffic: ProxyTraffic
-    admitted_per_s: Sequence[float]  # of each class
+    admitted_per_s: Sequence[float]  # admitted rate of each class
 
 
 class EndpointWeights:
     """Computes the weights of a table's endpoints."""
 
     def __init__(self, settings: Settings, registry: EndpointRegistry) -> None:
-        """Keeps what selects and rates endpoints."""
+        """Initializes the computation for the endpoints of a registry."""
         self._registry = registry
         self._zones = settings.zones
         self._own_selectors = [
@@ -56,7 +57,7 @@
         return self._registry.endpoints[number].endpoint.zone
 
     def _warm_up_weights(self, states: Sequence[EndpointState], now_us: int) -> Weights:
-        """Limits the share of endpoints that warm up to what they can serve by now."""
+        """Returns weights that limit the share of warming-up endpoints to the load that they can serve."""
         nominal = {state.endpoint.id: self._registry.nominal_capacity(state) for state in states}
         weights = {
             state.endpoint.id: nominal[state.endpoint.id] * state.health_factor for state in states
@@ -74,7 +75,7 @@
         return weights
 
     def _residual_weights(self, weights: Weights, admitted_per_s: Sequence[float]) -> Weights:
-        """Leaves out what classes with tables of their own bring to some of the endpoints."""
+        """Returns the weights less the load that endpoints receive from classes with tables of their own."""
         weight_per_request = sum(weights.values()) / max(MIN_DIVISOR, sum(admitted_per_s))
         residual = dict(weights)
         for selector, admitted in zip(self._own_selectors, admitted_per_s, strict=True):
@@ -94,7 +95,7 @@
     ) -> dict[str, float]:
         """Returns the factor of each zone's endpoints for the proxies of a zone.
 
-        Where connections are scarce proxies prefer their zone; no endpoint's total changes.
+        If connections are limited, proxies prefer their own zone; the total load of each endpoint stays the same.
         """
         offered = {zone: sum(traffic.of_zone(zone)) / traffic.total_per_s for zone in self._zones}
         capacity = self._zone_shares(weights)
@@ -112,7 +113,7 @@
         return factors
 
     def _zone_shares(self, weights: Weights) -> dict[str, float]:
-        """Returns each zone's share of the weights."""
+        """Returns the share of each zone in the total weight."""
         total = max(MIN_DIVISOR, sum(weights.values()))
         zone_of = {number: self._zone_of(number) for number in weights}
         return {
