--- a/kelpcourse/policy/binding_orders.py
+++ b/kelpcourse/policy/binding_orders.py
@@ -59,7 +59,7 @@
             if sizes:
                 entries[proxy] += size
                 batch.queued_entries += self._costs.with_message(size)
-            if self._tables.holds_all(proxy, tables):
+            if self._tables.is_bound_to_all(proxy, tables):
                 del self._bindings.unbound_since_us[proxy]
 
     def _candidates(self, now_us: int, late_joiners: Mapping[ProxyId, int]) -> list[ProxyId]:
@@ -81,7 +81,7 @@
         sizes = {}
         for table, classes in tables.items():
             entries = self._tables.entries[table]
-            is_bound = not may_be_stale and proxy in self._tables.holders[table]
+            is_bound = not may_be_stale and proxy in self._tables.bound_proxies[table]
             if entries and not is_bound:
                 withdrawn = entries.keys() & self._withdrawals.withdrawn.keys()
                 sizes[table] = 1 + len(entries) + len(classes) + len(withdrawn)
@@ -104,5 +104,5 @@
             self._bindings.possibly_stale.discard(proxy)
             self._tables.unbind(proxy)
         for table, classes in tables.items():
-            self._tables.holders[table][proxy] = now_us
+            self._tables.bound_proxies[table][proxy] = now_us
             batch.actions.append(BindProxy(proxy, table, tuple(classes)))
--- a/kelpcourse/policy/budget.py
+++ b/kelpcourse/policy/budget.py
@@ -81,7 +81,7 @@
     def of_change(self, table: TableId, is_first: bool) -> float:
         """Returns the cost of one more change of a table; the first one in a step adds a message to each holder."""
         per_proxy = 1 + (self._message_overhead_entries + 1) if is_first else 1
-        return len(self._tables.holders[table]) * per_proxy
+        return len(self._tables.bound_proxies[table]) * per_proxy
 
     def of_withdrawal(self, endpoints: Sequence[EndpointId]) -> float:
         """Returns the cost of withdrawing endpoints in one step."""
@@ -89,7 +89,7 @@
             table for endpoint in endpoints for table in self._tables.containing(endpoint)
         )
         bound = sum(
-            len(self._tables.holders[table]) * self.with_message(count)
+            len(self._tables.bound_proxies[table]) * self.with_message(count)
             for table, count in endpoint_counts.items()
         )
         return bound + self.of_unbound(len(endpoints))
@@ -156,5 +156,5 @@
         """Returns the entries for each bound proxy; a later binding of the step contains them as well."""
         entries: Counter[ProxyId] = Counter()
         for table, count in self.changes.items():
-            entries.update(dict.fromkeys(tables.holders[table], count))
+            entries.update(dict.fromkeys(tables.bound_proxies[table], count))
         return entries
--- a/kelpcourse/policy/tables.py
+++ b/kelpcourse/policy/tables.py
@@ -58,17 +58,17 @@
             self._add_class(zone, position, request_class)
         table_ids = [table for ids in self.ids_by_key.values() for table in ids]
         self.entries: dict[TableId, dict[EndpointId, float]] = {table: {} for table in table_ids}
-        self.holders: dict[TableId, dict[ProxyId, int]] = {table: {} for table in table_ids}
+        self.bound_proxies: dict[TableId, dict[ProxyId, int]] = {table: {} for table in table_ids}
         self.admission_sent: dict[
             tuple[TableId, int], float
         ] = {}  # latest ordered ratio by table and class
         self.ids_by_class = [
-            self._ids_of_class(position) for position in range(len(self._settings.classes))
+            self._table_ids_of_class(position) for position in range(len(self._settings.classes))
         ]
 
     def is_unused(self) -> bool:
         """Returns whether no table has an entry or a bound proxy, so that the layout may change."""
-        return not any(self.entries.values()) and not any(self.holders.values())
+        return not any(self.entries.values()) and not any(self.bound_proxies.values())
 
     def tables_of(self, proxy: ProxyId, zone: str) -> dict[TableId, ClassPositions]:
         """Returns the tables of a proxy with the classes that each of them serves."""
@@ -95,12 +95,12 @@
 
     def unbind(self, proxy: ProxyId) -> None:
         """Removes a proxy from the holders of all tables."""
-        for holders in self.holders.values():
-            holders.pop(proxy, None)
+        for bound_proxies in self.bound_proxies.values():
+            bound_proxies.pop(proxy, None)
 
-    def holds_all(self, proxy: ProxyId, tables: Iterable[TableId]) -> bool:
+    def is_bound_to_all(self, proxy: ProxyId, tables: Iterable[TableId]) -> bool:
         """Returns whether the proxy is bound to all of these tables."""
-        return all(proxy in self.holders[table] for table in tables)
+        return all(proxy in self.bound_proxies[table] for table in tables)
 
     def _subset_share(self, endpoint_count: int) -> float:
         """Returns the share of the endpoints that are in the subset of a proxy."""
@@ -125,7 +125,7 @@
             classes = self.classes_by_zone[zone][subset]
             classes.setdefault(table, []).append(position)
 
-    def _ids_of_class(self, position: int) -> set[TableId]:
+    def _table_ids_of_class(self, position: int) -> set[TableId]:
         return {
             table
             for subsets in self.classes_by_zone.values()
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -128,10 +128,10 @@
     harness = joined(60, 60)
     harness.acknowledges = False
     waits = harness.policy.delivery.backlog_entries(harness.now_us)
-    holders = dict.fromkeys(harness.tables, 0)
+    bound_proxies = dict.fromkeys(harness.tables, 0)
     for number in harness.policy.bindings:
         for table in harness.policy.tables.tables_of(number, zone_of(harness, number)):
-            holders[table] += 1
+            bound_proxies[table] += 1
     held = {table for table, at in harness.tables.items() if 103 in at}
     entries = dict.fromkeys(harness.tables, 0)
     out = harness.send(list_changes([make_endpoint(103, "east", EndpointStatus.GONE)]))
@@ -142,7 +142,7 @@
             held -= {action.table} if action.endpoint == 103 else set()
         elif action == WithdrawEndpoint(103):
             entries.update((table, entries[table] + 1) for table in held)
-    cost = sum(holders[table] * (count + 7) for table, count in entries.items() if count)
+    cost = sum(bound_proxies[table] * (count + 7) for table, count in entries.items() if count)
     assert 0 < cost < 120 * 8
     assert harness.policy.delivery.backlog_entries(harness.now_us) - waits == cost
 
@@ -278,7 +278,11 @@
 def test_proxies_stay_bound_when_all_endpoints_are_gone_and_a_complete_list_comes() -> None:
     """With no entry left the tables were laid out again, and those bound to the former ones were bound to none."""
     harness = joined(60, 60)
-    bound = {number for holders in harness.policy.tables.holders.values() for number in holders}
+    bound = {
+        number
+        for bound_proxies in harness.policy.tables.bound_proxies.values()
+        for number in bound_proxies
+    }
     harness.send(full_list([], 2))
     harness.run_until(harness.now_us + 4 * SECOND)
     assert not any(harness.policy.tables.entries.values())
@@ -286,6 +290,6 @@
     harness.run_until(harness.now_us + 4 * SECOND)
     for number in bound:
         assert any(
-            number in holders and harness.tables[t]
-            for t, holders in harness.policy.tables.holders.items()
+            number in bound_proxies and harness.tables[t]
+            for t, bound_proxies in harness.policy.tables.bound_proxies.items()
         )
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -170,7 +170,7 @@
     assert [type(a).__name__ for a in out].count("BindProxy") == 4
     assert not harness.policy.bindings.unbound_since_us
     assert not harness.policy.bindings.possibly_stale
-    assert list(harness.policy.tables.holders[0]) == [0, 2, 1]
+    assert list(harness.policy.tables.bound_proxies[0]) == [0, 2, 1]
     assert actions_of_type(out, Checkpoint)
 
 
