--- a/kelpcourse/policy/admission_orders.py
+++ b/kelpcourse/policy/admission_orders.py
@@ -10,7 +10,7 @@
 from kelpcourse.policy.settings import AdmissionMode, RetryPolicy, Settings, TableId
 from kelpcourse.policy.tables import RoutingTables
 
-URGENT_RATIO_FALL = 0.1  # a greater decrease of a ratio is ordered in the same step
+URGENT_RATIO_DECREASE = 0.1  # a greater decrease of a ratio is ordered in the same step
 MIN_RATIO_CHANGE = 0.03  # smaller changes of a ratio are not ordered
 UNSENT_RATIO = -1.0
 UNLIMITED_RATE_PER_S = 1e6
@@ -38,7 +38,7 @@
     def is_urgent(self) -> bool:
         """Returns whether a ratio decreased so much that it is ordered before the next regular update."""
         return any(
-            self._admission.ratios[position] < ratio - URGENT_RATIO_FALL
+            self._admission.ratios[position] < ratio - URGENT_RATIO_DECREASE
             for (_, position), ratio in self._tables.admission_sent.items()
         )
 
--- a/kelpcourse/policy/budget.py
+++ b/kelpcourse/policy/budget.py
@@ -22,7 +22,8 @@
 BINDING_BACKLOG_SHARE = 0.6
 URGENT_BACKLOG_SHARE = 0.95
 
-BINDING_GRACE_SHARE = 0.25  # part of a drain's grace for queued bindings, or to delay a withdrawal
+# Part of a drain's grace that bindings may take, and by which a withdrawal may be delayed.
+BINDING_GRACE_SHARE = 0.25
 MIN_BINDING_SPAN_US = 1_000_000  # least time for queued bindings
 MAX_ACTIONS = 700  # actions of one step that fit in 60,000 bytes
 
@@ -79,7 +80,7 @@
         return entries + self._message_overhead_entries + 1
 
     def of_change(self, table: TableId, is_first: bool) -> float:
-        """Returns the cost of one more change of a table; the first one in a step adds a message to each holder."""
+        """Returns the cost of one more change of a table; the first one in a step adds a message to each proxy."""
         per_proxy = 1 + (self._message_overhead_entries + 1) if is_first else 1
         return len(self._tables.bound_proxies[table]) * per_proxy
 
@@ -115,7 +116,9 @@
         """
         self.actions = actions
         self.queued_entries = queued_entries
-        self.changes: Counter[TableId] = Counter()  # number of orders to all holders of each table
+        self.changes: Counter[TableId] = (
+            Counter()
+        )  # number of orders to all proxies bound to a table
         self.endpoint_orders = 0  # number of withdrawals and restores
         self._costs = costs
 
@@ -128,7 +131,7 @@
         return len(self.actions) + action_count < MAX_ACTIONS
 
     def change_cost(self, table: TableId) -> float:
-        """Returns the cost of one more change of a table."""
+        """Returns the cost of one more change of a table in this step."""
         return self._costs.of_change(table, table not in self.changes)
 
     def change(self, table: TableId, action: Action) -> None:
@@ -153,7 +156,7 @@
         return self._costs.of_unbound(self.endpoint_orders)
 
     def entries_by_proxy(self, tables: RoutingTables) -> Counter[ProxyId]:
-        """Returns the entries for each bound proxy; a later binding of the step contains them as well."""
+        """Returns the entries for each proxy bound so far; bindings later in the step contain the changes already."""
         entries: Counter[ProxyId] = Counter()
         for table, count in self.changes.items():
             entries.update(dict.fromkeys(tables.bound_proxies[table], count))
--- a/kelpcourse/policy/controller.py
+++ b/kelpcourse/policy/controller.py
@@ -115,7 +115,7 @@
         return actions
 
     def _apply(self, now_us: int, event: Event, actions: list[Action]) -> None:
-        match event:  # most frequent events first
+        match event:  # the most frequent events are first
             case EndpointReport():
                 self._add_endpoint_report(now_us, event)
             case DemandReport():
--- a/kelpcourse/policy/fill.py
+++ b/kelpcourse/policy/fill.py
@@ -10,7 +10,7 @@
 
 from kelpcourse.policy.arithmetic import MIN_DIVISOR
 
-FRACTION_STEPS = 2**30  # steps that divide a fraction of 1
+FRACTION_STEPS = 2**30  # steps from a fraction of 0 to one of 1
 MAX_FRACTION_STEPS = 2 * FRACTION_STEPS  # at a fraction of 2 every class is admitted in full
 
 Rates = Sequence[float]
--- a/kelpcourse/policy/outliers.py
+++ b/kelpcourse/policy/outliers.py
@@ -30,7 +30,7 @@
 
     Attributes:
         failure_ratio: Ratio of failures to attempts at the endpoints that are not ejected.
-        ejected: Whether an endpoint was ejected, so that weights have to fall without delay.
+        ejected: Whether an endpoint was ejected, so that weights must be decreased without delay.
     """
 
     failure_ratio: float
--- a/kelpcourse/policy/settings.py
+++ b/kelpcourse/policy/settings.py
@@ -88,9 +88,9 @@
     report_period_us: int
     delivery_entries_per_s: float  # table entries that leave the delivery queue in a second
     max_backlog_entries: float  # table entries that may be in the delivery queue
-    message_overhead_entries: float  # cost of a message without its entries
-    min_endpoint_connections: float  # accepted by the smallest endpoint; 0 if unknown
-    max_messages_per_proxy: int  # limit within the message window; 0 for none
+    message_overhead_entries: float  # table entries that a message costs besides its own
+    min_endpoint_connections: float  # connections that the smallest endpoint accepts; 0 if unknown
+    max_messages_per_proxy: int  # messages to one proxy within the message window; 0 for no limit
     message_window_us: int  # window in which messages to a proxy are counted
     mean_transit_us: int  # time from leaving the delivery queue to arriving at the proxy
     max_transit_us: int
--- a/kelpcourse/policy/tables.py
+++ b/kelpcourse/policy/tables.py
@@ -11,7 +11,7 @@
 from kelpcourse.policy.settings import EndpointId, ProxyId, RequestClass, Settings, TableId
 from kelpcourse.policy.subsetting import subset_of
 
-BINDING_GRACE_SHARE = 0.75  # part of a drain's grace in which all proxies can be bound
+ALL_BINDINGS_GRACE_SHARE = 0.75  # part of a drain's grace in which all proxies can be bound
 MIN_TABLE_ENTRIES = 12.0
 CONNECTION_SHARE = 0.5  # usable part of the connections that the smallest endpoint accepts
 SUBSETS_PER_ENDPOINT = 2.0  # mean number of subsets that contain an endpoint
@@ -34,7 +34,7 @@
     def __init__(self, settings: Settings) -> None:
         """Lays out empty tables for an unknown number of endpoints."""
         self._settings = settings
-        per_proxy = BINDING_GRACE_SHARE * (settings.delivery_entries_per_s / US_PER_S)
+        per_proxy = ALL_BINDINGS_GRACE_SHARE * (settings.delivery_entries_per_s / US_PER_S)
         self.max_binding_entries = (
             per_proxy * settings.drain_grace_us / settings.proxy_count
             - settings.message_overhead_entries
@@ -59,9 +59,8 @@
         table_ids = [table for ids in self.ids_by_key.values() for table in ids]
         self.entries: dict[TableId, dict[EndpointId, float]] = {table: {} for table in table_ids}
         self.bound_proxies: dict[TableId, dict[ProxyId, int]] = {table: {} for table in table_ids}
-        self.admission_sent: dict[
-            tuple[TableId, int], float
-        ] = {}  # latest ordered ratio by table and class
+        # Latest ordered admission ratio by table and position of the class.
+        self.admission_sent: dict[tuple[TableId, int], float] = {}
         self.ids_by_class = [
             self._table_ids_of_class(position) for position in range(len(self._settings.classes))
         ]
@@ -94,7 +93,7 @@
             self.entries[table][endpoint] = weight
 
     def unbind(self, proxy: ProxyId) -> None:
-        """Removes a proxy from the holders of all tables."""
+        """Removes a proxy from the bound proxies of all tables."""
         for bound_proxies in self.bound_proxies.values():
             bound_proxies.pop(proxy, None)
 
