--- a/kelpcourse/policy/bindings.py
+++ b/kelpcourse/policy/bindings.py
@@ -20,7 +20,7 @@
     """The zone and the usual request rate that a proxy reported when it joined."""
 
     zone: str
-    usual_rate: float  # requests per second
+    usual_rate: float  # usual rate of the proxy, in requests per second
 
 
 class ProxyBindings:
--- a/kelpcourse/policy/relative_capacity.py
+++ b/kelpcourse/policy/relative_capacity.py
@@ -17,7 +17,7 @@
 FIRST_REPORT_COUNT = 1.0
 PRIOR_RESPONSES = 4.0  # assumed responses that take the mean time of the endpoint's kind
 MIN_UTILIZATION = 0.1  # utilization below which a load report is noise
-# Odds of the response times at which load reports contradict them and are disregarded.
+# Odds of the response times at or below which load reports contradict them and are ignored.
 MIN_CONSISTENT_ODDS = 0.4
 MIN_LOAD_ODDS = 0.1
 INHERITANCE_ATTEMPTS = 12.0  # mean attempts at an endpoint that reveal inherited weights
