--- a/kelpcourse/facade/facade.py
+++ b/kelpcourse/facade/facade.py
@@ -269,7 +269,7 @@
             return True
         return self._step_due_us is not None and self._step_due_us <= now_us
 
-    def pick(self) -> Work:
+    def take_work(self) -> Work:
         """The work that steps have asked for since the last pick."""
         work = self._work
         self._work = Work()
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -122,7 +122,7 @@
     facade.report_proxy_left(0)
     facade.tick(2000)
     facade.tick(5000)
-    work = facade.pick()
+    work = facade.take_work()
     assert work.orders == [
         orders.SetWeight(0, "h1", 0.333333),
         orders.ClearTable(2),
@@ -137,7 +137,7 @@
     assert (
         work.undeliverable == 2
     )  # a peer, for whom there is no word here, and a host never listed
-    assert facade.pick().orders == []
+    assert facade.take_work().orders == []
 
 
 @pytest.mark.parametrize(
@@ -197,7 +197,7 @@
     facade.report_proxy_left(0)
     facade.tick(2000)
     facade.tick(2000 + 10 * MS)
-    assert facade.pick().undeliverable == 5
+    assert facade.take_work().undeliverable == 5
 
 
 def test_time_never_goes_back_for_the_policy(facade: Facade, policy: ScriptedPolicy) -> None:
