--- a/kelpcourse/memory/order_queue.py
+++ b/kelpcourse/memory/order_queue.py
@@ -140,7 +140,7 @@
         while len(self._superseded) > self._max_superseded:
             del self._superseded[next(iter(self._superseded))]
 
-    def forget_proxy(self, proxy: int) -> None:
+    def drop_bindings(self, proxy: int) -> None:
         """Drops bindings of a proxy that has left: the relay would reject them.
 
         Those in the call are dropped if it is requeued; a binding ordered after the proxy's return stays.
--- a/kelpcourse/wire/relay_events.py
+++ b/kelpcourse/wire/relay_events.py
@@ -146,7 +146,7 @@
                 facade.report_proxy_joined(proxy, zone, request_rate, has_no_table)
             case Left(proxy):
                 counters.add("relay_proxies_left")
-                self._orders.forget_proxy(proxy)
+                self._orders.drop_bindings(proxy)
                 facade.report_proxy_left(proxy)
             case Applied(proxy, checkpoint_id, lag_ms):
                 counters.add("relay_acknowledgements")
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -54,7 +54,7 @@
                 case Joined(proxy, zone, share, standing):
                     self.facade.report_proxy_joined(proxy, zone, share, standing)
                 case Left(proxy):
-                    self.outbox.forget_proxy(proxy)
+                    self.outbox.drop_bindings(proxy)
                     self.facade.report_proxy_left(proxy)
                 case Applied(proxy, stamp, lag_ms):
                     for answered in self.outbox.covered_checkpoints(stamp):
--- a/tests/test_order_queue.py
+++ b/tests/test_order_queue.py
@@ -173,7 +173,7 @@
     queue = OrderQueue(100, 8)
     queue.add([SetWeight(0, "a", 1.0), BindProxy(1, 0, ())])
     queue.begin_call()
-    queue.forget_proxy(1)
+    queue.drop_bindings(1)
     queue.requeue_call()
     assert queue.begin_call() == [SetWeight(0, "a", 1.0)]
 
@@ -183,7 +183,7 @@
     queue = OrderQueue(100, 8)
     queue.add([BindProxy(1, 0, ()), BindProxy(2, 0, ())])
     queue.begin_call()
-    queue.forget_proxy(1)
+    queue.drop_bindings(1)
     queue.add([BindProxy(1, 3, ())])
     queue.requeue_call()
     assert queue.begin_call() == [BindProxy(2, 0, ()), BindProxy(1, 3, ())]
