--- a/kelpcourse/service/signals.py
+++ b/kelpcourse/service/signals.py
@@ -9,7 +9,7 @@
 
 from kelpcourse.wire.loop import READ, Coroutine, Wait
 
-CAUGHT = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 READ_BYTES = 64  # one byte for each signal
 
 
@@ -27,7 +27,7 @@
         self._write_end.setblocking(False)
         self._pending: deque[int] = deque()
         signal.set_wakeup_fd(self._write_end.fileno(), warn_on_full_buffer=False)
-        for number in CAUGHT:
+        for number in HANDLED_SIGNALS:
             signal.signal(number, lambda *_: None)
 
     def read(self, on_signal: Callable[[int], None]) -> Coroutine[None]:
