--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -19,7 +19,7 @@
 from tests.standins import Caller, StandIn, entry, listed
 from tests.test_config import ROOT
 
-PATIENCE_S = 60.0  # far beyond what anything here takes: only a controller that is stuck meets it
+TIMEOUT_S = 60.0  # far beyond what anything here takes: only a controller that is stuck meets it
 ENDPOINTS = [{**entry(f"s-{k}"), "locality": "room-a" if k % 2 else "room-b"} for k in range(4)]
 
 
@@ -75,7 +75,7 @@
         return self.process
 
     def until(self, what: Callable[[], object]) -> None:
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + TIMEOUT_S
         while not what():
             assert time.monotonic() < end, (self.orders[-5:], self.unexpected_errors)
             assert self.process is None or self.process.poll() is None, self.process.communicate()
@@ -84,7 +84,7 @@
     def ping(self) -> bool:
         """Whether it answers a ping."""
         try:
-            with socket.create_connection(self.listen, PATIENCE_S) as peer:
+            with socket.create_connection(self.listen, TIMEOUT_S) as peer:
                 peer.sendall(b"ping\r\n")
                 return peer.recv(64) == b"pong\r\n"
         except OSError:
@@ -117,11 +117,11 @@
             yield from caller.line(b"{}" if source is self.events else b"")
             yield Wait(now_us() + 20_000)
 
-    def ordered(self, **fields: object) -> bool:
+    def has_order(self, **fields: object) -> bool:
         """Whether an order with these fields has come."""
         return any(fields.items() <= order.items() for order in self.orders)
 
-    def move(self, **changes: object) -> None:
+    def move_relay_and_discovery(self, **changes: object) -> None:
         """Relay and discovery go on at other addresses, which the file tells."""
         self.relay = StandIn(self.loop, self._serve_relay)
         self.discovery = StandIn(self.loop, self._serve_discovery)
@@ -137,19 +137,19 @@
         for number in numbers:
             os.kill(self.process.pid, number)
 
-    def ended(self) -> list[dict[str, Any]]:
+    def wait_for_exit(self) -> list[dict[str, Any]]:
         """What it logged until it ended by itself, without an error."""
         assert self.process is not None
-        output, errors = self.process.communicate(timeout=PATIENCE_S)
+        output, errors = self.process.communicate(timeout=TIMEOUT_S)
         assert (self.process.returncode, errors) == (0, b"")
         return log_lines(output)
 
-    def logged(self, event: str) -> dict[str, Any]:
+    def wait_for_log_event(self, event: str) -> dict[str, Any]:
         """The next line of an event."""
         assert self.process is not None
         assert self.process.stdout is not None
         while True:
-            assert select.select([self.process.stdout], [], [], PATIENCE_S)[0]
+            assert select.select([self.process.stdout], [], [], TIMEOUT_S)[0]
             line: dict[str, Any] = orjson.loads(self.process.stdout.readline())
             if line["event"] == event:
                 return line
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -13,7 +13,7 @@
 
 from tests.deployment import (
     ENDPOINTS,
-    PATIENCE_S,
+    TIMEOUT_S,
     Deployment,
     free_address,
     log_lines,
@@ -34,17 +34,18 @@
     ]
     deployment.until(
         lambda: (
-            deployment.ordered(verb="USE", sidecar=0) and deployment.ordered(verb="USE", sidecar=1)
+            deployment.has_order(verb="USE", sidecar=0)
+            and deployment.has_order(verb="USE", sidecar=1)
         )
     )
     assert {o["host"] for o in deployment.orders if o["verb"] == "SET"} == {
         f"s-{k}" for k in range(4)
     }
-    assert not deployment.ordered(verb="OUT")
+    assert not deployment.has_order(verb="OUT")
     deployment.lists.append(listed(42, {**ENDPOINTS[2], "phase": "draining"}, whole=False))
-    deployment.until(lambda: deployment.ordered(verb="OUT", host="s-2"))
+    deployment.until(lambda: deployment.has_order(verb="OUT", host="s-2"))
     os.kill(process.pid, signal.SIGTERM)
-    output, errors = process.communicate(timeout=PATIENCE_S)
+    output, errors = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 0
     assert errors == b""
     lines = log_lines(output)
@@ -61,7 +62,7 @@
     assert process.stdout is not None
     line: dict[str, Any] = {}
     while line.get("event") != "counters":
-        assert select.select([process.stdout], [], [], PATIENCE_S)[0]
+        assert select.select([process.stdout], [], [], TIMEOUT_S)[0]
         line = orjson.loads(process.stdout.readline())
     assert line["counters"]["pings"] >= 1
     assert deployment.ping()
@@ -97,7 +98,7 @@
     crowd = [socket.create_connection(deployment.listen) for _ in range(100)]
     deployment.until(deployment.ping)
     deployment.events += [joined(0).replace(b"east", b"room-a")]
-    deployment.until(lambda: deployment.ordered(verb="USE", sidecar=0))
+    deployment.until(lambda: deployment.has_order(verb="USE", sidecar=0))
     deployment.until(deployment.ping)
     for client in crowd:
         client.close()
@@ -112,7 +113,7 @@
         ),
     ]:
         deployment.config(**changes)
-        output, errors = deployment.start().communicate(timeout=PATIENCE_S)
+        output, errors = deployment.start().communicate(timeout=TIMEOUT_S)
         assert deployment.process is not None
         assert deployment.process.returncode == 2
         assert output == b""
@@ -125,7 +126,7 @@
 ) -> None:
     deployment.listen = ("192.0.2.1", 5000)
     deployment.config()
-    _, errors = deployment.start().communicate(timeout=PATIENCE_S)
+    _, errors = deployment.start().communicate(timeout=TIMEOUT_S)
     assert deployment.process is not None
     assert deployment.process.returncode == 2
     assert errors.startswith(b"kelpcourse: field 'listen': 192.0.2.1:5000: ")
@@ -140,7 +141,7 @@
     for peer in held[:10]:
         peer.sendall(b"collector az=room-a\r\nheard az=room")  # half a line
     deployment.signal(signal.SIGTERM)
-    assert deployment.ended()
+    assert deployment.wait_for_exit()
     deployment.start()
     deployment.until(deployment.ping)
     for peer in held:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -19,10 +19,10 @@
     deployment.start()
     deployment.until(deployment.ping)
     deployment.events += [joined(0).replace(b"east", b"room-a")]
-    deployment.until(lambda: deployment.ordered(verb="USE", sidecar=0))
+    deployment.until(lambda: deployment.has_order(verb="USE", sidecar=0))
     for version in (42, 43):
         old = (deployment.relay, deployment.discovery)
-        deployment.move()
+        deployment.move_relay_and_discovery()
         deployment.until(
             lambda: deployment.relay.connections >= 2 and deployment.discovery.connections
         )
@@ -30,9 +30,9 @@
             stand_in.close()
         drains = ENDPOINTS[version - 41]
         deployment.lists.append(listed(version, {**drains, "phase": "draining"}, whole=False))
-        deployment.until(partial(deployment.ordered, verb="OUT", host=drains["id"]))
+        deployment.until(partial(deployment.has_order, verb="OUT", host=drains["id"]))
     deployment.events += [joined(1).replace(b"east", b"room-b")]
-    deployment.until(lambda: deployment.ordered(verb="USE", sidecar=1))
+    deployment.until(lambda: deployment.has_order(verb="USE", sidecar=1))
     bound = [o["cluster"] for o in deployment.orders if o["verb"] == "USE" and o["sidecar"] == 0]
     assert len(bound) == len(set(bound))
     assert deployment.ping()
@@ -49,15 +49,15 @@
         deployment.config(**changes)
         deployment.reload()
         while (
-            deployment.logged("configuration_reload_failed")["reason"] != reason
+            deployment.wait_for_log_event("configuration_reload_failed")["reason"] != reason
         ):  # the one before is still being retried
             pass
     deployment.path.write_bytes(b'{"name": ')
     deployment.reload()
-    while "not JSON" not in deployment.logged("configuration_reload_failed")["reason"]:
+    while "not JSON" not in deployment.wait_for_log_event("configuration_reload_failed")["reason"]:
         pass
     deployment.events += [joined(0).replace(b"east", b"room-a")]
-    deployment.until(lambda: deployment.ordered(verb="USE", sidecar=0))
+    deployment.until(lambda: deployment.has_order(verb="USE", sidecar=0))
 
 
 def test_a_reload_names_what_requires_a_restart(deployment: Deployment) -> None:
@@ -65,10 +65,13 @@
     deployment.until(deployment.ping)
     deployment.config(limits={"memory_mb": 33, "sockets": 512})
     deployment.reload()
-    line = deployment.logged("configuration_reloaded")
+    line = deployment.wait_for_log_event("configuration_reloaded")
     assert (line["changed"], line["requires_restart"]) == ([], ["sockets", "memory_mb"])
-    deployment.move()
-    assert deployment.logged("configuration_reloaded")["changed"] == ["discovery", "relay"]
+    deployment.move_relay_and_discovery()
+    assert deployment.wait_for_log_event("configuration_reloaded")["changed"] == [
+        "discovery",
+        "relay",
+    ]
 
 
 FAILING = """
@@ -92,11 +95,11 @@
     deployment.start(program=FAILING)
     deployment.until(deployment.ping)
     deployment.reload()
-    assert "unforeseen" in deployment.logged("unexpected_error")["error"]
+    assert "unforeseen" in deployment.wait_for_log_event("unexpected_error")["error"]
     deployment.reload()
-    assert "unforeseen" in deployment.logged("unexpected_error")["error"]
+    assert "unforeseen" in deployment.wait_for_log_event("unexpected_error")["error"]
     deployment.signal(signal.SIGTERM)
-    assert deployment.ended()[-1]["event"] == "stopped"
+    assert deployment.wait_for_exit()[-1]["event"] == "stopped"
 
 
 def test_a_configuration_that_is_being_replaced_is_read_once_it_is_complete(
@@ -107,8 +110,8 @@
     deployment.until(deployment.ping)
     deployment.path.write_bytes(deployment.path.read_bytes()[:200])
     deployment.reload()
-    assert deployment.logged("configuration_reload_failed")["will_retry"] is True
+    assert deployment.wait_for_log_event("configuration_reload_failed")["will_retry"] is True
     deployment.discovery = StandIn(deployment.loop, deployment._serve_discovery)
     deployment.config()
-    assert deployment.logged("configuration_reloaded")["changed"] == ["discovery"]
+    assert deployment.wait_for_log_event("configuration_reloaded")["changed"] == ["discovery"]
     deployment.until(lambda: deployment.discovery.connections)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -31,9 +31,11 @@
         deployment.path.write_bytes(complete)  # for the reload
         pipe.write(complete)
     if early == signal.SIGTERM:
-        assert deployment.ended()[-1]["event"] == "stopped"
+        assert deployment.wait_for_exit()[-1]["event"] == "stopped"
         return
-    assert deployment.logged("configuration_reloaded" if early == signal.SIGHUP else "counters")
+    assert deployment.wait_for_log_event(
+        "configuration_reloaded" if early == signal.SIGHUP else "counters"
+    )
     deployment.until(deployment.ping)
 
 
@@ -50,7 +52,7 @@
         signal.SIGTERM,
         signal.SIGCONT,
     )
-    events = [line["event"] for line in deployment.ended()]
+    events = [line["event"] for line in deployment.wait_for_exit()]
     assert {"configuration_reloaded", "counters", "stopped"} <= set(events)
     assert events.count("stopped") == 1
 
@@ -63,7 +65,7 @@
     deployment.events += [joined(0).replace(b"east", b"room-a")]
     deployment.until(lambda: deployment.orders)
     deployment.signal(signal.SIGTERM)
-    assert deployment.ended()[-1]["counters"].get("relay_orders_accepted", 0) == 0
+    assert deployment.wait_for_exit()[-1]["counters"].get("relay_orders_accepted", 0) == 0
 
 
 def test_it_ends_immediately_while_its_address_is_still_in_use(
@@ -71,6 +73,6 @@
 ) -> None:
     with socket.create_server(deployment.listen):
         deployment.start()
-        assert deployment.logged("address_in_use")
+        assert deployment.wait_for_log_event("address_in_use")
         deployment.signal(signal.SIGTERM)
-        assert deployment.ended()[-1]["event"] == "stopped"
+        assert deployment.wait_for_exit()[-1]["event"] == "stopped"
