--- a/kelpcourse/memory/coalesce.py
+++ b/kelpcourse/memory/coalesce.py
@@ -1,4 +1,4 @@
-"""Coalescing of orders: many batches become one or two with the same end result."""
+"""Coalesces batches of orders into one or two batches with the same end result."""
 
 from __future__ import annotations
 
@@ -19,48 +19,50 @@
 def coalesce(batches: Iterable[Sequence[Order]], max_superseded: int) -> list[list[Order]]:
     """Merges batches into one, or into two if endpoints are withdrawn.
 
-    Withdrawals go first, in a batch of their own: they have a time limit, and a long backlog takes a while to deliver.
-    Both batches end in the checkpoint: proxies that the second does not concern would never acknowledge the first.
+    Withdrawals are sent first, in a separate batch, because they have a time limit and a long backlog takes time to
+    deliver. Both batches end in the checkpoint; otherwise proxies that receive nothing from the second batch would
+    never acknowledge the first.
 
     Args:
-        batches: Orders of successive steps.
-        max_superseded: Earlier checkpoints that the last one stands for at most.
+        batches: Orders of successive steps, oldest first.
+        max_superseded: Maximum number of earlier checkpoints that the last checkpoint supersedes.
     """
     merged: dict[OrderKey, Order] = {}
     for batch in batches:
         for order in batch:
-            _add(merged, order, max_superseded)
+            _merge_order(merged, order, max_superseded)
     withdrawn = {order.endpoint for order in merged.values() if isinstance(order, WithdrawEndpoint)}
-    urgent = [order for order in merged.values() if _withdraws(order, withdrawn)]
-    rest = [order for order in merged.values() if not _withdraws(order, withdrawn)]
+    urgent = [order for order in merged.values() if _is_withdrawal(order, withdrawn)]
+    rest = [order for order in merged.values() if not _is_withdrawal(order, withdrawn)]
     if urgent and CHECKPOINT_KEY in merged:
         urgent.append(merged[CHECKPOINT_KEY])
-    if rest == urgent[-1:]:  # nothing but the checkpoint
+    if rest == urgent[-1:]:  # the second batch would hold only the checkpoint
         rest = []
     return [batch for batch in (urgent, rest) if batch]
 
 
-def _withdraws(order: Order, withdrawn: set[str]) -> bool:
-    """Whether an order withdraws an endpoint, or removes one of `withdrawn` from a table.
+def _is_withdrawal(order: Order, withdrawn: set[str]) -> bool:
+    """Returns whether an order withdraws an endpoint, or removes one of `withdrawn` from a table.
 
-    Removals go along, as a proxy without an entry for the endpoint needs no message about it.
+    Removals are sent together with the withdrawals because a proxy without an entry for the endpoint needs no message
+    about its withdrawal.
     """
     if isinstance(order, SetWeight):
         return order.weight == 0 and order.endpoint in withdrawn
     return isinstance(order, WithdrawEndpoint)
 
 
-def _add(merged: dict[OrderKey, Order], order: Order, max_superseded: int) -> None:
-    """Adds an order behind others and takes out those that it overrides.
+def _merge_order(merged: dict[OrderKey, Order], order: Order, max_superseded: int) -> None:
+    """Appends an order and removes the earlier orders that it supersedes.
 
-    The checkpoint stays last, as it stands for all orders of its call.
+    The checkpoint stays last because it covers all orders of its call.
     """
     if isinstance(order, ClearTable):
         _remove_entries(merged, order.table)
     checkpoint = merged.pop(CHECKPOINT_KEY, None)
     if isinstance(order, Checkpoint):
         if isinstance(checkpoint, Checkpoint):
-            order = _supersede(checkpoint, order, max_superseded)
+            order = _merge_checkpoints(checkpoint, order, max_superseded)
         merged[CHECKPOINT_KEY] = order
         return
     merged.pop(order.key, None)
@@ -75,9 +77,10 @@
             del merged[key]
 
 
-def _supersede(earlier: Checkpoint, later: Checkpoint, max_superseded: int) -> Checkpoint:
-    """The later checkpoint, which stands for the earlier one too."""
-    if earlier.checkpoint_id == later.checkpoint_id:  # a step whose withdrawals went ahead
+def _merge_checkpoints(earlier: Checkpoint, later: Checkpoint, max_superseded: int) -> Checkpoint:
+    """Returns the later checkpoint, extended to supersede the earlier one."""
+    # Both batches of a step whose withdrawals were sent first end in the same checkpoint.
+    if earlier.checkpoint_id == later.checkpoint_id:
         return later
     superseded = (*earlier.superseded, earlier.checkpoint_id, *later.superseded)
     return Checkpoint(
--- a/kelpcourse/memory/endpoints.py
+++ b/kelpcourse/memory/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: what it says of each endpoint, and the numbers that the policy knows them by."""
+"""The endpoint list: its entries, and the numbers by which the policy identifies endpoints."""
 
 from __future__ import annotations
 
@@ -19,34 +19,37 @@
     cell: int
     status: EndpointStatus
     weight: float  # relative capacity
-    started_ms: float  # Unix time, 0: long ago
+    started_ms: float  # Unix time of the start in milliseconds; 0 if the endpoint started long ago
 
 
 class EndpointRegistry:
-    """Numbers for the names of endpoints, kept after an endpoint has gone.
+    """Assigns numbers to endpoint names and keeps them after an endpoint has left the list.
 
-    Beyond a limit those that have been gone longest are forgotten.
+    Beyond a limit, the names that left the list longest ago are evicted.
     """
 
     def __init__(self, max_names: int) -> None:
-        """Starts empty.
+        """Initializes an empty registry.
 
         Args:
-            max_names: Names to remember; those that are listed always are.
+            max_names: Maximum number of names to retain. Names of listed endpoints are always retained.
         """
         self._max_names = max_names
         self._next_number = 1
         self._numbers: dict[str, int] = {}
         self._names: dict[int, str] = {}
-        self._addresses: dict[str, tuple[str, int]] = {}  # of those listed now
-        self._gone: dict[str, None] = {}  # in the order they went
+        self._addresses: dict[str, tuple[str, int]] = {}  # of listed endpoints, by name
+        self._gone: dict[str, None] = {}  # names that left the list, oldest first
 
     def __len__(self) -> int:
-        """Names remembered."""
+        """Returns the number of retained names."""
         return len(self._numbers)
 
     def update(self, endpoints: Sequence[ListedEndpoint], full_list: bool) -> None:
-        """Takes changes of the list or, if `full_list`, all of it: those not in it are gone."""
+        """Applies changes to the list.
+
+        If `full_list` is true, the endpoints are the complete list, and all others are marked as gone.
+        """
         if full_list:
             listed = {endpoint.name for endpoint in endpoints}
             for name in list(self._addresses):
@@ -59,7 +62,7 @@
             else:
                 self._addresses[endpoint.name] = endpoint.address
                 self._gone.pop(endpoint.name, None)
-        self._forget_oldest()
+        self._evict_oldest()
 
     def _assign_number(self, name: str) -> None:
         if name in self._numbers:
@@ -73,20 +76,20 @@
         self._gone.pop(name, None)
         self._gone[name] = None
 
-    def _forget_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         while len(self._numbers) > self._max_names and self._gone:
             name = next(iter(self._gone))
             del self._gone[name]
             del self._names[self._numbers.pop(name)]
 
     def number_of(self, name: str) -> int | None:
-        """The number of a name, or None if it was never listed or is forgotten."""
+        """Returns the number of a name, or None if the name was never listed or has been evicted."""
         return self._numbers.get(name)
 
     def name_of(self, number: int) -> str | None:
-        """The name with a number, or None if it is forgotten."""
+        """Returns the name with a number, or None if the name has been evicted."""
         return self._names.get(number)
 
     def address_of(self, name: str) -> tuple[str, int] | None:
-        """Where an endpoint listens, or None if it is not listed now."""
+        """Returns the address at which an endpoint listens, or None if it is not listed."""
         return self._addresses.get(name)
--- a/kelpcourse/memory/orders.py
+++ b/kelpcourse/memory/orders.py
@@ -1,6 +1,6 @@
-"""Orders to the relay, by endpoint name.
+"""Orders to the relay, which identify endpoints by name.
 
-Each order states an end result; its key says which earlier orders it supersedes.
+Each order states an end result; its key determines which earlier orders it supersedes.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 OrderKey = tuple[object, ...]
 
-CHECKPOINT_KEY: OrderKey = ("checkpoint",)  # a call has one checkpoint
+CHECKPOINT_KEY: OrderKey = ("checkpoint",)  # the same for all: a call has only one checkpoint
 
 
 @dataclass(frozen=True)
@@ -22,7 +22,7 @@
 
     @property
     def key(self) -> OrderKey:
-        """Orders with this key are superseded."""
+        """The key of the earlier orders that this order supersedes."""
         return ("weight", self.table, self.endpoint)
 
 
@@ -34,21 +34,21 @@
 
     @property
     def key(self) -> OrderKey:
-        """Orders with this key are superseded."""
+        """The key of the earlier orders that this order supersedes."""
         return ("clear", self.table)
 
 
 @dataclass(frozen=True)
 class BindProxy:
-    """Makes a proxy use a table for some classes."""
+    """Makes a proxy use a table for some request classes."""
 
     proxy: int
     table: int
-    classes: tuple[str, ...]  # empty: all
+    classes: tuple[str, ...]  # names of request classes; empty for all classes
 
     @property
     def key(self) -> OrderKey:
-        """Orders with this key are superseded."""
+        """The key of the earlier orders that this order supersedes."""
         return ("bind", self.proxy, self.classes)
 
 
@@ -60,7 +60,7 @@
 
     @property
     def key(self) -> OrderKey:
-        """Orders with this key are superseded, also by `RestoreEndpoint`."""
+        """The key of the earlier orders that this order supersedes, shared with `RestoreEndpoint`."""
         return ("withdrawn", self.endpoint)
 
 
@@ -72,36 +72,36 @@
 
     @property
     def key(self) -> OrderKey:
-        """Orders with this key are superseded, also by `WithdrawEndpoint`."""
+        """The key of the earlier orders that this order supersedes, shared with `WithdrawEndpoint`."""
         return ("withdrawn", self.endpoint)
 
 
 @dataclass(frozen=True)
 class SetAdmission:
-    """How much of some classes the proxies of a table admit, and when they retry."""
+    """Sets the admission limit of some request classes at the proxies of a table, and their retry policy."""
 
-    table: int | None  # None: all
-    classes: tuple[str, ...]  # empty: all
-    limit: float  # a ratio or requests per second, by `Settings.admission_mode`
+    table: int | None  # None for all tables
+    classes: tuple[str, ...]  # names of request classes; empty for all classes
+    limit: float  # a ratio or requests per second, depending on `Settings.admission_mode`
     retry_policy: int  # the value of a `RetryPolicy`
 
     @property
     def key(self) -> OrderKey:
-        """Orders with this key are superseded."""
+        """The key of the earlier orders that this order supersedes."""
         return ("admission", self.table, self.classes)
 
 
 @dataclass(frozen=True)
 class Checkpoint:
-    """Ends the orders of a call; proxies acknowledge it by its number."""
+    """Marks the end of a call's orders. Proxies acknowledge it by its number once they have applied them."""
 
     checkpoint_id: int
     all_proxies: bool
-    superseded: tuple[int, ...] = ()  # numbers of earlier checkpoints that this one stands for
+    superseded: tuple[int, ...] = ()  # numbers of earlier checkpoints, oldest first
 
     @property
     def key(self) -> OrderKey:
-        """Orders with this key are superseded."""
+        """The key of the earlier orders that this order supersedes."""
         return CHECKPOINT_KEY
 
 
--- a/kelpcourse/memory/proxies.py
+++ b/kelpcourse/memory/proxies.py
@@ -1,4 +1,4 @@
-"""Joined proxies, merged from several event streams that all report the same sequence of events."""
+"""Registry of joined proxies, merged from event streams that all report the same sequence of events."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True)
 class Joined:
-    """A proxy has joined, or was joined already when a stream's snapshot was taken."""
+    """A proxy has joined, or was already joined when a stream's snapshot was taken."""
 
     proxy: int
     zone: str
     request_rate_per_s: float  # requests per second that the proxy usually receives
-    has_no_table: bool  # it is bound to no table, so its first binding is yet to come
+    has_no_table: bool  # whether the proxy is still waiting for its first binding to a table
 
 
 @dataclass(frozen=True)
@@ -34,55 +34,72 @@
 
 
 ProxyEvent = Joined | Left | Applied
-HEARTBEATS_TO_SYNCHRONISE = 2  # on a synchronised stream, until one opened beside it is too
+
+# Heartbeats on synchronised streams after which a stream with a complete snapshot becomes synchronised too.
+HEARTBEATS_TO_SYNCHRONISE = 2
 
 
 @dataclass
 class StreamState:
-    """What one event stream has reported: a snapshot of the joined proxies, then each change."""
+    """State of one event stream, which reports a snapshot of the joined proxies and then each change.
+
+    Attributes:
+        opened_us: Time at which the stream was opened, in microseconds.
+        snapshot_deadline_us: Time in microseconds after which the snapshot counts as complete in any case.
+        expected: Events that synchronised streams have reported and this stream has not.
+        buffered: Events that this stream has reported since its snapshot and no synchronised stream has.
+        joined: Joined proxies as this stream has reported them, by proxy number.
+        snapshot_complete: Whether the snapshot has been received completely.
+        overlaps: Whether the stream has repeated an event of another one, so that its snapshot contains no event in
+            `expected`.
+        synchronised: Whether the stream has missed no reported event.
+        heartbeats: Heartbeats on synchronised streams while this stream was not synchronised.
+    """
 
     opened_us: int
-    snapshot_deadline_us: int  # the snapshot counts as complete from then on at the latest
-    ahead: deque[ProxyEvent]  # reported by synchronised streams, not yet by this one
-    buffered: deque[ProxyEvent]  # reported since its snapshot, by no synchronised stream yet
+    snapshot_deadline_us: int
+    expected: deque[ProxyEvent]
+    buffered: deque[ProxyEvent]
     joined: dict[int, Joined] = field(default_factory=dict)
     snapshot_complete: bool = False
-    overlaps: bool = False  # it repeated an event of another: nothing in `ahead` is of its snapshot
-    synchronised: bool = False  # it has missed nothing that was reported
-    heartbeats: int = 0  # counted on other streams, while this one is not synchronised
+    overlaps: bool = False
+    synchronised: bool = False
+    heartbeats: int = 0
 
 
 class ProxyRegistry:
     """Merges event streams into one sequence in which every event is reported once.
 
-    While one synchronised stream is left, or the last of them went on past the snapshot of another stream, no event is
-    missed. After a gap a proxy may have left and come back unseen, which ends its bindings: so each proxy in the next
-    snapshot is reported as joined once more, but not as left, as messages queued for it may still reach it.
+    No event is missed as long as one synchronised stream is open, or the last one stayed open until after the snapshot
+    of another stream. During a gap, a proxy may have left and rejoined unnoticed, which ends its bindings. Each proxy
+    in the next snapshot is therefore reported as joined again, but not as left, because messages queued for it may
+    still reach it.
     """
 
     def __init__(self, max_ahead: int, overlap_us: int) -> None:
-        """Starts without streams.
+        """Initializes a registry without streams.
 
         Args:
-            max_ahead: Events by which one stream may be ahead of another.
-            overlap_us: Time by which a stream must outlive another's snapshot to have reported all before it.
+            max_ahead: Maximum number of events by which one stream may be ahead of another.
+            overlap_us: Time in microseconds for which a stream must continue after another stream was opened to have
+                reported every event that precedes the other's snapshot.
         """
         self._max_ahead = max_ahead
         self._overlap_us = overlap_us
-        self._last_reported_us = 0  # by a synchronised stream
+        self._last_reported_us = 0  # time of the last line of a synchronised stream
         self._joined: set[int] = set()
         self._streams: dict[int, StreamState] = {}
 
     def __len__(self) -> int:
-        """Joined proxies."""
+        """Returns the number of joined proxies."""
         return len(self._joined)
 
     def stream_opened(self, stream_id: int, now_us: int, snapshot_deadline_us: int) -> None:
-        """Adds a stream, which is synchronised from the start if no other is."""
+        """Adds a stream, which is synchronised immediately if no other stream is."""
         self._streams[stream_id] = StreamState(
             opened_us=now_us,
             snapshot_deadline_us=snapshot_deadline_us,
-            ahead=deque(maxlen=self._max_ahead),
+            expected=deque(maxlen=self._max_ahead),
             buffered=deque(maxlen=self._max_ahead),
             synchronised=not self.synchronised,
         )
@@ -93,39 +110,40 @@
         return any(stream.synchronised for stream in self._streams.values())
 
     def any_synchronised(self, stream_ids: Iterable[int]) -> bool:
-        """Whether one of these streams could do without all others."""
+        """Returns whether one of these streams is synchronised, so that all others could be closed without a gap."""
         return any(
             stream_id in self._streams and self._streams[stream_id].synchronised
             for stream_id in stream_ids
         )
 
     def receive(self, stream_id: int, event: ProxyEvent | None, now_us: int) -> list[ProxyEvent]:
-        """Takes an event of a stream, or a heartbeat (None), and returns what is to be reported."""
+        """Processes an event of a stream, or a heartbeat (None), and returns the events to be reported."""
         stream = self._streams[stream_id]
         reported: list[ProxyEvent] = []
         past_snapshot = not isinstance(event, Joined) or now_us > stream.snapshot_deadline_us
         if past_snapshot and not stream.snapshot_complete:
             stream.snapshot_complete = True
             if stream.synchronised:
-                reported += self._leave_missing(stream)
+                reported += self._report_missing_as_left(stream)
         if stream.synchronised:
             self._last_reported_us = now_us
         if event is None:
             return reported + self._count_heartbeat(stream)
         _update(stream.joined, event)
         if stream.synchronised:
-            if not self._reported_before(stream, event):
-                self._pass_on(stream, event)
+            if not self._was_reported(stream, event):
+                self._expect_from_others(stream, event)
                 reported += self._apply(event)
-        elif stream.snapshot_complete and not self._reported_before(stream, event):
+        elif stream.snapshot_complete and not self._was_reported(stream, event):
             stream.buffered.append(event)
         return reported
 
     def stream_lost(self, stream_id: int) -> list[ProxyEvent]:
-        """Removes a stream that has ended and returns what is to be reported.
+        """Removes a stream that has ended and returns the events to be reported.
 
-        If no synchronised stream is left, the oldest of the others takes over: where the lost one stopped, if that one
-        went on past the other's snapshot, else with all that its snapshot holds.
+        If no synchronised stream remains, the oldest of the others becomes synchronised. If the lost stream continued
+        until after that one's snapshot, reporting resumes where the lost stream stopped. Otherwise every proxy that is
+        joined according to the new stream is reported as joined again.
         """
         self._streams.pop(stream_id, None)
         if self.synchronised or not self._streams:
@@ -139,40 +157,47 @@
             if not without_gap or event.proxy not in self._joined:
                 reported += self._apply(event)
         if successor.snapshot_complete:
-            reported += self._leave_missing(successor)
+            reported += self._report_missing_as_left(successor)
         return reported
 
     def _synchronise(self, stream: StreamState) -> list[ProxyEvent]:
-        """Lets a stream count as one that misses nothing, and reports what it has buffered."""
+        """Marks a stream as synchronised and returns its buffered events, to be reported."""
         if not stream.overlaps:
-            stream.ahead.clear()
+            stream.expected.clear()
         buffered = stream.buffered
         stream.buffered = deque(maxlen=self._max_ahead)
         stream.synchronised = True
         reported: list[ProxyEvent] = []
         for event in buffered:
-            self._pass_on(stream, event)
+            self._expect_from_others(stream, event)
             reported += self._apply(event)
         return reported
 
-    def _reported_before(self, stream: StreamState, event: ProxyEvent) -> bool:
-        """Whether others reported this first; what they reported before it is in this stream's snapshot."""
-        if event not in stream.ahead:
+    def _was_reported(self, stream: StreamState, event: ProxyEvent) -> bool:
+        """Returns whether another stream reported this event first, and removes it from the expected events.
+
+        Expected events that precede it are removed too, because this stream's snapshot contains them.
+        """
+        if event not in stream.expected:
             return False
-        _drop_through(stream.ahead, event)
+        _drop_through(stream.expected, event)
         stream.overlaps = True
         return True
 
-    def _pass_on(self, stream: StreamState, event: ProxyEvent) -> None:
-        """Expects an event from all other streams, unless they have reported it already."""
+    def _expect_from_others(self, stream: StreamState, event: ProxyEvent) -> None:
+        """Expects an event from every other stream that has not reported it yet."""
         for other in self._others(stream):
             if event in other.buffered:
                 _drop_through(other.buffered, event)
             else:
-                other.ahead.append(event)
+                other.expected.append(event)
 
     def _count_heartbeat(self, stream: StreamState) -> list[ProxyEvent]:
-        """Synchronises streams opened beside this one once it has reported all before their snapshot."""
+        """Counts a heartbeat for the other streams and returns the events to be reported.
+
+        After enough heartbeats, this stream has reported every event that precedes the snapshot of another stream,
+        which then becomes synchronised.
+        """
         reported: list[ProxyEvent] = []
         if not stream.synchronised:
             return reported
@@ -187,15 +212,18 @@
     def _others(self, stream: StreamState) -> list[StreamState]:
         return [other for other in self._streams.values() if other is not stream]
 
-    def _leave_missing(self, stream: StreamState) -> list[ProxyEvent]:
-        """Reports proxies that a complete snapshot does not hold as left."""
+    def _report_missing_as_left(self, stream: StreamState) -> list[ProxyEvent]:
+        """Returns events that report as left the joined proxies that are not in a complete snapshot."""
         reported: list[ProxyEvent] = []
         for proxy in sorted(self._joined - set(stream.joined)):
             reported += self._apply(Left(proxy))
         return reported
 
     def _apply(self, event: ProxyEvent) -> list[ProxyEvent]:
-        """Updates the joined proxies; an unknown proxy that leaves is not reported."""
+        """Updates the joined proxies and returns the event, to be reported.
+
+        Returns nothing if a proxy leaves that was not joined.
+        """
         match event:
             case Joined(proxy=proxy):
                 self._joined.add(proxy)
@@ -214,6 +242,6 @@
 
 
 def _drop_through(events: deque[ProxyEvent], last: ProxyEvent) -> None:
-    """Removes the oldest events up to and including one that is among them."""
+    """Removes the oldest events up to and including `last`, which must be among them."""
     while events.popleft() != last:
         pass
--- a/kelpcourse/service/controller.py
+++ b/kelpcourse/service/controller.py
@@ -36,7 +36,7 @@
 from kelpcourse.wire.stream import Address, listen
 
 EXIT_BAD_CONFIG = 2
-POLL_OFFSETS = 1_024  # controllers that poll discovery at times of their own
+RETRY_SPREAD_STEPS = 1_024  # controllers that poll discovery at times of their own
 
 
 class ControllerService:
@@ -79,7 +79,7 @@
             runtime,
             config.discovery,
             config.cached_list.version,
-            config.seed % POLL_OFFSETS / POLL_OFFSETS,
+            config.seed % RETRY_SPREAD_STEPS / RETRY_SPREAD_STEPS,
         )
         self._health_checker = HealthChecker(runtime)
         self._calls = RelayCalls(runtime, config.relay, self._queue, self._orders_queued)
