--- a/kelpcourse/facade/__init__.py
+++ b/kelpcourse/facade/__init__.py
@@ -1,4 +1,7 @@
-"""The facade before the routing policy, in blocking style: report, tick, and pick the work that is due."""
+"""The facade of the routing policy, a blocking interface.
+
+Callers report events, run due steps with `Facade.tick` and collect the resulting work with `Facade.take_work`.
+"""
 
 from kelpcourse.facade.facade import Facade, Policy
 from kelpcourse.facade.validation import InvalidReportError
--- a/kelpcourse/facade/facade.py
+++ b/kelpcourse/facade/facade.py
@@ -1,4 +1,4 @@
-"""The facade itself: reports go in as events, actions come out as work."""
+"""Implements the facade, which turns reports into events and the policy's actions into work."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
     InvalidReportError,
     Load,
     ReportValidator,
-    count,
-    load_report,
-    microseconds,
-    rate,
+    to_microseconds,
+    validate_count,
+    validate_load,
+    validate_rate,
 )
 from kelpcourse.facade.work import HealthCheckRequest, Work
 from kelpcourse.limits import Limits
@@ -52,17 +52,17 @@
 
 
 class Policy(Protocol):
-    """What decides."""
+    """A policy that decides on actions."""
 
     def step(self, now_us: int, events: Sequence[Event]) -> list[Action]:
-        """Takes events and returns what is to be done."""
+        """Processes events and returns the actions to be carried out."""
         ...
 
 
 class Facade:
-    """Reports become events of the next step; what a step asks for waits until it is picked.
+    """Turns reports into events of the next step, and collects the work that steps ask for.
 
-    Every `report_` method raises InvalidReportError, with nothing reported, for what is unknown or out of range.
+    Every `report_` method raises InvalidReportError, and reports nothing, if a value is unknown or out of range.
     """
 
     def __init__(
@@ -72,7 +72,14 @@
         limits: Limits,
         policy_factory: Callable[[Settings], Policy] = RoutingPolicy,
     ) -> None:
-        """Constructs the policy; nothing runs before `start`."""
+        """Constructs the policy; no step runs before `start`.
+
+        Args:
+            settings: Settings of the policy.
+            seed: Seed of the policy's random numbers.
+            limits: Sizes and times that are not decisions of the policy.
+            policy_factory: Constructs the policy from the settings.
+        """
         self._settings = settings
         self._limits = limits
         self._policy = policy_factory(settings)
@@ -81,69 +88,72 @@
         self._translator = OrderTranslator(settings, self._endpoints)
         self._timers = TimerQueue(limits.max_timers)
         self._events: list[Event] = [Started(seed)]
-        self._step_due_us: int | None = None  # when the events are handed to the policy
+        self._step_due_us: int | None = None  # when the pending events go to the policy
         self._work = Work()
         self._may_resend = False
-        self._checkpoints: dict[int, None] = {}  # numbers that were ordered, oldest first
+        self._checkpoints: dict[int, None] = {}  # numbers of ordered checkpoints, oldest first
         self._now_us = 0
 
     # Reports
 
     def report_cached_list(self, endpoints: Sequence[ListedEndpoint], version: int) -> None:
-        """The endpoint list as this controller last had it, before its start."""
+        """Reports the endpoint list that was last received before this controller started."""
         self._report_endpoints(EndpointListKind.RESTORED, endpoints, version)
 
     def report_list(
         self, endpoints: Sequence[ListedEndpoint], version: int, complete: bool
     ) -> None:
-        """The endpoint list, or changes to it."""
+        """Reports the complete endpoint list or changes to it."""
         kind = EndpointListKind.FULL if complete else EndpointListKind.CHANGES
         self._report_endpoints(kind, endpoints, version)
 
     def report_list_unavailable(self) -> None:
-        """A watch or a call for the list failed."""
+        """Reports that a watch of the endpoint list or a call for it has failed."""
         self._events.append(EndpointList(EndpointListKind.UNAVAILABLE, 0, ()))
 
     def has_zone(self, zone: str) -> bool:
-        """Whether the settings name a zone."""
+        """Returns whether a zone is in the settings."""
         return zone in self._settings.zones
 
     def report_proxy_joined(
         self, proxy: int, zone: str, request_rate_per_s: float, has_no_table: bool
     ) -> None:
-        """A proxy has joined."""
+        """Reports that a proxy has joined."""
         self._events.append(
             ProxyJoined(
                 self._validate.proxy(proxy),
                 self._validate.zone(zone),
-                rate(request_rate_per_s),
+                validate_rate(request_rate_per_s),
                 has_no_table,
             )
         )
 
     def report_proxy_left(self, proxy: int) -> None:
-        """A proxy has left."""
+        """Reports that a proxy has left."""
         self._events.append(ProxyLeft(self._validate.proxy(proxy)))
 
     def report_acknowledged(self, proxy: int, checkpoint_id: int, lag_ms: float) -> None:
-        """A proxy has applied everything up to a checkpoint."""
+        """Reports that a proxy has applied every order up to a checkpoint."""
         if checkpoint_id not in self._checkpoints:
             raise InvalidReportError(f"checkpoint {checkpoint_id}", "was never ordered")
         self._events.append(
-            OrdersAcknowledged(self._validate.proxy(proxy), checkpoint_id, microseconds(lag_ms))
+            OrdersAcknowledged(self._validate.proxy(proxy), checkpoint_id, to_microseconds(lag_ms))
         )
 
     def report_accepted(self, checkpoint_id: int) -> None:
-        """The relay accepted the call that ends in this checkpoint."""
+        """Reports that the relay has accepted the call that ends in this checkpoint."""
         self._events.append(OrdersAccepted(checkpoint_id))
 
     def report_outcome_unknown(self, checkpoint_ids: tuple[int, ...]) -> None:
-        """A call failed that may have been carried out; its orders wait to be resent."""
+        """Reports that a call failed which may have been carried out.
+
+        Its orders must not be resent until the policy allows it.
+        """
         self._may_resend = False
         self._events.append(OrdersOutcomeUnknown(checkpoint_ids))
 
     def may_resend(self) -> bool:
-        """Whether the policy has allowed orders of unknown outcome to be resent since."""
+        """Returns whether the policy has allowed orders to be resent since the last unknown outcome was reported."""
         return self._may_resend
 
     def report_attempts(
@@ -156,11 +166,11 @@
         mean_ms: float | None,
         load: Load,
     ) -> None:
-        """What the proxies of a zone measured at an endpoint; `mean_ms` is None without successes."""
+        """Reports what the proxies of a zone measured at an endpoint; `mean_ms` is None if no attempt succeeded."""
         window_us = self._validate.window_us(window_ms)
-        successes = self._validate.count_within(attempts, window_us) - count(failed)
+        successes = self._validate.count_within(attempts, window_us) - validate_count(failed)
         if successes < 0:
-            raise InvalidReportError(f"{failed} of {attempts} attempts", "failed")
+            raise InvalidReportError(f"{failed} failed attempts", f"exceed {attempts} attempts")
         mean_us = self._validate.mean_us(mean_ms, successes)
         self._events.append(
             EndpointReport(
@@ -170,14 +180,14 @@
                 failed,
                 window_us,
                 mean_us,
-                load_report(load),
+                validate_load(load),
             )
         )
 
     def report_demand(
         self, proxy: int, class_name: str, arrivals: int, unanswered: int, window_ms: float
     ) -> None:
-        """The requests of a class that reached a proxy."""
+        """Reports the requests of a class that reached a proxy."""
         class_index = self._validate.class_index(class_name)
         window_us = self._validate.window_us(window_ms)
         self._events.append(
@@ -191,10 +201,13 @@
         )
 
     def report_health_check(self, endpoint: str, status: str, latency_us: int, load: Load) -> None:
-        """The outcome of a health check, by the value of a `HealthCheckStatus`."""
+        """Reports the outcome of a health check; `status` is the value of a `HealthCheckStatus`."""
         self._events.append(
             HealthCheckCompleted(
-                self._number_of(endpoint), HealthCheckStatus(status), latency_us, load_report(load)
+                self._number_of(endpoint),
+                HealthCheckStatus(status),
+                latency_us,
+                validate_load(load),
             )
         )
 
@@ -202,10 +215,10 @@
         self, kind: EndpointListKind, endpoints: Sequence[ListedEndpoint], version: int
     ) -> None:
         self._endpoints.update(endpoints, kind is not EndpointListKind.CHANGES)
-        listed = tuple(self._listed(endpoint) for endpoint in endpoints)
+        listed = tuple(self._policy_endpoint(endpoint) for endpoint in endpoints)
         self._events.append(EndpointList(kind, version, listed))
 
-    def _listed(self, endpoint: ListedEndpoint) -> Endpoint:
+    def _policy_endpoint(self, endpoint: ListedEndpoint) -> Endpoint:
         return Endpoint(
             self._number_of(endpoint.name),
             endpoint.zone,
@@ -213,7 +226,7 @@
             endpoint.cell,
             endpoint.weight,
             endpoint.status,
-            microseconds(endpoint.started_ms),
+            to_microseconds(endpoint.started_ms),
         )
 
     def _number_of(self, endpoint: str) -> int:
@@ -225,7 +238,7 @@
     # Steps
 
     def next_due_us(self) -> int | None:
-        """When the next tick has something to do; None: nothing is pending."""
+        """Returns the time at which the next step is due, or None if no event or timer is pending."""
         timer_due_us = self._timers.next_due_us()
         if not self._events:
             return timer_due_us
@@ -233,14 +246,15 @@
         return step_due_us if timer_due_us is None else min(timer_due_us, step_due_us)
 
     def start(self, now_us: int) -> None:
-        """Runs the first step immediately: the policy takes the cached list before anyone is answered."""
+        """Runs the first step immediately, so that the policy has the cached list before any client is served."""
         self._step_due_us = now_us
         self.tick(now_us)
 
     def tick(self, now_us: int) -> bool:
-        """Runs a step if one is due, and returns whether it did. What arrives together goes into one step.
+        """Runs a step if one is due, and returns whether it did. Reports that arrive together share one step.
 
-        Raises whatever the policy raises; its timers are set again then, or the policy would stop.
+        Exceptions of the policy are propagated. The timers that fired in the failed step are then set again, because
+        the policy would stop without them.
         """
         now_us = max(now_us, self._now_us)
         self._now_us = now_us
@@ -270,7 +284,7 @@
         return self._step_due_us is not None and self._step_due_us <= now_us
 
     def take_work(self) -> Work:
-        """The work that steps have asked for since the last pick."""
+        """Returns the work that steps have asked for since the last call of this method."""
         work = self._work
         self._work = Work()
         return work
@@ -292,9 +306,9 @@
             case LogMessage(text):
                 self._work.log_messages.append(text)
             case SendToPeer():
-                self._work.undeliverable += 1  # no connection carries it here
+                self._work.undeliverable += 1  # this controller has no connection for it
             case _:
-                self._order(action)
+                self._add_order(action)
 
     def _set_timer(self, name: str, due_us: int) -> None:
         if not self._timers.add(name, due_us):
@@ -308,16 +322,16 @@
         else:
             self._work.health_checks.append(HealthCheckRequest(name, address))
 
-    def _order(self, action: Action) -> None:
+    def _add_order(self, action: Action) -> None:
         if isinstance(action, Checkpoint):
-            self._remember(action.checkpoint_id)
+            self._record_checkpoint(action.checkpoint_id)
         order = self._translator.order_of(action)
         if order is None:
             self._work.undeliverable += 1
         else:
             self._work.orders.append(order)
 
-    def _remember(self, checkpoint_id: int) -> None:
+    def _record_checkpoint(self, checkpoint_id: int) -> None:
         self._checkpoints.pop(checkpoint_id, None)
         self._checkpoints[checkpoint_id] = None
         if len(self._checkpoints) > self._limits.max_checkpoints:
--- a/kelpcourse/facade/translation.py
+++ b/kelpcourse/facade/translation.py
@@ -1,4 +1,4 @@
-"""Actions of the policy as orders to the relay: endpoints and classes by name, figures as the wire has them."""
+"""Translates the policy's actions into orders to the relay, with endpoints and classes identified by name."""
 
 from __future__ import annotations
 
@@ -18,15 +18,20 @@
 
 
 class OrderTranslator:
-    """Translates actions, with the names that the registry and the settings have."""
+    """Translates actions, using the names in the endpoint registry and the settings."""
 
     def __init__(self, settings: Settings, endpoints: EndpointRegistry) -> None:
-        """Takes where names come from."""
+        """Initializes a translator.
+
+        Args:
+            settings: Settings with the names of the request classes.
+            endpoints: Registry with the names of the endpoints.
+        """
         self._endpoints = endpoints
         self._class_names = [request_class.name for request_class in settings.classes]
 
     def order_of(self, action: Action) -> orders.Order | None:
-        """The order for an action, or None if its endpoint is forgotten or it is not for the relay."""
+        """Returns the order for an action, or None if its endpoint's name is unknown or the relay has no such order."""
         match action:
             case SetWeight(table, endpoint, weight):
                 name = self._endpoints.name_of(endpoint)
@@ -54,5 +59,5 @@
 
 
 def _rounded(value: float) -> float:
-    """As many digits as the simulator's wire carries."""
+    """Returns a value rounded to six significant digits, as many as the simulator's wire carries."""
     return float(f"{value:.6g}")
--- a/kelpcourse/facade/work.py
+++ b/kelpcourse/facade/work.py
@@ -1,4 +1,4 @@
-"""What the policy has asked for, by endpoint name."""
+"""Work that the policy has asked for, with endpoints identified by name."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class HealthCheckRequest:
-    """An endpoint to be checked."""
+    """A request to check the health of an endpoint."""
 
     endpoint: str
     address: tuple[str, int]
@@ -17,12 +17,24 @@
 
 @dataclass
 class Work:
-    """What steps of the policy have asked for since the last pick."""
+    """Work that steps of the policy have asked for since work was last taken.
+
+    Attributes:
+        orders: Orders to the relay, in the order in which they were given.
+        watch: Whether to start, or restart, the watch of the endpoint list (True) or to end it (False). None if the
+            watch stays as it is.
+        fetches: Number of requests for the complete endpoint list.
+        health_checks: Health checks to be made.
+        log_messages: Texts that the policy wants to be logged.
+        steps: Number of steps that the policy has taken.
+        undeliverable: Number of actions that could not be carried out: their endpoint's name is unknown or the endpoint
+            is not listed, no connection carries them, or too many timers are pending.
+    """
 
     orders: list[Order] = field(default_factory=list)
-    watch: bool | None = None  # start, or restart, the watch of the endpoint list, or end it
-    fetches: int = 0  # complete endpoint lists asked for
+    watch: bool | None = None
+    fetches: int = 0
     health_checks: list[HealthCheckRequest] = field(default_factory=list)
     log_messages: list[str] = field(default_factory=list)
     steps: int = 0
-    undeliverable: int = 0  # actions on endpoints that are forgotten, or that no connection carries
+    undeliverable: int = 0
