--- a/kelpcourse/facade/facade.py
+++ b/kelpcourse/facade/facade.py
@@ -76,7 +76,7 @@
 
         Args:
             settings: Settings of the policy.
-            seed: Seed of the policy's random numbers.
+            seed: Seed that the policy receives in its first event.
             limits: Sizes and times that are not decisions of the policy.
             policy_factory: Constructs the policy from the settings.
         """
--- a/kelpcourse/service/__init__.py
+++ b/kelpcourse/service/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop of the controller: configuration, limits, log, signals and the components."""
+"""Runs the controller as a process: configuration, limits, log, signals and components."""
--- a/kelpcourse/service/clock.py
+++ b/kelpcourse/service/clock.py
@@ -1,4 +1,4 @@
-"""The one clock: monotonic, set against Unix time once."""
+"""The clock of the process: monotonic, and set to Unix time once."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class Clock:
-    """Microseconds of Unix time that never go back, whatever is done to the system's clock."""
+    """A clock of Unix time in microseconds that never goes back, even if the system clock is changed."""
 
     def __init__(self) -> None:
-        """Takes the Unix time of now."""
+        """Sets the clock to the current Unix time."""
         self._offset_ns = time.time_ns() - time.monotonic_ns()
 
     def __call__(self) -> int:
-        """Unix time in microseconds."""
+        """Returns the Unix time in microseconds."""
         return (time.monotonic_ns() + self._offset_ns) // 1000
--- a/kelpcourse/service/config.py
+++ b/kelpcourse/service/config.py
@@ -1,4 +1,4 @@
-"""The configuration: NODE_CONFIG, with the variables beside it, into one checked value."""
+"""Reads and validates the configuration: the file that NODE_CONFIG names, and further environment variables."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from kelpcourse.wire.fields import parse_address
 from kelpcourse.wire.stream import Address
 
-# Variables that must agree with a field of the file where they are set.
+# Environment variables that, if set, must have the value of a field of the file.
 FIELD_BY_VARIABLE = {"NODE_NAME": "name", "NODE_LISTEN": "listen", "NODE_DISCOVERY": "discovery"}
-# Fields of `Config`, by the names that the log has.
+# Fields of `Config` that a reload applies, and fields whose change requires a restart. The log writes these names.
 FOLLOWED_BY_RELOAD = ("discovery", "relay")
 REQUIRES_RESTART = ("name", "listen", "settings", "sockets", "memory_mb")
 
@@ -26,12 +26,14 @@
 
 
 class ConfigError(ValueError):
-    """The configuration can't be used; the text names the field or variable."""
+    """The configuration cannot be used; the text names the field or variable."""
 
 
 @dataclass(frozen=True)
 class Config:
-    """What a controller is started with.
+    """The configuration of a controller.
+
+    These fields have other names in the file:
 
     | in the file | here |
     | --- | --- |
@@ -52,22 +54,25 @@
 
 
 def reread_config(environment: Mapping[str, str]) -> Config:
-    """The file as it is now; discovery may have moved since the variable was set. Raises ConfigError."""
+    """Reads the configuration again. Raises ConfigError.
+
+    NODE_DISCOVERY is ignored, because the address of discovery may have changed since the variable was set.
+    """
     return read_config(
         {name: value for name, value in environment.items() if name != "NODE_DISCOVERY"}
     )
 
 
 def changed_fields(old: Config, new: Config, fields: tuple[str, ...]) -> list[str]:
-    """Those of the fields in which two configurations differ."""
+    """Returns those of the given fields in which two configurations differ."""
     return [field for field in fields if getattr(old, field) != getattr(new, field)]
 
 
 def read_config(environment: Mapping[str, str]) -> Config:
-    """Reads the file that NODE_CONFIG names and checks the other variables against it. Raises ConfigError."""
+    """Reads the file that NODE_CONFIG names and compares the other variables with it. Raises ConfigError."""
     path = environment.get("NODE_CONFIG", "")
     if not path:
-        raise ConfigError("variable NODE_CONFIG is missing")
+        raise ConfigError("variable NODE_CONFIG is not set")
     root = _load(path)
     _check_variables(environment, root)
     try:
@@ -120,18 +125,18 @@
         raise ConfigError(f"settings: {error}") from error
     _check_names(root["settings"])
     if settings.slice_count:
-        raise ConfigError("settings: field 'family_info.partitions_n': slices are not served here")
+        raise ConfigError("settings: field 'family_info.partitions_n': slices are not supported")
     return settings
 
 
 def _check_names(value: object, path: str = "settings") -> None:
-    """Refuses texts with a space or a comma.
+    """Rejects strings that contain a space or a comma.
 
-    Settings are read as on the simulator's wire, which has `_` for both: zones and classes would have names
-    here that nobody else knows.
+    Settings are read as on the simulator's wire, where `_` replaces both characters. Names of zones and classes would
+    therefore differ from the names that proxies and endpoints use.
     """
     if isinstance(value, str) and (" " in value or "," in value):
-        raise ConfigError(f"field '{path}' holds a space or a comma: {value!r:.60}")
+        raise ConfigError(f"field '{path}' contains a space or a comma: {value!r:.60}")
     if isinstance(value, dict):
         for name, item in value.items():
             _check_names(item, f"{path}.{name}")
@@ -143,14 +148,14 @@
 def _object(root: Mapping[str, object], name: str) -> Mapping[str, object]:
     value = root.get(name)
     if not isinstance(value, dict):
-        raise ConfigError(f"field '{name}' is missing or not an object")
+        raise ConfigError(f"field '{name}' is missing or is not an object")
     return value
 
 
 def _text(root: Mapping[str, object], name: str, prefix: str = "") -> str:
     value = root.get(name)
     if not isinstance(value, str) or not value:
-        raise ConfigError(f"field '{prefix}{name}' is missing or not a text")
+        raise ConfigError(f"field '{prefix}{name}' is missing, empty or not a string")
     return value
 
 
@@ -164,7 +169,7 @@
         return default
     value = limits[name]
     if not isinstance(value, int | float) or isinstance(value, bool) or value < 1:
-        raise ConfigError(f"field 'limits.{name}' is not a number from 1 up: {value!r:.60}")
+        raise ConfigError(f"field 'limits.{name}' is not a number of at least 1: {value!r:.60}")
     return int(value)
 
 
--- a/kelpcourse/service/controller.py
+++ b/kelpcourse/service/controller.py
@@ -1,4 +1,4 @@
-"""The controller as a process: its components are constructed, connected and run until a signal ends them."""
+"""Constructs the components of a controller, connects them and runs them until a signal ends the process."""
 
 from __future__ import annotations
 
@@ -36,11 +36,12 @@
 from kelpcourse.wire.stream import Address, listen
 
 EXIT_BAD_CONFIG = 2
-RETRY_SPREAD_STEPS = 1_024  # controllers that poll discovery at times of their own
+# Number of different spreads of retry delays, by which controllers avoid synchronised retries at discovery.
+RETRY_SPREAD_STEPS = 1_024
 
 
 class ControllerService:
-    """One controller: the policy behind its facade, and the connections to everything around it."""
+    """One controller: the policy with its facade, and the connections to relay, discovery and clients."""
 
     def __init__(
         self,
@@ -51,15 +52,15 @@
         listener_socket: socket.socket | None,
         source_factory: EndpointSourceFactory | None = None,
     ) -> None:
-        """Constructs the components and starts none.
+        """Constructs the components without starting them.
 
         Args:
-            config: The configuration as it was read at the start.
+            config: Configuration that was read at the start.
             limits: Sizes and times for this machine and fleet.
-            environment: Variables to read the configuration with again.
-            signals: Signals caught since the start.
-            listener_socket: Listens already; None while the process before this one holds the address.
-            source_factory: Constructs the source of the endpoint list; by default that is discovery.
+            environment: Environment variables with which the configuration is read again at a reload.
+            signals: Signals that have been caught since the start.
+            listener_socket: Socket that already listens; None if the previous process still uses the address.
+            source_factory: Constructs the source of the endpoint list; None means discovery.
         """
         self._process = Process(config.name, limits, signals=signals)
         self._listener_socket = listener_socket
@@ -89,7 +90,7 @@
         )
 
     def run(self) -> int:
-        """Runs until a signal ends it and returns the exit status."""
+        """Runs until a signal ends the process and returns the exit status."""
         config = self._config
         self._process.log_started(len(config.cached_list.endpoints), config.settings.proxy_count)
         self._facade.report_cached_list(config.cached_list.endpoints, config.cached_list.version)
@@ -119,7 +120,7 @@
             self._source.reread()
 
     def _apply_config(self, config: Config) -> None:
-        """Follows the file to new addresses; listener, policy, proxies and orders live on."""
+        """Connects to new addresses of relay and discovery; listener, policy, proxies and orders are kept."""
         changed = changed_fields(self._config, config, FOLLOWED_BY_RELOAD)
         requires_restart = changed_fields(self._config, config, REQUIRES_RESTART)
         self._config = replace(self._config, discovery=config.discovery, relay=config.relay)
@@ -135,7 +136,10 @@
             self._discovery.reconnect_to(config.discovery)
 
     def _step(self, act: Callable[[int], object]) -> None:
-        """Lets the policy act; after an error the tables in force stay, and the next step goes on."""
+        """Runs a step of the policy and carries out the resulting work.
+
+        After an error, proxies keep their tables, and the policy continues with the next step.
+        """
         try:
             act(self._loop.clock())
         except Exception as error:
@@ -171,7 +175,12 @@
 def main(
     environment: Mapping[str, str], source_factory: EndpointSourceFactory | None = None
 ) -> int:
-    """Runs a controller and returns its exit status."""
+    """Runs a controller and returns its exit status.
+
+    Args:
+        environment: Environment variables, which name the configuration file.
+        source_factory: Constructs the source of the endpoint list; None means discovery.
+    """
     signals = Signals()
     try:
         config = read_config(environment)
@@ -190,9 +199,10 @@
 
 
 def bind_listener(address: Address) -> socket.socket | None:
-    """The socket that listens at an address: connections from now on are served once the loop runs.
+    """Returns a socket that listens at an address. Connections wait there until the loop runs and accepts them.
 
-    Returns None if the address is still in use. Raises ConfigError if this machine does not have it.
+    Returns None if the address is still in use. Raises ConfigError if it cannot be bound for another
+    reason, such as an address that this machine does not have.
     """
     try:
         return listen(address, Limits().listen_backlog)
--- a/kelpcourse/service/logs.py
+++ b/kelpcourse/service/logs.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event on standard output, at a bounded rate for each event."""
+"""Structured log: one JSON line per event, written to standard output at a bounded rate per event name."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass
 class _Window:
-    """Lines of one event within a span of time."""
+    """Number of lines of one event since the start of a time window."""
 
     start_us: int
     lines: int = 0
 
 
 class Log:
-    """Writes events without waiting: lines are lost rather than the process held up."""
+    """Writes events without blocking; lines that cannot be written are lost and counted."""
 
     def __init__(
         self,
@@ -31,16 +31,24 @@
         node: str = "",
         fd: int = 1,
     ) -> None:
-        """`node` is the name in each line, `fd` where lines are written."""
+        """Initializes a log.
+
+        Args:
+            clock: Returns the Unix time in microseconds.
+            limits: Sizes and rates of log lines.
+            counters: Counters of lines that were suppressed or lost.
+            node: Name of the controller, written in each line.
+            fd: File descriptor to which lines are written.
+        """
         self._clock = clock
         self._limits = limits
         self._counters = counters
         self._node = node
         self._fd = fd
-        self._windows: dict[str, _Window] = {}  # by event
+        self._windows: dict[str, _Window] = {}  # by event name
 
     def event(self, name: str, **fields: object) -> None:
-        """Writes an event that may come often: beyond a burst its lines are counted and not written."""
+        """Writes a frequent event. Lines above the burst limit of the event are counted instead of written."""
         now_us = self._clock()
         window = self._windows.setdefault(name, _Window(now_us))
         if now_us - window.start_us >= self._limits.log_burst_window_us:
@@ -57,7 +65,7 @@
             self._counters.add("log_lines_suppressed")
 
     def always(self, name: str, **fields: object) -> None:
-        """Writes an event that comes seldom, whatever came before."""
+        """Writes a rare event, regardless of how many lines were written before."""
         self._write(self._clock(), name, fields)
 
     def _write(self, now_us: int, name: str, fields: dict[str, object]) -> None:
@@ -68,7 +76,7 @@
             line = _encode({**head, "cut": cut})
         try:
             os.write(self._fd, line)
-        except OSError:  # the reader of the log is behind, or there is none any more
+        except OSError:  # the pipe is full, or its reader has closed it
             self._counters.add("log_lines_lost")
 
 
--- a/kelpcourse/service/process.py
+++ b/kelpcourse/service/process.py
@@ -1,4 +1,4 @@
-"""What any long-running process needs: loop, log, counters, signals and supervised coroutines."""
+"""Common parts of a long-running process: loop, log, counters, signals and supervised coroutines."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from kelpcourse.service.signals import Signals
 from kelpcourse.wire.loop import Coroutine, Loop, Wait
 
-MAX_TRACEBACK_CHARACTERS = 3000  # the last ones are logged
+MAX_TRACEBACK_CHARACTERS = 3000  # of a longer traceback, only the end is logged
 CoroutineFactory = Callable[[], Coroutine[None]]
 
 
 class Process:
     """A process that runs until SIGTERM or SIGINT.
 
-    SIGUSR1 logs the counters, SIGHUP reloads.
+    SIGUSR1 logs the counters, SIGHUP starts a reload.
     """
 
     def __init__(
         self, name: str, limits: Limits, fd: int = 1, signals: Signals | None = None
     ) -> None:
-        """Starts nothing yet.
+        """Constructs counters, log and loop without starting anything.
 
         Args:
-            name: Written in each log line.
-            limits: Times and sizes.
-            fd: Where the log is written.
-            signals: Those caught since an earlier moment; by default they are caught from `run` on.
+            name: Name of the process, written in each log line.
+            limits: Sizes and times.
+            fd: File descriptor to which the log is written.
+            signals: Signals that are already being caught; None to catch signals from `run` or `handle_signals` on.
         """
         clock = Clock()
         self.counters = Counters()
@@ -47,7 +47,13 @@
     def run(
         self, start: Callable[[], None], close: Callable[[], None], reload: Callable[[], None]
     ) -> int:
-        """Runs what `start` adds to the loop until a signal ends it; returns the exit status."""
+        """Runs the loop until a signal ends the process, and returns the exit status.
+
+        Args:
+            start: Starts coroutines in the loop.
+            close: Releases resources before the process ends.
+            reload: Starts a reload when SIGHUP is received.
+        """
         if self._signals is None:
             self._signals = Signals()
         self.log_started(endpoints=0, proxies=0)
@@ -60,11 +66,11 @@
         return 0
 
     def log_started(self, endpoints: int, proxies: int) -> None:
-        """Logs what the process begins with."""
+        """Logs the start of the process with the numbers of cached endpoints and of proxies in the settings."""
         self.log.always("started", pid=os.getpid(), endpoints=endpoints, proxies=proxies)
 
     def handle_signals(self, reload: Callable[[], None]) -> None:
-        """Handles signals from now on, also those that were caught before."""
+        """Starts handling signals, including those that were caught before this call."""
         signals = self._signals if self._signals is not None else Signals()
         self._signals = signals
         self._reload = reload
@@ -72,23 +78,23 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether a signal has asked for the end."""
+        """Whether a signal has requested the end of the process."""
         return bool(self._stop_signal)
 
     def finish(self) -> None:
-        """Logs the end with all counters."""
+        """Stops signal delivery and logs the end of the process with all counters."""
         if self._signals is not None:
             self._signals.close()
         self.log.always("stopped", signal=self._stop_signal, counters=self.counters.snapshot())
 
     def supervise(self, name: str, factory: CoroutineFactory) -> None:
-        """Runs a coroutine that is restarted if it ends by an error, and may end by itself."""
+        """Runs a coroutine and restarts it after each unhandled error until it returns."""
         self.loop.start(
             name, supervised(self.loop, self._limits, name, factory, self.report_unexpected_error)
         )
 
     def report_unexpected_error(self, coroutine: str, error: Exception) -> None:
-        """Counts and logs an error that nothing handles."""
+        """Counts and logs an error that was not handled elsewhere."""
         text = "".join(traceback.format_exception(error))[-MAX_TRACEBACK_CHARACTERS:]
         self.counters.add("unexpected_errors")
         self.log.always("unexpected_error", coroutine=coroutine, error=text)
@@ -109,11 +115,19 @@
     factory: CoroutineFactory,
     on_error: Callable[[str, Exception], None],
 ) -> Coroutine[None]:
-    """A coroutine that restarts another, after a wait, each time that one ends by an error."""
+    """Runs a coroutine and, after each unhandled error, restarts it after a delay until it returns.
+
+    Args:
+        loop: Loop whose clock determines when the coroutine is restarted.
+        limits: Limits with the delay before a restart.
+        name: Name of the coroutine, passed to `on_error`.
+        factory: Constructs the coroutine for each run.
+        on_error: Called with the name and each unhandled error.
+    """
     while True:
         try:
             yield from factory()
             return
-        except Exception as error:  # whatever it is, it is logged in full and the process lives on
+        except Exception as error:  # any error is reported, and the process continues
             on_error(name, error)
         yield Wait(loop.clock() + limits.coroutine_restart_us)
--- a/kelpcourse/service/reload.py
+++ b/kelpcourse/service/reload.py
@@ -1,4 +1,4 @@
-"""Reading the configuration again while the controller runs."""
+"""Reloads the configuration while the controller runs."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class ConfigReloader:
-    """Reads the configuration file when asked to, and for a while again if it can't be read.
+    """Reads the configuration file on request and, if it cannot be used, retries for a limited time.
 
-    A file that is being replaced can't be read for a moment, and nobody sends a second signal when it can.
+    A file that is being replaced may be incomplete for a moment, and no second signal follows once it is complete.
     """
 
     def __init__(
@@ -22,7 +22,14 @@
         reread_source: Callable[[], None],
         apply: Callable[[Config], None],
     ) -> None:
-        """`reread_source` goes before each reload, `apply` takes what was read."""
+        """Initializes a reloader.
+
+        Args:
+            runtime: Clock, limits, log and loop.
+            environment: Environment variables with which the configuration is read.
+            reread_source: Called before each reload so that the source of the endpoint list reloads too.
+            apply: Called with the configuration once it has been read.
+        """
         self._runtime = runtime
         self._environment = environment
         self._reread_source = reread_source
@@ -30,7 +37,7 @@
         self._task: Task | None = None
 
     def reload(self) -> None:
-        """Begins a reload. One that is being retried is dropped: the file may have changed since."""
+        """Begins a reload. A reload that is being retried is cancelled, because the file may have changed since."""
         loop = self._runtime.loop
         if self._task is not None:
             loop.stop(self._task)
--- a/kelpcourse/service/signals.py
+++ b/kelpcourse/service/signals.py
@@ -1,4 +1,4 @@
-"""Signals as bytes on a socket that the loop waits for."""
+"""Delivers signals through a socket that the loop waits for."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from kelpcourse.wire.loop import READ, Coroutine, Wait
 
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
-READ_BYTES = 64  # one byte for each signal
+READ_BYTES = 64  # each signal is one byte
 
 
 class Signals:
-    """Signals of the process, caught from the construction of this object on.
+    """Catches the signals of the process from the construction of this object on.
 
-    It is constructed before anything else at a start: a signal that comes while the configuration is read is delivered
-    once the loop runs, and does not end the process.
+    It is constructed before everything else at the start, so that a signal that arrives while the configuration is read
+    does not end the process but is delivered once the loop runs.
     """
 
     def __init__(self) -> None:
-        """Installs the handlers."""
+        """Installs the signal handlers."""
         self._read_end, self._write_end = socket.socketpair()
         self._read_end.setblocking(False)
         self._write_end.setblocking(False)
@@ -31,9 +31,10 @@
             signal.signal(number, lambda *_: None)
 
     def read(self, on_signal: Callable[[int], None]) -> Coroutine[None]:
-        """Delivers signals in order, while no other coroutine runs.
+        """Delivers signals in the order of arrival, while no other coroutine runs.
 
-        If `on_signal` raises, those that came with its signal are delivered by the next reader.
+        If `on_signal` raises, the signals that were received together with its signal are delivered by the next call of
+        this method.
         """
         while True:
             while self._pending:
@@ -42,7 +43,7 @@
             self._pending.extend(self._read_end.recv(READ_BYTES))
 
     def close(self) -> None:
-        """Stops delivery; the handlers stay, so that a late signal does not end the process."""
+        """Stops delivery. The handlers stay installed, so that a late signal does not end the process."""
         signal.set_wakeup_fd(-1)
         self._read_end.close()
         self._write_end.close()
--- a/kelpcourse/service/source.py
+++ b/kelpcourse/service/source.py
@@ -1,4 +1,4 @@
-"""The source of the endpoint list, where it is not discovery."""
+"""Interface of an endpoint list source that replaces discovery."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 
 
 class EndpointSource(Protocol):
-    """Reports the endpoint list to the facade that it was constructed with."""
+    """A source that reports the endpoint list to the facade of its runtime."""
 
     def start(self) -> None:
-        """Reports what is known at the start and begins to follow changes."""
+        """Reports the endpoint list as known at the start and begins to follow changes."""
         ...
 
     def close(self) -> None:
-        """Releases what the source holds open."""
+        """Releases the resources of the source."""
         ...
 
     def reread(self) -> None:
-        """Reads again what an operator has changed."""
+        """Reloads settings and files that an operator may have changed."""
         ...
 
     def watch(self, on: bool) -> None:
-        """Begins or ends the watch of the list, as the policy asks."""
+        """Begins or ends the watch of the list at the request of the policy."""
         ...
 
     def fetch(self) -> None:
-        """Reports the complete list once more."""
+        """Reports the complete list again."""
         ...
 
     def reconnect_to(self, address: Address) -> None:
-        """Follows discovery to a new address."""
+        """Handles a new address of discovery."""
         ...
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -235,7 +235,7 @@
 
 
 def test_an_unreadable_file_is_a_configuration_error(tmp_path: Path) -> None:
-    with pytest.raises(ConfigError, match="NODE_CONFIG is missing"):
+    with pytest.raises(ConfigError, match="NODE_CONFIG is not set"):
         read_config({})
     with pytest.raises(ConfigError, match="No such file"):
         read_config({"NODE_CONFIG": str(tmp_path / "nowhere")})
