--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -192,7 +192,7 @@
         (changed("settings.lanes", []), "lanes.count"),
     ],
 )
-def test_a_mistake_names_its_field(tmp_path: Path, root: object, field: str) -> None:
+def test_an_error_names_the_invalid_field(tmp_path: Path, root: object, field: str) -> None:
     with pytest.raises(ConfigError, match=field.replace(".", r"\.")) as told:
         read_config(environment(tmp_path, root))
     assert "\n" not in str(told.value)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -143,7 +143,7 @@
     return {name for path in SOURCES for name in re.findall(pattern, text_of(path))}
 
 
-def test_the_names_that_the_source_shows_are_found() -> None:
+def test_names_found_in_the_source_text_are_found_by_parsing() -> None:
     assert named(r'log\.(?:event|always)\(\s*"([a-z_]+)"') <= set(EVENTS)
     assert named(r'counters\.(?:add|record_max)\(\s*"([a-z_]+)"') <= COUNTERS
     sources = named(r'reject_message\(\s*"([a-z_]+)"')
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize("pattern", sorted(name for name in COUNTERS if "*" in name))
-def test_some_counter_of_each_that_is_filled_in_at_run_time_is_explained(pattern: str) -> None:
+def test_every_counter_pattern_matches_an_explained_counter(pattern: str) -> None:
     assert any(written(name, {pattern}) for name in explained("Counters")) or pattern[0] == "*"
 
 
@@ -213,7 +213,7 @@
     assert [name for name in counters if not written(name, COUNTERS)] == []
 
 
-def test_nothing_is_explained_that_is_not_there() -> None:
+def test_every_name_that_is_explained_is_in_the_source() -> None:
     pages = "".join(text_of(page) for page in OPERATORS_PAGES)
     renamed = section(DOCS / "on-call.md", RENAMED)
     names = re.findall(r"^\| `([a-z_]+)` \|", pages.replace(renamed, ""), re.MULTILINE)
@@ -229,21 +229,21 @@
     return [[CODE.findall(" ".join(row)) for row in table] for table in tables]
 
 
-def test_renamed_log_events_are_written_under_their_new_names_alone() -> None:
+def test_renamed_log_events_are_written_only_under_their_new_names() -> None:
     events, _, _ = renamed()
     assert len(events) > 40
     assert [new for _, new in events if new not in EVENTS] == []
     assert [old for old, _ in events if old in EVENTS] == []
 
 
-def test_renamed_fields_are_written_under_their_new_names_alone() -> None:
+def test_renamed_fields_are_written_only_under_their_new_names() -> None:
     _, fields, _ = renamed()
     assert len(fields) > 15
     assert [(event, new) for event, _, new in fields if new not in EVENTS.get(event, ())] == []
     assert [(event, old) for event, old, _ in fields if old in EVENTS.get(event, ())] == []
 
 
-def test_renamed_counters_are_written_under_their_new_names_alone() -> None:
+def test_renamed_counters_are_written_only_under_their_new_names() -> None:
     _, _, counters = renamed()
     assert len(counters) > 40
     assert [new for _, new in counters if not written(new, COUNTERS)] == []
@@ -270,7 +270,7 @@
 
 
 @pytest.mark.parametrize("page", PAGES, ids=name_of)
-def test_every_relative_link_leads_somewhere(page: Path) -> None:
+def test_every_relative_link_has_a_target(page: Path) -> None:
     links = [link for link in LINK.findall(text_of(page)) if "://" not in link]
     dead = []
     for link in links:
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -209,7 +209,7 @@
     assert [name for name in section.names if name not in present] == []
 
 
-def test_the_list_has_no_name_twice_in_a_section() -> None:
+def test_no_section_lists_a_name_twice() -> None:
     assert len(SECTIONS) > 15
     assert len(ALL_NAMES) > 450
     for section in SECTIONS.values():
@@ -278,7 +278,7 @@
     assert listed("State of a controller") == stored | {kind.value for kind in EntryKind}
 
 
-def test_every_command_and_option_is_listed_and_taken() -> None:
+def test_every_command_and_option_is_listed_and_accepted() -> None:
     assert listed("Command line") == command_words(cli) - {"cli"}
 
 
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.usefixtures("facade")
-def test_the_first_step_has_the_start_and_the_cached_list(policy: ScriptedPolicy) -> None:
+def test_first_step_receives_the_start_event_and_the_cached_list(policy: ScriptedPolicy) -> None:
     (step,) = policy.steps
     assert step[0] == Started(7)
     assert isinstance(step[1], EndpointList)
@@ -80,7 +80,7 @@
     ]
 
 
-def test_there_is_no_step_without_a_report_or_a_due_timer(
+def test_no_step_runs_without_a_report_or_a_due_timer(
     facade: Facade, policy: ScriptedPolicy
 ) -> None:
     assert facade.next_due_us() is None
@@ -88,9 +88,7 @@
     assert len(policy.steps) == 1
 
 
-def test_timers_fire_once_at_their_time_and_in_order(
-    facade: Facade, policy: ScriptedPolicy
-) -> None:
+def test_timers_fire_once_when_due_and_in_order(facade: Facade, policy: ScriptedPolicy) -> None:
     policy.ready = [[SetTimer("late", 9000), SetTimer("soon", 8000)]]
     facade.report_proxy_left(0)
     facade.tick(2000)
@@ -102,7 +100,7 @@
     assert policy.steps[2:] == [[TimerFired("soon")], [TimerFired("late")]]
 
 
-def test_actions_become_work_by_endpoint_name(facade: Facade, policy: ScriptedPolicy) -> None:
+def test_actions_become_work_with_endpoint_names(facade: Facade, policy: ScriptedPolicy) -> None:
     policy.ready = [
         [
             SetWeight(0, 1, 1 / 3),
@@ -160,7 +158,7 @@
         lambda facade: facade.report_demand(9, "read", 1, 0, 1.0),
     ],
 )
-def test_a_report_that_is_unknown_or_out_of_range_does_not_reach_the_policy(
+def test_a_report_with_an_unknown_or_out_of_range_value_does_not_reach_the_policy(
     facade: Facade, report: Callable[[Facade], None]
 ) -> None:
     with pytest.raises(InvalidReportError):
@@ -192,7 +190,7 @@
     assert policy.steps[-1] == [TimerFired("tick")]
 
 
-def test_timers_are_bounded(facade: Facade, policy: ScriptedPolicy) -> None:
+def test_the_number_of_pending_timers_is_bounded(facade: Facade, policy: ScriptedPolicy) -> None:
     policy.ready = [[SetTimer("t", 10**9 + k) for k in range(QUICK.max_timers + 5)]]
     facade.report_proxy_left(0)
     facade.tick(2000)
@@ -200,7 +198,7 @@
     assert facade.take_work().undeliverable == 5
 
 
-def test_time_never_goes_back_for_the_policy(facade: Facade, policy: ScriptedPolicy) -> None:
+def test_the_time_passed_to_the_policy_is_monotonic(facade: Facade, policy: ScriptedPolicy) -> None:
     times: list[int] = []
     unpatched_step = policy.step
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -59,12 +59,12 @@
     assert {name for names in IMPORTS.values() for name in names} <= set(PATHS)
 
 
-def test_no_module_imports_in_a_circle() -> None:
+def test_imports_are_not_circular() -> None:
     assert len(list(graphlib.TopologicalSorter(IMPORTS).static_order())) >= len(PATHS)
 
 
 @pytest.mark.parametrize("name", [name for name in PATHS if in_policy(name)])
-def test_decisions_import_nothing_outside_the_policy(name: str) -> None:
+def test_the_policy_imports_nothing_outside_itself(name: str) -> None:
     assert [other for other in sorted(IMPORTS[name]) if not in_policy(other)] == []
 
 
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("site", range(len(SITES)))
-def test_nothing_raises_and_orders_stay_legal(site: int) -> None:
+def test_unusual_events_raise_no_error_and_yield_valid_orders(site: int) -> None:
     rng = random.Random(site)
     policy, now = RoutingPolicy(SITES[site]), 10_000_000
     policy.step(now, [Started(1), EndpointList(EndpointListKind.RESTORED, 0, ())])
--- a/tests/test_order_queue.py
+++ b/tests/test_order_queue.py
@@ -15,7 +15,7 @@
 )
 
 
-def test_waiting_batches_are_coalesced_to_their_end_result() -> None:
+def test_queued_batches_are_coalesced_to_their_end_result() -> None:
     queue = OrderQueue(100, 8)
     queue.add(
         [
@@ -37,7 +37,7 @@
     ]
 
 
-def test_withdrawals_go_ahead_of_the_backlog() -> None:
+def test_withdrawals_are_sent_before_the_backlog() -> None:
     """A drain has a time limit, and a call of many entries takes a while to deliver."""
     queue = OrderQueue(100, 8)
     queue.add(
@@ -61,7 +61,7 @@
     ]
 
 
-def test_removals_of_withdrawn_endpoints_go_ahead_with_them() -> None:
+def test_removals_of_withdrawn_endpoints_are_sent_with_the_withdrawals() -> None:
     """Behind them, a withdrawal would cost an entry at each proxy whose table has the endpoint, a removal one more."""
     queue = OrderQueue(100, 8)
     queue.add([SetWeight(0, "a", 1.0), SetWeight(0, "c", 0.0), Checkpoint(1, False)])
@@ -87,7 +87,7 @@
     ]
 
 
-def test_a_single_step_is_not_divided() -> None:
+def test_the_orders_of_a_single_step_are_not_split() -> None:
     queue = OrderQueue(100, 8)
     queue.add([SetWeight(0, "a", 1.0), WithdrawEndpoint("b"), Checkpoint(1, True)])
     assert len(queue.begin_call()) == 3
@@ -100,7 +100,7 @@
     assert queue.begin_call() == [SetWeight(1, "a", 1.0), ClearTable(0), SetWeight(0, "b", 1.0)]
 
 
-def test_a_call_in_progress_stays_as_it_is() -> None:
+def test_a_call_in_progress_is_not_changed() -> None:
     queue = OrderQueue(100, 8)
     first: list[Order] = [SetWeight(0, "a", 1.0), Checkpoint(1, False)]
     queue.add(first)
@@ -111,7 +111,7 @@
     assert queue.begin_call() == [SetWeight(0, "a", 3.0), Checkpoint(3, False, (2,))]
 
 
-def test_a_call_of_unknown_outcome_is_coalesced_with_what_followed() -> None:
+def test_a_call_of_unknown_outcome_is_coalesced_with_later_orders() -> None:
     queue = OrderQueue(100, 8)
     queue.add([SetWeight(0, "a", 1.0), BindProxy(1, 0, ())])
     queue.begin_call()
@@ -121,7 +121,7 @@
     assert queue.begin_call() == [BindProxy(1, 0, ()), SetWeight(0, "a", 2.0)]
 
 
-def test_a_call_of_unknown_outcome_tells_its_checkpoints() -> None:
+def test_the_checkpoints_of_a_call_of_unknown_outcome_are_returned() -> None:
     queue = OrderQueue(100, 8)
     queue.add([SetWeight(0, "a", 1.0), Checkpoint(1, False)])
     queue.begin_call()
@@ -133,7 +133,7 @@
     assert queue.checkpoints_in_call() == (1, 2, 3)
 
 
-def test_an_accepted_call_tells_whose_messages_were_written() -> None:
+def test_accepting_a_call_returns_the_checkpoints_of_written_messages() -> None:
     queue = OrderQueue(100, 8)
     assert queue.accept(0) == []
     queue.add([SetWeight(0, "a", 1.0), SetWeight(0, "b", 1.0), Checkpoint(1, False)])
@@ -143,7 +143,7 @@
     assert queue.accept(4) == [3, 4]
 
 
-def test_withdrawals_that_go_ahead_end_in_the_checkpoint_too() -> None:
+def test_withdrawals_sent_first_end_in_the_checkpoint_too() -> None:
     """They are the largest calls.
 
     Without a checkpoint of their own, proxies that the rest did not concern never acknowledged
@@ -221,7 +221,7 @@
     assert not queue.call_acknowledged
 
 
-def test_a_partly_accepted_call_uses_its_checkpoint_up() -> None:
+def test_an_acknowledged_checkpoint_proves_nothing_after_a_partly_accepted_call() -> None:
     queue = queue_in_call(SetWeight(0, "a", 1.0), SetWeight(0, "b", 1.0), Checkpoint(1, False))
     queue.accept(1)  # the relay was handed a checkpoint behind this part as well
     queue.begin_call()
@@ -229,7 +229,7 @@
     assert not queue.call_acknowledged
 
 
-def test_orders_added_to_a_failed_call_are_not_proved_by_its_checkpoint() -> None:
+def test_orders_added_to_a_failed_call_are_not_confirmed_by_its_checkpoint() -> None:
     queue = queue_in_call(SetWeight(0, "a", 1.0), Checkpoint(1, False))
     queue.add([SetAdmission(0, (), 0.5, 1)])  # to a table that no proxy uses: no checkpoint
     queue.requeue_call()
@@ -242,7 +242,7 @@
     assert not queue.call_acknowledged
 
 
-def test_the_queue_is_bounded_however_long_the_relay_is_away() -> None:
+def test_the_queue_is_bounded_while_the_relay_is_unreachable() -> None:
     queue = OrderQueue(1000, 8)
     for step in range(5000):
         queue.add(
@@ -266,7 +266,7 @@
     assert queue.begin_call()[0] == SetWeight(0, "h3", 1.0)
 
 
-def test_remembered_checkpoints_are_bounded() -> None:
+def test_the_number_of_retained_checkpoints_is_bounded() -> None:
     queue = OrderQueue(100, 4)
     for checkpoint_id in range(0, 100, 2):
         queue.add([Checkpoint(checkpoint_id, False)])
@@ -277,7 +277,7 @@
     assert queue.covered_checkpoints(1) == (1,)
 
 
-def test_a_rejected_order_is_dropped_alone() -> None:
+def test_only_the_rejected_order_is_dropped() -> None:
     queue = OrderQueue(100, 8)
     queue.add([SetWeight(0, "a", 1.0), BindProxy(1, 0, ()), Checkpoint(1, False)])
     queue.begin_call()
--- a/tests/test_proxies.py
+++ b/tests/test_proxies.py
@@ -20,7 +20,7 @@
     ]
 
 
-def test_events_of_one_stream_are_reported_as_they_come() -> None:
+def test_events_of_one_stream_are_reported_in_order_of_arrival() -> None:
     proxies = ProxyRegistry(100, OVERLAP_US)
     assert opened(proxies, 0, joined(1)) == [joined(1)]
     assert proxies.receive(0, Applied(1, 5, 1.0), 0) == [Applied(1, 5, 1.0)]
@@ -46,7 +46,7 @@
     assert proxies.receive(0, joined(3), 101) == [Left(1), joined(3)]
 
 
-def test_an_event_of_both_streams_is_reported_once_whichever_is_first() -> None:
+def test_an_event_of_two_streams_is_reported_once_when_it_is_first_received() -> None:
     proxies = synchronised(joined(1))
     lines: list[tuple[int, ProxyEvent]] = [
         (0, Left(1)),
@@ -69,7 +69,7 @@
     return proxies
 
 
-def test_a_stream_lost_beside_a_synchronised_one_leaves_no_gap() -> None:
+def test_losing_a_stream_leaves_no_gap_while_another_is_synchronised() -> None:
     proxies = synchronised(joined(1))
     assert proxies.stream_lost(0) == []
     assert proxies.synchronised
@@ -77,7 +77,7 @@
     assert opened(proxies, 0) == []
 
 
-def test_a_stream_not_yet_synchronised_takes_over_with_its_snapshot_after_a_gap() -> None:
+def test_an_unsynchronised_stream_reports_its_snapshot_after_a_gap() -> None:
     proxies = ProxyRegistry(100, OVERLAP_US)
     opened(proxies, 0, joined(1), joined(2))
     assert opened(proxies, 1, joined(2), joined(3)) == []
@@ -173,7 +173,7 @@
         assert reported == sequence
 
 
-def test_a_stream_that_stays_behind_costs_bounded_memory() -> None:
+def test_the_memory_of_a_lagging_stream_is_bounded() -> None:
     proxies = synchronised()
     for checkpoint_id in range(1000):
         proxies.receive(0, Applied(1, checkpoint_id, 1.0), 0)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -60,7 +60,7 @@
     deployment.until(lambda: deployment.has_order(verb="USE", sidecar=0))
 
 
-def test_a_reload_names_what_requires_a_restart(deployment: Deployment) -> None:
+def test_a_reload_logs_the_fields_that_require_a_restart(deployment: Deployment) -> None:
     deployment.start()
     deployment.until(deployment.ping)
     deployment.config(limits={"memory_mb": 33, "sockets": 512})
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -39,7 +39,7 @@
     deployment.until(deployment.ping)
 
 
-def test_signals_that_come_together_are_all_handled_and_a_repeated_one_once(
+def test_simultaneous_signals_are_all_handled_and_a_repeated_one_once(
     deployment: Deployment,
 ) -> None:
     deployment.start()
@@ -57,7 +57,7 @@
     assert events.count("stopped") == 1
 
 
-def test_it_ends_immediately_while_a_call_is_unanswered(deployment: Deployment) -> None:
+def test_sigterm_ends_the_process_while_a_call_is_unanswered(deployment: Deployment) -> None:
     """What the order queue holds is lost: from SIGTERM on proxies go to another controller, which binds them."""
     deployment.relay_is_silent = True
     deployment.start()
@@ -68,7 +68,7 @@
     assert deployment.wait_for_exit()[-1]["counters"].get("relay_orders_accepted", 0) == 0
 
 
-def test_it_ends_immediately_while_its_address_is_still_in_use(
+def test_sigterm_ends_the_process_while_its_address_is_still_in_use(
     deployment: Deployment,
 ) -> None:
     with socket.create_server(deployment.listen):
