--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration: one settings reader for both wires, and a plain message for each mistake."""
+"""The configuration: both wires share one settings reader, and an error names the invalid field."""
 
 from __future__ import annotations
 
@@ -131,14 +131,14 @@
 
 def changed(path: str, value: object, drop: bool = False) -> dict[str, Any]:
     root = copy.deepcopy(ROOT)
-    *folders, last = path.split(".")
-    place: Any = root
-    for folder in folders:
-        place = place[int(folder)] if isinstance(place, list) else place[folder]
+    *parents, last = path.split(".")
+    container: Any = root
+    for parent in parents:
+        container = container[int(parent)] if isinstance(container, list) else container[parent]
     if drop:
-        del place[last]
+        del container[last]
     else:
-        place[last] = value
+        container[last] = value
     return root
 
 
@@ -193,15 +193,15 @@
     ],
 )
 def test_an_error_names_the_invalid_field(tmp_path: Path, root: object, field: str) -> None:
-    with pytest.raises(ConfigError, match=field.replace(".", r"\.")) as told:
+    with pytest.raises(ConfigError, match=field.replace(".", r"\.")) as raised:
         read_config(environment(tmp_path, root))
-    assert "\n" not in str(told.value)
+    assert "\n" not in str(raised.value)
 
 
 def test_a_configuration_of_5000_proxies_and_2000_endpoints_is_read_and_served(
     tmp_path: Path,
 ) -> None:
-    """All proxies join at once: the queue has space for every order, and none is dropped."""
+    """All proxies join at once, and the queue drops none of the resulting orders."""
     listed = [{**entry(f"s-{k}"), "locality": f"room-{'ab'[k % 2]}"} for k in range(2_000)]
     root = changed("known.members", listed)
     root["settings"]["family_info"] |= {
@@ -215,7 +215,7 @@
         .for_machine(config.sockets, config.memory_mb)
         .for_fleet(config.settings.proxy_count)
     )
-    facade, outbox = (
+    facade, queue = (
         Facade(config.settings, 7, limits),
         OrderQueue(limits.max_queued_orders, limits.max_superseded_checkpoints),
     )
@@ -223,13 +223,13 @@
     facade.start(0)
     for proxy in range(5_000):
         facade.report_proxy_joined(proxy, f"room-{'ab'[proxy % 2]}", 1.0, False)
-    given_up = bound = 0
+    dropped = bound = 0
     for at_s in range(3):
         facade.start(at_s * 1_000_000)
         orders = facade.take_work().orders
-        given_up += outbox.add(orders)
+        dropped += queue.add(orders)
         bound += sum(isinstance(order, BindProxy) for order in orders)
-    assert (given_up, bound > 0) == (0, True)
+    assert (dropped, bound > 0) == (0, True)
     with pytest.raises(InvalidReportError, match="proxy 5000 is not below 5000"):
         facade.report_proxy_joined(5_000, "room-a", 1.0, False)
 
@@ -309,14 +309,14 @@
 
 @pytest.mark.parametrize("name", DEPLOYMENTS)
 def test_settings_of_any_deployment_are_served(tmp_path: Path, name: str) -> None:
-    """Proxies are bound, reports accepted, an overload handled and an endpoint withdrawn; no step ends by an error."""
+    """Proxies are bound, reports accepted, an overload handled and an endpoint withdrawn; no step raises an error."""
     root = copy.deepcopy(ROOT)
     for path, value in DEPLOYMENTS[name].items():
-        *folders, last = path.split(".")
-        place: Any = root["settings"]
-        for folder in folders:
-            place = place[int(folder)] if isinstance(place, list) else place[folder]
-        place[last] = value
+        *parents, last = path.split(".")
+        container: Any = root["settings"]
+        for parent in parents:
+            container = container[int(parent)] if isinstance(container, list) else container[parent]
+        container[last] = value
     zones = root["settings"]["zones"]
     listed = [
         {**entry(f"s-{k}", since=k % 2 * 51_500.0), "locality": zones[k % len(zones)]}
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -1,4 +1,4 @@
-"""Facade: reports become events of the policy, its actions become work."""
+"""Facade: reports become events for the policy, and its actions become work."""
 
 from __future__ import annotations
 
@@ -132,9 +132,8 @@
     assert (work.watch, work.fetches) == (True, 1)
     assert work.health_checks == [HealthCheckRequest("h1", ("127.0.0.1", 9))]
     assert work.log_messages == ["seen"]
-    assert (
-        work.undeliverable == 2
-    )  # a peer, for whom there is no word here, and a host never listed
+    # The message to a peer has no connection, and the endpoint of the last weight was never listed.
+    assert work.undeliverable == 2
     assert facade.take_work().orders == []
 
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Packages import in one direction, decisions import nothing but themselves, and no module imports in a circle."""
+"""Packages import in one direction, the policy imports only itself, and imports are not circular."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 PACKAGE = Path(__file__).parent.parent / "kelpcourse"
 
-# Decisions: pure functions of settings and events, without input or output.
+# The policy consists of pure functions of settings and events, without input or output.
 POLICY = {"kelpcourse.policy"}
 
-# Of the service that `python -m kelpcourse` runs, from the lowest layer to the highest.
+# Layers of the service that `python -m kelpcourse` runs, from the lowest to the highest.
 LAYERS = (
     ("kelpcourse.policy",),
     ("kelpcourse.limits", "kelpcourse.fields", "kelpcourse.memory", "kelpcourse.store"),
@@ -29,7 +29,7 @@
 
 
 def imported(path: Path, known: set[str]) -> set[str]:
-    """The package's own modules that a module imports when it is loaded, or later within a function."""
+    """Returns the modules of this package that a module imports at its top level or within a function."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log: one JSON line an event, at a bounded rate for each event, and never in the controller's way."""
+"""Log: one JSON line per event, at a bounded rate per event name, and without blocking the controller."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.standins import QUICK, FakeClock
 
 
-class Pipe:
+class LogPipe:
     def __init__(self) -> None:
         self.read_end, self.write_end = os.pipe()
         os.set_blocking(self.read_end, False)
@@ -26,21 +26,21 @@
 
 
 @pytest.fixture
-def pipe() -> Iterator[Pipe]:
-    made = Pipe()
-    yield made
-    os.close(made.read_end)
-    os.close(made.write_end)
+def pipe() -> Iterator[LogPipe]:
+    log_pipe = LogPipe()
+    yield log_pipe
+    os.close(log_pipe.read_end)
+    os.close(log_pipe.write_end)
 
 
-def test_an_event_is_one_json_line(pipe: Pipe) -> None:
+def test_an_event_is_one_json_line(pipe: LogPipe) -> None:
     pipe.log.event("endpoints_updated", version=3, text="two\nlines")
     assert pipe.lines() == [
         {"t": 1.0, "event": "endpoints_updated", "node": "n1", "version": 3, "text": "two\nlines"}
     ]
 
 
-def test_frequent_events_are_suppressed_and_counted(pipe: Pipe) -> None:
+def test_frequent_events_are_suppressed_and_counted(pipe: LogPipe) -> None:
     for _ in range(1000):
         pipe.log.event("message_rejected")
     pipe.log.event("other")
@@ -51,19 +51,19 @@
     assert [line.get("suppressed") for line in pipe.lines()] == [1000 - QUICK.log_burst_lines, None]
 
 
-def test_a_long_line_is_cut_and_still_json(pipe: Pipe) -> None:
+def test_a_long_line_is_cut_and_still_json(pipe: LogPipe) -> None:
     pipe.log.always("unexpected_error", error="x" * 100_000)
     (line,) = pipe.lines()
     assert line["event"] == "unexpected_error"
     assert len(str(line["cut"])) <= QUICK.max_log_line_bytes
 
 
-def test_a_slow_or_absent_reader_of_the_log_does_not_stop_the_controller(pipe: Pipe) -> None:
+def test_a_slow_or_absent_reader_of_the_log_does_not_stop_the_controller(pipe: LogPipe) -> None:
     for _ in range(2000):
         pipe.log.always("counters", text="x" * 3000)
     assert pipe.counters["log_lines_lost"] > 0
     assert all(line["event"] == "counters" for line in pipe.lines())
-    gone, end = os.pipe()
-    os.close(gone)
-    Log(pipe.clock, QUICK, pipe.counters, "n1", end).always("stopped")
-    os.close(end)
+    read_end, write_end = os.pipe()
+    os.close(read_end)
+    Log(pipe.clock, QUICK, pipe.counters, "n1", write_end).always("stopped")
+    os.close(write_end)
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -1,4 +1,4 @@
-"""Legal but odd input is served: long made-up days under many settings, none of which may raise."""
+"""Valid but unusual input raises no error: long random sequences of events under many settings."""
 
 from __future__ import annotations
 
@@ -43,23 +43,23 @@
         replace(WRITE, allowed_kinds=frozenset({"std"})),
     ),
 }
-SITES = [
+VARIANTS = [
     replace(
         SETTINGS,
         classes=CLASSES[kind],
         admission_mode=admission,
-        discovery_is_polled=ask,
-        max_messages_per_proxy=most,
+        discovery_is_polled=polled,
+        max_messages_per_proxy=max_messages,
         slice_count=slices,
         load_reports_inline=True,
     )
-    for kind, admission, (ask, most, slices) in product(
+    for kind, admission, (polled, max_messages, slices) in product(
         CLASSES, AdmissionMode, ((False, 0, 0), (True, 12, 0), (False, 10, 8))
     )
 ]
 
 
-def odd_event(rng: random.Random, now: int) -> Event:
+def unusual_event(rng: random.Random, now: int) -> Event:
     number, proxy, zone = (
         rng.randrange(1, 9),
         rng.randrange(4),
@@ -104,14 +104,14 @@
     )
 
 
-@pytest.mark.parametrize("site", range(len(SITES)))
-def test_unusual_events_raise_no_error_and_yield_valid_orders(site: int) -> None:
-    rng = random.Random(site)
-    policy, now = RoutingPolicy(SITES[site]), 10_000_000
+@pytest.mark.parametrize("variant", range(len(VARIANTS)))
+def test_unusual_events_raise_no_error_and_yield_valid_orders(variant: int) -> None:
+    rng = random.Random(variant)
+    policy, now = RoutingPolicy(VARIANTS[variant]), 10_000_000
     policy.step(now, [Started(1), EndpointList(EndpointListKind.RESTORED, 0, ())])
     for _ in range(1500):
         now += rng.choice((0, 2_000, 700_000))
-        actions = policy.step(now, [odd_event(rng, now) for _ in range(rng.randrange(5))])
+        actions = policy.step(now, [unusual_event(rng, now) for _ in range(rng.randrange(5))])
         assert all(
             a.weight >= 0 and 1 <= a.endpoint < 9 for a in actions_of_type(actions, SetWeight)
         )
--- a/tests/test_order_queue.py
+++ b/tests/test_order_queue.py
@@ -1,4 +1,4 @@
-"""OrderQueue: waiting orders are coalesced to the same end result, bounded, and never out of order."""
+"""OrderQueue: queued orders are coalesced without a change of the end result, bounded, and kept in order."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def test_withdrawals_are_sent_before_the_backlog() -> None:
-    """A drain has a time limit, and a call of many entries takes a while to deliver."""
+    """A withdrawal has a time limit, and a call with many entries takes time to deliver."""
     queue = OrderQueue(100, 8)
     queue.add(
         [SetWeight(0, "a", 1.0), BindProxy(1, 0, ()), RestoreEndpoint("c"), Checkpoint(1, False)]
@@ -62,7 +62,7 @@
 
 
 def test_removals_of_withdrawn_endpoints_are_sent_with_the_withdrawals() -> None:
-    """Behind them, a withdrawal would cost an entry at each proxy whose table has the endpoint, a removal one more."""
+    """If sent separately, withdrawal and removal would each cost an entry at every proxy that has the endpoint."""
     queue = OrderQueue(100, 8)
     queue.add([SetWeight(0, "a", 1.0), SetWeight(0, "c", 0.0), Checkpoint(1, False)])
     queue.add(
@@ -144,11 +144,10 @@
 
 
 def test_withdrawals_sent_first_end_in_the_checkpoint_too() -> None:
-    """They are the largest calls.
+    """Withdrawals are the largest calls.
 
-    Without a checkpoint of their own, proxies that the rest did not concern never acknowledged
-    them: 12,000 entries stayed in the tracker of an empty queue, and nothing was withdrawn for
-    12 s.
+    Without a checkpoint in their batch, proxies that received nothing from the other batch never acknowledged them:
+    12,000 entries stayed in the delivery tracker although the queue was empty, and nothing was withdrawn for 12 s.
     """
     queue = OrderQueue(100, 8)
     queue.add([WithdrawEndpoint("a"), Checkpoint(1, False)])
@@ -179,7 +178,7 @@
 
 
 def test_a_proxy_that_rejoined_during_a_failed_call_keeps_its_new_binding() -> None:
-    """Bindings were dropped by the proxy's number, also the one ordered after its return: it was never bound."""
+    """The binding ordered after a proxy had rejoined was dropped with its older ones, and the proxy was never bound."""
     queue = OrderQueue(100, 8)
     queue.add([BindProxy(1, 0, ()), BindProxy(2, 0, ())])
     queue.begin_call()
@@ -204,13 +203,16 @@
     assert queue.call_acknowledged
     queue.requeue_call()
     queue.begin_call()
-    assert not queue.call_acknowledged  # it went a second time for all that
+    assert not queue.call_acknowledged  # the acknowledgement counted only for the earlier attempt
     queue.acknowledge(1)
     assert queue.call_acknowledged
 
 
 def test_an_acknowledged_checkpoint_of_an_earlier_call_proves_nothing() -> None:
-    """Withdrawals go ahead with the checkpoint of what follows; taken for proof, it would lose all that."""
+    """Withdrawals end in the checkpoint of the next batch.
+
+    If its acknowledgement were taken as proof, that batch would be lost.
+    """
     queue = OrderQueue(100, 8)
     queue.add([WithdrawEndpoint("a"), Checkpoint(1, False)])
     queue.add([SetWeight(0, "b", 1.0), Checkpoint(2, False)])
@@ -223,7 +225,7 @@
 
 def test_an_acknowledged_checkpoint_proves_nothing_after_a_partly_accepted_call() -> None:
     queue = queue_in_call(SetWeight(0, "a", 1.0), SetWeight(0, "b", 1.0), Checkpoint(1, False))
-    queue.accept(1)  # the relay was handed a checkpoint behind this part as well
+    queue.accept(1)  # the relay received a checkpoint after this part too
     queue.begin_call()
     queue.acknowledge(1)
     assert not queue.call_acknowledged
@@ -231,7 +233,8 @@
 
 def test_orders_added_to_a_failed_call_are_not_confirmed_by_its_checkpoint() -> None:
     queue = queue_in_call(SetWeight(0, "a", 1.0), Checkpoint(1, False))
-    queue.add([SetAdmission(0, (), 0.5, 1)])  # to a table that no proxy uses: no checkpoint
+    # No checkpoint follows, because no proxy uses the table.
+    queue.add([SetAdmission(0, (), 0.5, 1)])
     queue.requeue_call()
     assert queue.begin_call() == [
         SetWeight(0, "a", 1.0),
@@ -287,8 +290,8 @@
 
 
 def test_no_withdrawal_is_dropped() -> None:
-    # On a fleet of 1,600 proxies the backlog for a relay that was away was cut from its oldest end,
-    # where the withdrawals are.
+    # On a fleet of 1,600 proxies, the oldest orders were dropped while the relay was unreachable, and withdrawals are
+    # among the oldest.
     queue = OrderQueue(10, 8)
     assert (
         queue.add(
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the running program follows its configuration file, and lives on with one that it can't read."""
+"""SIGHUP: the running controller applies its configuration file, and continues if the file cannot be used."""
 
 from __future__ import annotations
 
@@ -48,9 +48,8 @@
     for changes, reason in unusable:
         deployment.config(**changes)
         deployment.reload()
-        while (
-            deployment.wait_for_log_event("configuration_reload_failed")["reason"] != reason
-        ):  # the one before is still being retried
+        # The reload before this one may still log its last retry.
+        while deployment.wait_for_log_event("configuration_reload_failed")["reason"] != reason:
             pass
     deployment.path.write_bytes(b'{"name": ')
     deployment.reload()
@@ -74,7 +73,7 @@
     ]
 
 
-FAILING = """
+FAILING_SOURCE = """
 import os, sys
 from kelpcourse.service.controller import main
 class Source:
@@ -83,16 +82,16 @@
     def reread(self): raise KeyError("unforeseen")
     def watch(self, on): pass
     def fetch(self): pass
-    def move(self, address): pass
-sys.exit(main(os.environ, lambda parts, settings, keep: Source()))
+    def reconnect_to(self, address): pass
+sys.exit(main(os.environ, lambda runtime, settings, supervise: Source()))
 """
 
 
 def test_an_unexpected_error_in_a_reload_does_not_stop_signal_handling(
     deployment: Deployment,
 ) -> None:
-    """It ended the coroutine that handles signals: no later SIGTERM was handled."""
-    deployment.start(program=FAILING)
+    """The error ended the coroutine that handles signals, so that a later SIGTERM was not handled."""
+    deployment.start(program=FAILING_SOURCE)
     deployment.until(deployment.ping)
     deployment.reload()
     assert "unforeseen" in deployment.wait_for_log_event("unexpected_error")["error"]
@@ -105,7 +104,7 @@
 def test_a_configuration_that_is_being_replaced_is_read_once_it_is_complete(
     deployment: Deployment,
 ) -> None:
-    """A controller that read half of it stayed at addresses that were about to close."""
+    """A controller that read an incomplete file stayed connected to addresses that were about to be closed."""
     deployment.start()
     deployment.until(deployment.ping)
     deployment.path.write_bytes(deployment.path.read_bytes()[:200])
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals at any time: before the start, together, and while something is pending."""
+"""Signals are handled at any time: during the start, together, and during calls."""
 
 from __future__ import annotations
 
@@ -18,17 +18,16 @@
 def test_a_signal_before_the_configuration_is_read_is_handled(
     deployment: Deployment, early: signal.Signals
 ) -> None:
-    """Handlers were set when the loop began: a SIGHUP before that ended the process."""
+    """The handlers were installed when the loop started, so that an earlier SIGHUP ended the process."""
     complete = deployment.path.read_bytes()
     deployment.path.unlink()
     os.mkfifo(deployment.path)
     deployment.start()
-    with deployment.path.open(
-        "wb"
-    ) as pipe:  # opens once it reads there, and has caught signals by then
+    # Opening the pipe returns once the controller opens it for reading, after it has installed the handlers.
+    with deployment.path.open("wb") as pipe:
         deployment.signal(early)
         deployment.path.unlink()
-        deployment.path.write_bytes(complete)  # for the reload
+        deployment.path.write_bytes(complete)  # read by the reload
         pipe.write(complete)
     if early == signal.SIGTERM:
         assert deployment.wait_for_exit()[-1]["event"] == "stopped"
@@ -58,7 +57,7 @@
 
 
 def test_sigterm_ends_the_process_while_a_call_is_unanswered(deployment: Deployment) -> None:
-    """What the order queue holds is lost: from SIGTERM on proxies go to another controller, which binds them."""
+    """Queued orders are lost, because from SIGTERM on proxies join another controller, which binds them."""
     deployment.relay_is_silent = True
     deployment.start()
     deployment.until(deployment.ping)
