--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several test files use."""
+"""Fixtures that are shared by several test files."""
 
 from __future__ import annotations
 
@@ -21,36 +21,36 @@
 
 @pytest.fixture
 def bench() -> Iterator[Bench]:
-    """The loop, facade, counters and log that a component is handed, on a clock of the test's own."""
-    made = Bench()
-    yield made
-    made.close()
+    """Loop, facade, counters and log for a component under test, with a clock that the test controls."""
+    test_bench = Bench()
+    yield test_bench
+    test_bench.close()
 
 
 @pytest.fixture
 def deployment(tmp_path: Path) -> Iterator[Deployment]:
-    """A relay, discovery and the configuration of a controller that runs as a process of its own."""
-    made = Deployment(tmp_path)
-    made.config()
-    yield made
-    made.close()
+    """A relay, discovery and the configuration of a controller that runs in a separate process."""
+    test_deployment = Deployment(tmp_path)
+    test_deployment.config()
+    yield test_deployment
+    test_deployment.close()
 
 
 @pytest.fixture
 def listener_rig(bench: Bench) -> Iterator[ListenerRig]:
-    """A listener on loopback."""
-    made = ListenerRig(bench)
-    yield made
-    made.close()
+    """A listener on the loopback interface."""
+    rig = ListenerRig(bench)
+    yield rig
+    rig.close()
 
 
 @pytest.fixture
 def short_timeout_rig() -> Iterator[ListenerRig]:
-    """A listener on loopback with short timeouts."""
+    """A listener on the loopback interface with short timeouts."""
     bench = Bench(HASTY)
-    made = ListenerRig(bench)
-    yield made
-    made.close()
+    rig = ListenerRig(bench)
+    yield rig
+    rig.close()
     bench.close()
 
 
@@ -62,31 +62,31 @@
 
 @pytest.fixture
 def facade(policy: ScriptedPolicy) -> Facade:
-    """A facade that has taken its first step, with a cached list of two endpoints."""
-    made = Facade(SETTINGS, 7, QUICK, lambda _: policy)
-    made.report_cached_list([member("h1"), member("h2", EndpointStatus.DRAINING)], 41)
-    made.start(1000)
-    return made
+    """A facade that has run its first step, with a cached list of two endpoints."""
+    started_facade = Facade(SETTINGS, 7, QUICK, lambda _: policy)
+    started_facade.report_cached_list([member("h1"), member("h2", EndpointStatus.DRAINING)], 41)
+    started_facade.start(1000)
+    return started_facade
 
 
 @pytest.fixture
 def pair() -> Iterator[SocketPair]:
     """Two connected sockets."""
-    ours, theirs = socket.socketpair()
-    yield ours, theirs
-    ours.close()
-    theirs.close()
+    first, second = socket.socketpair()
+    yield first, second
+    first.close()
+    second.close()
 
 
 @pytest.fixture
 def world(tmp_path: Path) -> Iterator[World]:
-    """Running zone services in one loop, on a clock of the test's own."""
-    made = World(tmp_path)
-    yield made
-    made.close()
+    """Running zone services in one loop, with a clock that the test controls."""
+    zone_world = World(tmp_path)
+    yield zone_world
+    zone_world.close()
 
 
 @pytest.fixture
 def adapter_harness() -> AdapterHarness:
-    """The simulator's adapter, with policies that record their events."""
+    """The simulator's adapter with policies that record their events."""
     return AdapterHarness()
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -1,4 +1,4 @@
-"""What is around a running controller: stand-ins of its relay and discovery, and its own process."""
+"""Test deployment: a controller in a process, with stand-ins for its relay and discovery."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from tests.standins import Caller, StandIn, entry, listed
 from tests.test_config import ROOT
 
-TIMEOUT_S = 60.0  # far beyond what anything here takes: only a controller that is stuck meets it
+TIMEOUT_S = 60.0  # far longer than any test needs, so that only a hung controller exceeds it
 ENDPOINTS = [{**entry(f"s-{k}"), "locality": "room-a" if k % 2 else "room-b"} for k in range(4)]
 
 
 class Deployment:
-    """What is around a controller: a relay with its events and calls, discovery, and its own process."""
+    """A controller process with stand-ins for the relay, which receives calls and sends events, and for discovery."""
 
     def __init__(self, folder: Path) -> None:
         self.unexpected_errors: list[Exception] = []
@@ -34,13 +34,13 @@
         self.lists: list[bytes] = [listed(41, *ENDPOINTS)]
         self.relay = StandIn(self.loop, self._serve_relay)
         self.discovery = StandIn(self.loop, self._serve_discovery)
-        self.relay_is_silent = False  # the relay answers no call
+        self.relay_is_silent = False  # whether the relay leaves calls unanswered
         self.listen = free_address()
         self.path = folder / "config.json"
         self.process: subprocess.Popen[bytes] | None = None
 
     def config(self, **changes: object) -> None:
-        """Writes the configuration file."""
+        """Writes the configuration file with the given fields changed."""
         root = {
             **ROOT,
             "name": "n3",
@@ -82,7 +82,7 @@
             self.loop.run_once(now_us() + 5000)
 
     def ping(self) -> bool:
-        """Whether it answers a ping."""
+        """Returns whether the controller answers a ping."""
         try:
             with socket.create_connection(self.listen, TIMEOUT_S) as peer:
                 peer.sendall(b"ping\r\n")
@@ -107,7 +107,7 @@
         yield from self._stream(caller, self.lists)
 
     def _stream(self, caller: Caller, source: list[bytes]) -> Coroutine[None]:
-        """What there is already, then whatever the test adds, with heartbeats between."""
+        """Sends the lines that exist, then lines that the test adds, with heartbeats between."""
         yield from caller.open_body()
         sent_count = 0
         while True:
@@ -118,11 +118,11 @@
             yield Wait(now_us() + 20_000)
 
     def has_order(self, **fields: object) -> bool:
-        """Whether an order with these fields has come."""
+        """Returns whether the relay has received an order with these fields."""
         return any(fields.items() <= order.items() for order in self.orders)
 
     def move_relay_and_discovery(self, **changes: object) -> None:
-        """Relay and discovery go on at other addresses, which the file tells."""
+        """Starts relay and discovery at new addresses, writes these to the file and reloads the configuration."""
         self.relay = StandIn(self.loop, self._serve_relay)
         self.discovery = StandIn(self.loop, self._serve_discovery)
         self.config(**changes)
@@ -138,14 +138,14 @@
             os.kill(self.process.pid, number)
 
     def wait_for_exit(self) -> list[dict[str, Any]]:
-        """What it logged until it ended by itself, without an error."""
+        """Waits until the controller has ended without an error, and returns the remaining log lines."""
         assert self.process is not None
         output, errors = self.process.communicate(timeout=TIMEOUT_S)
         assert (self.process.returncode, errors) == (0, b"")
         return log_lines(output)
 
     def wait_for_log_event(self, event: str) -> dict[str, Any]:
-        """The next line of an event."""
+        """Waits for the next log line of an event and returns it."""
         assert self.process is not None
         assert self.process.stdout is not None
         while True:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages name every log event and counter that the code writes, and nothing that is not there."""
+"""The pages explain every log event and counter that the code writes, and name only what exists."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
     ROOT / "deploy" / "sites" / "README.md",
     *sorted(DOCS.rglob("*.md")),
 ]
-# These keep the names of their time; their links are held all the same.
-RECORDS = ("CHANGELOG.md", "docs/history/", "docs/incidents/")
+# These pages keep the names that were used when they were written. Only their links are checked.
+HISTORICAL_PAGES = ("CHANGELOG.md", "docs/history/", "docs/incidents/")
 CURRENT_PAGES = [
-    page for page in PAGES if not page.relative_to(ROOT).as_posix().startswith(RECORDS)
+    page for page in PAGES if not page.relative_to(ROOT).as_posix().startswith(HISTORICAL_PAGES)
 ]
-OPERATORS_PAGES = [
+OPERATOR_PAGES = [
     DOCS / name for name in ("on-call.md", "operating-zones.md", "operating-shared.md")
 ]
 RENAMED = "Renamed log events, fields and counters"
@@ -53,7 +53,7 @@
 
 
 def calls_in(tree: ast.AST) -> Iterator[tuple[str, str, ast.Call]]:
-    """Every call of a method: the last name of its receiver, the method's name, the call."""
+    """Yields for each method call the last name of its receiver, the name of the method, and the call."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute):
             receiver = node.func.value
@@ -68,8 +68,8 @@
         yield from calls_in(tree)
 
 
-def first_names(call: ast.Call) -> Iterator[str]:
-    """The names that a call's first argument may be; what is filled in at run time is a `*`."""
+def possible_names(call: ast.Call) -> Iterator[str]:
+    """Yields the names that the first argument of a call may be, with `*` for parts that are known only at run time."""
     values = call.args[:1]
     while values:
         value = values.pop()
@@ -84,18 +84,18 @@
 
 
 def logged_fields() -> dict[str, set[str]]:
-    """The log events, each with the fields that any call gives it."""
+    """Returns the log events, each with the fields that any call logs with it."""
     fields: dict[str, set[str]] = {}
     for receiver, method, call in calls():
         if receiver.endswith("log") and method in LOG_METHODS:
-            for event in first_names(call):
+            for event in possible_names(call):
                 given = {keyword.arg for keyword in call.keywords if keyword.arg is not None}
                 fields.setdefault(event, set()).update(given)
     return fields
 
 
 def counting_functions() -> dict[str, str]:
-    """Functions that count under a name made of their first argument, each with that name."""
+    """Returns functions that increment a counter named after their first argument, with the pattern of its name."""
     functions: dict[str, str] = {}
     for tree in SOURCES.values():
         for node in ast.walk(tree):
@@ -112,7 +112,7 @@
             filled_in = {node.id for node in ast.walk(value) if isinstance(node, ast.Name)}
             is_counter = receiver.endswith("counters") and isinstance(value, ast.JoinedStr)
             if is_counter and filled_in == arguments:
-                yield from first_names(call)
+                yield from possible_names(call)
 
 
 def counter_names() -> set[str]:
@@ -120,9 +120,9 @@
     functions = counting_functions()
     for receiver, method, call in calls():
         if receiver.endswith("counters"):
-            names |= set(first_names(call))
+            names |= set(possible_names(call))
         elif method in functions:
-            names |= {functions[method].replace("*", source) for source in first_names(call)}
+            names |= {functions[method].replace("*", source) for source in possible_names(call)}
     return names
 
 
@@ -130,8 +130,8 @@
 COUNTERS = counter_names()
 
 
-def written(name: str, names: set[str]) -> bool:
-    """Whether the code has this name, or one that it fills in at run time to this name."""
+def is_written(name: str, names: set[str]) -> bool:
+    """Returns whether the code has this name, or a pattern that can result in it at run time."""
     return name in names or any(
         re.fullmatch(pattern.replace("*", "[a-z_]+"), name)
         for pattern in names
@@ -139,14 +139,14 @@
     )
 
 
-def named(pattern: str) -> set[str]:
+def names_matching(pattern: str) -> set[str]:
     return {name for path in SOURCES for name in re.findall(pattern, text_of(path))}
 
 
 def test_names_found_in_the_source_text_are_found_by_parsing() -> None:
-    assert named(r'log\.(?:event|always)\(\s*"([a-z_]+)"') <= set(EVENTS)
-    assert named(r'counters\.(?:add|record_max)\(\s*"([a-z_]+)"') <= COUNTERS
-    sources = named(r'reject_message\(\s*"([a-z_]+)"')
+    assert names_matching(r'log\.(?:event|always)\(\s*"([a-z_]+)"') <= set(EVENTS)
+    assert names_matching(r'counters\.(?:add|record_max)\(\s*"([a-z_]+)"') <= COUNTERS
+    sources = names_matching(r'reject_message\(\s*"([a-z_]+)"')
     assert len(sources) == 4
     assert "relay" in sources
     assert {f"{source}_messages_rejected" for source in sources} <= COUNTERS
@@ -156,102 +156,105 @@
 
 
 def section(page: Path, title: str) -> str:
-    """The text under a heading of the second level; empty if the page has none of this title."""
+    """Returns the text under a second-level heading, or an empty string if the page has no such heading."""
     _, _, rest = text_of(page).partition(f"\n## {title}\n")
     return rest.split("\n## ")[0]
 
 
-def rows(text: str) -> list[list[str]]:
-    """The rows of the tables in a text, head and rule left out."""
+def table_rows(text: str) -> list[list[str]]:
+    """Returns the rows of the tables in a text, without the header and delimiter rows."""
     table = [line for line in text.splitlines() if line.startswith("|")]
     cells = [[cell.strip() for cell in line.strip("|").split("|")] for line in table]
     rules = {at for at, row in enumerate(cells) if all(set(cell) <= set("-: ") for cell in row)}
     return [row for at, row in enumerate(cells) if at not in rules and at + 1 not in rules]
 
 
-def explained(title: str) -> dict[str, list[str]]:
-    """The names in the first column of the operators' tables under a heading, each with its row."""
+def explained_names(title: str) -> dict[str, list[str]]:
+    """Returns the names in the first column of the operator pages' tables under a heading, each with its row."""
     return {
         name: row
-        for page in OPERATORS_PAGES
-        for row in rows(section(page, title))
+        for page in OPERATOR_PAGES
+        for row in table_rows(section(page, title))
         for name in CODE.findall(row[0])
     }
 
 
 def test_every_log_event_is_explained() -> None:
     assert "event_stream_lost" in EVENTS
-    assert [event for event in sorted(EVENTS) if event not in explained("Log lines")] == []
+    assert [event for event in sorted(EVENTS) if event not in explained_names("Log lines")] == []
 
 
 def test_every_log_event_that_is_explained_is_written() -> None:
-    events = explained("Log lines")
+    events = explained_names("Log lines")
     assert len(events) > 15
     assert [event for event in events if event not in EVENTS] == []
 
 
 @pytest.mark.parametrize("event", sorted(EVENTS))
 def test_every_field_of_a_log_event_is_explained(event: str) -> None:
-    row = explained("Log lines").get(event, [])
+    row = explained_names("Log lines").get(event, [])
     assert [field for field in sorted(EVENTS[event]) if field not in re.split(r"\W+", row[1])] == []
 
 
 def test_every_counter_is_explained() -> None:
     literal = {name for name in COUNTERS if "*" not in name}
     assert "relay_messages_rejected" in literal
-    assert [name for name in sorted(literal) if name not in explained("Counters")] == []
+    assert [name for name in sorted(literal) if name not in explained_names("Counters")] == []
 
 
 @pytest.mark.parametrize("pattern", sorted(name for name in COUNTERS if "*" in name))
 def test_every_counter_pattern_matches_an_explained_counter(pattern: str) -> None:
-    assert any(written(name, {pattern}) for name in explained("Counters")) or pattern[0] == "*"
+    assert (
+        any(is_written(name, {pattern}) for name in explained_names("Counters"))
+        or pattern[0] == "*"
+    )
 
 
 def test_every_counter_that_is_explained_is_written() -> None:
-    counters = explained("Counters")
+    counters = explained_names("Counters")
     assert len(counters) > 50
-    assert [name for name in counters if not written(name, COUNTERS)] == []
+    assert [name for name in counters if not is_written(name, COUNTERS)] == []
 
 
 def test_every_name_that_is_explained_is_in_the_source() -> None:
-    pages = "".join(text_of(page) for page in OPERATORS_PAGES)
-    renamed = section(DOCS / "on-call.md", RENAMED)
-    names = re.findall(r"^\| `([a-z_]+)` \|", pages.replace(renamed, ""), re.MULTILINE)
+    pages = "".join(text_of(page) for page in OPERATOR_PAGES)
+    renamed_section = section(DOCS / "on-call.md", RENAMED)
+    names = re.findall(r"^\| `([a-z_]+)` \|", pages.replace(renamed_section, ""), re.MULTILINE)
     assert len(names) > 15
     source = "".join(text_of(path) for path in SOURCES)
     assert [name for name in names if f'"{name}"' not in source] == []
 
 
-def renamed() -> list[list[list[str]]]:
-    """The tables of old and new names: log events, fields by their event's new name, counters."""
+def renamed_names() -> list[list[list[str]]]:
+    """Returns the tables of old and new names: log events, fields with the new name of their event, and counters."""
     blocks = section(DOCS / "on-call.md", RENAMED).split("\n\n")
-    tables = [rows(block) for block in blocks if block.lstrip().startswith("|")]
+    tables = [table_rows(block) for block in blocks if block.lstrip().startswith("|")]
     return [[CODE.findall(" ".join(row)) for row in table] for table in tables]
 
 
 def test_renamed_log_events_are_written_only_under_their_new_names() -> None:
-    events, _, _ = renamed()
+    events, _, _ = renamed_names()
     assert len(events) > 40
     assert [new for _, new in events if new not in EVENTS] == []
     assert [old for old, _ in events if old in EVENTS] == []
 
 
 def test_renamed_fields_are_written_only_under_their_new_names() -> None:
-    _, fields, _ = renamed()
+    _, fields, _ = renamed_names()
     assert len(fields) > 15
     assert [(event, new) for event, _, new in fields if new not in EVENTS.get(event, ())] == []
     assert [(event, old) for event, old, _ in fields if old in EVENTS.get(event, ())] == []
 
 
 def test_renamed_counters_are_written_only_under_their_new_names() -> None:
-    _, _, counters = renamed()
+    _, _, counters = renamed_names()
     assert len(counters) > 40
-    assert [new for _, new in counters if not written(new, COUNTERS)] == []
+    assert [new for _, new in counters if not is_written(new, COUNTERS)] == []
     assert [old for old, _ in counters if old in COUNTERS] == []
 
 
 def test_no_name_is_renamed_twice() -> None:
-    for table in renamed():
+    for table in renamed_names():
         for kept in (slice(0, -1), slice(-1, None)):
             names = [tuple(row[:-2] + row[-2:][kept]) for row in table]
             assert len(names) == len(set(names))
@@ -261,7 +264,7 @@
 
 
 def anchors(page: Path) -> set[str]:
-    """The anchors of a page's headings as GitHub makes them."""
+    """Returns the anchors that GitHub generates for the headings of a page."""
     found: set[str] = set()
     for heading in re.findall(r"^#+ (.+)$", text_of(page), re.MULTILINE):
         kept = re.sub(r"[^\w\- ]", "", heading.lower())
@@ -272,17 +275,17 @@
 @pytest.mark.parametrize("page", PAGES, ids=name_of)
 def test_every_relative_link_has_a_target(page: Path) -> None:
     links = [link for link in LINK.findall(text_of(page)) if "://" not in link]
-    dead = []
+    broken = []
     for link in links:
         path, _, anchor = link.partition("#")
         target = (page.parent / path).resolve() if path else page
         if not target.exists() or (anchor and anchor not in anchors(target)):
-            dead.append(link)
-    assert dead == []
+            broken.append(link)
+    assert broken == []
 
 
-def backticked(page: Path) -> list[str]:
-    """What a page has in backticks; indented and fenced blocks are left out."""
+def names_in_backticks(page: Path) -> list[str]:
+    """Returns the texts in backticks on a page, except in indented and fenced blocks."""
     text = re.sub(r"^```.*?^```$", "", text_of(page), flags=re.MULTILINE | re.DOTALL)
     lines = [line for line in text.splitlines() if not line.startswith("    ")]
     return CODE.findall("\n".join(lines))
@@ -291,20 +294,22 @@
 @pytest.mark.parametrize("page", CURRENT_PAGES, ids=name_of)
 def test_every_file_that_is_named_exists(page: Path) -> None:
     paths = re.compile(r"(?:kelpcourse|tests|docs|deploy|benchmarks|journal)/[\w./-]*")
-    named_paths = [name for name in backticked(page) if paths.fullmatch(name)]
+    named_paths = [name for name in names_in_backticks(page) if paths.fullmatch(name)]
     assert [name for name in named_paths if not (ROOT / name).exists()] == []
 
 
 @pytest.mark.parametrize("page", CURRENT_PAGES, ids=name_of)
 def test_every_module_that_is_named_can_be_found(page: Path) -> None:
-    modules = [name for name in backticked(page) if re.fullmatch(r"kelpcourse(\.\w+)+", name)]
+    modules = [
+        name for name in names_in_backticks(page) if re.fullmatch(r"kelpcourse(\.\w+)+", name)
+    ]
     assert [name for name in modules if importlib.util.find_spec(name) is None] == []
 
 
 def test_every_test_that_is_named_exists() -> None:
     tests = "".join(text_of(path) for path in sorted((ROOT / "tests").glob("*.py")))
     defined = set(re.findall(r"^\s*def (test_\w+)\(", tests, re.MULTILINE))
-    names = [(name_of(page), name) for page in CURRENT_PAGES for name in backticked(page)]
+    names = [(name_of(page), name) for page in CURRENT_PAGES for name in names_in_backticks(page)]
     named_tests = [(page, name) for page, name in names if re.fullmatch(r"test_\w+", name)]
     assert len(named_tests) > 30
     assert [(page, name) for page, name in named_tests if name not in defined] == []
@@ -313,13 +318,17 @@
 @pytest.mark.parametrize("page", CURRENT_PAGES, ids=name_of)
 def test_every_class_and_member_that_is_named_is_in_the_code(page: Path) -> None:
     words = {word for path in SOURCES for word in re.findall(r"\w+", text_of(path))}
-    names = [name for name in backticked(page) if re.fullmatch(r"[A-Z]\w*[a-z]\w*(\.\w+)?", name)]
+    names = [
+        name for name in names_in_backticks(page) if re.fullmatch(r"[A-Z]\w*[a-z]\w*(\.\w+)?", name)
+    ]
     parts = [(name, part) for name in names for part in name.split(".")]
     assert [name for name, part in parts if part not in words] == []
 
 
 def test_every_limit_that_is_explained_is_a_field() -> None:
-    names = [name for row in rows(text_of(DOCS / "limits.md")) for name in CODE.findall(row[0])]
+    names = [
+        name for row in table_rows(text_of(DOCS / "limits.md")) for name in CODE.findall(row[0])
+    ]
     fields = {field.name for field in dataclasses.fields(Limits)}
     assert len(names) > 15
     assert [name for name in names if name not in fields] == []
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -1,7 +1,7 @@
-"""Names that leave the process are in `data/external_names.txt`, and the code still has each of them.
+"""The names that leave the process are listed in `data/external_names.txt`, and the code contains each of them.
 
-Clients, peers, stored data, settings files, alerts and the simulator depend on these names, so a renamed identifier
-must not change any of them. Each heading of the list names the files that its names are written or read in.
+Clients, peers, stored data, settings files, alerts and the simulator depend on these names, so renaming an identifier
+must not change any of them. Each heading of the list names the files in which its names are written or read.
 """
 
 from __future__ import annotations
@@ -30,11 +30,17 @@
 LIST = Path(__file__).parent / "data" / "external_names.txt"
 HEADING = re.compile(r"# (?P<title>[^:]+): (?P<files>.+)")
 WORD = re.compile(r"[A-Za-z_]\w*(?:[.-]\w+)*")
-LOG_RECORD_FIELDS = {"t", "event", "node", "suppressed", "cut"}  # not keywords of a log call
-BLOCK_FIELDS = {"line"}  # where a block stands in its file; not a setting
+LOG_RECORD_FIELDS = {
+    "t",
+    "event",
+    "node",
+    "suppressed",
+    "cut",
+}  # fields that the log adds, not keywords of a log call
+BLOCK_FIELDS = {"line"}  # the line number of a block in its file, not a setting
 IMPLICIT_OPTIONS = {"--help", "--version", "-h"}
 
-# Functions and methods that read a field by the name in their first or second argument.
+# Names of functions and methods whose first or second argument is the name of the field that they read.
 FIELD_READERS = re.compile(
     r"_?(require|optional)_\w+|_?(text|count|number|integer|boolean|words|choice|load|has|under)"
     r"|_flags|_object|_limit|get"
@@ -42,10 +48,10 @@
 
 
 class Section:
-    """The names under one heading, and the files that have them."""
+    """The names under one heading of the list, and the files that contain them."""
 
     def __init__(self, heading: str) -> None:
-        """Reads `# title: file, file`."""
+        """Parses a heading of the form `# title: file, file`."""
         match = HEADING.fullmatch(heading)
         assert match, heading
         self.title = match["title"]
@@ -79,7 +85,7 @@
 
 
 def texts(tree: ast.AST) -> Iterator[str]:
-    """The string and bytes constants of a tree; doc comments are left out."""
+    """Yields the string and bytes constants of a syntax tree, except doc comments."""
     doc_comments = {id(node.value) for node in ast.walk(tree) if isinstance(node, ast.Expr)}
     for node in ast.walk(tree):
         if isinstance(node, ast.Constant) and id(node) not in doc_comments:
@@ -95,7 +101,7 @@
 
 
 def names_in(path: Path) -> set[str]:
-    """The names that a file has in texts, as fields of classes, as keywords and as decorated functions."""
+    """Returns the names in a file's strings, class fields, keywords and decorated functions."""
     if path.suffix != ".py":
         return words_of(path.read_text(encoding="utf-8"))
     tree = SOURCES[path]
@@ -106,7 +112,7 @@
         if isinstance(node, ast.keyword) and node.arg:
             names.add(node.arg)
         elif isinstance(node, ast.FunctionDef) and node.decorator_list:
-            names.add(node.name)  # a command without a name of its own is named like its function
+            names.add(node.name)  # a command is named after its function by default
         elif isinstance(node, ast.ClassDef):
             names |= {
                 ast.unparse(statement.target)
@@ -117,7 +123,7 @@
 
 
 def read_fields(path: Path) -> set[str]:
-    """The names under which a codec reads or writes fields, and the values that it compares."""
+    """Returns the names under which a codec reads or writes fields, and the values with which it compares."""
     names: set[str] = set()
     for node in ast.walk(SOURCES[path]):
         if isinstance(node, ast.Dict):
@@ -144,7 +150,7 @@
 
 
 def structs(module: str, base: type[msgspec.Struct] = msgspec.Struct) -> Iterator[type]:
-    """The structs that a module defines, which has to be imported already."""
+    """Yields the structs that a module defines. The module must have been imported."""
     for struct in base.__subclasses__():
         if struct.__module__ == module:
             yield struct
@@ -152,7 +158,7 @@
 
 
 def block_names(module: str) -> set[str]:
-    """The settings that the blocks of a module have; a hyphen in a file is an underscore here."""
+    """Returns the settings in the blocks of a module, with underscores where a file has hyphens."""
     fields = {
         field.name for block in structs(module, Block) for field in msgspec.structs.fields(block)
     }
@@ -160,7 +166,7 @@
 
 
 def stored_names(*modules: types.ModuleType) -> set[str]:
-    """Tags of stored structs, and the names of fields that are not stored by position."""
+    """Returns the tags of stored structs and the names of fields that are not stored by position."""
     names: set[str] = set()
     for struct in (struct for module in modules for struct in structs(module.__name__)):
         config = struct.__struct_config__  # type: ignore[attr-defined]
@@ -172,20 +178,20 @@
 
 
 def field_names(*dataclass_types: type) -> set[str]:
-    """The fields of dataclasses that are stored under their own names."""
+    """Returns the fields of dataclasses, which are stored under their own names."""
     return {field.name for each in dataclass_types for field in dataclasses.fields(each)}
 
 
-def command_words(command: click.Command) -> set[str]:
-    """The names and options of a command and of all below it."""
-    words = {str(command.name)}
+def command_names(command: click.Command) -> set[str]:
+    """Returns the names and options of a command and of all its subcommands."""
+    names = {str(command.name)}
     for parameter in command.params:
         if isinstance(parameter, click.Option):
-            words |= set(parameter.opts)
+            names |= set(parameter.opts)
     if isinstance(command, click.Group):
-        for below in command.commands.values():
-            words |= command_words(below)
-    return words - IMPLICIT_OPTIONS
+        for subcommand in command.commands.values():
+            names |= command_names(subcommand)
+    return names - IMPLICIT_OPTIONS
 
 
 def environment_variables() -> set[str]:
@@ -279,7 +285,7 @@
 
 
 def test_every_command_and_option_is_listed_and_accepted() -> None:
-    assert listed("Command line") == command_words(cli) - {"cli"}
+    assert listed("Command line") == command_names(cli) - {"cli"}
 
 
 def test_every_environment_variable_is_listed_and_read() -> None:
