--- a/kelpcourse/facade/facade.py
+++ b/kelpcourse/facade/facade.py
@@ -1,4 +1,4 @@
-"""Implements the facade, which turns reports into events and the policy's actions into work."""
+"""The facade, which turns reports into events and the policy's actions into work."""
 
 from __future__ import annotations
 
--- a/kelpcourse/facade/translation.py
+++ b/kelpcourse/facade/translation.py
@@ -1,4 +1,4 @@
-"""Translates the policy's actions into orders to the relay, with endpoints and classes identified by name."""
+"""Translation of the policy's actions into orders to the relay, with endpoints and classes identified by name."""
 
 from __future__ import annotations
 
--- a/kelpcourse/facade/validation.py
+++ b/kelpcourse/facade/validation.py
@@ -1,4 +1,4 @@
-"""Validates reported values.
+"""Validation of reported values.
 
 A single report with an invalid value could outweigh all others for as long as it affects the running means.
 """
--- a/kelpcourse/memory/coalesce.py
+++ b/kelpcourse/memory/coalesce.py
@@ -1,4 +1,4 @@
-"""Coalesces batches of orders into one or two batches with the same end result."""
+"""Coalescing of batches of orders into one or two batches with the same end result."""
 
 from __future__ import annotations
 
--- a/kelpcourse/service/__init__.py
+++ b/kelpcourse/service/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the controller as a process: configuration, limits, log, signals and components."""
+"""The controller as a process: configuration, limits, log, signals and components."""
--- a/kelpcourse/service/config.py
+++ b/kelpcourse/service/config.py
@@ -1,4 +1,4 @@
-"""Reads and validates the configuration: the file that NODE_CONFIG names, and further environment variables."""
+"""Reading and validation of the configuration, which is in the file that NODE_CONFIG names."""
 
 from __future__ import annotations
 
--- a/kelpcourse/service/controller.py
+++ b/kelpcourse/service/controller.py
@@ -1,4 +1,4 @@
-"""Constructs the components of a controller, connects them and runs them until a signal ends the process."""
+"""The controller process: constructs the components, connects them and runs them until a signal ends the process."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 from kelpcourse.wire.stream import Address, listen
 
 EXIT_BAD_CONFIG = 2
-# Number of different spreads of retry delays, by which controllers avoid synchronised retries at discovery.
+# Number of different values of `spread` (see `Backoff`) among controllers, so that their retries do not coincide.
 RETRY_SPREAD_STEPS = 1_024
 
 
--- a/kelpcourse/service/logs.py
+++ b/kelpcourse/service/logs.py
@@ -48,7 +48,7 @@
         self._windows: dict[str, _Window] = {}  # by event name
 
     def event(self, name: str, **fields: object) -> None:
-        """Writes a frequent event. Lines above the burst limit of the event are counted instead of written."""
+        """Writes an event that may be frequent. Lines above its burst limit are counted instead of written."""
         now_us = self._clock()
         window = self._windows.setdefault(name, _Window(now_us))
         if now_us - window.start_us >= self._limits.log_burst_window_us:
--- a/kelpcourse/service/reload.py
+++ b/kelpcourse/service/reload.py
@@ -1,4 +1,4 @@
-"""Reloads the configuration while the controller runs."""
+"""Reloading of the configuration while the controller runs."""
 
 from __future__ import annotations
 
--- a/kelpcourse/service/signals.py
+++ b/kelpcourse/service/signals.py
@@ -1,4 +1,4 @@
-"""Delivers signals through a socket that the loop waits for."""
+"""Delivery of signals through a socket that the loop waits for."""
 
 from __future__ import annotations
 
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -74,9 +74,9 @@
         )
         return self.process
 
-    def until(self, what: Callable[[], object]) -> None:
+    def until(self, condition: Callable[[], object]) -> None:
         end = time.monotonic() + TIMEOUT_S
-        while not what():
+        while not condition():
             assert time.monotonic() < end, (self.orders[-5:], self.unexpected_errors)
             assert self.process is None or self.process.poll() is None, self.process.communicate()
             self.loop.run_once(now_us() + 5000)
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -30,13 +30,8 @@
 LIST = Path(__file__).parent / "data" / "external_names.txt"
 HEADING = re.compile(r"# (?P<title>[^:]+): (?P<files>.+)")
 WORD = re.compile(r"[A-Za-z_]\w*(?:[.-]\w+)*")
-LOG_RECORD_FIELDS = {
-    "t",
-    "event",
-    "node",
-    "suppressed",
-    "cut",
-}  # fields that the log adds, not keywords of a log call
+# Fields that the log adds to a line, which are not keywords of a log call.
+LOG_RECORD_FIELDS = {"t", "event", "node", "suppressed", "cut"}
 BLOCK_FIELDS = {"line"}  # the line number of a block in its file, not a setting
 IMPLICIT_OPTIONS = {"--help", "--version", "-h"}
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -16,7 +16,7 @@
 from kelpcourse.wire.report_codec import DemandReportMessage, EndpointReportMessage, decode_line
 from tests.fleet import SECOND, SETTINGS
 from tests.standins import QUICK, member
-from tests.test_work import steps
+from tests.test_work import executed_instructions
 
 HOSTS = 10
 PROXIES = 8
@@ -110,7 +110,7 @@
         """Serves so long; the interpreter's steps that it took and the objects that are kept after it."""
         work = 0
         for _ in range(seconds):
-            work += steps(self.serve)
+            work += executed_instructions(self.serve)
         gc.collect()
         return work, len(gc.get_objects())
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -5,10 +5,7 @@
 import signal
 from functools import partial
 
-from tests.deployment import (
-    ENDPOINTS,
-    Deployment,
-)
+from tests.deployment import ENDPOINTS, Deployment
 from tests.relays import joined
 from tests.standins import StandIn, listed
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -8,9 +8,7 @@
 
 import pytest
 
-from tests.deployment import (
-    Deployment,
-)
+from tests.deployment import Deployment
 from tests.relays import joined
 
 
