--- a/kelpcourse/facade/facade.py
+++ b/kelpcourse/facade/facade.py
@@ -170,7 +170,7 @@
         window_us = self._validate.window_us(window_ms)
         successes = self._validate.count_within(attempts, window_us) - validate_count(failed)
         if successes < 0:
-            raise InvalidReportError(f"{failed} failed attempts", f"exceed {attempts} attempts")
+            raise InvalidReportError(f"{failed} failed of {attempts} attempts", "is out of range")
         mean_us = self._validate.mean_us(mean_ms, successes)
         self._events.append(
             EndpointReport(
--- a/tests/test_order_queue.py
+++ b/tests/test_order_queue.py
@@ -301,10 +301,10 @@
         == 6
     )
     assert queue.add([BindProxy(1, 0, ())]) == 1
-    waiting: list[Order] = []
+    sent_orders: list[Order] = []
     while queue.batch_count:
-        waiting += queue.begin_call()
+        sent_orders += queue.begin_call()
         queue.accept(len(queue.begin_call()))
     assert [
-        order for order in waiting if isinstance(order, WithdrawEndpoint | RestoreEndpoint)
+        order for order in sent_orders if isinstance(order, WithdrawEndpoint | RestoreEndpoint)
     ] == [WithdrawEndpoint(f"h{k}") for k in range(8)]
