--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -16,7 +16,7 @@
 from kelpcourse.wire.report_codec import DemandReportMessage, EndpointReportMessage, decode_line
 from tests.fleet import SECOND, SETTINGS
 from tests.standins import QUICK, member
-from tests.test_work import steps
+from tests.test_work import executed_instructions
 
 HOSTS = 10
 PROXIES = 8
@@ -54,7 +54,7 @@
                 case Joined(proxy, zone, share, standing):
                     self.facade.report_proxy_joined(proxy, zone, share, standing)
                 case Left(proxy):
-                    self.outbox.forget_proxy(proxy)
+                    self.outbox.drop_bindings(proxy)
                     self.facade.report_proxy_left(proxy)
                 case Applied(proxy, stamp, lag_ms):
                     for answered in self.outbox.covered_checkpoints(stamp):
@@ -84,7 +84,7 @@
             self.take(line)
         self.facade.tick(self.now - QUICK.step_batching_us)
         self.facade.tick(self.now)
-        orders = self.facade.pick().orders
+        orders = self.facade.take_work().orders
         for order in orders:
             match order:
                 case SetWeight(_, _, 0.0) | RestoreEndpoint(_):
@@ -110,7 +110,7 @@
         """Serves so long; the interpreter's steps that it took and the objects that are kept after it."""
         work = 0
         for _ in range(seconds):
-            work += steps(self.serve)
+            work += executed_instructions(self.serve)
         gc.collect()
         return work, len(gc.get_objects())
 
--- a/tests/test_order_queue.py
+++ b/tests/test_order_queue.py
@@ -1,4 +1,4 @@
-"""OrderQueue: waiting orders are coalesced to the same end result, bounded, and never out of order."""
+"""OrderQueue: queued orders are coalesced without a change of the end result, bounded, and kept in order."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 
 
-def test_waiting_batches_are_coalesced_to_their_end_result() -> None:
+def test_queued_batches_are_coalesced_to_their_end_result() -> None:
     queue = OrderQueue(100, 8)
     queue.add(
         [
@@ -37,8 +37,8 @@
     ]
 
 
-def test_withdrawals_go_ahead_of_the_backlog() -> None:
-    """A drain has a time limit, and a call of many entries takes a while to deliver."""
+def test_withdrawals_are_sent_before_the_backlog() -> None:
+    """A withdrawal has a time limit, and a call with many entries takes time to deliver."""
     queue = OrderQueue(100, 8)
     queue.add(
         [SetWeight(0, "a", 1.0), BindProxy(1, 0, ()), RestoreEndpoint("c"), Checkpoint(1, False)]
@@ -61,8 +61,8 @@
     ]
 
 
-def test_removals_of_withdrawn_endpoints_go_ahead_with_them() -> None:
-    """Behind them, a withdrawal would cost an entry at each proxy whose table has the endpoint, a removal one more."""
+def test_removals_of_withdrawn_endpoints_are_sent_with_the_withdrawals() -> None:
+    """If sent separately, withdrawal and removal would each cost an entry at every proxy that has the endpoint."""
     queue = OrderQueue(100, 8)
     queue.add([SetWeight(0, "a", 1.0), SetWeight(0, "c", 0.0), Checkpoint(1, False)])
     queue.add(
@@ -87,7 +87,7 @@
     ]
 
 
-def test_a_single_step_is_not_divided() -> None:
+def test_the_orders_of_a_single_step_are_not_split() -> None:
     queue = OrderQueue(100, 8)
     queue.add([SetWeight(0, "a", 1.0), WithdrawEndpoint("b"), Checkpoint(1, True)])
     assert len(queue.begin_call()) == 3
@@ -100,7 +100,7 @@
     assert queue.begin_call() == [SetWeight(1, "a", 1.0), ClearTable(0), SetWeight(0, "b", 1.0)]
 
 
-def test_a_call_in_progress_stays_as_it_is() -> None:
+def test_a_call_in_progress_is_not_changed() -> None:
     queue = OrderQueue(100, 8)
     first: list[Order] = [SetWeight(0, "a", 1.0), Checkpoint(1, False)]
     queue.add(first)
@@ -111,7 +111,7 @@
     assert queue.begin_call() == [SetWeight(0, "a", 3.0), Checkpoint(3, False, (2,))]
 
 
-def test_a_call_of_unknown_outcome_is_coalesced_with_what_followed() -> None:
+def test_a_call_of_unknown_outcome_is_coalesced_with_later_orders() -> None:
     queue = OrderQueue(100, 8)
     queue.add([SetWeight(0, "a", 1.0), BindProxy(1, 0, ())])
     queue.begin_call()
@@ -121,7 +121,7 @@
     assert queue.begin_call() == [BindProxy(1, 0, ()), SetWeight(0, "a", 2.0)]
 
 
-def test_a_call_of_unknown_outcome_tells_its_checkpoints() -> None:
+def test_the_checkpoints_of_a_call_of_unknown_outcome_are_returned() -> None:
     queue = OrderQueue(100, 8)
     queue.add([SetWeight(0, "a", 1.0), Checkpoint(1, False)])
     queue.begin_call()
@@ -133,7 +133,7 @@
     assert queue.checkpoints_in_call() == (1, 2, 3)
 
 
-def test_an_accepted_call_tells_whose_messages_were_written() -> None:
+def test_accepting_a_call_returns_the_checkpoints_of_written_messages() -> None:
     queue = OrderQueue(100, 8)
     assert queue.accept(0) == []
     queue.add([SetWeight(0, "a", 1.0), SetWeight(0, "b", 1.0), Checkpoint(1, False)])
@@ -143,12 +143,11 @@
     assert queue.accept(4) == [3, 4]
 
 
-def test_withdrawals_that_go_ahead_end_in_the_checkpoint_too() -> None:
-    """They are the largest calls.
+def test_withdrawals_sent_first_end_in_the_checkpoint_too() -> None:
+    """Withdrawals are the largest calls.
 
-    Without a checkpoint of their own, proxies that the rest did not concern never acknowledged
-    them: 12,000 entries stayed in the tracker of an empty queue, and nothing was withdrawn for
-    12 s.
+    Without a checkpoint in their batch, proxies that received nothing from the other batch never acknowledged them:
+    12,000 entries stayed in the delivery tracker although the queue was empty, and nothing was withdrawn for 12 s.
     """
     queue = OrderQueue(100, 8)
     queue.add([WithdrawEndpoint("a"), Checkpoint(1, False)])
@@ -173,17 +172,17 @@
     queue = OrderQueue(100, 8)
     queue.add([SetWeight(0, "a", 1.0), BindProxy(1, 0, ())])
     queue.begin_call()
-    queue.forget_proxy(1)
+    queue.drop_bindings(1)
     queue.requeue_call()
     assert queue.begin_call() == [SetWeight(0, "a", 1.0)]
 
 
 def test_a_proxy_that_rejoined_during_a_failed_call_keeps_its_new_binding() -> None:
-    """Bindings were dropped by the proxy's number, also the one ordered after its return: it was never bound."""
+    """The binding ordered after a proxy had rejoined was dropped with its older ones, and the proxy was never bound."""
     queue = OrderQueue(100, 8)
     queue.add([BindProxy(1, 0, ()), BindProxy(2, 0, ())])
     queue.begin_call()
-    queue.forget_proxy(1)
+    queue.drop_bindings(1)
     queue.add([BindProxy(1, 3, ())])
     queue.requeue_call()
     assert queue.begin_call() == [BindProxy(2, 0, ()), BindProxy(1, 3, ())]
@@ -204,13 +203,16 @@
     assert queue.call_acknowledged
     queue.requeue_call()
     queue.begin_call()
-    assert not queue.call_acknowledged  # it went a second time for all that
+    assert not queue.call_acknowledged  # the acknowledgement counted only for the earlier attempt
     queue.acknowledge(1)
     assert queue.call_acknowledged
 
 
 def test_an_acknowledged_checkpoint_of_an_earlier_call_proves_nothing() -> None:
-    """Withdrawals go ahead with the checkpoint of what follows; taken for proof, it would lose all that."""
+    """Withdrawals end in the checkpoint of the next batch.
+
+    If its acknowledgement were taken as proof, that batch would be lost.
+    """
     queue = OrderQueue(100, 8)
     queue.add([WithdrawEndpoint("a"), Checkpoint(1, False)])
     queue.add([SetWeight(0, "b", 1.0), Checkpoint(2, False)])
@@ -221,17 +223,18 @@
     assert not queue.call_acknowledged
 
 
-def test_a_partly_accepted_call_uses_its_checkpoint_up() -> None:
+def test_an_acknowledged_checkpoint_proves_nothing_after_a_partly_accepted_call() -> None:
     queue = queue_in_call(SetWeight(0, "a", 1.0), SetWeight(0, "b", 1.0), Checkpoint(1, False))
-    queue.accept(1)  # the relay was handed a checkpoint behind this part as well
+    queue.accept(1)  # the relay received a checkpoint after this part too
     queue.begin_call()
     queue.acknowledge(1)
     assert not queue.call_acknowledged
 
 
-def test_orders_added_to_a_failed_call_are_not_proved_by_its_checkpoint() -> None:
+def test_orders_added_to_a_failed_call_are_not_confirmed_by_its_checkpoint() -> None:
     queue = queue_in_call(SetWeight(0, "a", 1.0), Checkpoint(1, False))
-    queue.add([SetAdmission(0, (), 0.5, 1)])  # to a table that no proxy uses: no checkpoint
+    # No checkpoint follows, because no proxy uses the table.
+    queue.add([SetAdmission(0, (), 0.5, 1)])
     queue.requeue_call()
     assert queue.begin_call() == [
         SetWeight(0, "a", 1.0),
@@ -242,7 +245,7 @@
     assert not queue.call_acknowledged
 
 
-def test_the_queue_is_bounded_however_long_the_relay_is_away() -> None:
+def test_the_queue_is_bounded_while_the_relay_is_unreachable() -> None:
     queue = OrderQueue(1000, 8)
     for step in range(5000):
         queue.add(
@@ -266,7 +269,7 @@
     assert queue.begin_call()[0] == SetWeight(0, "h3", 1.0)
 
 
-def test_remembered_checkpoints_are_bounded() -> None:
+def test_the_number_of_retained_checkpoints_is_bounded() -> None:
     queue = OrderQueue(100, 4)
     for checkpoint_id in range(0, 100, 2):
         queue.add([Checkpoint(checkpoint_id, False)])
@@ -277,7 +280,7 @@
     assert queue.covered_checkpoints(1) == (1,)
 
 
-def test_a_rejected_order_is_dropped_alone() -> None:
+def test_only_the_rejected_order_is_dropped() -> None:
     queue = OrderQueue(100, 8)
     queue.add([SetWeight(0, "a", 1.0), BindProxy(1, 0, ()), Checkpoint(1, False)])
     queue.begin_call()
@@ -287,8 +290,8 @@
 
 
 def test_no_withdrawal_is_dropped() -> None:
-    # On a fleet of 1,600 proxies the backlog for a relay that was away was cut from its oldest end,
-    # where the withdrawals are.
+    # On a fleet of 1,600 proxies, the oldest orders were dropped while the relay was unreachable, and withdrawals are
+    # among the oldest.
     queue = OrderQueue(10, 8)
     assert (
         queue.add(
@@ -298,10 +301,10 @@
         == 6
     )
     assert queue.add([BindProxy(1, 0, ())]) == 1
-    waiting: list[Order] = []
+    sent_orders: list[Order] = []
     while queue.batch_count:
-        waiting += queue.begin_call()
+        sent_orders += queue.begin_call()
         queue.accept(len(queue.begin_call()))
     assert [
-        order for order in waiting if isinstance(order, WithdrawEndpoint | RestoreEndpoint)
+        order for order in sent_orders if isinstance(order, WithdrawEndpoint | RestoreEndpoint)
     ] == [WithdrawEndpoint(f"h{k}") for k in range(8)]
