--- a/kelpcourse/facade/facade.py
+++ b/kelpcourse/facade/facade.py
@@ -283,7 +283,7 @@
             return True
         return self._step_due_us is not None and self._step_due_us <= now_us
 
-    def take_work(self) -> Work:
+    def pick(self) -> Work:
         """Returns the work that steps have asked for since the last call of this method."""
         work = self._work
         self._work = Work()
--- a/kelpcourse/service/controller.py
+++ b/kelpcourse/service/controller.py
@@ -144,7 +144,7 @@
             act(self._loop.clock())
         except Exception as error:
             self._process.report_unexpected_error("policy", error)
-        self._carry_out(self._facade.take_work())
+        self._carry_out(self._facade.pick())
 
     def _carry_out(self, work: Work) -> None:
         self._counters.add("steps", work.steps)
--- a/kelpcourse/shared/group_controller.py
+++ b/kelpcourse/shared/group_controller.py
@@ -141,7 +141,7 @@
         interval_us = self._context.limits.step_batching_us
         self._facade.start(clock())
         while True:
-            self._process(self._facade.take_work())
+            self._process(self._facade.pick())
             due_us = self._facade.next_due_us()
             latest_us = clock() + interval_us
             yield Wait(latest_us if due_us is None else min(due_us, latest_us))
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -124,7 +124,7 @@
         """Lets the policy order these checkpoints."""
         self.policy.ready.append([Checkpoint(each, False) for each in checkpoint_ids])
         self.facade.start(self.clock.now)
-        self.facade.take_work()
+        self.facade.pick()
 
     def close(self) -> None:
         self.loop.close()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -226,7 +226,7 @@
     dropped = bound = 0
     for at_s in range(3):
         facade.start(at_s * 1_000_000)
-        orders = facade.take_work().orders
+        orders = facade.pick().orders
         dropped += queue.add(orders)
         bound += sum(isinstance(order, BindProxy) for order in orders)
     assert (dropped, bound > 0) == (0, True)
@@ -345,7 +345,7 @@
                 False,
             )
         facade.start(second * 1_000_000)
-        orders = facade.take_work().orders
+        orders = facade.pick().orders
         ordered += orders
         checkpoints = [order for order in orders if isinstance(order, Checkpoint)]
         for checkpoint in checkpoints:
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -150,7 +150,7 @@
     bench.policy.ready = [[CheckHealth(host), WatchEndpoints(False)]]
     bench.facade.report_list_unavailable()
     bench.pass_us(5 * MS)
-    work = bench.facade.take_work()
+    work = bench.facade.pick()
     assert work.health_checks == [HealthCheckRequest("a", ("127.0.0.2", 7))]
     assert work.watch is False
 
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -120,7 +120,7 @@
     facade.report_proxy_left(0)
     facade.tick(2000)
     facade.tick(5000)
-    work = facade.take_work()
+    work = facade.pick()
     assert work.orders == [
         orders.SetWeight(0, "h1", 0.333333),
         orders.ClearTable(2),
@@ -134,7 +134,7 @@
     assert work.log_messages == ["seen"]
     # The message to a peer has no connection, and the endpoint of the last weight was never listed.
     assert work.undeliverable == 2
-    assert facade.take_work().orders == []
+    assert facade.pick().orders == []
 
 
 @pytest.mark.parametrize(
@@ -194,7 +194,7 @@
     facade.report_proxy_left(0)
     facade.tick(2000)
     facade.tick(2000 + 10 * MS)
-    assert facade.take_work().undeliverable == 5
+    assert facade.pick().undeliverable == 5
 
 
 def test_the_time_passed_to_the_policy_is_monotonic(facade: Facade, policy: ScriptedPolicy) -> None:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -84,7 +84,7 @@
             self.take(line)
         self.facade.tick(self.now - QUICK.step_batching_us)
         self.facade.tick(self.now)
-        orders = self.facade.take_work().orders
+        orders = self.facade.pick().orders
         for order in orders:
             match order:
                 case SetWeight(_, _, 0.0) | RestoreEndpoint(_):
--- a/tests/test_reconnect_storms.py
+++ b/tests/test_reconnect_storms.py
@@ -190,7 +190,7 @@
         until_us = self.bench.clock.now + ms * MS
         while self.bench.clock.now < until_us:
             self.bench.turn()
-            work = self.facade.take_work()
+            work = self.facade.pick()
             if work.orders:
                 assert self.order_queue.add(work.orders) == 0
                 self.orders_queued.set()
