--- a/kelpcourse/wire/relay_calls.py
+++ b/kelpcourse/wire/relay_calls.py
@@ -40,7 +40,7 @@
         runtime: Runtime,
         address: Address,
         orders: OrderQueue,
-        orders_waiting: Signal,
+        orders_queued: Signal,
         target: Callable[[], str | None] = lambda: ORDERS_PATH,
     ) -> None:
         """Create the sender; `run` is its coroutine.
@@ -56,7 +56,7 @@
         self._runtime = runtime
         self._address = address
         self._orders = orders
-        self._orders_waiting = orders_waiting
+        self._orders_waiting = orders_queued
         self._target = target
         self._client: HttpClient | None = None
         self._client_address = address
--- a/tests/relay_service.py
+++ b/tests/relay_service.py
@@ -89,9 +89,9 @@
 
 
 def start_calls(bench: Bench, relay: Relay, order_queue: OrderQueue) -> Signal:
-    orders_waiting = Signal()
+    orders_queued = Signal()
     bench.loop.start(
         "calls",
-        RelayCalls(bench.runtime, relay.stand_in.address, order_queue, orders_waiting).run(),
+        RelayCalls(bench.runtime, relay.stand_in.address, order_queue, orders_queued).run(),
     )
-    return orders_waiting
+    return orders_queued
--- a/tests/test_end_result.py
+++ b/tests/test_end_result.py
@@ -156,18 +156,18 @@
 def test_the_end_result_is_what_the_steps_ordered(
     bench: Bench, faults: list[Fault], pace_ms: int
 ) -> None:
-    relay, order_queue, orders_waiting = (
+    relay, order_queue, orders_queued = (
         Relay(bench, faults),
         OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints),
         Signal(),
     )
     bench.loop.start(
         "calls",
-        RelayCalls(bench.runtime, relay.stand_in.address, order_queue, orders_waiting).run(),
+        RelayCalls(bench.runtime, relay.stand_in.address, order_queue, orders_queued).run(),
     )
     for number in range(STEPS):
         order_queue.add(step(number))
-        orders_waiting.set()
+        orders_queued.set()
         bench.pass_us(pace_ms * MS)
     bench.until(lambda: not order_queue.batch_count)
     assert relay.state == expected_state()
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -27,10 +27,10 @@
 
 def test_a_step_is_one_call_and_the_next_reuses_the_connection(bench: Bench) -> None:
     relay, order_queue = Relay(bench), order_queue_of(SET_WEIGHT, BIND, CHECKPOINT)
-    orders_waiting = start_calls(bench, relay, order_queue)
+    orders_queued = start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
     order_queue.add([WithdrawEndpoint("h1"), Checkpoint(6, True)])
-    orders_waiting.set()
+    orders_queued.set()
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["SET", "USE", "SYNC"], ["OUT", "SYNC"]]
     assert relay.stand_in.connections == 1
@@ -79,10 +79,10 @@
         Relay(bench, *[reject_as_invalid] * times),
         order_queue_of(SET_WEIGHT, CHECKPOINT),
     )
-    orders_waiting = start_calls(bench, relay, order_queue)
+    orders_queued = start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
     order_queue.add([BIND])
-    orders_waiting.set()
+    orders_queued.set()
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["SET", "SYNC"]] * times + [["USE"]]
     assert bench.log.named("relay_call_rejected")[-1]["dropped"] is True
@@ -90,11 +90,11 @@
 
 def test_a_connection_closed_while_idle_costs_no_call(bench: Bench) -> None:
     relay, order_queue = Relay(bench, close_when_idle), order_queue_of(SET_WEIGHT, CHECKPOINT)
-    orders_waiting = start_calls(bench, relay, order_queue)
+    orders_queued = start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
     bench.pass_us(10 * MS)
     order_queue.add([BIND])
-    orders_waiting.set()
+    orders_queued.set()
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["SET", "SYNC"], ["USE"]]
     assert bench.counters["relay_calls_failed"] == 0
@@ -111,11 +111,11 @@
 
 def test_an_idle_connection_is_closed_before_the_relay_does_so(bench: Bench) -> None:
     relay, order_queue = Relay(bench), order_queue_of(SET_WEIGHT, CHECKPOINT)
-    orders_waiting = start_calls(bench, relay, order_queue)
+    orders_queued = start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
     bench.pass_us(2 * QUICK.idle_connection_us)
     order_queue.add([BIND])
-    orders_waiting.set()
+    orders_queued.set()
     bench.until(lambda: not order_queue.batch_count)
     assert relay.stand_in.connections == 2
 
@@ -150,14 +150,14 @@
 def test_an_idle_connection_to_the_old_address_is_closed(bench: Bench) -> None:
     bench.runtime = replace(bench.runtime, limits=replace(QUICK, idle_connection_us=3_600_000_000))
     old, new, order_queue = Relay(bench), Relay(bench), order_queue_of(SET_WEIGHT, CHECKPOINT)
-    orders_waiting = Signal()
-    calls = RelayCalls(bench.runtime, old.stand_in.address, order_queue, orders_waiting)
+    orders_queued = Signal()
+    calls = RelayCalls(bench.runtime, old.stand_in.address, order_queue, orders_queued)
     bench.loop.start("calls", calls.run())
     bench.until(lambda: not order_queue.batch_count)
     calls.reconnect_to(new.stand_in.address)
     bench.until(lambda: old.closed_count)
     order_queue.add([BIND])
-    orders_waiting.set()
+    orders_queued.set()
     bench.until(lambda: not order_queue.batch_count)
     assert (old.verbs(), new.verbs()) == ([["SET", "SYNC"]], [["USE"]])
 
@@ -184,10 +184,10 @@
     """Raised while a call failed, the signal of new orders ended each wait at once."""
     relay, order_queue = Relay(bench), order_queue_of(SET_WEIGHT, CHECKPOINT)
     relay.stand_in.close()
-    orders_waiting = start_calls(bench, relay, order_queue)
+    orders_queued = start_calls(bench, relay, order_queue)
     for stamp in range(6, 206):
         order_queue.add([SetWeight(0, "h1", stamp), Checkpoint(stamp, False)])
-        orders_waiting.set()
+        orders_queued.set()
         bench.pass_us(MS)
     assert 10 < bench.counters["relay_calls_failed"] <= 10 + 200 * MS // QUICK.max_backoff_us
 
