--- a/kelpcourse/wire/relay_calls.py
+++ b/kelpcourse/wire/relay_calls.py
@@ -17,7 +17,7 @@
 from kelpcourse.wire.relay_codec import (
     ORDERS_PATH,
     CallBody,
-    decode_answer,
+    decode_response,
     encode_call,
     encode_order,
 )
@@ -169,7 +169,7 @@
         answer = yield from client.read_body(deadline_us)
         if not client.is_reusable:
             self._close()
-        accepted = decode_answer(answer, body.sent_count)
+        accepted = decode_response(answer, body.sent_count)
         self._settle(min(accepted, body.order_count), body.order_count)
 
     def _resolve_outcome(self) -> Coroutine[int]:
--- a/kelpcourse/wire/relay_codec.py
+++ b/kelpcourse/wire/relay_codec.py
@@ -150,7 +150,7 @@
     return CallBody(BODY_START + b",".join(part) + BODY_END, count, checkpoint_added)
 
 
-def decode_answer(body: memoryview, sent_count: int) -> int:
+def decode_response(body: memoryview, sent_count: int) -> int:
     """Decode the answer to a call: the number of orders accepted, counted from the first.
 
     Raises:
--- a/tests/test_relay_codec.py
+++ b/tests/test_relay_codec.py
@@ -22,7 +22,7 @@
     NotJsonError,
     ThrottledError,
 )
-from kelpcourse.wire.relay_codec import decode_answer, decode_event, encode_call, encode_order
+from kelpcourse.wire.relay_codec import decode_event, decode_response, encode_call, encode_order
 from tests.relays import CHECKPOINT, SET_WEIGHT
 
 
@@ -68,11 +68,11 @@
 
 
 def test_answers_are_decoded() -> None:
-    assert decode_answer(view(b'{"ok_count":2}'), 2) == 2
+    assert decode_response(view(b'{"ok_count":2}'), 2) == 2
     with pytest.raises(ThrottledError):
-        decode_answer(view(b'{"error":"Throttling"}'), 2)
+        decode_response(view(b'{"error":"Throttling"}'), 2)
     with pytest.raises(InvalidCallError):
-        decode_answer(view(b'{"error":{"type":"ValidationError"}}'), 2)
+        decode_response(view(b'{"error":{"type":"ValidationError"}}'), 2)
     for text in (
         b'{"ok_count":3}',
         b'{"ok_count":-1}',
@@ -83,7 +83,7 @@
         b"",
     ):
         with pytest.raises(InvalidMessageError):
-            decode_answer(view(text), 2)
+            decode_response(view(text), 2)
 
 
 def test_events_are_decoded() -> None:
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -43,7 +43,7 @@
 from kelpcourse.wire.listener import Listener
 from kelpcourse.wire.loop import Signal
 from kelpcourse.wire.relay_calls import RelayCalls
-from kelpcourse.wire.relay_codec import decode_answer, decode_event, encode_call, encode_order
+from kelpcourse.wire.relay_codec import decode_event, decode_response, encode_call, encode_order
 from kelpcourse.wire.relay_events import RelayEventStreams
 from kelpcourse.wire.report_codec import (
     CollectorHello,
@@ -342,7 +342,7 @@
 
 @pytest.mark.parametrize("taken", [0, 1, 2])
 def test_an_answer_to_a_call_read_from_bytes(taken: int) -> None:
-    assert decode_answer(memoryview(b'{"ok_count":%d,"more":null}' % taken), 2) == taken
+    assert decode_response(memoryview(b'{"ok_count":%d,"more":null}' % taken), 2) == taken
 
 
 # Discovery
