--- a/kelpcourse/wire/relay_codec.py
+++ b/kelpcourse/wire/relay_codec.py
@@ -70,7 +70,7 @@
 BODY_END = b"]}"
 ENVELOPE_BYTES = 16  # reserved for start and end of a body
 SEPARATOR_BYTES = 1
-MAX_LOGGED_ANSWER = 200
+MAX_LOGGED_RESPONSE_CHARS = 200
 
 
 @dataclass(frozen=True)
@@ -167,9 +167,9 @@
     # The protocol names the error codes but not the field that holds them.
     answer = orjson.dumps(fields).decode()
     if THROTTLED_CODE in answer:
-        raise ThrottledError(answer[:MAX_LOGGED_ANSWER])
+        raise ThrottledError(answer[:MAX_LOGGED_RESPONSE_CHARS])
     if INVALID_CALL_CODE in answer:
-        raise InvalidCallError(answer[:MAX_LOGGED_ANSWER])
+        raise InvalidCallError(answer[:MAX_LOGGED_RESPONSE_CHARS])
     raise InvalidMessageError(f"an answer without 'ok_count': {answer:.100}")
 
 
--- a/kelpcourse/wire/report_codec.py
+++ b/kelpcourse/wire/report_codec.py
@@ -30,7 +30,7 @@
 PONG = b"pong\r\n"
 REFUSED = b"refused\r\n"
 MAX_KIND_LENGTH = 32
-MAX_WORD_LENGTH = 256
+MAX_VALUE_LENGTH = 256
 MAX_COUNT_DIGITS = 15
 MAX_NUMBER = 1e15
 INCOMPLETE_UTF8 = "unexpected end of data"  # Python's reason for a sequence that is cut off
@@ -110,7 +110,7 @@
     if not parts:
         return None
     kind = parts[0]
-    if not is_kind(kind):
+    if not is_valid_kind(kind):
         raise MalformedLineError(f"no kind {kind!r:.60}")
     words = _parse_words(parts[1:])
     match kind:
@@ -125,7 +125,7 @@
     raise InvalidMessageError(f"unknown kind {kind!r:.60}")
 
 
-def is_kind(word: str) -> bool:
+def is_valid_kind(word: str) -> bool:
     """Whether a message may start with this word, whether or not the kind is known."""
     letters = word.replace("_", "")
     is_lower_ascii = letters.isascii() and letters.isalpha() and letters.islower()
@@ -144,7 +144,7 @@
         return
     start, space, _ = bytes(partial[: MAX_KIND_LENGTH + 1]).partition(b" ")
     word = (start if space else start.rstrip(b"\r")).decode("latin-1")
-    if word and not is_kind(word):
+    if word and not is_valid_kind(word):
         raise MalformedLineError(f"no kind {word!r:.60}")
     try:
         str(partial, "utf-8")
@@ -189,7 +189,7 @@
 
 def _require_text(words: dict[str, str], name: str) -> str:
     value = words.get(name, "")
-    if not value or len(value) > MAX_WORD_LENGTH:
+    if not value or len(value) > MAX_VALUE_LENGTH:
         raise InvalidMessageError(f"word '{name}' is not a name: {value!r:.60}")
     return value
 
