--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -37,7 +37,7 @@
 
 
 @pytest.fixture
-def front(bench: Bench) -> Iterator[ListenerRig]:
+def listener_rig(bench: Bench) -> Iterator[ListenerRig]:
     """A listener on loopback."""
     made = ListenerRig(bench)
     yield made
@@ -45,7 +45,7 @@
 
 
 @pytest.fixture
-def impatient_front() -> Iterator[ListenerRig]:
+def short_timeout_listener_rig() -> Iterator[ListenerRig]:
     """A listener on loopback with short timeouts."""
     bench = Bench(HASTY)
     made = ListenerRig(bench)
--- a/tests/discovery_service.py
+++ b/tests/discovery_service.py
@@ -60,7 +60,7 @@
     yield from caller.silence()
 
 
-def broken_line(caller: Caller) -> Coroutine[None]:
+def incomplete_line(caller: Caller) -> Coroutine[None]:
     yield from caller.open_body()
     yield from caller.line(b'{"revision":4')
 
@@ -69,5 +69,7 @@
     return [event for event in bench.policy.events if isinstance(event, EndpointList)]
 
 
-def client_of(bench: Bench, service: DiscoveryService, version: int = 41) -> DiscoveryClient:
+def discovery_client_for(
+    bench: Bench, service: DiscoveryService, version: int = 41
+) -> DiscoveryClient:
     return DiscoveryClient(bench.runtime, service.stand_in.address, version)
--- a/tests/relay_service.py
+++ b/tests/relay_service.py
@@ -60,16 +60,16 @@
     yield from caller.answer(400, b'{"error":"ValidationError"}')
 
 
-def say_nothing(caller: Caller, _: int) -> Coroutine[None]:
+def never_respond(caller: Caller, _: int) -> Coroutine[None]:
     yield from caller.silence()
 
 
-def break_off(caller: Caller, _: int) -> Coroutine[None]:
+def reset_connection(caller: Caller, _: int) -> Coroutine[None]:
     caller.reset()
     yield from ()
 
 
-def half_an_answer(caller: Caller, _: int) -> Coroutine[None]:
+def truncated_response(caller: Caller, _: int) -> Coroutine[None]:
     yield from caller.stream.send(b'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{"ok_c', 1 << 60)
     caller.stream.close()
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -74,12 +74,12 @@
     def __init__(self, _: Settings) -> None:
         self.steps: list[list[Event]] = []
         self.ready: list[list[Action]] = []
-        self.resends = True  # orders of unknown outcome may be resent immediately
+        self.allows_resend = True  # orders of unknown outcome may be resent immediately
 
     def step(self, _now_us: int, events: Sequence[Event]) -> list[Action]:
         self.steps.append(list(events))
         actions = self.ready.pop(0) if self.ready else []
-        if not self.resends:
+        if not self.allows_resend:
             return list(actions)
         unknown = [event for event in events if isinstance(event, OrdersOutcomeUnknown)]
         return [*actions, *(ResendOrders() for _ in unknown)]
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -13,8 +13,8 @@
 from kelpcourse.wire.loop import Coroutine, Wait
 from tests.discovery_service import (
     DiscoveryService,
-    broken_line,
-    client_of,
+    discovery_client_for,
+    incomplete_line,
     reported_lists,
     reset,
     response_body,
@@ -35,7 +35,7 @@
             listed(44, entry("a", "gone"), whole=False),
         ),
     )
-    client_of(bench, service).watch(True)
+    discovery_client_for(bench, service).watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 2)
     first, second = reported_lists(bench)
     assert service.targets == ["/discovery/hosts?stream=1&index=41"]
@@ -47,14 +47,14 @@
 
 def test_a_complete_list_may_answer_a_watch(bench: Bench) -> None:
     service = DiscoveryService(bench, watch_stream(bench, listed(90, entry("a"))))
-    client_of(bench, service).watch(True)
+    discovery_client_for(bench, service).watch(True)
     bench.until(lambda: reported_lists(bench))
     assert reported_lists(bench)[0].kind is EndpointListKind.FULL
 
 
 def test_a_fetch_reports_the_complete_list(bench: Bench) -> None:
     service = DiscoveryService(bench, response_body(listed(50, entry("a"))))
-    client_of(bench, service).fetch()
+    discovery_client_for(bench, service).fetch()
     bench.until(lambda: reported_lists(bench))
     assert service.targets == ["/discovery/hosts"]
     assert (reported_lists(bench)[0].kind, reported_lists(bench)[0].version) == (
@@ -63,12 +63,12 @@
     )
 
 
-@pytest.mark.parametrize("fault", [unavailable, reset, silent, broken_line])
+@pytest.mark.parametrize("fault", [unavailable, reset, silent, incomplete_line])
 def test_a_failed_watch_or_fetch_is_reported_unavailable_once(
     bench: Bench, fault: Callable[[Caller], Coroutine[None]]
 ) -> None:
     service = DiscoveryService(bench, fault, fault)
-    discovery = client_of(bench, service)
+    discovery = discovery_client_for(bench, service)
     discovery.watch(True)
     bench.until(lambda: reported_lists(bench))
     discovery.fetch()
@@ -81,18 +81,18 @@
 def test_discovery_that_is_down_is_reported_unavailable(bench: Bench) -> None:
     service = DiscoveryService(bench)
     service.stand_in.close()
-    client_of(bench, service).watch(True)
+    discovery_client_for(bench, service).watch(True)
     bench.until(lambda: reported_lists(bench))
     assert reported_lists(bench)[0].kind is EndpointListKind.UNAVAILABLE
 
 
 def test_heartbeats_keep_a_watch_and_silence_ends_it(bench: Bench) -> None:
     quiet = DiscoveryService(bench, watch_stream(bench, listed(42, whole=False), then_silent=False))
-    client_of(bench, quiet).watch(True)
+    discovery_client_for(bench, quiet).watch(True)
     bench.pass_us(5 * QUICK.watch_silence_us)
     assert [event.kind for event in reported_lists(bench)] == [EndpointListKind.CHANGES]
     dead = DiscoveryService(bench, watch_stream(bench, listed(42, whole=False)))
-    client_of(bench, dead).watch(True)
+    discovery_client_for(bench, dead).watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 3)
     assert reported_lists(bench)[-1].kind is EndpointListKind.UNAVAILABLE
 
@@ -105,7 +105,7 @@
             yield Wait(bench.clock() + 10 * MS)
 
     service = DiscoveryService(bench, only_alive)
-    client_of(bench, service).watch(True)
+    discovery_client_for(bench, service).watch(True)
     bench.until(lambda: reported_lists(bench))
     assert reported_lists(bench)[0].kind is EndpointListKind.UNAVAILABLE
 
@@ -116,7 +116,7 @@
         watch_stream(bench, listed(43, entry("a"), whole=False)),
         watch_stream(bench, listed(44, whole=False)),
     )
-    discovery = client_of(bench, service)
+    discovery = discovery_client_for(bench, service)
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 1)
     discovery.watch(True)
@@ -131,7 +131,7 @@
 def test_an_invalid_entry_does_not_hold_up_the_others(bench: Bench) -> None:
     reported = listed(43, entry("a"), {"id": "b"}, entry("c", "draining"), whole=False)
     service = DiscoveryService(bench, watch_stream(bench, reported))
-    client_of(bench, service).watch(True)
+    discovery_client_for(bench, service).watch(True)
     bench.until(lambda: reported_lists(bench))
     assert [host.status for host in reported_lists(bench)[0].endpoints] == [
         EndpointStatus.READY,
@@ -144,7 +144,7 @@
     service = DiscoveryService(
         bench, watch_stream(bench, listed(43, entry("a", address=("127.0.0.2", 7)), whole=False))
     )
-    client_of(bench, service).watch(True)
+    discovery_client_for(bench, service).watch(True)
     bench.until(lambda: reported_lists(bench))
     host = reported_lists(bench)[0].endpoints[0].id
     bench.policy.ready = [[CheckHealth(host), WatchEndpoints(False)]]
@@ -161,7 +161,7 @@
     service = DiscoveryService(
         bench, watch_stream(bench, invalid, listed(43, entry("c"), whole=False))
     )
-    client_of(bench, service).watch(True)
+    discovery_client_for(bench, service).watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 2)
     assert [len(reported.endpoints) for reported in reported_lists(bench)] == [1, 1]
     assert bench.counters["discovery_messages_rejected"] == 1
@@ -181,13 +181,15 @@
     bench.until(lambda: service.targets)
 
 
-@pytest.mark.parametrize("fault", [silent, broken_line, "heartbeats", unavailable, reset], ids=str)
+@pytest.mark.parametrize(
+    "fault", [silent, incomplete_line, "heartbeats", unavailable, reset], ids=str
+)
 def test_a_call_without_an_answer_ends_within_its_timeout(bench: Bench, fault: object) -> None:
     """Silence, an incomplete line or heartbeats alone: none delays the outcome for longer."""
     act = watch_stream(bench, then_silent=False) if fault == "heartbeats" else fault
     service = DiscoveryService(bench, act)  # type: ignore[arg-type]
     began_us = bench.clock()
-    client_of(bench, service).watch(True)
+    discovery_client_for(bench, service).watch(True)
     bench.until(lambda: reported_lists(bench))
     assert [reported.kind for reported in reported_lists(bench)] == [EndpointListKind.UNAVAILABLE]
     assert (
--- a/tests/test_discovery_reconnect.py
+++ b/tests/test_discovery_reconnect.py
@@ -11,7 +11,7 @@
 from kelpcourse.wire.runtime import Backoff
 from tests.discovery_service import (
     DiscoveryService,
-    client_of,
+    discovery_client_for,
     reported_lists,
     reset,
     silent,
@@ -24,7 +24,7 @@
 def reconnected(
     bench: Bench, old: DiscoveryService, *new: Callable[[Caller], Coroutine[None]]
 ) -> tuple[DiscoveryClient, DiscoveryService]:
-    discovery = client_of(bench, old)
+    discovery = discovery_client_for(bench, old)
     discovery.watch(True)
     bench.until(lambda: reported_lists(bench))
     other = DiscoveryService(bench, *new)
@@ -129,7 +129,7 @@
         yield from caller.silence()
 
     old, new = DiscoveryService(bench, previous), DiscoveryService(bench, reconnected)
-    discovery = client_of(bench, old)
+    discovery = discovery_client_for(bench, old)
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 1)
     discovery.reconnect_to(new.stand_in.address)
@@ -147,7 +147,7 @@
         ),
     )
     other = DiscoveryService(bench, silent)
-    discovery = client_of(bench, first)
+    discovery = discovery_client_for(bench, first)
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 1)
     discovery.reconnect_to(other.stand_in.address)
--- a/tests/test_discovery_versions.py
+++ b/tests/test_discovery_versions.py
@@ -6,7 +6,7 @@
 from kelpcourse.wire.loop import Coroutine, Wait
 from tests.discovery_service import (
     DiscoveryService,
-    client_of,
+    discovery_client_for,
     reported_lists,
     response_body,
     watch_stream,
@@ -17,7 +17,7 @@
 def test_changes_older_than_the_known_version_end_the_watch(bench: Bench) -> None:
     """Something was missed, and only a fresh call can tell what."""
     service = DiscoveryService(bench, watch_stream(bench, listed(40, entry("a"), whole=False)))
-    client_of(bench, service, 41).watch(True)
+    discovery_client_for(bench, service, 41).watch(True)
     bench.until(lambda: reported_lists(bench))
     assert reported_lists(bench)[0].kind is EndpointListKind.UNAVAILABLE
 
@@ -26,7 +26,7 @@
     """A host that drains was ready again by a list of before."""
     drains = watch_stream(bench, listed(43, entry("a", "draining"), whole=False))
     service = DiscoveryService(bench, drains, response_body(listed(41, entry("a"))))
-    discovery = client_of(bench, service)
+    discovery = discovery_client_for(bench, service)
     discovery.watch(True)
     bench.until(lambda: reported_lists(bench))
     discovery.fetch()
@@ -48,7 +48,7 @@
         *[response_body(listed(3, entry("a")))] * times,
         watch_stream(bench, listed(4, entry("b"), whole=False)),
     )
-    discovery = client_of(bench, service)
+    discovery = discovery_client_for(bench, service)
     for count in range(times):
         discovery.fetch()
         bench.until(lambda count=count: len(reported_lists(bench)) == count + 1)  # type: ignore[misc]
@@ -67,7 +67,7 @@
         *[watch_stream(bench, listed(3, whole=False))] * times,
         watch_stream(bench, listed(3, entry("a"))),
     )
-    discovery = client_of(bench, service)
+    discovery = discovery_client_for(bench, service)
     for count in range(times):
         discovery.watch(True)
         bench.until(lambda count=count: len(reported_lists(bench)) == count + 1)  # type: ignore[misc]
@@ -80,7 +80,7 @@
 def test_an_older_list_between_newer_ones_is_not_counted(bench: Bench) -> None:
     old, new = response_body(listed(3, entry("a"))), response_body(listed(50, entry("a")))
     service = DiscoveryService(bench, old, old, new, old, old, new)
-    discovery = client_of(bench, service)
+    discovery = discovery_client_for(bench, service)
     for count in range(6):
         discovery.fetch()
         bench.until(lambda count=count: len(reported_lists(bench)) == count + 1)  # type: ignore[misc]
@@ -105,7 +105,7 @@
             yield from caller.line(pending_lines.pop(0))
 
     service = DiscoveryService(bench, watched, response_body(listed(45, entry("a", "draining"))))
-    discovery = client_of(bench, service)
+    discovery = discovery_client_for(bench, service)
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 1)
     discovery.fetch()
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -23,88 +23,92 @@
 
 def test_a_line_over_the_limit_disconnects_its_client_alone(bench: Bench) -> None:
     bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_line_bytes=64 << 10))
-    front = ListenerRig(bench)
-    endless, sound = front.collector(), front.collector()
+    listener_rig = ListenerRig(bench)
+    endless, sound = listener_rig.collector(), listener_rig.collector()
     assert any(is_closed_after(bench, endless, b"heard" + b" x=" * 1400) for _ in range(2000))
     sound.sendall(DEMAND_REPORT)
-    bench.until(front.reports)
+    bench.until(listener_rig.reports)
     assert received(sound) is None
-    front.close()
+    listener_rig.close()
 
 
 def test_silent_clients_are_refused_before_collectors_time_out(
-    impatient_front: ListenerRig,
+    short_timeout_listener_rig: ListenerRig,
 ) -> None:
-    front = impatient_front
-    client, collector = front.connect(), front.collector()
-    front.bench.pass_us(HASTY.handshake_timeout_us + 20 * MS)
+    listener_rig = short_timeout_listener_rig
+    client, collector = listener_rig.connect(), listener_rig.collector()
+    listener_rig.bench.pass_us(HASTY.handshake_timeout_us + 20 * MS)
     assert received(client) == b"refused\r\n"
     assert received(collector) is None
-    front.bench.pass_us(HASTY.collector_idle_us)
+    listener_rig.bench.pass_us(HASTY.collector_idle_us)
     assert received(collector) == b""
 
 
 @pytest.mark.parametrize("said", [b"", b"ping\r\n"], ids=["at once", "after a ping"])
 def test_an_incomplete_line_does_not_extend_the_handshake_timeout(
-    impatient_front: ListenerRig, said: bytes
+    short_timeout_listener_rig: ListenerRig, said: bytes
 ) -> None:
     """Its time runs from the start of the message, not from the last byte."""
-    front = impatient_front
-    peer = front.connect()
+    listener_rig = short_timeout_listener_rig
+    peer = listener_rig.connect()
     push(peer, said)
     for _ in range(20):
         push(peer, b"x")
-        front.bench.pass_us(HASTY.handshake_timeout_us // 10)
+        listener_rig.bench.pass_us(HASTY.handshake_timeout_us // 10)
     assert b"refused" in received_until_closed(peer)
 
 
-def test_a_client_that_pings_stays_until_its_idle_timeout(impatient_front: ListenerRig) -> None:
-    front = impatient_front
-    peer = front.connect()
+def test_a_client_that_pings_stays_until_its_idle_timeout(
+    short_timeout_listener_rig: ListenerRig,
+) -> None:
+    listener_rig = short_timeout_listener_rig
+    peer = listener_rig.connect()
     for _ in range(3):
         push(peer, b"ping\r\n")
-        front.bench.pass_us(HASTY.handshake_timeout_us + 20 * MS)
+        listener_rig.bench.pass_us(HASTY.handshake_timeout_us + 20 * MS)
         assert received(peer) == b"pong\r\n"
-    front.bench.pass_us(HASTY.ping_client_idle_us)
+    listener_rig.bench.pass_us(HASTY.ping_client_idle_us)
     assert received(peer) == b"refused\r\n"
 
 
-def test_an_unauthenticated_client_costs_little_memory(front: ListenerRig) -> None:
+def test_an_unauthenticated_client_costs_little_memory(listener_rig: ListenerRig) -> None:
     for _ in range(50):
-        push(front.connect(), b"colle")
-    front.bench.until(lambda: front.bench.counters["bytes_in"] == 250)
-    assert front.bench.counters["max_read_buffer_bytes"] == 50 * QUICK.max_unauthenticated_bytes
+        push(listener_rig.connect(), b"colle")
+    listener_rig.bench.until(lambda: listener_rig.bench.counters["bytes_in"] == 250)
+    assert (
+        listener_rig.bench.counters["max_read_buffer_bytes"] == 50 * QUICK.max_unauthenticated_bytes
+    )
 
 
 def test_a_new_connection_is_not_evicted_for_later_ones(bench: Bench) -> None:
     """A collector in the midst of a crowd, whose first line is still on its way."""
     bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_connections=8))
-    front = ListenerRig(bench)
+    listener_rig = ListenerRig(bench)
     for _ in range(20):
-        front.connect()
-    collector = front.connect()
+        listener_rig.connect()
+    collector = listener_rig.connect()
     for _ in range(20):
-        front.connect()
+        listener_rig.connect()
     bench.until(lambda: bench.counters["connections"] >= 21)
     collector.sendall(b"collector az=east\r\n" + DEMAND_REPORT)
-    bench.until(front.reports)
+    bench.until(listener_rig.reports)
     bench.until(lambda: bench.counters["connections"] == 41)
     assert received(collector) is None
-    front.close()
+    listener_rig.close()
 
 
 def test_silent_connections_are_evicted_before_collectors(bench: Bench) -> None:
     bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_connections=8))
-    front = ListenerRig(bench)
-    collector = front.collector()
+    listener_rig = ListenerRig(bench)
+    collector = listener_rig.collector()
     for _ in range(100):
-        front.connect()
+        listener_rig.connect()
         bench.turn()
     bench.until(lambda: bench.counters["connections_evicted"] == 100 + 1 - 8)
     collector.sendall(DEMAND_REPORT)
-    bench.until(front.reports)
+    bench.until(listener_rig.reports)
     assert len(bench.loop) <= 8 + 1
-    front.close()
+    listener_rig.close()
 
 
 class FailingAccept:
@@ -124,34 +128,34 @@
 
 
 def test_without_descriptors_the_longest_silent_client_is_evicted(
-    front: ListenerRig, monkeypatch: pytest.MonkeyPatch
+    listener_rig: ListenerRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    collector, client = front.collector(), front.connect()
-    front.bench.pass_us(QUICK.accept_retry_us)
+    collector, client = listener_rig.collector(), listener_rig.connect()
+    listener_rig.bench.pass_us(QUICK.accept_retry_us)
     FailingAccept(monkeypatch, 1)
-    later = front.connect()
+    later = listener_rig.connect()
     later.sendall(b"collector az=east\r\n" + DEMAND_REPORT)
-    front.bench.until(front.reports)
+    listener_rig.bench.until(listener_rig.reports)
     assert received(client) == b""
     assert received(collector) is None
 
 
 def test_without_descriptors_or_connections_the_new_one_is_rejected(
-    front: ListenerRig, monkeypatch: pytest.MonkeyPatch
+    listener_rig: ListenerRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A spare descriptor is given up for that: else the listener would be woken for ever and do nothing."""
     FailingAccept(monkeypatch, 1)
-    rejected = front.connect()
-    front.bench.until(lambda: front.bench.counters["connections_evicted"] == 1)
+    rejected = listener_rig.connect()
+    listener_rig.bench.until(lambda: listener_rig.bench.counters["connections_evicted"] == 1)
     assert received(rejected) == b""
-    front.collector().sendall(DEMAND_REPORT)
-    front.bench.until(front.reports)
+    listener_rig.collector().sendall(DEMAND_REPORT)
+    listener_rig.bench.until(listener_rig.reports)
 
 
 def test_read_buffers_are_bounded_in_total(bench: Bench) -> None:
     bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_read_buffers_bytes=256 << 10))
-    front = ListenerRig(bench)
-    peers = [front.collector() for _ in range(12)]
+    listener_rig = ListenerRig(bench)
+    peers = [listener_rig.collector() for _ in range(12)]
     for _ in range(20):
         for peer in peers:
             push(peer, b"heard" + b" x=" * 2700)
@@ -160,20 +164,20 @@
     ended = bench.log.named("connection_broken")
     assert any("together" in str(line["reason"]) for line in ended)
     assert bench.counters["max_read_buffer_bytes"] <= 2 * (256 << 10)
-    front.close()
+    listener_rig.close()
 
 
 def test_a_connection_from_before_the_loop_runs_is_served(bench: Bench) -> None:
     """The address was tried out and closed again: who connected in between was taken by the system and reset."""
-    front = ListenerRig(bench)
-    bench.loop.stop(front.task)
-    sock = bind_listener(front.address)
+    listener_rig = ListenerRig(bench)
+    bench.loop.stop(listener_rig.task)
+    sock = bind_listener(listener_rig.address)
     assert sock is not None
-    early = front.connect()
+    early = listener_rig.connect()
     early.sendall(b"ping\r\n")
-    bench.loop.start("listener", Listener(bench.runtime, front.address, sock).run())
+    bench.loop.start("listener", Listener(bench.runtime, listener_rig.address, sock).run())
     bench.until(lambda: received(early) == b"pong\r\n")
-    front.close()
+    listener_rig.close()
 
 
 def test_an_address_in_use_is_retried(bench: Bench) -> None:
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -15,8 +15,8 @@
     accept_none,
     accept_two,
     close_when_idle,
+    never_respond,
     reject_as_invalid,
-    say_nothing,
     start_calls,
     throttle,
     throttle_and_close,
@@ -135,7 +135,7 @@
 
 def test_a_call_without_an_answer_is_resent_at_the_new_address(bench: Bench) -> None:
     old, new, order_queue = (
-        Relay(bench, say_nothing),
+        Relay(bench, never_respond),
         Relay(bench),
         order_queue_of(SET_WEIGHT, CHECKPOINT),
     )
--- a/tests/test_relay_outcome_unknown.py
+++ b/tests/test_relay_outcome_unknown.py
@@ -14,12 +14,12 @@
 from kelpcourse.wire.relay_calls import RelayCalls
 from tests.relay_service import (
     Relay,
-    break_off,
-    half_an_answer,
+    never_respond,
     not_http,
     not_json,
-    say_nothing,
+    reset_connection,
     start_calls,
+    truncated_response,
 )
 from tests.relays import BIND, CHECKPOINT, SET_WEIGHT, order_queue_of
 from tests.standins import MS, QUICK, Bench, Caller, StandIn
@@ -52,7 +52,9 @@
     assert bench.counters["relay_calls_failed"] == 1
 
 
-@pytest.mark.parametrize("fault", [say_nothing, break_off, half_an_answer, not_http, not_json])
+@pytest.mark.parametrize(
+    "fault", [never_respond, reset_connection, truncated_response, not_http, not_json]
+)
 def test_a_call_of_unknown_outcome_is_resent_in_order(
     bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
 ) -> None:
@@ -77,13 +79,15 @@
     bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
 ) -> tuple[Relay, OrderQueue]:
     """The first call breaks, and the policy does not allow to resend it yet."""
-    bench.policy.resends = False
+    bench.policy.allows_resend = False
     relay, order_queue = Relay(bench, fault), order_queue_of(SET_WEIGHT, CHECKPOINT)
     start_calls(bench, relay, order_queue)
     return relay, order_queue
 
 
-@pytest.mark.parametrize("fault", [say_nothing, break_off, half_an_answer, not_http, not_json])
+@pytest.mark.parametrize(
+    "fault", [never_respond, reset_connection, truncated_response, not_http, not_json]
+)
 def test_a_call_of_unknown_outcome_waits_until_the_policy_allows_to_resend(
     bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
 ) -> None:
@@ -95,12 +99,14 @@
     order_queue.add([SetWeight(0, "h1", 2.0), Checkpoint(6, False)])
     bench.pass_us(50 * MS)
     assert len(relay.calls) == 1
-    bench.policy.resends = True
+    bench.policy.allows_resend = True
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["SET", "SYNC"], ["SET", "SYNC"]]
 
 
-@pytest.mark.parametrize("fault", [say_nothing, break_off, half_an_answer, not_http, not_json])
+@pytest.mark.parametrize(
+    "fault", [never_respond, reset_connection, truncated_response, not_http, not_json]
+)
 def test_a_call_whose_checkpoint_is_acknowledged_is_not_resent(
     bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
 ) -> None:
@@ -128,7 +134,7 @@
         while True:
             yield Wait(bench.clock() + MS)
 
-    bench.policy.resends = False
+    bench.policy.allows_resend = False
     stalled, order_queue = StandIn(bench.loop, takes_nothing), order_queue_of(*orders, CHECKPOINT)
     bench.loop.start(
         "calls", RelayCalls(bench.runtime, stalled.address, order_queue, Signal()).run()
@@ -142,9 +148,9 @@
 def test_a_call_of_unknown_outcome_waits_at_the_new_address_too(
     bench: Bench,
 ) -> None:
-    bench.policy.resends = False
+    bench.policy.allows_resend = False
     old, new, order_queue = (
-        Relay(bench, say_nothing),
+        Relay(bench, never_respond),
         Relay(bench),
         order_queue_of(SET_WEIGHT, CHECKPOINT),
     )
@@ -155,7 +161,7 @@
     bench.pass_us(4 * QUICK.call_timeout_us)
     assert not new.calls
     calls.reconnect_to(old.stand_in.address)  # and back, before the first move was through
-    bench.policy.resends = True
+    bench.policy.allows_resend = True
     bench.until(lambda: not order_queue.batch_count)
     assert (old.verbs(), new.verbs()) == ([["SET", "SYNC"]] * 2, [])
 
@@ -163,13 +169,13 @@
 def test_a_withdrawal_during_an_unknown_outcome_is_sent_with_the_resent_call(bench: Bench) -> None:
     """Behind it, not ahead: the call may let the same host back."""
     relay, order_queue = (
-        Relay(bench, say_nothing),
+        Relay(bench, never_respond),
         order_queue_of(RestoreEndpoint("h1"), CHECKPOINT),
     )
-    bench.policy.resends = False
+    bench.policy.allows_resend = False
     start_calls(bench, relay, order_queue)
     bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.policy.events))
     order_queue.add([WithdrawEndpoint("h1"), Checkpoint(6, False)])
-    bench.policy.resends = True
+    bench.policy.allows_resend = True
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["IN", "SYNC"], ["OUT", "SYNC"]]
--- a/tests/test_report_handler.py
+++ b/tests/test_report_handler.py
@@ -18,42 +18,42 @@
 from tests.standins import MS
 
 
-def test_reports_reach_the_policy_and_nothing_is_written_back(front: ListenerRig) -> None:
-    peer = front.connect()
+def test_reports_reach_the_policy_and_nothing_is_written_back(listener_rig: ListenerRig) -> None:
+    peer = listener_rig.connect()
     peer.sendall(b"collector az=east\r\n" + ENDPOINT_REPORT + DEMAND_REPORT)
-    front.bench.until(lambda: len(front.reports()) == 2)
-    assert front.reports() == [
+    listener_rig.bench.until(lambda: len(listener_rig.reports()) == 2)
+    assert listener_rig.reports() == [
         EndpointReport(1, "east", 212, 3, 1_000_000, 41_700, (("inflight", 7.0), ("util", 0.61))),
         DemandReport(2, 0, 19, 0, 1_000_000),
     ]
     assert received(peer) is None
 
 
-def test_reports_that_arrive_together_are_one_step(front: ListenerRig) -> None:
-    one, other = front.collector(), front.collector()
-    front.bench.pass_us(5 * MS)
-    steps = len(front.bench.policy.steps)
+def test_reports_that_arrive_together_are_one_step(listener_rig: ListenerRig) -> None:
+    one, other = listener_rig.collector(), listener_rig.collector()
+    listener_rig.bench.pass_us(5 * MS)
+    steps = len(listener_rig.bench.policy.steps)
     one.sendall(ENDPOINT_REPORT * 40)
     other.sendall(DEMAND_REPORT * 40)
-    front.bench.until(lambda: len(front.reports()) == 80)
-    assert len(front.bench.policy.steps) == steps + 1
+    listener_rig.bench.until(lambda: len(listener_rig.reports()) == 80)
+    assert len(listener_rig.bench.policy.steps) == steps + 1
 
 
-def test_a_message_in_single_bytes_is_one_message(front: ListenerRig) -> None:
-    peer = front.connect()
+def test_a_message_in_single_bytes_is_one_message(listener_rig: ListenerRig) -> None:
+    peer = listener_rig.connect()
     for byte in b"collector az=east\r\n" + ENDPOINT_REPORT:
         peer.sendall(bytes([byte]))
-        front.bench.turn()
-    front.bench.until(front.reports)
-    assert len(front.reports()) == 1
+        listener_rig.bench.turn()
+    listener_rig.bench.until(listener_rig.reports)
+    assert len(listener_rig.reports()) == 1
 
 
-def test_ping_is_answered_on_any_connection(front: ListenerRig) -> None:
-    peer = front.connect()
+def test_ping_is_answered_on_any_connection(listener_rig: ListenerRig) -> None:
+    peer = listener_rig.connect()
     peer.sendall(b"ping\r\nping\r\n")
     answer = b""
     while len(answer) < 12:
-        front.bench.turn()
+        listener_rig.bench.turn()
         answer += received(peer) or b""
     assert answer == b"pong\r\npong\r\n"
 
@@ -90,20 +90,20 @@
     ],
 )
 def test_an_invalid_message_of_a_collector_is_counted_and_skipped(
-    front: ListenerRig, line: bytes
+    listener_rig: ListenerRig, line: bytes
 ) -> None:
-    peer = front.collector()
+    peer = listener_rig.collector()
     peer.sendall(ENDPOINT_REPORT + line + b"\r\n" + DEMAND_REPORT)
-    front.bench.until(lambda: len(front.reports()) == 2)
-    assert front.bench.counters["collector_messages_rejected"] == 1
-    assert len(front.bench.log.named("message_rejected")) == 1
+    listener_rig.bench.until(lambda: len(listener_rig.reports()) == 2)
+    assert listener_rig.bench.counters["collector_messages_rejected"] == 1
+    assert len(listener_rig.bench.log.named("message_rejected")) == 1
     assert received(peer) is None
 
 
-def test_a_report_of_failures_alone_has_no_mean_time(front: ListenerRig) -> None:
-    front.collector().sendall(b"heard az=east host=h1 n=3 bad=3 window=1000\r\n")
-    front.bench.until(front.reports)
-    assert front.reports() == [EndpointReport(1, "east", 3, 3, 1_000_000, 0, ())]
+def test_a_report_of_failures_alone_has_no_mean_time(listener_rig: ListenerRig) -> None:
+    listener_rig.collector().sendall(b"heard az=east host=h1 n=3 bad=3 window=1000\r\n")
+    listener_rig.bench.until(listener_rig.reports)
+    assert listener_rig.reports() == [EndpointReport(1, "east", 3, 3, 1_000_000, 0, ())]
 
 
 @pytest.mark.parametrize(
@@ -120,14 +120,16 @@
     ],
     ids=repr,
 )
-def test_a_malformed_line_disconnects_its_collector_alone(front: ListenerRig, rest: bytes) -> None:
+def test_a_malformed_line_disconnects_its_collector_alone(
+    listener_rig: ListenerRig, rest: bytes
+) -> None:
     """What was good before counts; nothing that follows is waited for, as no line end may ever come."""
-    peer, other = front.collector(), front.collector()
+    peer, other = listener_rig.collector(), listener_rig.collector()
     peer.sendall(ENDPOINT_REPORT + rest)
-    front.bench.until(lambda: front.bench.counters["collectors_disconnected"])
+    listener_rig.bench.until(lambda: listener_rig.bench.counters["collectors_disconnected"])
     assert received(peer) == b""
     other.sendall(DEMAND_REPORT)
-    front.bench.until(lambda: len(front.reports()) == 2)
+    listener_rig.bench.until(lambda: len(listener_rig.reports()) == 2)
 
 
 @pytest.mark.parametrize(
@@ -149,39 +151,41 @@
     ],
     ids=repr,
 )
-def test_an_unauthenticated_client_is_refused_at_once(front: ListenerRig, said: bytes) -> None:
+def test_an_unauthenticated_client_is_refused_at_once(
+    listener_rig: ListenerRig, said: bytes
+) -> None:
     """None of its reports reaches the policy, even if it has pinged."""
-    client = front.connect()
+    client = listener_rig.connect()
     client.sendall(said)
-    front.bench.until(lambda: front.bench.counters["clients_rejected"])
+    listener_rig.bench.until(lambda: listener_rig.bench.counters["clients_rejected"])
     assert b"refused\r\n" in received_until_closed(client)
-    assert front.reports() == []
+    assert listener_rig.reports() == []
 
 
-def test_an_incomplete_line_before_a_reset_is_dropped(front: ListenerRig) -> None:
-    peer = front.collector()
+def test_an_incomplete_line_before_a_reset_is_dropped(listener_rig: ListenerRig) -> None:
+    peer = listener_rig.collector()
     peer.sendall(ENDPOINT_REPORT[:30])
-    front.bench.pass_us(3 * MS)
+    listener_rig.bench.pass_us(3 * MS)
     peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     peer.close()
-    other = front.collector()
+    other = listener_rig.collector()
     other.sendall(DEMAND_REPORT)
-    front.bench.until(front.reports)
-    assert len(front.reports()) == 1
+    listener_rig.bench.until(listener_rig.reports)
+    assert len(listener_rig.reports()) == 1
 
 
-def test_a_client_that_does_not_read_its_pongs_is_disconnected(front: ListenerRig) -> None:
-    reader = front.connect()
+def test_a_client_that_does_not_read_its_pongs_is_disconnected(listener_rig: ListenerRig) -> None:
+    reader = listener_rig.connect()
     reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    assert any(is_closed_after(front.bench, reader, b"ping\r\n" * 2000) for _ in range(400))
-    front.collector().sendall(DEMAND_REPORT)
-    front.bench.until(front.reports)
+    assert any(is_closed_after(listener_rig.bench, reader, b"ping\r\n" * 2000) for _ in range(400))
+    listener_rig.collector().sendall(DEMAND_REPORT)
+    listener_rig.bench.until(listener_rig.reports)
 
 
-def test_a_complete_line_before_a_close_counts(front: ListenerRig) -> None:
+def test_a_complete_line_before_a_close_counts(listener_rig: ListenerRig) -> None:
     """A complete line that was read counts, even if the connection closes in the same round."""
-    peer = front.collector()
+    peer = listener_rig.collector()
     peer.sendall(ENDPOINT_REPORT)
     peer.close()
-    front.bench.until(lambda: front.reports())
-    assert len(front.reports()) == 1
+    listener_rig.bench.until(lambda: listener_rig.reports())
+    assert len(listener_rig.reports()) == 1
