--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 from tests.listening import ListenerRig
 from tests.loop_rig import SocketPair
 from tests.simulator_input import AdapterHarness
-from tests.standins import HASTY, QUICK, Bench, ScriptedPolicy, member
+from tests.standins import FAST_LIMITS, SHORT_IDLE_LIMITS, Bench, ScriptedPolicy, member
 from tests.zonerig import World
 
 
@@ -47,7 +47,7 @@
 @pytest.fixture
 def short_timeout_listener_rig() -> Iterator[ListenerRig]:
     """A listener on loopback with short timeouts."""
-    bench = Bench(HASTY)
+    bench = Bench(SHORT_IDLE_LIMITS)
     made = ListenerRig(bench)
     yield made
     made.close()
@@ -63,7 +63,7 @@
 @pytest.fixture
 def facade(policy: ScriptedPolicy) -> Facade:
     """A facade that has taken its first step, with a cached list of two endpoints."""
-    made = Facade(SETTINGS, 7, QUICK, lambda _: policy)
+    made = Facade(SETTINGS, 7, FAST_LIMITS, lambda _: policy)
     made.report_cached_list([member("h1"), member("h2", EndpointStatus.DRAINING)], 41)
     made.start(1000)
     return made
--- a/tests/discovery_service.py
+++ b/tests/discovery_service.py
@@ -7,7 +7,7 @@
 from kelpcourse.policy.events import EndpointList
 from kelpcourse.wire.discovery import DiscoveryClient
 from kelpcourse.wire.loop import Coroutine, Wait
-from tests.standins import QUICK, Bench, Caller, StandIn
+from tests.standins import FAST_LIMITS, Bench, Caller, StandIn
 
 
 class DiscoveryService:
@@ -33,7 +33,7 @@
         for line in lines:
             yield from caller.line(line)
         while not then_silent:
-            yield Wait(bench.clock() + QUICK.watch_silence_us // 2)
+            yield Wait(bench.clock() + FAST_LIMITS.watch_silence_us // 2)
             yield from caller.line(b"")
         yield from caller.silence()
 
--- a/tests/relays.py
+++ b/tests/relays.py
@@ -7,7 +7,7 @@
 from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.orders import BindProxy, Checkpoint, Order, SetWeight
 from kelpcourse.wire.loop import Coroutine, Wait
-from tests.standins import MS, QUICK, Bench, Caller, StandIn
+from tests.standins import FAST_LIMITS, MS, Bench, Caller, StandIn
 
 SET_WEIGHT = SetWeight(0, "h1", 1.5)
 BIND = BindProxy(3, 0, ("read",))
@@ -15,7 +15,7 @@
 
 
 def order_queue_of(*orders: Order) -> OrderQueue:
-    order_queue = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
+    order_queue = OrderQueue(FAST_LIMITS.max_queued_orders, FAST_LIMITS.max_superseded_checkpoints)
     order_queue.add(orders)
     return order_queue
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -21,7 +21,7 @@
 from tests.fleet import SETTINGS
 
 MS = 1000
-QUICK = replace(
+FAST_LIMITS = replace(
     Limits(),
     step_batching_us=2 * MS,
     connect_timeout_us=60 * MS,
@@ -40,8 +40,11 @@
     accept_retry_us=5 * MS,
     bind_retry_us=5 * MS,
 )
-HASTY = replace(
-    QUICK, handshake_timeout_us=40 * MS, ping_client_idle_us=80 * MS, collector_idle_us=160 * MS
+SHORT_IDLE_LIMITS = replace(
+    FAST_LIMITS,
+    handshake_timeout_us=40 * MS,
+    ping_client_idle_us=80 * MS,
+    collector_idle_us=160 * MS,
 )  # to test silence
 
 
@@ -92,7 +95,7 @@
 class Bench:
     """The runtime of a controller on a fake clock: time passes only while no byte is in transit."""
 
-    def __init__(self, limits: Limits = QUICK, settings: Settings = SETTINGS) -> None:
+    def __init__(self, limits: Limits = FAST_LIMITS, settings: Settings = SETTINGS) -> None:
         self.clock = FakeClock()
         self.log = RecordingLog()
         self.unexpected_errors: list[Exception] = []
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -22,7 +22,7 @@
     unavailable,
     watch_stream,
 )
-from tests.standins import MS, QUICK, Bench, Caller, entry, listed
+from tests.standins import FAST_LIMITS, MS, Bench, Caller, entry, listed
 
 
 def test_a_watch_requests_changes_and_reports_each_object(bench: Bench) -> None:
@@ -73,7 +73,7 @@
     bench.until(lambda: reported_lists(bench))
     discovery.fetch()
     bench.until(lambda: len(reported_lists(bench)) == 2)
-    bench.pass_us(3 * QUICK.list_timeout_us)
+    bench.pass_us(3 * FAST_LIMITS.list_timeout_us)
     assert [event.kind for event in reported_lists(bench)] == [EndpointListKind.UNAVAILABLE] * 2
     assert len(bench.log.named("discovery_unavailable")) == 2
 
@@ -89,7 +89,7 @@
 def test_heartbeats_keep_a_watch_and_silence_ends_it(bench: Bench) -> None:
     quiet = DiscoveryService(bench, watch_stream(bench, listed(42, whole=False), then_silent=False))
     discovery_client_for(bench, quiet).watch(True)
-    bench.pass_us(5 * QUICK.watch_silence_us)
+    bench.pass_us(5 * FAST_LIMITS.watch_silence_us)
     assert [event.kind for event in reported_lists(bench)] == [EndpointListKind.CHANGES]
     dead = DiscoveryService(bench, watch_stream(bench, listed(42, whole=False)))
     discovery_client_for(bench, dead).watch(True)
@@ -193,5 +193,5 @@
     bench.until(lambda: reported_lists(bench))
     assert [reported.kind for reported in reported_lists(bench)] == [EndpointListKind.UNAVAILABLE]
     assert (
-        bench.clock() - began_us <= QUICK.list_timeout_us + 20 * MS
+        bench.clock() - began_us <= FAST_LIMITS.list_timeout_us + 20 * MS
     )  # the bench's clock, not the machine's
--- a/tests/test_discovery_reconnect.py
+++ b/tests/test_discovery_reconnect.py
@@ -18,7 +18,7 @@
     unavailable,
     watch_stream,
 )
-from tests.standins import MS, QUICK, Bench, Caller, entry, listed
+from tests.standins import FAST_LIMITS, MS, Bench, Caller, entry, listed
 
 
 def reconnected(
@@ -38,7 +38,7 @@
         bench, old, watch_stream(bench, listed(43, entry("h1"), whole=False), then_silent=False)
     )
     bench.until(lambda: len(reported_lists(bench)) == 2)
-    bench.pass_us(2 * QUICK.watch_silence_us)
+    bench.pass_us(2 * FAST_LIMITS.watch_silence_us)
     assert [reported.kind for reported in reported_lists(bench)] == [
         EndpointListKind.FULL,
         EndpointListKind.CHANGES,
@@ -78,7 +78,7 @@
 
 def test_retries_at_a_new_address_that_is_down_back_off_and_spread() -> None:
     """A new configuration moves all controllers together: 230 of them at ten attempts a second made 2,300."""
-    limits = replace(QUICK, watch_retry_us=800 * MS)
+    limits = replace(FAST_LIMITS, watch_retry_us=800 * MS)
     one, other = Backoff(limits, limits.watch_retry_us), Backoff(limits, limits.watch_retry_us, 0.5)
     waits = [(one.next_us(), other.next_us()) for _ in range(12)]
     assert waits[-1] == (800 * MS, 1_200 * MS)
@@ -103,7 +103,7 @@
     )
     discovery.reconnect_to(last.stand_in.address)
     bench.until(lambda: len(reported_lists(bench)) == 2)
-    bench.pass_us(2 * QUICK.watch_silence_us)
+    bench.pass_us(2 * FAST_LIMITS.watch_silence_us)
     assert [reported.version for reported in reported_lists(bench)] == [42, 43]
 
 
@@ -154,6 +154,6 @@
     bench.until(lambda: other.targets)
     discovery.reconnect_to(first.stand_in.address)
     bench.until(lambda: any(reported.version == 43 for reported in reported_lists(bench)))
-    bench.pass_us(3 * QUICK.list_timeout_us)
+    bench.pass_us(3 * FAST_LIMITS.list_timeout_us)
     assert EndpointListKind.UNAVAILABLE not in {reported.kind for reported in reported_lists(bench)}
     assert (len(first.targets), len(other.targets)) == (2, 1)
--- a/tests/test_discovery_versions.py
+++ b/tests/test_discovery_versions.py
@@ -11,7 +11,7 @@
     response_body,
     watch_stream,
 )
-from tests.standins import MS, QUICK, Bench, Caller, entry, listed
+from tests.standins import FAST_LIMITS, MS, Bench, Caller, entry, listed
 
 
 def test_changes_older_than_the_known_version_end_the_watch(bench: Bench) -> None:
@@ -42,7 +42,7 @@
 
 def test_discovery_that_repeats_an_older_list_has_started_over(bench: Bench) -> None:
     """Otherwise its changes would be rejected for good, and no drain would be seen any more."""
-    times = QUICK.max_stale_lists
+    times = FAST_LIMITS.max_stale_lists
     service = DiscoveryService(
         bench,
         *[response_body(listed(3, entry("a")))] * times,
@@ -61,7 +61,7 @@
 
 
 def test_repeated_older_changes_lead_to_a_request_for_everything(bench: Bench) -> None:
-    times = QUICK.max_stale_lists
+    times = FAST_LIMITS.max_stale_lists
     service = DiscoveryService(
         bench,
         *[watch_stream(bench, listed(3, whole=False))] * times,
--- a/tests/test_end_result.py
+++ b/tests/test_end_result.py
@@ -22,7 +22,7 @@
 from kelpcourse.wire.loop import Coroutine, Signal
 from kelpcourse.wire.relay_calls import RelayCalls
 from kelpcourse.wire.relay_codec import encode_order
-from tests.standins import MS, QUICK, Bench, Caller, StandIn
+from tests.standins import FAST_LIMITS, MS, Bench, Caller, StandIn
 
 Orders = list[dict[str, Any]]
 HOSTS = [f"h{k}" for k in range(5)]
@@ -158,7 +158,7 @@
 ) -> None:
     relay, order_queue, orders_queued = (
         Relay(bench, faults),
-        OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints),
+        OrderQueue(FAST_LIMITS.max_queued_orders, FAST_LIMITS.max_superseded_checkpoints),
         Signal(),
     )
     bench.loop.start(
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -41,7 +41,7 @@
 )
 from kelpcourse.policy.settings import RetryPolicy
 from tests.fleet import SECOND
-from tests.standins import MS, QUICK, ScriptedPolicy
+from tests.standins import FAST_LIMITS, MS, ScriptedPolicy
 
 
 @pytest.mark.usefixtures("facade")
@@ -67,8 +67,8 @@
     facade.report_health_check("h1", "timeout", 400_000, ())
     facade.report_list_unavailable()
     assert not facade.tick(5000)
-    assert facade.next_due_us() == 5000 + QUICK.step_batching_us
-    assert facade.tick(5000 + QUICK.step_batching_us)
+    assert facade.next_due_us() == 5000 + FAST_LIMITS.step_batching_us
+    assert facade.tick(5000 + FAST_LIMITS.step_batching_us)
     assert policy.steps[2] == [
         ProxyJoined(1, "east", 21.5, True),
         EndpointReport(1, "west", 10, 1, SECOND, 41_700, (("inflight", 7.0),)),
@@ -187,13 +187,13 @@
     with pytest.raises(ZeroDivisionError):
         facade.tick(9000)
     failing.append(False)
-    assert facade.next_due_us() == 9000 + QUICK.coroutine_restart_us
-    assert facade.tick(9000 + QUICK.coroutine_restart_us)
+    assert facade.next_due_us() == 9000 + FAST_LIMITS.coroutine_restart_us
+    assert facade.tick(9000 + FAST_LIMITS.coroutine_restart_us)
     assert policy.steps[-1] == [TimerFired("tick")]
 
 
 def test_timers_are_bounded(facade: Facade, policy: ScriptedPolicy) -> None:
-    policy.ready = [[SetTimer("t", 10**9 + k) for k in range(QUICK.max_timers + 5)]]
+    policy.ready = [[SetTimer("t", 10**9 + k) for k in range(FAST_LIMITS.max_timers + 5)]]
     facade.report_proxy_left(0)
     facade.tick(2000)
     facade.tick(2000 + 10 * MS)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -15,7 +15,7 @@
 from kelpcourse.wire.buffers import ReadBuffer
 from kelpcourse.wire.report_codec import DemandReportMessage, EndpointReportMessage, decode_line
 from tests.fleet import SECOND, SETTINGS
-from tests.standins import QUICK, member
+from tests.standins import FAST_LIMITS, member
 from tests.test_work import steps
 
 HOSTS = 10
@@ -27,10 +27,14 @@
 
     def __init__(self) -> None:
         settings = replace(SETTINGS, proxy_count=PROXIES)
-        self.facade = Facade(settings, 7, QUICK)
-        self.outbox = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
-        self.proxies = ProxyRegistry(QUICK.max_buffered_events, QUICK.event_stream_overlap_us)
-        self.buffer = ReadBuffer(QUICK.initial_read_buffer_bytes, QUICK.max_line_bytes)
+        self.facade = Facade(settings, 7, FAST_LIMITS)
+        self.outbox = OrderQueue(
+            FAST_LIMITS.max_queued_orders, FAST_LIMITS.max_superseded_checkpoints
+        )
+        self.proxies = ProxyRegistry(
+            FAST_LIMITS.max_buffered_events, FAST_LIMITS.event_stream_overlap_us
+        )
+        self.buffer = ReadBuffer(FAST_LIMITS.initial_read_buffer_bytes, FAST_LIMITS.max_line_bytes)
         self.now = 50 * SECOND
         self.second = 0
         self.version = 1
@@ -82,7 +86,7 @@
         self.buffer.append(self.report_lines())
         for line in self.buffer.lines():
             self.take(line)
-        self.facade.tick(self.now - QUICK.step_batching_us)
+        self.facade.tick(self.now - FAST_LIMITS.step_batching_us)
         self.facade.tick(self.now)
         orders = self.facade.pick().orders
         for order in orders:
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -10,7 +10,7 @@
 from kelpcourse.policy.events import HealthCheckCompleted, HealthCheckStatus
 from kelpcourse.wire.health_checks import HealthChecker, decode_load_report
 from kelpcourse.wire.loop import Coroutine
-from tests.standins import QUICK, Bench, Caller, StandIn, member
+from tests.standins import FAST_LIMITS, Bench, Caller, StandIn, member
 
 
 @pytest.fixture
@@ -83,7 +83,7 @@
 def test_checks_beyond_the_limit_are_queued_and_beyond_that_cancelled(bench: Bench) -> None:
     bench.runtime = replace(
         bench.runtime,
-        limits=replace(QUICK, max_concurrent_health_checks=2, max_queued_health_checks=3),
+        limits=replace(FAST_LIMITS, max_concurrent_health_checks=2, max_queued_health_checks=3),
     )
     endpoint = StandIn(bench.loop, answering(200, b""))
     checker = HealthChecker(bench.runtime)
@@ -96,7 +96,9 @@
 
 def test_a_check_that_fails_unexpectedly_is_reported_and_the_next_one_runs(bench: Bench) -> None:
     """The policy awaits a result of each, and checks queued behind it were never made."""
-    bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_concurrent_health_checks=1))
+    bench.runtime = replace(
+        bench.runtime, limits=replace(FAST_LIMITS, max_concurrent_health_checks=1)
+    )
     endpoint = StandIn(bench.loop, answering(200, b""))
     checker = HealthChecker(bench.runtime)
     checker.check("h1", ("127.0.0.1", 99_999))
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -18,11 +18,11 @@
     received,
     received_until_closed,
 )
-from tests.standins import HASTY, MS, QUICK, Bench
+from tests.standins import FAST_LIMITS, MS, SHORT_IDLE_LIMITS, Bench
 
 
 def test_a_line_over_the_limit_disconnects_its_client_alone(bench: Bench) -> None:
-    bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_line_bytes=64 << 10))
+    bench.runtime = replace(bench.runtime, limits=replace(FAST_LIMITS, max_line_bytes=64 << 10))
     listener_rig = ListenerRig(bench)
     endless, sound = listener_rig.collector(), listener_rig.collector()
     assert any(is_closed_after(bench, endless, b"heard" + b" x=" * 1400) for _ in range(2000))
@@ -37,10 +37,10 @@
 ) -> None:
     listener_rig = short_timeout_listener_rig
     client, collector = listener_rig.connect(), listener_rig.collector()
-    listener_rig.bench.pass_us(HASTY.handshake_timeout_us + 20 * MS)
+    listener_rig.bench.pass_us(SHORT_IDLE_LIMITS.handshake_timeout_us + 20 * MS)
     assert received(client) == b"refused\r\n"
     assert received(collector) is None
-    listener_rig.bench.pass_us(HASTY.collector_idle_us)
+    listener_rig.bench.pass_us(SHORT_IDLE_LIMITS.collector_idle_us)
     assert received(collector) == b""
 
 
@@ -54,7 +54,7 @@
     push(peer, said)
     for _ in range(20):
         push(peer, b"x")
-        listener_rig.bench.pass_us(HASTY.handshake_timeout_us // 10)
+        listener_rig.bench.pass_us(SHORT_IDLE_LIMITS.handshake_timeout_us // 10)
     assert b"refused" in received_until_closed(peer)
 
 
@@ -65,9 +65,9 @@
     peer = listener_rig.connect()
     for _ in range(3):
         push(peer, b"ping\r\n")
-        listener_rig.bench.pass_us(HASTY.handshake_timeout_us + 20 * MS)
+        listener_rig.bench.pass_us(SHORT_IDLE_LIMITS.handshake_timeout_us + 20 * MS)
         assert received(peer) == b"pong\r\n"
-    listener_rig.bench.pass_us(HASTY.ping_client_idle_us)
+    listener_rig.bench.pass_us(SHORT_IDLE_LIMITS.ping_client_idle_us)
     assert received(peer) == b"refused\r\n"
 
 
@@ -76,13 +76,14 @@
         push(listener_rig.connect(), b"colle")
     listener_rig.bench.until(lambda: listener_rig.bench.counters["bytes_in"] == 250)
     assert (
-        listener_rig.bench.counters["max_read_buffer_bytes"] == 50 * QUICK.max_unauthenticated_bytes
+        listener_rig.bench.counters["max_read_buffer_bytes"]
+        == 50 * FAST_LIMITS.max_unauthenticated_bytes
     )
 
 
 def test_a_new_connection_is_not_evicted_for_later_ones(bench: Bench) -> None:
     """A collector in the midst of a crowd, whose first line is still on its way."""
-    bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_connections=8))
+    bench.runtime = replace(bench.runtime, limits=replace(FAST_LIMITS, max_connections=8))
     listener_rig = ListenerRig(bench)
     for _ in range(20):
         listener_rig.connect()
@@ -98,7 +99,7 @@
 
 
 def test_silent_connections_are_evicted_before_collectors(bench: Bench) -> None:
-    bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_connections=8))
+    bench.runtime = replace(bench.runtime, limits=replace(FAST_LIMITS, max_connections=8))
     listener_rig = ListenerRig(bench)
     collector = listener_rig.collector()
     for _ in range(100):
@@ -131,7 +132,7 @@
     listener_rig: ListenerRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     collector, client = listener_rig.collector(), listener_rig.connect()
-    listener_rig.bench.pass_us(QUICK.accept_retry_us)
+    listener_rig.bench.pass_us(FAST_LIMITS.accept_retry_us)
     FailingAccept(monkeypatch, 1)
     later = listener_rig.connect()
     later.sendall(b"collector az=east\r\n" + DEMAND_REPORT)
@@ -153,7 +154,9 @@
 
 
 def test_read_buffers_are_bounded_in_total(bench: Bench) -> None:
-    bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_read_buffers_bytes=256 << 10))
+    bench.runtime = replace(
+        bench.runtime, limits=replace(FAST_LIMITS, max_read_buffers_bytes=256 << 10)
+    )
     listener_rig = ListenerRig(bench)
     peers = [listener_rig.collector() for _ in range(12)]
     for _ in range(20):
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -10,7 +10,7 @@
 
 from kelpcourse.memory.counters import Counters
 from kelpcourse.service.logs import Log
-from tests.standins import QUICK, FakeClock
+from tests.standins import FAST_LIMITS, FakeClock
 
 
 class Pipe:
@@ -19,7 +19,7 @@
         os.set_blocking(self.read_end, False)
         os.set_blocking(self.write_end, False)
         self.clock, self.counters = FakeClock(), Counters()
-        self.log = Log(self.clock, QUICK, self.counters, "n1", self.write_end)
+        self.log = Log(self.clock, FAST_LIMITS, self.counters, "n1", self.write_end)
 
     def lines(self) -> list[dict[str, object]]:
         return [orjson.loads(line) for line in os.read(self.read_end, 1 << 20).splitlines()]
@@ -44,18 +44,21 @@
     for _ in range(1000):
         pipe.log.event("message_rejected")
     pipe.log.event("other")
-    assert len(pipe.lines()) == QUICK.log_burst_lines + 1
-    assert pipe.counters["log_lines_suppressed"] == 1000 - QUICK.log_burst_lines
-    pipe.clock.now += QUICK.log_burst_window_us
+    assert len(pipe.lines()) == FAST_LIMITS.log_burst_lines + 1
+    assert pipe.counters["log_lines_suppressed"] == 1000 - FAST_LIMITS.log_burst_lines
+    pipe.clock.now += FAST_LIMITS.log_burst_window_us
     pipe.log.event("message_rejected")
-    assert [line.get("suppressed") for line in pipe.lines()] == [1000 - QUICK.log_burst_lines, None]
+    assert [line.get("suppressed") for line in pipe.lines()] == [
+        1000 - FAST_LIMITS.log_burst_lines,
+        None,
+    ]
 
 
 def test_a_long_line_is_cut_and_still_json(pipe: Pipe) -> None:
     pipe.log.always("unexpected_error", error="x" * 100_000)
     (line,) = pipe.lines()
     assert line["event"] == "unexpected_error"
-    assert len(str(line["cut"])) <= QUICK.max_log_line_bytes
+    assert len(str(line["cut"])) <= FAST_LIMITS.max_log_line_bytes
 
 
 def test_a_slow_or_absent_reader_of_the_log_does_not_stop_the_controller(pipe: Pipe) -> None:
@@ -65,5 +68,5 @@
     assert all(line["event"] == "counters" for line in pipe.lines())
     gone, end = os.pipe()
     os.close(gone)
-    Log(pipe.clock, QUICK, pipe.counters, "n1", end).always("stopped")
+    Log(pipe.clock, FAST_LIMITS, pipe.counters, "n1", end).always("stopped")
     os.close(end)
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -22,7 +22,7 @@
     throttle_and_close,
 )
 from tests.relays import BIND, CHECKPOINT, SET_WEIGHT, EventBroadcaster, order_queue_of
-from tests.standins import MS, QUICK, Bench
+from tests.standins import FAST_LIMITS, MS, Bench
 
 
 def test_a_step_is_one_call_and_the_next_reuses_the_connection(bench: Bench) -> None:
@@ -74,7 +74,7 @@
 
 
 def test_a_call_that_stays_invalid_is_dropped_for_later_orders(bench: Bench) -> None:
-    times = QUICK.max_invalid_responses
+    times = FAST_LIMITS.max_invalid_responses
     relay, order_queue = (
         Relay(bench, *[reject_as_invalid] * times),
         order_queue_of(SET_WEIGHT, CHECKPOINT),
@@ -113,7 +113,7 @@
     relay, order_queue = Relay(bench), order_queue_of(SET_WEIGHT, CHECKPOINT)
     orders_queued = start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
-    bench.pass_us(2 * QUICK.idle_connection_us)
+    bench.pass_us(2 * FAST_LIMITS.idle_connection_us)
     order_queue.add([BIND])
     orders_queued.set()
     bench.until(lambda: not order_queue.batch_count)
@@ -148,7 +148,9 @@
 
 
 def test_an_idle_connection_to_the_old_address_is_closed(bench: Bench) -> None:
-    bench.runtime = replace(bench.runtime, limits=replace(QUICK, idle_connection_us=3_600_000_000))
+    bench.runtime = replace(
+        bench.runtime, limits=replace(FAST_LIMITS, idle_connection_us=3_600_000_000)
+    )
     old, new, order_queue = Relay(bench), Relay(bench), order_queue_of(SET_WEIGHT, CHECKPOINT)
     orders_queued = Signal()
     calls = RelayCalls(bench.runtime, old.stand_in.address, order_queue, orders_queued)
@@ -189,11 +191,13 @@
         order_queue.add([SetWeight(0, "h1", stamp), Checkpoint(stamp, False)])
         orders_queued.set()
         bench.pass_us(MS)
-    assert 10 < bench.counters["relay_calls_failed"] <= 10 + 200 * MS // QUICK.max_backoff_us
+    assert 10 < bench.counters["relay_calls_failed"] <= 10 + 200 * MS // FAST_LIMITS.max_backoff_us
 
 
 def test_an_event_stream_that_opens_ends_the_wait_for_a_retry(bench: Bench) -> None:
-    bench.runtime = replace(bench.runtime, limits=replace(QUICK, throttled_retry_us=3_600_000_000))
+    bench.runtime = replace(
+        bench.runtime, limits=replace(FAST_LIMITS, throttled_retry_us=3_600_000_000)
+    )
     relay, order_queue = Relay(bench, throttle), order_queue_of(SET_WEIGHT, CHECKPOINT)
     source = EventBroadcaster(bench, [b"{}"])
     calls = RelayCalls(bench.runtime, relay.stand_in.address, order_queue, Signal())
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -8,7 +8,7 @@
 from kelpcourse.wire.loop import Signal
 from kelpcourse.wire.relay_events import RelayEventStreams
 from tests.relays import BIND, SET_WEIGHT, EventBroadcaster, applied, joined, left, order_queue_of
-from tests.standins import MS, QUICK, Bench
+from tests.standins import FAST_LIMITS, MS, Bench
 
 
 def start_streams(
@@ -81,9 +81,9 @@
     source = EventBroadcaster(bench, [b"{}"])
     start_streams(bench, source)
     for _ in range(6):
-        bench.pass_us(QUICK.event_stream_silence_us // 2)
+        bench.pass_us(FAST_LIMITS.event_stream_silence_us // 2)
         source.lines.append(b"{}")
-    bench.pass_us(QUICK.event_stream_silence_us // 2)
+    bench.pass_us(FAST_LIMITS.event_stream_silence_us // 2)
     assert source.stand_in.connections == 1
 
 
--- a/tests/test_relay_outcome_unknown.py
+++ b/tests/test_relay_outcome_unknown.py
@@ -22,7 +22,7 @@
     truncated_response,
 )
 from tests.relays import BIND, CHECKPOINT, SET_WEIGHT, order_queue_of
-from tests.standins import MS, QUICK, Bench, Caller, StandIn
+from tests.standins import FAST_LIMITS, MS, Bench, Caller, StandIn
 
 CORRUPTED_ANSWERS = [
     b"{}",
@@ -126,7 +126,7 @@
 
 def test_a_call_that_breaks_before_its_last_byte_was_not_carried_out(bench: Bench) -> None:
     """The relay takes no more of it than the system holds. It was never carried out, and goes again at once."""
-    bench.runtime = replace(bench.runtime, limits=replace(QUICK, max_call_bytes=1 << 30))
+    bench.runtime = replace(bench.runtime, limits=replace(FAST_LIMITS, max_call_bytes=1 << 30))
     long = "h" * 2_000
     orders: list[Order] = [SetWeight(0, f"{long}{k}", 1.0) for k in range(10_000)]
 
@@ -158,7 +158,7 @@
     bench.loop.start("calls", calls.run())
     bench.until(lambda: old.calls)
     calls.reconnect_to(new.stand_in.address)
-    bench.pass_us(4 * QUICK.call_timeout_us)
+    bench.pass_us(4 * FAST_LIMITS.call_timeout_us)
     assert not new.calls
     calls.reconnect_to(old.stand_in.address)  # and back, before the first move was through
     bench.policy.allows_resend = True
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -52,7 +52,7 @@
     Ping,
     decode_line,
 )
-from tests.standins import QUICK, Bench, member
+from tests.standins import FAST_LIMITS, Bench, member
 
 # Values in the program's own types. Names of types and fields stand in this section alone, and their bytes below.
 
@@ -167,13 +167,13 @@
 
 
 def run_calls(bench: Bench, server: RawServer, orders: list[Order]) -> None:
-    queue = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
+    queue = OrderQueue(FAST_LIMITS.max_queued_orders, FAST_LIMITS.max_superseded_checkpoints)
     queue.add(orders)
     bench.loop.start("calls", RelayCalls(bench.runtime, server.address, queue, Signal()).run())
 
 
 def run_events(bench: Bench, server: RawServer) -> None:
-    queue = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
+    queue = OrderQueue(FAST_LIMITS.max_queued_orders, FAST_LIMITS.max_superseded_checkpoints)
     streams = RelayEventStreams(bench.runtime, server.address, queue, Signal())
     bench.loop.start("events", streams.run(0))
 
--- a/tests/test_zone_server.py
+++ b/tests/test_zone_server.py
@@ -12,8 +12,8 @@
 import pytest
 
 from tests.zonerig import (
+    FAST_LIMITS,
     MS,
-    QUICK,
     Client,
     World,
     open_descriptor_count,
@@ -61,7 +61,7 @@
 
 def test_connections_are_bounded_and_the_longest_idle_is_evicted(world: World) -> None:
     node = world.primary(
-        zone_with(1, sample_endpoints()), limits=replace(QUICK, max_dns_tcp_connections=8)
+        zone_with(1, sample_endpoints()), limits=replace(FAST_LIMITS, max_dns_tcp_connections=8)
     )
     client = Client(world, node)
     crowd = []
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -40,7 +40,7 @@
     dns.name.from_text("staff." + ORIGIN), SECRET.decode(), dns.name.from_text("hmac-sha256")
 )
 OTHER = dns.tsig.Key(KEY.name, base64.b64encode(bytes(32)).decode(), KEY.algorithm)
-QUICK = replace(
+FAST_LIMITS = replace(
     Limits(),
     soa_query_timeout_us=50 * MS,
     transfer_silence_us=50 * MS,
@@ -129,7 +129,7 @@
         update: str = "",
         more: str = "",
         classes: tuple[EndpointClass, ...] = (),
-        limits: Limits = QUICK,
+        limits: Limits = FAST_LIMITS,
     ) -> ZoneNode:
         path = self.new_folder(name, zone)
         (path / "z.kdl").write_text(PRIMARY.format(update=update, more=more))
@@ -141,7 +141,7 @@
         name: str = "secondary",
         key: bool = True,
         more: str = "",
-        limits: Limits = QUICK,
+        limits: Limits = FAST_LIMITS,
     ) -> ZoneNode:
         path = self.new_folder(name, None)
         signed = ' key="staff.games.example.org"' if key else ""
@@ -150,7 +150,7 @@
         return self.node(path, (), limits)
 
     def node(
-        self, path: Path, classes: tuple[EndpointClass, ...] = (), limits: Limits = QUICK
+        self, path: Path, classes: tuple[EndpointClass, ...] = (), limits: Limits = FAST_LIMITS
     ) -> ZoneNode:
         node = ZoneNode(self, path, classes, limits)
         self.nodes.append(node)
