--- a/kelpcourse/wire/discovery.py
+++ b/kelpcourse/wire/discovery.py
@@ -204,7 +204,9 @@
             InvalidMessageError: Changes are out of order, so some are missing.
         """
         if message.version < watch.version and not message.complete:
-            raise InvalidMessageError(f"changes of version {message.version} after {watch.version}")
+            raise InvalidMessageError(
+                f"changes of version {message.version} received after version {watch.version}"
+            )
         is_first = watch.version < 0
         watch.version = message.version
         if message.complete or is_first or message.version >= self._version:
@@ -227,7 +229,7 @@
                 self._version = 0
             if self._version or not message.complete:
                 raise InvalidMessageError(
-                    f"a list of version {message.version} where {known_version} is known"
+                    f"list of version {message.version} is older than the known version {known_version}"
                 )
         self._version = message.version
         self._runtime.counters.add("discovery_lists")
--- a/kelpcourse/wire/discovery_codec.py
+++ b/kelpcourse/wire/discovery_codec.py
@@ -1,11 +1,11 @@
-"""Codec of discovery's answers: the endpoint list, complete or as changes.
+"""Codec of discovery's responses: the endpoint list, complete or as changes.
 
 Names on the wire and in the program:
 
 | on the wire | in the program |
 | --- | --- |
 | `revision` | `version` |
-| `complete` | `complete`; false means changes since the version before |
+| `complete` | `complete`; false means changes since the previous version |
 | `members` | `endpoints` |
 | `id` | `name` |
 | `host_port` | `address` |
@@ -13,8 +13,8 @@
 | `flavor` | `kind` |
 | `cell` | `cell` |
 | `phase` `ready`, `draining`, `gone` | `EndpointStatus` |
-| `size` | relative capacity |
-| `up_since_ms` | time of its last start, Unix time in milliseconds |
+| `size` | relative capacity of the endpoint |
+| `up_since_ms` | time of the endpoint's last start, Unix time in milliseconds |
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 )
 
 LIST_PATH = "/discovery/hosts"
-MAX_TIME_MS = 1e15  # what the policy's clock holds
+MAX_TIME_MS = 1e15  # limit of the policy's clock
 STATUS_OF_PHASE = {
     "ready": EndpointStatus.READY,
     "draining": EndpointStatus.DRAINING,
@@ -44,12 +44,12 @@
 
 @dataclass(frozen=True)
 class EndpointListMessage:
-    """An endpoint list, or changes of one.
+    """A complete endpoint list, or changes to one.
 
     Attributes:
-        version: Grows with each change.
-        complete: Whether these are all endpoints, not only those that changed.
-        endpoints: The entries.
+        version: Version of the list, which increases with each change.
+        complete: Whether the message lists all endpoints, not only those that changed.
+        endpoints: Entries of the message.
     """
 
     version: int
@@ -58,23 +58,23 @@
 
 
 def watch_path(version: int) -> str:
-    """Give the target of a watch that starts after a version."""
+    """Returns the request target of a watch for the changes after a version."""
     return f"{LIST_PATH}?stream=1&index={version}"
 
 
 def decode_endpoint_list(
     fields: Mapping[str, object], on_invalid_entry: Callable[[InvalidMessageError], None]
 ) -> EndpointListMessage:
-    """Decode a list without the entries that can't be used.
+    """Decodes a list and leaves out invalid entries.
 
-    One invalid entry must not hold up the news of all the others.
+    One invalid entry must not prevent updates of the other endpoints.
 
     Args:
-        fields: The JSON object.
-        on_invalid_entry: Called for each entry that is left out.
+        fields: The message as a JSON object.
+        on_invalid_entry: Called with the error of each entry that is left out.
 
     Raises:
-        InvalidMessageError: The message itself can't be used.
+        InvalidMessageError: A field of the message itself is missing or invalid.
     """
     entries = fields.get("members")
     if not isinstance(entries, list):
@@ -94,12 +94,12 @@
         raise InvalidMessageError("an entry of 'members' is not an object")
     phase = require_text(entry, "phase")
     if phase not in STATUS_OF_PHASE:
-        raise InvalidMessageError(f"field 'phase' has no such value: {phase!r:.60}")
+        raise InvalidMessageError(f"field 'phase' has an unknown value: {phase!r:.60}")
     up_since_ms = 0.0
     if entry.get("up_since_ms") is not None:
         up_since_ms = require_number(entry, "up_since_ms")
     if up_since_ms >= MAX_TIME_MS:
-        raise InvalidMessageError(f"field 'up_since_ms' is no time: {up_since_ms}")
+        raise InvalidMessageError(f"field 'up_since_ms' is not a valid time: {up_since_ms}")
     return ListedEndpoint(
         require_text(entry, "id"),
         parse_address(require_text(entry, "host_port"), "host_port"),
--- a/kelpcourse/wire/fields.py
+++ b/kelpcourse/wire/fields.py
@@ -1,6 +1,6 @@
-"""Reads fields of JSON messages whose presence, type and range can't be trusted.
+"""Reading of fields of JSON messages whose presence, type and range must be checked.
 
-All functions raise InvalidMessageError, which names the field.
+All functions raise InvalidMessageError for an invalid field and name it in the text.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 def parse_json_object(data: memoryview) -> Mapping[str, object]:
-    """Decode a JSON object.
+    """Decodes a JSON object.
 
     Raises:
-        NotJsonError: The data is something else.
+        NotJsonError: The data is not a JSON object.
     """
     try:
         value = orjson.loads(data)
@@ -32,41 +32,45 @@
 
 
 def require_text(fields: Mapping[str, object], name: str) -> str:
-    """Give a field that is a string, neither empty nor too long."""
+    """Returns a field that must be a string, not empty and at most `MAX_TEXT_LENGTH` characters long."""
     value = fields.get(name)
     if not isinstance(value, str) or not value or len(value) > MAX_TEXT_LENGTH:
-        raise InvalidMessageError(f"field '{name}' is not a name: {value!r:.60}")
+        raise InvalidMessageError(f"field '{name}' is not a string of valid length: {value!r:.60}")
     return value
 
 
 def require_count(fields: Mapping[str, object], name: str) -> int:
-    """Give a field that is an integer of at least 0."""
+    """Returns a field that must be an integer of at least 0."""
     value = fields.get(name)
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
-        raise InvalidMessageError(f"field '{name}' is not a count: {value!r:.60}")
+        raise InvalidMessageError(f"field '{name}' is not an integer of at least 0: {value!r:.60}")
     return value
 
 
 def require_number(fields: Mapping[str, object], name: str) -> float:
-    """Give a field that is a finite number of at least 0."""
+    """Returns a field that must be a finite number of at least 0, as a float."""
     value = fields.get(name)
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise InvalidMessageError(f"field '{name}' is not a number from 0 up: {value!r:.60}")
+        raise InvalidMessageError(
+            f"field '{name}' is not a finite number of at least 0: {value!r:.60}"
+        )
     if not math.isfinite(value) or value < 0:
-        raise InvalidMessageError(f"field '{name}' is not a number from 0 up: {value!r:.60}")
+        raise InvalidMessageError(
+            f"field '{name}' is not a finite number of at least 0: {value!r:.60}"
+        )
     return float(value)
 
 
 def require_flag(fields: Mapping[str, object], name: str) -> bool:
-    """Give a field that is a boolean, or 1 or 0."""
+    """Returns a field that must be a boolean, 1 or 0, as a boolean."""
     value = fields.get(name)
     if value not in (True, False, 0, 1):
-        raise InvalidMessageError(f"field '{name}' is neither yes nor no: {value!r:.60}")
+        raise InvalidMessageError(f"field '{name}' is not a boolean: {value!r:.60}")
     return bool(value)
 
 
 def parse_address(value: str, name: str) -> tuple[str, int]:
-    """Parse `host:port`; `name` is the field that it stands in, for the error."""
+    """Parses `host:port`; `name` is the name of the field, used in the error text."""
     host, separator, port = value.rpartition(":")
     is_number = port.isascii() and port.isdigit()
     if not separator or not host or not is_number or not 0 < int(port) <= MAX_PORT:
--- a/kelpcourse/wire/relay_codec.py
+++ b/kelpcourse/wire/relay_codec.py
@@ -1,4 +1,4 @@
-"""Codec of the relay's protocol: orders and answers of calls, lines of the event stream.
+"""Codec of the relay's protocol: orders in calls, responses to calls, and lines of the event stream.
 
 Names on the wire and in the program:
 
@@ -11,27 +11,27 @@
 | order | `verb` `IN` | `RestoreEndpoint` |
 | order | `verb` `LIMIT` | `SetAdmission` |
 | order | `verb` `SYNC` | `Checkpoint` |
-| order | `cluster` | `table`; `*` is None, which means all tables |
+| order | `cluster` | `table`; `*` on the wire is None in the program and means all tables |
 | order | `host` | `endpoint` |
 | order | `share` | `weight` |
 | order, event | `sidecar` | `proxy` |
-| order | `for` | `classes`; left out if empty, which means all classes |
+| order | `for` | `classes`; omitted if empty, which means all request classes |
 | order | `gate` | `limit`, the admission ratio or rate |
 | order | `again` | `retry_policy` |
 | order | `stamp` | `checkpoint_id` |
 | order | `yes` | `all_proxies`, as 1 or 0 |
-| answer | `ok_count` | number of accepted orders |
-| answer | `Throttling` | `ThrottledError` |
-| answer | `ValidationError` | `InvalidCallError` |
+| response | `ok_count` | number of accepted orders |
+| response | `Throttling` | `ThrottledError` |
+| response | `ValidationError` | `InvalidCallError` |
 | event | `type` `joined` | `Joined` |
 | event | `type` `left` | `Left` |
 | event | `type` `applied` | `Applied` |
 | event | `{}` | None, a heartbeat |
-| event | `az` | zone |
-| event | `share` | request rate per second |
-| event | `standing` | has no table |
+| event | `az` | zone of the proxy |
+| event | `share` | request rate of the proxy per second |
+| event | `standing` | whether the proxy has no table |
 | event | `version` | checkpoint id |
-| event | `lag_ms` | lag in milliseconds |
+| event | `lag_ms` | time from the order to its application, in milliseconds |
 """
 
 from __future__ import annotations
@@ -68,19 +68,19 @@
 ALL_TABLES = "*"
 BODY_START = b'{"orders":['
 BODY_END = b"]}"
-ENVELOPE_BYTES = 16  # reserved for start and end of a body
-SEPARATOR_BYTES = 1
+ENVELOPE_BYTES = 16  # reserved for `BODY_START` and `BODY_END`
+SEPARATOR_BYTES = 1  # the comma between two orders
 MAX_LOGGED_RESPONSE_CHARS = 200
 
 
 @dataclass(frozen=True)
 class CallBody:
-    """The body of one call and what it carries.
+    """The body of one call and the number of orders in it.
 
     Attributes:
-        data: The bytes of the body.
-        order_count: Orders of the batch that it holds, counted from the first.
-        checkpoint_added: Whether the batch's checkpoint was added behind a part of the batch.
+        data: Encoded body.
+        order_count: Number of orders of the batch that the body contains, from the first on.
+        checkpoint_added: Whether the body contains only part of the batch and the batch's checkpoint was appended.
     """
 
     data: bytes
@@ -89,12 +89,12 @@
 
     @property
     def sent_count(self) -> int:
-        """The number of orders that the relay counts in its answer."""
+        """The number of orders in the body, as the relay counts them in its response."""
         return self.order_count + 1 if self.checkpoint_added else self.order_count
 
 
 def encode_order(order: Order) -> bytes:
-    """Encode one order."""
+    """Encodes one order as JSON."""
     return orjson.dumps(_order_fields(order))
 
 
@@ -127,10 +127,10 @@
 
 
 def encode_call(orders: Sequence[Order], max_bytes: int) -> CallBody:
-    """Encode as many orders of a batch as one call holds, at least one.
+    """Encodes as many orders of a batch as fit into one call, but at least one.
 
-    A part of a batch ends in the batch's checkpoint as well, because each part is a message that
-    proxies have to acknowledge.
+    A part of a batch ends with the batch's checkpoint as well, because each part is a message that proxies have to
+    acknowledge.
     """
     encoded = [encode_order(order) for order in orders]
     checkpoint = encoded[-1] if isinstance(orders[-1], Checkpoint) else b""
@@ -151,34 +151,36 @@
 
 
 def decode_response(body: memoryview, sent_count: int) -> int:
-    """Decode the answer to a call: the number of orders accepted, counted from the first.
+    """Decodes the response to a call and returns the number of accepted orders, from the first on.
 
     Raises:
-        ThrottledError: The run has not begun.
-        InvalidCallError: The relay does not take the request for a call.
-        InvalidMessageError: The answer can't be used.
+        ThrottledError: The relay rejected the call because its run has not begun.
+        InvalidCallError: The relay rejected the request as not being a valid call.
+        InvalidMessageError: The response is invalid.
     """
     fields = parse_json_object(body)
     if "ok_count" in fields:
         accepted = require_count(fields, "ok_count")
         if accepted > sent_count:
-            raise InvalidMessageError(f"field 'ok_count' is above the orders sent: {accepted}")
+            raise InvalidMessageError(
+                f"field 'ok_count' exceeds the number of orders sent: {accepted}"
+            )
         return accepted
     # The protocol names the error codes but not the field that holds them.
-    answer = orjson.dumps(fields).decode()
-    if THROTTLED_CODE in answer:
-        raise ThrottledError(answer[:MAX_LOGGED_RESPONSE_CHARS])
-    if INVALID_CALL_CODE in answer:
-        raise InvalidCallError(answer[:MAX_LOGGED_RESPONSE_CHARS])
-    raise InvalidMessageError(f"an answer without 'ok_count': {answer:.100}")
+    response = orjson.dumps(fields).decode()
+    if THROTTLED_CODE in response:
+        raise ThrottledError(response[:MAX_LOGGED_RESPONSE_CHARS])
+    if INVALID_CALL_CODE in response:
+        raise InvalidCallError(response[:MAX_LOGGED_RESPONSE_CHARS])
+    raise InvalidMessageError(f"response has no field 'ok_count': {response:.100}")
 
 
 def decode_event(line: memoryview) -> ProxyEvent | None:
-    """Decode a line of the event stream; None is a heartbeat.
+    """Decodes a line of the event stream and returns the event; None for a heartbeat.
 
     Raises:
         NotJsonError: The line is not a JSON object.
-        InvalidMessageError: The event can't be used.
+        InvalidMessageError: The event is of an unknown type or has an invalid field.
     """
     fields = parse_json_object(line)
     if not fields:
@@ -203,4 +205,4 @@
                 require_count(body, "version"),
                 require_number(body, "lag_ms"),
             )
-    raise InvalidMessageError(f"unknown type {event_type!r:.60}")
+    raise InvalidMessageError(f"unknown event type {event_type!r:.60}")
--- a/kelpcourse/wire/report_codec.py
+++ b/kelpcourse/wire/report_codec.py
@@ -1,4 +1,4 @@
-"""Codec of the lines at the controller's own address: a kind, then words of the form name=value.
+"""Codec of the lines that clients send to the controller: a kind, then fields of the form name=value.
 
 Names on the wire and in the program:
 
@@ -13,7 +13,7 @@
 | `heard` | `n` | `attempts` |
 | `heard` | `bad` | `failed` |
 | `heard` | `avg` | `mean_ms` |
-| `heard` | `report` | `load`, pairs of a name and a figure |
+| `heard` | `report` | `load`, pairs of a name and a number |
 | `heard`, `usage` | `window` | `window_ms` |
 | `usage` | `sidecar` | `proxy` |
 | `usage` | `kind` | `class_name` |
@@ -29,37 +29,38 @@
 
 PONG = b"pong\r\n"
 REFUSED = b"refused\r\n"
-MAX_KIND_LENGTH = 32
-MAX_VALUE_LENGTH = 256
+MAX_KIND_LENGTH = 32  # in characters
+MAX_VALUE_LENGTH = 256  # in characters
 MAX_COUNT_DIGITS = 15
 MAX_NUMBER = 1e15
-INCOMPLETE_UTF8 = "unexpected end of data"  # Python's reason for a sequence that is cut off
+# The reason that Python gives for a truncated UTF-8 sequence.
+INCOMPLETE_UTF8 = "unexpected end of data"
 
 
 @dataclass(frozen=True)
 class Ping:
-    """Asks whether the controller serves."""
+    """A liveness check, answered by `PONG`."""
 
 
 @dataclass(frozen=True)
 class CollectorHello:
-    """Identifies a connection as that of a zone's report collector."""
+    """The first message of a report collector, which names its zone."""
 
     zone: str
 
 
 @dataclass(frozen=True)
 class EndpointReportMessage:
-    """Attempts at an endpoint by the proxies of a zone within a window.
+    """Attempts that the proxies of a zone made at an endpoint within a window.
 
     Attributes:
         zone: The zone of the proxies.
         endpoint: Name of the endpoint.
-        attempts: Attempts that were made.
-        failed: Attempts that failed.
-        mean_ms: Mean time of the others in milliseconds; None if there is none.
+        attempts: Number of attempts that were made.
+        failed: Number of attempts that failed.
+        mean_ms: Mean duration of the successful attempts in milliseconds; None if there were none.
         window_ms: Length of the window in milliseconds.
-        load: The endpoint's last load report.
+        load: The last load report of the endpoint, as pairs of a name and a number.
     """
 
     zone: str
@@ -73,13 +74,13 @@
 
 @dataclass(frozen=True)
 class DemandReportMessage:
-    """Requests of a class that reached a proxy within a window.
+    """Requests of one class that arrived at a proxy within a window.
 
     Attributes:
         proxy: Number of the proxy.
-        class_name: Name of the class.
-        arrivals: Requests that arrived.
-        unanswered: Requests that the proxy admitted and could not serve.
+        class_name: Name of the request class.
+        arrivals: Number of requests that arrived.
+        unanswered: Number of requests that the proxy admitted and could not serve.
         window_ms: Length of the window in milliseconds.
     """
 
@@ -94,58 +95,58 @@
 
 
 def decode_line(line: memoryview) -> Message | None:
-    """Decode a line, of which nothing is kept; None is an empty line.
+    """Decodes a line and returns the message, which does not refer to the line; None for an empty line.
 
     Raises:
-        MalformedLineError: The line is not a message at all.
-        InvalidMessageError: The message can't be used.
+        MalformedLineError: The line is not a message.
+        InvalidMessageError: The message is of an unknown kind or has an invalid field.
     """
     try:
         text = str(line, "utf-8")
     except UnicodeDecodeError as error:
         raise MalformedLineError("not UTF-8") from error
     if not text.isprintable():
-        raise MalformedLineError("not text")
+        raise MalformedLineError("contains unprintable characters")
     parts = text.split()
     if not parts:
         return None
     kind = parts[0]
     if not is_valid_kind(kind):
-        raise MalformedLineError(f"no kind {kind!r:.60}")
-    words = _parse_words(parts[1:])
+        raise MalformedLineError(f"invalid message kind {kind!r:.60}")
+    fields = _parse_fields(parts[1:])
     match kind:
         case "heard":
-            return _decode_endpoint_report(words)
+            return _decode_endpoint_report(fields)
         case "usage":
-            return _decode_demand_report(words)
+            return _decode_demand_report(fields)
         case "ping":
             return Ping()
         case "collector":
-            return CollectorHello(_require_text(words, "az"))
-    raise InvalidMessageError(f"unknown kind {kind!r:.60}")
+            return CollectorHello(_require_text(fields, "az"))
+    raise InvalidMessageError(f"unknown message kind {kind!r:.60}")
 
 
-def is_valid_kind(word: str) -> bool:
-    """Whether a message may start with this word, whether or not the kind is known."""
-    letters = word.replace("_", "")
+def is_valid_kind(text: str) -> bool:
+    """Returns whether a text has the form of a message kind, known or unknown."""
+    letters = text.replace("_", "")
     is_lower_ascii = letters.isascii() and letters.isalpha() and letters.islower()
-    return len(word) <= MAX_KIND_LENGTH and is_lower_ascii
+    return len(text) <= MAX_KIND_LENGTH and is_lower_ascii
 
 
 def check_partial_line(partial: memoryview) -> None:
-    """Check what was received of a line that has not ended.
+    """Checks the received part of an incomplete line.
 
-    A line that is malformed already may never end, so its end is not waited for.
+    A malformed line may never end, so it is rejected before its end is received.
 
     Raises:
-        MalformedLineError: No message starts so.
+        MalformedLineError: No message can start with these bytes.
     """
     if not partial:
         return
     start, space, _ = bytes(partial[: MAX_KIND_LENGTH + 1]).partition(b" ")
-    word = (start if space else start.rstrip(b"\r")).decode("latin-1")
-    if word and not is_valid_kind(word):
-        raise MalformedLineError(f"no kind {word!r:.60}")
+    kind = (start if space else start.rstrip(b"\r")).decode("latin-1")
+    if kind and not is_valid_kind(kind):
+        raise MalformedLineError(f"invalid message kind {kind!r:.60}")
     try:
         str(partial, "utf-8")
     except UnicodeDecodeError as error:
@@ -153,56 +154,58 @@
             raise MalformedLineError("not UTF-8") from error
 
 
-def _decode_endpoint_report(words: dict[str, str]) -> EndpointReportMessage:
+def _decode_endpoint_report(fields: dict[str, str]) -> EndpointReportMessage:
     return EndpointReportMessage(
-        zone=_require_text(words, "az"),
-        endpoint=_require_text(words, "host"),
-        attempts=_require_count(words, "n"),
-        failed=_require_count(words, "bad"),
-        mean_ms=_require_number(words, "avg") if "avg" in words else None,
-        window_ms=_require_number(words, "window"),
-        load=_parse_load(words.get("report", "")),
+        zone=_require_text(fields, "az"),
+        endpoint=_require_text(fields, "host"),
+        attempts=_require_count(fields, "n"),
+        failed=_require_count(fields, "bad"),
+        mean_ms=_require_number(fields, "avg") if "avg" in fields else None,
+        window_ms=_require_number(fields, "window"),
+        load=_parse_load(fields.get("report", "")),
     )
 
 
-def _decode_demand_report(words: dict[str, str]) -> DemandReportMessage:
+def _decode_demand_report(fields: dict[str, str]) -> DemandReportMessage:
     return DemandReportMessage(
-        proxy=_require_count(words, "sidecar"),
-        class_name=_require_text(words, "kind"),
-        arrivals=_require_count(words, "n"),
-        unanswered=_require_count(words, "bad"),
-        window_ms=_require_number(words, "window"),
+        proxy=_require_count(fields, "sidecar"),
+        class_name=_require_text(fields, "kind"),
+        arrivals=_require_count(fields, "n"),
+        unanswered=_require_count(fields, "bad"),
+        window_ms=_require_number(fields, "window"),
     )
 
 
-def _parse_words(parts: list[str]) -> dict[str, str]:
-    words: dict[str, str] = {}
+def _parse_fields(parts: list[str]) -> dict[str, str]:
+    fields: dict[str, str] = {}
     for part in parts:
         name, separator, value = part.partition("=")
         if not separator or not name:
-            raise InvalidMessageError(f"word {part!r:.60} is not name=value")
-        if name in words:
-            raise InvalidMessageError(f"word '{name:.60}' stands twice")
-        words[name] = value
-    return words
+            raise InvalidMessageError(f"field {part!r:.60} is not name=value")
+        if name in fields:
+            raise InvalidMessageError(f"field '{name:.60}' occurs twice")
+        fields[name] = value
+    return fields
 
 
-def _require_text(words: dict[str, str], name: str) -> str:
-    value = words.get(name, "")
+def _require_text(fields: dict[str, str], name: str) -> str:
+    value = fields.get(name, "")
     if not value or len(value) > MAX_VALUE_LENGTH:
-        raise InvalidMessageError(f"word '{name}' is not a name: {value!r:.60}")
+        raise InvalidMessageError(f"field '{name}' is missing, empty or too long: {value!r:.60}")
     return value
 
 
-def _require_count(words: dict[str, str], name: str) -> int:
-    value = words.get(name, "")
+def _require_count(fields: dict[str, str], name: str) -> int:
+    value = fields.get(name, "")
     if not (value.isascii() and value.isdigit()) or len(value) > MAX_COUNT_DIGITS:
-        raise InvalidMessageError(f"word '{name}' is not a count: {value!r:.60}")
+        raise InvalidMessageError(
+            f"field '{name}' is not an integer in the valid range: {value!r:.60}"
+        )
     return int(value)
 
 
-def _require_number(words: dict[str, str], name: str) -> float:
-    return _parse_number(words.get(name, ""), name)
+def _require_number(fields: dict[str, str], name: str) -> float:
+    return _parse_number(fields.get(name, ""), name)
 
 
 def _parse_number(value: str, name: str) -> float:
@@ -210,8 +213,10 @@
         number = float(value)
     except ValueError:
         number = -1.0
-    if not 0 <= number < MAX_NUMBER:  # NaN fails this too
-        raise InvalidMessageError(f"word '{name}' is not a number from 0 up: {value!r:.60}")
+    if not 0 <= number < MAX_NUMBER:  # also rejects NaN
+        raise InvalidMessageError(
+            f"field '{name}' is not a number in the valid range: {value!r:.60}"
+        )
     return number
 
 
@@ -222,6 +227,6 @@
     for pair in value.split(","):
         name, separator, number = pair.partition(":")
         if not separator or not name:
-            raise InvalidMessageError(f"word 'report' holds {pair!r:.60}")
+            raise InvalidMessageError(f"field 'report' contains an invalid pair: {pair!r:.60}")
         pairs.append((name, _parse_number(number, "report")))
     return tuple(pairs)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -161,9 +161,9 @@
 
 
 __all__ = [
-    "HASTY",
+    "FAST_LIMITS",
     "MS",
-    "QUICK",
+    "SHORT_IDLE_LIMITS",
     "Bench",
     "Caller",
     "FakeClock",
