--- a/kelpcourse/wire/relay_calls.py
+++ b/kelpcourse/wire/relay_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the relay: the order queue goes out batch by batch, one call at a time and in order."""
+"""Calls to the relay, which send the order queue batch by batch, one call at a time and in order."""
 
 from __future__ import annotations
 
@@ -31,8 +31,7 @@
     """Sends the order queue to the relay, call by call.
 
     Attributes:
-        reachable: Set when the relay is known to answer, so that orders need not wait for the next
-            retry.
+        reachable: Set when the relay is known to be reachable, which ends the delay before the next retry.
     """
 
     def __init__(
@@ -43,69 +42,71 @@
         orders_queued: Signal,
         target: Callable[[], str | None] = lambda: ORDERS_PATH,
     ) -> None:
-        """Create the sender; `run` is its coroutine.
+        """Initializes the sender, whose coroutine is `run`.
 
         Args:
             runtime: Clock, limits, counters, log, loop and facade.
-            address: Where the relay listens.
-            orders: The queue to send.
-            orders_waiting: Set when the queue has grown.
-            target: Gives the path of the next call, asked right before it; None means that no call
-                may be made now.
+            address: Address of the relay.
+            orders: Queue whose orders are sent.
+            orders_queued: Signal that is set when orders were added to the queue.
+            target: Function that returns the path of the next call and is called right before it; None means that
+                calls are not allowed at the moment.
         """
         self._runtime = runtime
         self._address = address
         self._orders = orders
-        self._orders_waiting = orders_queued
+        self._orders_queued = orders_queued
         self._target = target
         self._client: HttpClient | None = None
         self._client_address = address
-        self._sent_count = 0  # orders of the present call; 0 until it was sent completely
-        self._invalid_answers = 0  # in a row
-        self._refused_order: Order | None = None  # once, which a corrupted answer may have caused
+        self._sent_count = 0  # number of orders in the current call; 0 until it was sent completely
+        # Number of consecutive responses that rejected a call as invalid.
+        self._invalid_responses = 0
+        # The order that was refused last; one refusal may be due to a corrupted response.
+        self._refused_order: Order | None = None
         self._backoff = Backoff(runtime.limits)
         self.reachable = Signal()
 
     def reconnect_to(self, address: Address) -> None:
-        """Direct calls to a new address; the present one is settled where it is."""
+        """Directs calls to a new address; the outcome of the call in progress is awaited at the old one."""
         self._address = address
         self._backoff.reset()
-        self._orders_waiting.set()
+        self._orders_queued.set()
         self.reachable.set()
 
     def run(self) -> Coroutine[None]:
-        """Send orders for ever."""
+        """Sends orders as they are queued, indefinitely."""
         try:
             while True:
                 yield from self._wait_for_orders()
                 wait_us = yield from self._attempt_call()
                 if wait_us:
-                    # New orders don't shorten the wait: a relay that is down is not tried for each.
+                    # New orders don't shorten the delay, or each would cause a call to a relay that is down.
                     self.reachable.clear()
                     yield Wait(self._runtime.clock() + wait_us, signal=self.reachable)
         finally:
             self._close()
 
     def _wait_for_orders(self) -> Coroutine[None]:
-        """Wait until there are orders.
+        """Waits until the queue has orders.
 
-        A connection that is idle for long is closed before the relay does so: a call that crosses
-        its end can't be told from one that was carried out.
+        A connection that stays idle is closed here before the relay closes it. If the relay closes it while a call is
+        being sent, it is unknown whether the call was carried out.
         """
         idle_deadline_us = self._runtime.clock() + self._runtime.limits.idle_connection_us
         while not self._orders.batch_count:
-            self._orders_waiting.clear()
+            self._orders_queued.clear()
             if self._client is None:
-                yield Wait(signal=self._orders_waiting)
+                yield Wait(signal=self._orders_queued)
                 continue
-            reason = yield Wait(idle_deadline_us, self._client.fd, READ, self._orders_waiting)
-            has_moved = self._client_address != self._address
-            if reason is not WakeReason.SIGNALLED or has_moved:
+            reason = yield Wait(idle_deadline_us, self._client.fd, READ, self._orders_queued)
+            is_previous_address = self._client_address != self._address
+            if reason is not WakeReason.SIGNALLED or is_previous_address:
                 self._close()
-        self._orders_waiting.clear()
+        self._orders_queued.clear()
 
     def _attempt_call(self) -> Coroutine[int]:
-        """Make one call and give the microseconds to wait before the next."""
+        """Makes one call and returns the delay before the next one in microseconds."""
         try:
             yield from self._call()
         except ThrottledError:
@@ -120,7 +121,7 @@
             self._close()
             return (yield from self._resolve_outcome())
         self._backoff.reset()
-        self._invalid_answers = 0
+        self._invalid_responses = 0
         return NO_WAIT_US
 
     def _handle_throttled(self) -> int:
@@ -130,16 +131,16 @@
         return self._runtime.limits.throttled_retry_us
 
     def _handle_invalid_call(self, error: InvalidCallError) -> int:
-        """Retry a call, unless the relay insists: later orders must not wait for ever."""
-        self._invalid_answers += 1
-        given_up = self._invalid_answers >= self._runtime.limits.max_invalid_responses
+        """Requeues a rejected call, or drops it after repeated rejections so that later orders are sent."""
+        self._invalid_responses += 1
+        given_up = self._invalid_responses >= self._runtime.limits.max_invalid_responses
         self._runtime.counters.add("relay_calls_rejected")
         self._runtime.log.event(
             "relay_call_rejected", reason=str(error), orders=self._sent_count, dropped=given_up
         )
         if given_up:
             self._orders.accept(self._sent_count)
-            self._invalid_answers = 0
+            self._invalid_responses = 0
         else:
             self._orders.requeue_call()
         self._close()
@@ -150,9 +151,9 @@
         client = yield from self._connected_client()
         target = self._target()
         if target is None:
-            raise ThrottledError("no call may be made now")
+            raise ThrottledError("calls are not allowed at the moment")
         orders = self._orders.begin_call()
-        if not orders:  # all of them bound proxies that have left meanwhile
+        if not orders:  # all of them were bindings of proxies that have left since
             self._orders.accept(0)
             return
         body = encode_call(orders, self._runtime.limits.max_call_bytes)
@@ -162,21 +163,21 @@
         self._runtime.counters.add("relay_calls")
         self._runtime.counters.add("relay_call_bytes", len(body.data))
         yield from client.send_request("POST", target, body.data)
-        # Only from here on may the relay have carried the call out.
+        # From here on the relay may have carried out the call.
         self._sent_count = body.order_count
         deadline_us = self._runtime.clock() + self._runtime.limits.call_timeout_us
         yield from client.read_status(deadline_us)
-        answer = yield from client.read_body(deadline_us)
+        response = yield from client.read_body(deadline_us)
         if not client.is_reusable:
             self._close()
-        accepted = decode_response(answer, body.sent_count)
+        accepted = decode_response(response, body.sent_count)
         self._settle(min(accepted, body.order_count), body.order_count)
 
     def _resolve_outcome(self) -> Coroutine[int]:
-        """Settle a call that broke; gives the microseconds to wait before the orders are resent.
+        """Completes or requeues a failed call and returns the delay before orders are resent, in microseconds.
 
-        A call that was sent completely may have been carried out. A proxy that acknowledges its
-        checkpoint proves that; otherwise the orders wait until the policy lets them be resent.
+        A call that was sent completely may have been carried out, which is proven if a proxy acknowledges its
+        checkpoint. Otherwise its orders are resent once the policy allows it.
         """
         checkpoint_ids = self._orders.checkpoints_in_call() if self._sent_count else ()
         while checkpoint_ids and not self._orders.call_acknowledged:
@@ -195,9 +196,9 @@
         return NO_WAIT_US if checkpoint_ids else self._backoff.next_us()
 
     def _settle(self, accepted: int, sent: int) -> None:
-        """Report accepted orders; of the others, drop the first if it was refused twice.
+        """Reports the accepted orders and drops the first of the others if it was refused twice.
 
-        The relay stops at an order that it can't use, and the rest must not wait behind it.
+        The relay stops at an order that it refuses, which would block all orders after it.
         """
         for checkpoint_id in self._orders.accept(accepted):
             self._runtime.facade.report_accepted(checkpoint_id)
@@ -223,7 +224,7 @@
         return self._client
 
     def _connect(self) -> Coroutine[None]:
-        """Connect to the present address; until it answers, the old connection stays in use."""
+        """Connects to the current address; the old connection stays in use until this succeeds."""
         address = self._address
         deadline_us = self._runtime.clock() + self._runtime.limits.connect_timeout_us
         try:
