--- a/kelpcourse/wire/loop.py
+++ b/kelpcourse/wire/loop.py
@@ -1,15 +1,14 @@
 """An event loop on select.epoll that runs generators as coroutines.
 
-A coroutine is a generator that yields a `Wait` whenever it can't go on, and nothing else. The `Wait`
-names what it waits for: a descriptor, a signal, a deadline, or several of these, whichever comes
-first. The loop resumes the coroutine with the `WakeReason`. A coroutine runs another one by
-`yield from`, which evaluates to the other's return value. A coroutine that is stopped sees
-GeneratorExit where it waits, so its `finally` clauses and context managers run; it must not yield
-again from there.
-
-The cost of a round depends on the tasks that are ready or due, not on how many wait: deadlines stand
-in a heap, and each signal knows its waiters. A heap entry outlives a wait that ended early. Such
-stale entries are skipped, and swept out once they outnumber the live ones.
+A coroutine is a generator that yields a `Wait` whenever it has to wait, and nothing else. The `Wait` names a
+descriptor, a signal, a deadline, or several of these, and ends with the first of them. The loop resumes the coroutine
+with the `WakeReason`. A coroutine runs another one by `yield from`, which evaluates to the other's return value. If a
+coroutine is stopped, its current `yield` raises GeneratorExit, so its `finally` clauses and context managers run; they
+must not yield.
+
+The cost of a round depends on the number of tasks that are ready or due, not on the number of waiting tasks: deadlines
+are kept in a heap, and each signal has a list of its waiters. If a wait ends before its deadline, its heap entry
+remains. Such stale entries are skipped, and removed once they outnumber the valid ones.
 """
 
 from __future__ import annotations
@@ -26,61 +25,61 @@
 
 READ = select.EPOLLIN | select.EPOLLRDHUP
 WRITE = select.EPOLLOUT
-MIN_STALE_DEADLINES = 64  # fewer are not worth a sweep
+MIN_STALE_DEADLINES = 64  # fewer stale entries don't justify the cost of removing them
 MICROSECONDS_PER_SECOND = 1e6
-WAIT_FOREVER = -1  # as a timeout of epoll
+WAIT_FOREVER = -1  # timeout of epoll that means no timeout
 
 
 class WakeReason(Enum):
-    """Why a coroutine is resumed."""
+    """The reason for which a coroutine is resumed."""
 
-    READY = "ready"  # the descriptor can be read or written, or has failed
+    READY = "ready"  # the descriptor is readable, writable or in an error state
     SIGNALLED = "signalled"
     TIMED_OUT = "timed_out"
 
 
 class Signal:
-    """A flag that one component sets and coroutines wait for, as asyncio.Event."""
+    """A flag that coroutines can wait for, like asyncio.Event."""
 
     def __init__(self) -> None:
-        """Create a signal that is not set."""
+        """Initializes a signal that is not set."""
         self._is_set = False
         self._waiters: dict[Task, Loop] = {}
 
     def is_set(self) -> bool:
-        """Whether the signal is set."""
+        """Returns whether the signal is set."""
         return self._is_set
 
     def set(self) -> None:
-        """Set the signal and wake all tasks that wait for it."""
+        """Sets the signal and wakes all tasks that wait for it."""
         self._is_set = True
         for task, loop in self._waiters.items():
             loop.wake(task)
 
     def clear(self) -> None:
-        """Reset the signal; a task that was not resumed yet goes on waiting."""
+        """Resets the signal; tasks that were woken but not yet resumed continue to wait."""
         self._is_set = False
 
     def add_waiter(self, task: Task, loop: Loop) -> None:
-        """Register a task that waits for the signal."""
+        """Registers a task that waits for the signal."""
         self._waiters[task] = loop
         if self._is_set:
             loop.wake(task)
 
     def remove_waiter(self, task: Task) -> None:
-        """Forget a task that no longer waits for the signal."""
+        """Removes a task that no longer waits for the signal."""
         self._waiters.pop(task, None)
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """What a coroutine yields: the events of which the first resumes it.
+    """The value that a coroutine yields: a set of conditions, of which the first to become true resumes it.
 
     Attributes:
-        deadline_us: Time of the loop's clock at which the wait ends; None means no deadline.
+        deadline_us: Time of the loop's clock, in microseconds, at which the wait ends; None means no deadline.
         fd: Descriptor to poll; -1 means none.
-        event_mask: READ or WRITE.
-        signal: Signal to wait for.
+        event_mask: Events to poll the descriptor for, READ or WRITE.
+        signal: Signal to wait for; None means none.
     """
 
     deadline_us: int | None = None
@@ -93,16 +92,16 @@
 
 
 class Task:
-    """A started coroutine and what it waits for."""
+    """A started coroutine and its current wait."""
 
     __slots__ = ("coroutine", "name", "wait", "wait_number")
 
     def __init__(self, name: str, coroutine: Coroutine[None]) -> None:
-        """Create a task; `Loop.start` runs it."""
+        """Initializes a task, which `Loop.start` runs."""
         self.name = name
         self.coroutine = coroutine
         self.wait: Wait | None = None
-        self.wait_number = 0  # tells a deadline of this wait from one of an earlier wait
+        self.wait_number = 0  # distinguishes the deadline of this wait from those of earlier waits
 
 
 class Loop:
@@ -113,11 +112,11 @@
         clock: Callable[[], int],
         on_unexpected_error: Callable[[str, Exception], None],
     ) -> None:
-        """Create a loop without tasks.
+        """Initializes a loop without tasks.
 
         Args:
-            clock: Gives the time in microseconds.
-            on_unexpected_error: Called with a task's name and the exception that ended it.
+            clock: Function that returns the time in microseconds.
+            on_unexpected_error: Function that is called with the name of a task and the exception that ended it.
         """
         self.clock = clock
         self._on_unexpected_error = on_unexpected_error
@@ -131,14 +130,14 @@
         self._waits_with_deadline = 0
 
     def start(self, name: str, coroutine: Coroutine[None]) -> Task:
-        """Start a coroutine and run it up to its first wait."""
+        """Starts a coroutine and runs it up to its first wait."""
         task = Task(name, coroutine)
         self._tasks[task] = None
         self._advance(task, None)
         return task
 
     def stop(self, task: Task) -> None:
-        """Close a coroutine where it waits; its `finally` clauses run.
+        """Closes a coroutine at its current wait; its `finally` clauses run.
 
         A coroutine must not stop itself. Stopping a task that has ended does nothing.
         """
@@ -148,34 +147,34 @@
             self._close_coroutine(task)
 
     def close(self) -> None:
-        """Stop all tasks and release the epoll descriptor."""
+        """Stops all tasks and closes the epoll descriptor."""
         for task in list(self._tasks):
             self.stop(task)
         self._poll.close()
 
     def __len__(self) -> int:
-        """The number of running tasks."""
+        """Returns the number of tasks that have not ended."""
         return len(self._tasks)
 
     def wake(self, task: Task) -> None:
-        """Resume a task in the next round because its signal is set; called by `Signal`."""
+        """Schedules a task for the next round because its signal is set; called by `Signal`."""
         self._signalled[task] = None
 
     def run_once(self, until_us: int | None) -> int:
-        """Run one round: sleep until something is due, then resume each task concerned once.
+        """Runs one round: sleeps until a wait ends, then resumes once each task whose wait has ended.
 
         Args:
-            until_us: Time at which to return even if nothing is due; None means to wait forever.
+            until_us: Time, in microseconds, at which the round ends even if no wait has ended; None means never.
 
         Returns:
-            The number of tasks that were woken.
+            Number of tasks that were woken.
         """
         signalled = self._signalled
         self._signalled = {}
         woken: dict[Task, WakeReason] = {}
         for task in signalled:
             wait = task.wait
-            # The signal may have been cleared since.
+            # The signal may have been cleared since the task was woken.
             if wait is not None and wait.signal is not None and wait.signal.is_set():
                 woken[task] = WakeReason.SIGNALLED
         self._collect_ready(woken, 0 if woken else self._seconds_to(until_us))
@@ -188,7 +187,8 @@
     def _collect_ready(self, woken: dict[Task, WakeReason], timeout_s: float) -> None:
         for fd, _ in self._poll.poll(timeout_s):
             task = self._task_by_fd.get(fd)
-            if task is None:  # closed while a copy of it stays open: nobody waits for it any more
+            # No task waits for a descriptor that was closed, but epoll reports it while a duplicate is open.
+            if task is None:
                 self._unregister(fd)
             else:
                 woken.setdefault(task, WakeReason.READY)
@@ -217,14 +217,14 @@
         return None
 
     def _advance(self, task: Task, reason: WakeReason | None) -> None:
-        """Resume a task and register its next wait; `reason` is None for its first run."""
+        """Resumes a task and registers its next wait; `reason` is None for its first run."""
         self._end_wait(task)
         try:
             wait = next(task.coroutine) if reason is None else task.coroutine.send(reason)
         except StopIteration:
             self._tasks.pop(task, None)
             return
-        except Exception as error:  # ends this task alone, not the process
+        except Exception as error:  # ends only this task, not the process
             self._tasks.pop(task, None)
             self._on_unexpected_error(task.name, error)
             return
@@ -243,10 +243,10 @@
                 self._sweep_stale_deadlines()
 
     def _register(self, task: Task, wait: Wait) -> bool:
-        """Poll the descriptor of a wait; False if that failed, which ends the task.
+        """Registers the descriptor of a wait with epoll; if that fails, ends the task and returns False.
 
-        A descriptor that was closed, or that another task waits for, would never wake the task. A
-        number that was closed and reused belongs to whichever task waits for it last.
+        A descriptor that was closed, or that another task waits for, would never wake the task. If a descriptor was
+        closed and its number reused, the number belongs to the last task that waits for it.
         """
         try:
             self._poll.register(wait.fd, wait.event_mask)
@@ -259,21 +259,21 @@
         return True
 
     def _unregister(self, fd: int) -> None:
-        # A descriptor that was closed during the wait is unknown to the system by now.
+        # If the descriptor was closed during the wait, the system has unregistered it already.
         with contextlib.suppress(OSError, ValueError):
             self._poll.unregister(fd)
 
     def _close_coroutine(self, task: Task) -> None:
-        """Run the `finally` clauses of a task that is over."""
+        """Closes the coroutine of a task that has ended, which runs its `finally` clauses."""
         try:
             task.coroutine.close()
         except Exception as error:
             self._on_unexpected_error(task.name, error)
 
     def _sweep_stale_deadlines(self) -> None:
-        """Drop deadlines of waits that ended early.
+        """Removes the deadlines of waits that ended before them.
 
-        A busy connection with a distant deadline leaves one behind with every message.
+        A busy connection with a distant deadline adds a stale deadline with every message.
         """
         self._deadlines = [
             entry
--- a/kelpcourse/wire/relay_events.py
+++ b/kelpcourse/wire/relay_events.py
@@ -1,4 +1,4 @@
-"""The relay's event stream: which proxies join, leave and have applied their orders."""
+"""The relay's event stream, which reports proxies that join, leave or have applied orders."""
 
 from __future__ import annotations
 
@@ -20,10 +20,9 @@
 
 
 class RelayEventStreams:
-    """Keeps several event streams open and reports each of their events once.
+    """Keeps several redundant event streams open and reports each event once.
 
-    While one stream breaks and is reopened another goes on, so no proxy can leave and come back
-    unnoticed.
+    While one stream is reopened, another one continues, so that no proxy can leave and rejoin undetected.
     """
 
     def __init__(
@@ -34,13 +33,13 @@
         reachable: Signal,
         target: str = EVENTS_PATH,
     ) -> None:
-        """Create the streams; `run` is the coroutine of each.
+        """Initializes the streams; `run` is the coroutine of each one.
 
         Args:
             runtime: Clock, limits, counters, log, loop and facade.
-            address: Where the relay listens.
-            orders: The queue whose checkpoints proxies acknowledge.
-            reachable: Set when a stream opens.
+            address: Address of the relay.
+            orders: Queue whose checkpoints are acknowledged by proxies.
+            reachable: Signal that is set when a stream has been opened.
             target: Path of the event stream.
         """
         self._runtime = runtime
@@ -50,29 +49,29 @@
         self._target = target
         limits = runtime.limits
         self._proxies = ProxyRegistry(limits.max_buffered_events, limits.event_stream_overlap_us)
-        # Streams below this one are at a previous address and end once they are replaced.
+        # Streams with lower numbers are connected to a previous address and end once they are replaced.
         self._first_stream = 0
 
     def streams(self) -> range:
-        """Give the numbers of the streams at the present address."""
+        """Returns the numbers of the streams at the current address."""
         return range(self._first_stream, self._first_stream + self._runtime.limits.event_streams)
 
     def reconnect_to(self, address: Address) -> None:
-        """Open new streams, numbered by `streams()`, at a new address.
+        """Assigns new stream numbers, which `streams` returns, to a new address; the caller runs these streams.
 
-        Those that are open go on until one at the new address is synchronised.
+        Streams to the previous address continue until one to the new address is synchronised.
         """
         self._first_stream += self._runtime.limits.event_streams
         self._address = address
 
     def run(self, stream: int) -> Coroutine[None]:
-        """Keep one stream open until it is replaced."""
+        """Keeps one stream open until it is replaced."""
         backoff = Backoff(self._runtime.limits)
         address = self._address
         while stream >= self._first_stream:
             try:
                 yield from self._follow(stream, address, backoff)
-                reason = "ended"
+                reason = "stream closed by the relay"
             except (StreamError, NotJsonError) as error:
                 reason = str(error)
             finally:
@@ -88,7 +87,7 @@
             yield Wait(self._runtime.clock() + backoff.next_us())
 
     def _follow(self, stream: int, address: Address, backoff: Backoff) -> Coroutine[None]:
-        """Open a stream and report what it sends until it ends."""
+        """Opens a stream and reports its events until it ends."""
         limits = self._runtime.limits
         connect_deadline_us = self._runtime.clock() + limits.connect_timeout_us
         client = yield from connect_http(address, limits, connect_deadline_us)
@@ -126,7 +125,7 @@
             event = decode_event(line)
             self._report_all(self._proxies.receive(stream, event, self._runtime.clock()))
         except NotJsonError:
-            raise  # what it was to say is lost, and only a new snapshot makes up for that
+            raise  # the event is lost, and only a new snapshot can replace it
         except InvalidMessageError as error:
             self._runtime.reject_message("relay", error)
 
--- a/kelpcourse/wire/stream.py
+++ b/kelpcourse/wire/stream.py
@@ -1,4 +1,4 @@
-"""Non-blocking TCP connections: each operation is a coroutine with a deadline."""
+"""Non-blocking TCP connections, whose operations are coroutines with a deadline."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
     """A connected TCP socket."""
 
     def __init__(self, sock: socket.socket) -> None:
-        """Take over a connected socket."""
+        """Initializes a stream that owns a connected socket."""
         sock.setblocking(False)
         self.sock = sock
 
     def close(self) -> None:
-        """Close the connection."""
+        """Closes the connection."""
         self.sock.close()
 
     def recv_into(self, space: memoryview, deadline_us: int) -> Coroutine[int]:
-        """Read what is there, at least one byte; 0 means that the peer has closed.
+        """Reads the available data, at least one byte, and returns its size; 0 means that the peer has closed.
 
         Raises:
-            StreamTimeoutError: Nothing came before the deadline.
-            StreamError: The connection broke.
+            StreamTimeoutError: No data was received before the deadline.
+            StreamError: The connection failed.
         """
         while True:
             try:
@@ -36,16 +36,16 @@
             except BlockingIOError:
                 reason = yield Wait(deadline_us, self.sock.fileno(), READ)
                 if reason is WakeReason.TIMED_OUT:
-                    raise StreamTimeoutError("nothing came in time") from None
+                    raise StreamTimeoutError("no data received before the deadline") from None
             except OSError as error:
-                raise StreamError(f"reading: {error.strerror}") from error
+                raise StreamError(f"read failed: {error.strerror}") from error
 
     def send(self, data: bytes, deadline_us: int) -> Coroutine[None]:
-        """Write all of `data`.
+        """Writes all of `data`.
 
         Raises:
-            StreamTimeoutError: The peer did not accept all of it before the deadline.
-            StreamError: The connection broke.
+            StreamTimeoutError: The peer did not accept all data before the deadline.
+            StreamError: The connection failed.
         """
         rest = memoryview(data)
         while rest:
@@ -54,12 +54,14 @@
             except BlockingIOError:
                 reason = yield Wait(deadline_us, self.sock.fileno(), WRITE)
                 if reason is WakeReason.TIMED_OUT:
-                    raise StreamTimeoutError("nothing was taken in time") from None
+                    raise StreamTimeoutError(
+                        "peer did not accept all data before the deadline"
+                    ) from None
             except OSError as error:
-                raise StreamError(f"writing: {error.strerror}") from error
+                raise StreamError(f"write failed: {error.strerror}") from error
 
     def is_stale(self) -> bool:
-        """Whether the peer of an idle connection has closed it, or sent something unasked."""
+        """Returns whether the peer of an idle connection has closed it or sent unsolicited data."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -70,16 +72,16 @@
 
 
 def address_family(address: Address) -> socket.AddressFamily:
-    """Give the family of a numeric address."""
+    """Returns the address family of a numeric address."""
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
 def listen(address: Address, backlog: int) -> socket.socket:
-    """Open a non-blocking listening socket.
+    """Opens a non-blocking listening socket.
 
     Args:
-        address: Where to listen; port 0 means any free one.
-        backlog: Connections that the system holds until they are accepted.
+        address: Address to listen on; port 0 means any free port.
+        backlog: Maximum number of connections that the system queues until they are accepted.
 
     Raises:
         OSError: The address can't be bound.
@@ -96,21 +98,21 @@
 
 
 def connect(address: Address, deadline_us: int) -> Coroutine[Stream]:
-    """Open a connection.
+    """Opens a connection.
 
     Raises:
-        ConnectError: It was not established before the deadline, or there is no socket for it.
+        ConnectError: The connection was not established before the deadline, or no socket could be created.
     """
     try:
         sock = socket.socket(address_family(address), socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-    except OSError as error:  # descriptors have run out: the caller retries
-        raise ConnectError(f"no socket: {error.strerror}") from error
+    except OSError as error:  # no free descriptors; the caller retries
+        raise ConnectError(f"creating a socket failed: {error.strerror}") from error
     try:
         yield from _wait_connected(sock, address, deadline_us)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError as error:
         sock.close()
-        raise ConnectError(f"connecting: {error.strerror}") from error
+        raise ConnectError(f"connect failed: {error.strerror}") from error
     except BaseException:
         sock.close()
         raise
@@ -123,7 +125,7 @@
     except BlockingIOError:
         reason = yield Wait(deadline_us, sock.fileno(), WRITE)
         if reason is WakeReason.TIMED_OUT:
-            raise ConnectError("connecting took too long") from None
+            raise ConnectError("connect timed out") from None
         error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error_number:
             raise OSError(error_number, os.strerror(error_number)) from None
--- a/kelpcourse/wire/tls.py
+++ b/kelpcourse/wire/tls.py
@@ -1,4 +1,4 @@
-"""TLS on a non-blocking socket: the standard library's implementation, driven by the loop."""
+"""TLS on a non-blocking socket, with the standard library's implementation driven by the loop."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class TlsStream(Stream):
-    """A Stream over TLS; `handshake` must complete before anything else."""
+    """A Stream over TLS; `handshake` must complete before any other operation."""
 
     def __init__(
         self, stream: Stream, context: ssl.SSLContext, is_server: bool, name: str | None = None
     ) -> None:
-        """Take over the socket of a stream.
+        """Initializes a TLS stream that owns the socket of a plain stream.
 
         Args:
-            stream: The plain connection.
-            context: Keys and certificates.
-            is_server: Which side of the handshake this is.
-            name: The server's host name, for SNI and verification; clients only.
+            stream: Plain connection.
+            context: TLS context with keys and certificates.
+            is_server: Whether this is the server's side of the connection.
+            name: Host name of the server, for SNI and verification; used by clients only.
         """
         sock = context.wrap_socket(
             stream.sock,
@@ -39,37 +39,35 @@
         self._tls_sock = sock
 
     def handshake(self, deadline_us: int) -> Coroutine[None]:
-        """Run the TLS handshake.
+        """Performs the TLS handshake.
 
         Raises:
-            StreamError: It failed or timed out.
+            StreamError: The handshake failed or timed out.
         """
-        yield from self._complete(self._tls_sock.do_handshake, "TLS", deadline_us)
+        yield from self._complete(self._tls_sock.do_handshake, "TLS handshake", deadline_us)
 
     def recv_into(self, space: memoryview, deadline_us: int) -> Coroutine[int]:
-        """Read what is there, at least one byte; 0 means that the peer has closed.
+        """Reads the available data, at least one byte, and returns its size; 0 means that the peer has closed.
 
-        Bytes that TLS has decrypted already are returned without waiting.
+        Data that TLS has already decrypted is returned without waiting.
         """
         return (
-            yield from self._complete(
-                partial(self._tls_sock.recv_into, space), "reading", deadline_us
-            )
+            yield from self._complete(partial(self._tls_sock.recv_into, space), "read", deadline_us)
         )
 
     def send(self, data: bytes, deadline_us: int) -> Coroutine[None]:
-        """Write all of `data`."""
+        """Writes all of `data`."""
         rest = memoryview(data)
         while rest:
             sent = yield from self._complete(
-                partial(self._tls_sock.send, rest), "writing", deadline_us
+                partial(self._tls_sock.send, rest), "write", deadline_us
             )
             rest = rest[sent:]
 
     def _complete(
         self, operation: Callable[[], T], description: str, deadline_us: int
     ) -> Coroutine[T]:
-        """Retry an operation until it is done; TLS may have to read to write, and vice versa."""
+        """Retries an operation until it completes; TLS may have to read in order to write, and vice versa."""
         while True:
             try:
                 return operation()
@@ -78,15 +76,15 @@
             except ssl.SSLWantWriteError:
                 yield from self._wait(WRITE, deadline_us)
             except OSError as error:
-                raise StreamError(f"{description}: {_reason(error)}") from error
+                raise StreamError(f"{description} failed: {_reason(error)}") from error
 
     def _wait(self, event_mask: int, deadline_us: int) -> Coroutine[None]:
         reason = yield Wait(deadline_us, self._tls_sock.fileno(), event_mask)
         if reason is WakeReason.TIMED_OUT:
-            raise StreamTimeoutError("nothing came in time")
+            raise StreamTimeoutError("no progress before the deadline")
 
     def peer_name(self) -> str:
-        """Give the common name in the peer's certificate, which the context has verified."""
+        """Returns the common name in the peer's certificate, which the context has verified; empty if there is none."""
         certificate = self._tls_sock.getpeercert() or {}
         subject = certificate.get("subject", ())
         if not isinstance(subject, tuple):
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -74,7 +74,9 @@
     source = EventBroadcaster(bench, [joined(0), b"{}"], [joined(0), b"{}"])
     start_streams(bench, source)
     bench.until(lambda: source.stand_in.connections == 2)
-    assert bench.log.named("event_stream_lost")[0]["reason"] == "nothing came in time"
+    assert (
+        bench.log.named("event_stream_lost")[0]["reason"] == "no data received before the deadline"
+    )
 
 
 def test_heartbeats_keep_a_stream(bench: Bench) -> None:
--- a/tests/test_relay_outcome_unknown.py
+++ b/tests/test_relay_outcome_unknown.py
@@ -140,7 +140,10 @@
         "calls", RelayCalls(bench.runtime, stalled.address, order_queue, Signal()).run()
     )
     bench.until(lambda: bench.counters["relay_calls_failed"] == 3)
-    assert bench.log.named("relay_call_failed")[0]["reason"] == "nothing was taken in time"
+    assert (
+        bench.log.named("relay_call_failed")[0]["reason"]
+        == "peer did not accept all data before the deadline"
+    )
     assert stalled.connections >= 2
     assert not [e for e in bench.policy.events if isinstance(e, OrdersOutcomeUnknown)]
 
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -31,7 +31,7 @@
     pair[1].close()
     assert stream.is_stale()
     rig.loop.run_once(rig.clock.now)
-    assert rig.recorded == [3, "nothing came in time", 0]
+    assert rig.recorded == [3, "no data received before the deadline", 0]
 
 
 def test_a_write_that_the_peer_does_not_accept_times_out(pair: SocketPair) -> None:
@@ -46,4 +46,4 @@
     rig.loop.start("talk", talk())
     rig.clock.now += 10
     rig.loop.run_once(rig.clock.now)
-    assert rig.recorded == ["nothing was taken in time"]
+    assert rig.recorded == ["peer did not accept all data before the deadline"]
