--- a/kelpcourse/wire/buffers.py
+++ b/kelpcourse/wire/buffers.py
@@ -1,4 +1,4 @@
-"""The buffer that a connection is read into; messages are slices of it, valid until the next read."""
+"""The read buffer of a connection; messages are slices of it and are valid until the next read."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 
 
 class ReadBuffer:
-    """Bytes in order of arrival.
+    """A buffer of received bytes in order of arrival.
 
-    Grows up to what one message may hold, and shrinks again when it is empty.
+    It grows up to the maximum size of one message and shrinks to its minimum size when it is empty.
     """
 
     def __init__(self, min_bytes: int, max_bytes: int) -> None:
-        """Create an empty buffer of `min_bytes` that may grow to `max_bytes`."""
+        """Initializes an empty buffer of `min_bytes` that may grow to `max_bytes`."""
         self._min_bytes = min_bytes
         self._max_bytes = max_bytes
         self._bytes = bytearray(min_bytes)
         self._start = 0
         self._end = 0
-        self._searched = 0  # no line end stands before this index
+        self._searched = 0  # index before which there is no end of an unconsumed line
 
     def set_limits(self, min_bytes: int, max_bytes: int) -> None:
-        """Change both limits from the next read on, as for a client that has identified itself."""
+        """Changes both limits from the next read on, for example after a client has identified itself."""
         self._min_bytes = min_bytes
         self._max_bytes = max_bytes
 
     @property
     def pending_bytes(self) -> int:
-        """The number of bytes that were received and not yet consumed."""
+        """The number of bytes that were received but not yet consumed."""
         return self._end - self._start
 
     @property
     def capacity_bytes(self) -> int:
-        """The memory that the buffer takes."""
+        """The current size of the buffer in bytes, used or not."""
         return len(self._bytes)
 
     def writable(self) -> memoryview:
-        """Give the space for the next read; slices handed out before are no longer valid.
+        """Returns the space for the next read; slices that were returned before become invalid.
 
         Raises:
-            MessageTooLongError: The buffer is full and may not grow.
+            MessageTooLongError: The buffer is full and has its maximum size.
         """
         if self._start == self._end:
             self._start = 0
@@ -63,7 +63,7 @@
             if size >= self._max_bytes:
                 raise MessageTooLongError(self._max_bytes)
             size = min(max(size * 2, self._min_bytes), self._max_bytes)
-        # Slices may still point into the old array, so it is left as it is.
+        # Slices may still refer to the old array, so it is not modified.
         resized = bytearray(size)
         resized[:pending] = memoryview(self._bytes)[self._start : self._end]
         self._bytes = resized
@@ -72,18 +72,18 @@
         self._end = pending
 
     def partial_message(self) -> memoryview:
-        """Give what was received of a message that is not complete."""
+        """Returns the received part of the incomplete message at the end."""
         return memoryview(self._bytes)[self._start : self._end]
 
     def commit(self, count: int) -> None:
-        """Take over `count` bytes that were read into `writable()`."""
+        """Adds `count` bytes that were read into the space from `writable`."""
         self._end += count
 
     def append(self, data: bytes | bytearray | memoryview) -> None:
-        """Copy in bytes that another parser has read.
+        """Copies bytes that another parser has read into the buffer.
 
         Raises:
-            MessageTooLongError: The buffer is full and may not grow.
+            MessageTooLongError: The buffer is full and has its maximum size.
         """
         rest = memoryview(data)
         while rest:
@@ -94,7 +94,7 @@
             rest = rest[count:]
 
     def length_prefixed_messages(self) -> Iterator[memoryview]:
-        """Consume the complete messages that follow a length of two bytes (RFC 1035, section 4.2.2)."""
+        """Consumes the complete messages, each preceded by its length in two bytes (RFC 1035, section 4.2.2)."""
         while self.pending_bytes >= LENGTH_PREFIX_BYTES:
             size = self._bytes[self._start] << 8 | self._bytes[self._start + 1]
             if self.pending_bytes < LENGTH_PREFIX_BYTES + size:
@@ -104,10 +104,10 @@
             yield memoryview(self._bytes)[start : self._start]
 
     def lines(self) -> Iterator[memoryview]:
-        """Consume the complete lines, given without their ends (LF or CRLF).
+        """Consumes the complete lines and yields them without their line ends (LF or CRLF).
 
         Raises:
-            MessageTooLongError: The rest is no complete line and as long as the buffer may be.
+            MessageTooLongError: The incomplete line at the end has the maximum size of the buffer.
         """
         while True:
             line_end = self._bytes.find(b"\n", max(self._start, self._searched), self._end)
--- a/kelpcourse/wire/client_connection.py
+++ b/kelpcourse/wire/client_connection.py
@@ -9,21 +9,22 @@
 
 
 class ClientConnection:
-    """A connection that was accepted: a report collector, or a client that is unauthenticated.
+    """An accepted connection of a report collector or of an unauthenticated client.
 
     Attributes:
-        stream: The connection.
-        buffer: What was received and not yet decoded.
-        zone: The zone whose collector it is; empty until it has identified itself.
-        accepted_us: When it was accepted.
-        last_message_us: When a message of it could last be decoded.
-        partial_since_us: Since when a message of an unauthenticated client is incomplete.
-        has_pinged: Whether it has sent a ping.
-        task: Serves the connection.
+        stream: Stream of the connection.
+        buffer: Bytes that were received but not yet decoded.
+        zone: Zone of the report collector; empty until the client has identified itself as a collector.
+        accepted_us: Time at which the connection was accepted, in microseconds.
+        last_message_us: Time at which the last valid message was decoded, in microseconds.
+        partial_since_us: Time since which a message of an unauthenticated client is incomplete, in microseconds;
+            None if no message is incomplete.
+        has_pinged: Whether the client has sent a ping.
+        task: Task that serves the connection.
     """
 
     def __init__(self, stream: Stream, buffer: ReadBuffer, now_us: int) -> None:
-        """Take over a connection that was accepted now."""
+        """Initializes the state of a connection that was accepted at `now_us`."""
         self.stream = stream
         self.buffer = buffer
         self.zone = ""
@@ -35,19 +36,19 @@
 
     @property
     def is_collector(self) -> bool:
-        """Whether it has identified itself as the report collector of a zone."""
+        """Whether the client has identified itself as the report collector of a zone."""
         return bool(self.zone)
 
     @property
     def eviction_order(self) -> tuple[bool, bool, int]:
-        """Sorts connections by which is evicted first: silent, then pinging, then collectors."""
+        """The sort key for eviction: silent clients first, then those that pinged, then collectors, by last message."""
         return self.is_collector, self.has_pinged, self.last_message_us
 
     def deadline_us(self, limits: Limits) -> int:
-        """When the connection is closed for its silence.
+        """Returns the time, in microseconds, at which the connection is closed for inactivity.
 
-        An unauthenticated client's time runs from its connecting, or from the start of a message, and
-        never from its last byte; otherwise a slow drip would hold a connection for good.
+        The timeout of an unauthenticated client starts when it connects, completes a message or starts one, but not
+        with each byte; otherwise a client that sends single bytes slowly could keep its connection open indefinitely.
         """
         if self.is_collector:
             return self.last_message_us + limits.collector_idle_us
--- a/kelpcourse/wire/listener.py
+++ b/kelpcourse/wire/listener.py
@@ -1,4 +1,4 @@
-"""The controller's own address: accepts report collectors and anyone who pings, and evicts some under load."""
+"""Listener on the controller's own address: serves report collectors and pings, and evicts clients under load."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 class Listener:
-    """Accepts connections, reads them and bounds how many there are and what memory they take."""
+    """Accepts and reads connections, and limits their number and the memory of their read buffers."""
 
     def __init__(
         self, runtime: Runtime, address: Address, sock: socket.socket | None = None
     ) -> None:
-        """Create a listener; `run` is its coroutine.
+        """Initializes a listener, whose coroutine is `run`.
 
         Args:
             runtime: Clock, limits, counters, log, loop and facade.
-            address: Where to listen.
-            sock: A socket that listens there already.
+            address: Address to listen on.
+            sock: Socket that listens on the address already; None means that `run` opens one.
         """
         self._sock = sock
         self._runtime = runtime
@@ -43,9 +43,9 @@
         self._spare_fd = os.open(os.devnull, os.O_RDONLY)
 
     def run(self) -> Coroutine[None]:
-        """Listen and accept connections for ever."""
+        """Listens and accepts connections, indefinitely."""
         sock = self._sock
-        self._sock = None  # a restart after an unexpected error opens a new one
+        self._sock = None  # a restart after an unexpected error opens a new socket
         while sock is None:
             sock = self._listen()
             if sock is None:
@@ -58,7 +58,7 @@
                     yield Wait(self._runtime.clock() + self._runtime.limits.accept_retry_us)
 
     def _listen(self) -> socket.socket | None:
-        """Open the socket; None while the previous process still holds the address."""
+        """Opens the socket and returns it; None while the previous process still uses the address."""
         try:
             return listen(self._address, self._runtime.limits.listen_backlog)
         except OSError as error:
@@ -68,15 +68,15 @@
             return None
 
     def _accept_all(self, sock: socket.socket) -> bool:
-        """Accept all that wait; False if that has to pause for lack of capacity."""
+        """Accepts all queued connections; returns False if accepting must pause for lack of capacity."""
         while True:
             try:
                 accepted, _ = sock.accept()
             except BlockingIOError:
                 return True
             except ConnectionAbortedError:
-                continue  # it was reset before it was accepted
-            except OSError as error:  # as a rule because descriptors have run out
+                continue  # the client reset the connection before it was accepted
+            except OSError as error:  # usually because there are no free descriptors
                 self._runtime.log.event(
                     "descriptors_exhausted", reason=str(error), connections=len(self._connections)
                 )
@@ -88,10 +88,10 @@
                     return False
 
     def _free_descriptor(self, sock: socket.socket) -> None:
-        """Close one connection, so that silent clients can't shut a collector out.
+        """Closes one connection, so that silent clients can't prevent a collector from connecting.
 
-        Without connections not even a rejection is possible: the spare descriptor is given up to
-        accept and close the one that waits.
+        Without a connection to close there is no descriptor even for a rejection, so the spare descriptor is released
+        in order to accept the next queued connection and close it immediately.
         """
         if self._connections:
             self._evict_one()
@@ -107,7 +107,7 @@
 
     def _add_connection(self, stream: Stream) -> None:
         limits = self._runtime.limits
-        # Only pongs are ever written, so the system need not buffer much.
+        # Only short answers are ever written, so a small send buffer suffices.
         with contextlib.suppress(OSError):
             stream.sock.setsockopt(
                 socket.SOL_SOCKET, socket.SO_SNDBUF, limits.max_unauthenticated_bytes
@@ -119,9 +119,9 @@
         connection.task = self._runtime.loop.start("client connection", self._serve(connection))
 
     def _evict_one(self) -> bool:
-        """Close the connection that matters least; False if that is too new to be closed.
+        """Closes the first connection in eviction order; returns False if that one is too new to be closed.
 
-        A new one may be a collector in a crowd, whose first line is on its way.
+        A new connection may be that of a collector whose first line has not arrived yet.
         """
         connection = min(self._connections, key=lambda each: each.eviction_order)
         age_us = self._runtime.clock() - connection.accepted_us
@@ -163,14 +163,15 @@
             connection.buffer.commit(count)
             self._handler.handle_received(connection)
             if self._is_over_memory(connection):
-                raise StreamError("read buffers are over their limit together")
+                raise StreamError("read buffers of all connections exceed their total limit")
             if count == len(space):
-                yield Wait(0)  # a client that sends without end must not keep the others waiting
+                yield Wait(0)  # a client that sends without pause must not block the other tasks
 
     def _is_over_memory(self, connection: ClientConnection) -> bool:
-        """Whether this connection's buffer has grown past what all may hold together.
+        """Returns whether the read buffers exceed their total limit and this connection's buffer has grown.
 
-        Incomplete lines of up to the limit each are fine on a few connections, not on hundreds.
+        A few connections may have incomplete lines of the maximum length, but hundreds of them would take too much
+        memory.
         """
         limits = self._runtime.limits
         total_bytes = sum(each.buffer.capacity_bytes for each in self._connections)
--- a/kelpcourse/wire/report_handler.py
+++ b/kelpcourse/wire/report_handler.py
@@ -1,4 +1,4 @@
-"""Handles the lines of client connections: pings, report collectors' hellos and their reports."""
+"""Handling of the lines of client connections: pings, and hellos and reports of report collectors."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 
 
 class ReportHandler:
-    """Decodes what client connections send and hands reports to the facade."""
+    """Decodes the lines of client connections and passes reports to the facade."""
 
     def __init__(self, runtime: Runtime) -> None:
-        """Create a handler for all connections of a listener."""
+        """Initializes a handler for all connections of a listener."""
         self._runtime = runtime
 
     def handle_received(self, connection: ClientConnection) -> None:
-        """Handle the complete lines in a connection's buffer.
+        """Handles the complete lines in a connection's buffer.
 
         Raises:
-            MalformedLineError: A line is not a message at all.
-            ProtocolViolationError: An unauthenticated client sent something else than it may, or its
-                time is over.
-            MessageTooLongError: A line is over its limit.
+            MalformedLineError: A line is not a message.
+            ProtocolViolationError: An unauthenticated client sent a message that it is not allowed to send, or did not
+                complete a message before its deadline.
+            MessageTooLongError: A line exceeds the size limit.
         """
         for line in connection.buffer.lines():
             self._handle_line(connection, line)
@@ -53,15 +53,15 @@
             connection.partial_since_us = None
         elif not connection.partial_since_us:
             connection.partial_since_us = now_us
-        # While bytes keep coming, the deadline of the read never passes.
+        # The deadline of a read can't pass while bytes keep arriving, so it is checked here too.
         if now_us > connection.deadline_us(self._runtime.limits):
-            raise ProtocolViolationError("its time is over")
+            raise ProtocolViolationError("message not completed before the deadline")
 
     def reject(self, connection: ClientConnection, error: Exception) -> None:
-        """Tell an unauthenticated client that it is refused.
+        """Counts and logs a rejected connection, and sends `REFUSED` to an unauthenticated client.
 
-        A collector is not told, because nothing but pongs is ever written to it. After a line that
-        can't be read, only reconnecting helps it.
+        A collector is not notified, because only pongs are ever written to it. It has to reconnect after a malformed
+        line.
         """
         if connection.is_collector:
             self._runtime.counters.add("collectors_disconnected")
@@ -75,10 +75,10 @@
             connection.stream.sock.send(REFUSED)
 
     def _handle_line(self, connection: ClientConnection, line: memoryview) -> None:
-        """Handle one line.
+        """Handles one line.
 
-        A collector's message that can't be used is skipped, as its neighbours are good. An
-        unauthenticated client may only ping or identify itself.
+        An invalid message of a collector is skipped, because the lines before and after it are valid. An
+        unauthenticated client may only send a ping or identify itself as a collector.
         """
         try:
             message = decode_line(line)
@@ -109,9 +109,11 @@
                 )
                 self._runtime.log.event("collector_connected", zone=zone)
             case CollectorHello(zone):
-                raise ProtocolViolationError(f"no zone {zone!r:.60}")
+                raise ProtocolViolationError(f"unknown zone {zone!r:.60}")
             case _:
-                raise ProtocolViolationError("a message before a joining")
+                raise ProtocolViolationError(
+                    "message other than ping or collector from an unauthenticated client"
+                )
 
     def _handle_collector(self, connection: ClientConnection, message: Message | None) -> None:
         match message:
@@ -121,7 +123,7 @@
                 self._report_demand(message)
             case CollectorHello(zone) if zone != connection.zone:
                 raise InvalidMessageError(
-                    f"the collector of {connection.zone!r:.60} is not that of {zone!r:.60}"
+                    f"collector of zone {connection.zone!r:.60} identified itself as that of {zone!r:.60}"
                 )
             case Ping():
                 self._send_pong(connection)
@@ -129,7 +131,7 @@
     def _report_endpoint(self, connection: ClientConnection, report: EndpointReportMessage) -> None:
         if report.zone != connection.zone:
             raise InvalidMessageError(
-                f"zone {report.zone!r:.60} through the collector of {connection.zone!r:.60}"
+                f"report on zone {report.zone!r:.60} from the collector of {connection.zone!r:.60}"
             )
         self._runtime.counters.add("endpoint_reports")
         self._runtime.facade.report_attempts(
@@ -158,7 +160,7 @@
             sent = connection.stream.sock.send(PONG)
         except OSError:
             sent = 0
-        # A client that does not read its answers: half a line must not be followed by another.
+        # The client does not read its answers; nothing may be sent after an incomplete line.
         if sent < len(PONG):
             with contextlib.suppress(OSError):
                 connection.stream.sock.shutdown(socket.SHUT_RDWR)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -165,7 +165,7 @@
         bench.turn()
     bench.pass_us(20 * MS)
     ended = bench.log.named("connection_broken")
-    assert any("together" in str(line["reason"]) for line in ended)
+    assert any("exceed their total limit" in str(line["reason"]) for line in ended)
     assert bench.counters["max_read_buffer_bytes"] <= 2 * (256 << 10)
     listener_rig.close()
 
