--- a/kelpcourse/wire/__init__.py
+++ b/kelpcourse/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken on the wire: the epoll loop, buffers, codecs and one file for each counterpart."""
+"""Network input and output: the epoll loop, buffers, codecs and one module for each peer service."""
--- a/kelpcourse/wire/discovery.py
+++ b/kelpcourse/wire/discovery.py
@@ -1,4 +1,4 @@
-"""Client of discovery: fetches the complete endpoint list, and watches it for changes."""
+"""Client of discovery, which fetches the complete endpoint list and watches it for changes."""
 
 from __future__ import annotations
 
@@ -21,47 +21,47 @@
 
 
 class Watch:
-    """A watch of the list.
+    """A watch of the endpoint list.
 
     Attributes:
-        address: Where discovery listens.
-        version: What this watch has sent last; another watch or a fetch may have brought more.
-        task: Runs the watch.
+        address: Address of discovery.
+        version: Version that this watch received last; another watch or a fetch may have received a later one.
+        task: Task that runs the watch.
     """
 
     def __init__(self, address: Address) -> None:
-        """Create a watch that has received nothing."""
+        """Initializes a watch that has received nothing."""
         self.address = address
         self.version = NO_VERSION
         self.task: Task | None = None
 
 
 class DiscoveryClient:
-    """Makes the calls that the policy asks for; the outcome of each is reported exactly once."""
+    """Makes the calls that the policy requests and reports the outcome of each call exactly once."""
 
     def __init__(
         self, runtime: Runtime, address: Address, version: int, spread: float = 0.0
     ) -> None:
-        """Create a client that makes no call yet.
+        """Initializes a client, which makes no call until requested.
 
         Args:
             runtime: Clock, limits, counters, log, loop and facade.
-            address: Where discovery listens.
+            address: Address of discovery.
             version: Version of the cached endpoint list; 0 means none.
-            spread: See `Backoff`. A new configuration moves the watches of all controllers to one
-                address at the same time.
+            spread: Fraction by which retry delays are longer, as in `Backoff`. It is needed because a new configuration
+                makes the watches of all controllers reconnect to one address at the same time.
         """
         self._runtime = runtime
         self._spread = spread
         self._address = address
         self._version = version
-        self._older_lists = 0  # in a row that are older than that version
+        self._older_lists = 0  # number of consecutive lists that are older than `_version`
         self._watch: Watch | None = None
-        # At the address before, until the watch at the new one has received something.
+        # The watch at the previous address, until the one at the new address has received something.
         self._previous_watch: Watch | None = None
 
     def watch(self, enabled: bool) -> None:
-        """Restart the watch, or end it."""
+        """Restarts the watch, or stops it if not enabled."""
         self._stop(self._watch)
         self._watch = None
         if enabled:
@@ -70,14 +70,14 @@
             self._stop_previous_watch()
 
     def fetch(self) -> None:
-        """Fetch the complete list once."""
+        """Starts a fetch of the complete list."""
         self._runtime.loop.start("fetch", self._run_fetch())
 
     def reconnect_to(self, address: Address) -> None:
-        """Direct calls to a new address.
+        """Directs calls to a new address.
 
-        A watch goes on at the old address until one at the new address has received what changed
-        meanwhile, so the policy is not told of a gap that does not exist.
+        A watch continues at the old address until one at the new address has received the changes made since, so that
+        the policy does not receive a report of a gap where there is none.
         """
         self._address = address
         if self._watch is None:
@@ -117,19 +117,21 @@
         self._report_lost("watch", reason)
 
     def _watch_until_lost(self, watch: Watch) -> Coroutine[str]:
-        """Follow a watch to its end and give the reason for that."""
+        """Runs a watch until it ends and returns the reason."""
         try:
             yield from self._follow(watch)
         except (StreamError, InvalidMessageError, InvalidReportError) as error:
             return str(error)
-        except Exception:  # the policy must not wait for a watch that has ended
+        except (
+            Exception
+        ):  # report the loss before raising, so that the policy can restart the watch
             if self._watch is watch:
                 self._watch = None
             if self._previous_watch is watch:
                 self._previous_watch = None
             self._report_lost("watch", UNEXPECTED_ERROR)
             raise
-        return "ended"
+        return "stream closed by discovery"
 
     def _run_fetch(self) -> Coroutine[None]:
         try:
@@ -152,7 +154,7 @@
         path = watch_path(self._version)
         client = yield from self._request(watch.address, path, deadline_us)
         with client:
-            has_answered = False
+            has_responded = False
             while True:
                 lines = yield from client.read_lines(deadline_us)
                 if lines is None:
@@ -160,9 +162,9 @@
                 for line in lines:
                     if line:
                         self._receive(watch, line)
-                        has_answered = True
-                    # An empty line is a heartbeat, but no answer to the call.
-                    if has_answered:
+                        has_responded = True
+                    # An empty line is a heartbeat, but not a response to the call.
+                    if has_responded:
                         silence_us = self._runtime.limits.watch_silence_us
                         deadline_us = self._runtime.clock() + silence_us
 
@@ -181,7 +183,7 @@
             self._apply(decode_endpoint_list(parse_json_object(body), self._skip_entry))
 
     def _request(self, address: Address, target: str, deadline_us: int) -> Coroutine[HttpClient]:
-        """Open a connection, send a request and read the head of its response."""
+        """Opens a connection, sends a request and reads the head of its response."""
         self._runtime.counters.add("discovery_calls")
         limits = self._runtime.limits
         connect_deadline_us = self._runtime.clock() + limits.connect_timeout_us
@@ -198,10 +200,11 @@
         self._runtime.reject_message("discovery", error)
 
     def _apply_watch_message(self, watch: Watch, message: EndpointListMessage) -> None:
-        """Apply what a watch has received, unless a fetch or the other watch brought it already.
+        """Applies a message of a watch, unless a fetch or the other watch has received a later version.
 
         Raises:
-            InvalidMessageError: Changes are out of order, so some are missing.
+            InvalidMessageError: The changes are out of order, so some are missing, or the message is older than the
+                known version.
         """
         if message.version < watch.version and not message.complete:
             raise InvalidMessageError(
@@ -213,13 +216,13 @@
             self._apply(message)
 
     def _apply(self, message: EndpointListMessage) -> None:
-        """Report a list or changes, unless discovery is behind.
+        """Reports a list or changes, unless they are older than the known version.
 
-        An older list would bring back endpoints that are draining. If nothing newer comes after
-        several older lists, discovery has started over and its list is accepted.
+        An older list could mark draining endpoints as ready. After several consecutive older lists, discovery is
+        assumed to have restarted with new version numbers, and its complete list is accepted.
 
         Raises:
-            InvalidMessageError: The list is older than the one that is known.
+            InvalidMessageError: The list is older than the known version.
         """
         self._older_lists = self._older_lists + 1 if message.version < self._version else 0
         if self._older_lists:
--- a/kelpcourse/wire/health_checks.py
+++ b/kelpcourse/wire/health_checks.py
@@ -1,7 +1,7 @@
-"""Active health checks: one short HTTP request to an endpoint, and what came of it.
+"""Active health checks, each of which is one short HTTP request to an endpoint.
 
-Statuses on the wire and outcomes in the program: 200 is `ok`, 503 is `full`, any other is `error`.
-The body is the endpoint's load report, a JSON object of numbers, if the deployment has reports.
+HTTP statuses map to outcomes: 200 is `ok`, 503 is `full`, and any other is `error`. The body is the endpoint's load
+report, a JSON object of numbers, if the deployment uses load reports.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True)
 class HealthCheckResult:
-    """What came of a health check.
+    """The result of a health check.
 
     Attributes:
         outcome: Name of a `HealthCheckStatus`.
-        load: The endpoint's load report.
+        load: Load report of the endpoint; empty if it sent none.
     """
 
     outcome: str
@@ -41,12 +41,12 @@
 
 
 def decode_load_report(body: memoryview) -> LoadReport:
-    """Decode a load report; figures that are not numbers are left out.
+    """Decodes a load report; values that are not valid numbers are left out.
 
     Raises:
         NotJsonError: The body is not a JSON object.
     """
-    if not body:  # the deployment has no reports
+    if not body:  # the deployment does not use load reports
         return ()
     fields = parse_json_object(body)
     pairs: list[tuple[str, float]] = []
@@ -59,33 +59,33 @@
 
 
 class HealthChecker:
-    """Runs health checks, a bounded number at a time, and reports the result of each."""
+    """Runs a limited number of health checks at a time and reports the result of each."""
 
     def __init__(self, runtime: Runtime) -> None:
-        """Create a checker without checks."""
+        """Initializes a checker without running or queued checks."""
         self._runtime = runtime
         self._running = 0
-        self._waiting: deque[tuple[str, Address]] = deque()
+        self._queued: deque[tuple[str, Address]] = deque()
 
     def check(self, endpoint: str, address: Address) -> None:
-        """Start a check, or queue it.
+        """Starts a check or queues it.
 
-        Each check is reported, also one that is cancelled because the queue is full.
+        The result of each check is reported, including a check that is cancelled because the queue is full.
         """
-        if len(self._waiting) >= self._runtime.limits.max_queued_health_checks:
+        if len(self._queued) >= self._runtime.limits.max_queued_health_checks:
             self._report(endpoint, HealthCheckResult("cancelled"), 0)
             return
-        self._waiting.append((endpoint, address))
+        self._queued.append((endpoint, address))
         self._start_next()
 
     def _start_next(self) -> None:
-        while self._waiting and self._running < self._runtime.limits.max_concurrent_health_checks:
-            endpoint, address = self._waiting.popleft()
+        while self._queued and self._running < self._runtime.limits.max_concurrent_health_checks:
+            endpoint, address = self._queued.popleft()
             self._running += 1
             self._runtime.loop.start("health check", self._run(endpoint, address))
 
     def _run(self, endpoint: str, address: Address) -> Coroutine[None]:
-        """Run one check; one that ends by an unexpected error is reported too."""
+        """Runs one check and reports its result, even if it ends with an unexpected error."""
         started_us = self._runtime.clock()
         try:
             result = yield from self._check(
--- a/kelpcourse/wire/http.py
+++ b/kelpcourse/wire/http.py
@@ -22,15 +22,15 @@
 
 
 class HttpClient:
-    """One connection; a response body is read as a whole, or line by line as long as it lasts."""
+    """An HTTP client on one connection; a response body is read completely or, if it is a stream, by lines."""
 
     def __init__(self, stream: Stream, host: Address, limits: Limits) -> None:
-        """Take over a connection.
+        """Initializes a client that owns a connection.
 
         Args:
-            stream: The connection.
-            host: For the Host header.
-            limits: Sizes of heads and bodies, and the time of a write.
+            stream: Stream of the connection.
+            host: Host and port for the Host header.
+            limits: Limits of the sizes of heads and bodies and of the duration of a write.
         """
         self._stream = stream
         self._host = f"{host[0]}:{host[1]}"
@@ -48,30 +48,30 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether the connection takes another request."""
+        """Whether the connection can be used for another request."""
         return self._parser.our_state is h11.IDLE and self._parser.their_state is h11.IDLE
 
     def is_stale(self) -> bool:
-        """Whether the peer of the idle connection has closed it, or sent something unasked."""
+        """Returns whether the peer of the idle connection has closed it or sent unsolicited data."""
         return self._stream.is_stale()
 
     def close(self) -> None:
-        """Close the connection."""
+        """Closes the connection."""
         self._stream.close()
 
     def __enter__(self) -> Self:
-        """Use the client as a context manager that closes it."""
+        """Returns the client, for use as a context manager that closes the connection."""
         return self
 
     def __exit__(self, *exception: object) -> None:
-        """Close the connection."""
+        """Closes the connection."""
         self.close()
 
     def send_request(self, method: str, target: str, body: bytes | None) -> Coroutine[None]:
-        """Write a request.
+        """Writes a request.
 
         Raises:
-            StreamError: It could not be written whole.
+            StreamError: The request could not be written completely.
         """
         headers = [("Host", self._host), ("Accept", "application/json")]
         if body is not None:
@@ -84,34 +84,34 @@
         yield from self._stream.send(data, self._limits.send_timeout_us)
 
     def read_status(self, deadline_us: int) -> Coroutine[int]:
-        """Read the head of a response and give its status.
+        """Reads the head of a response and returns its status.
 
         Raises:
-            StreamError: The connection ended or timed out, or this is not HTTP.
+            StreamError: The connection ended or timed out, or the peer sent invalid HTTP.
         """
         event = yield from self._next_event(deadline_us)
         while isinstance(event, h11.InformationalResponse):
             event = yield from self._next_event(deadline_us)
         if not isinstance(event, h11.Response):
-            raise StreamError("closed without an answer")
+            raise StreamError("connection closed before a response")
         return event.status_code
 
     def expect_ok(self, deadline_us: int) -> Coroutine[None]:
-        """Read the head of a response that must have status 200.
+        """Reads the head of a response that must have status 200.
 
         Raises:
-            HttpStatusError: The status is another one.
-            StreamError: The connection ended or timed out, or this is not HTTP.
+            HttpStatusError: The response has another status.
+            StreamError: The connection ended or timed out, or the peer sent invalid HTTP.
         """
         status = yield from self.read_status(deadline_us)
         if status != HTTP_OK:
             raise HttpStatusError(status)
 
     def read_body(self, deadline_us: int) -> Coroutine[memoryview]:
-        """Read all of a response body.
+        """Reads a complete response body.
 
         Raises:
-            StreamError: The connection ended or timed out, or the body is over its limit.
+            StreamError: The connection ended or timed out, or the body exceeds its size limit.
         """
         body = bytearray()
         while True:
@@ -119,22 +119,22 @@
             if isinstance(event, h11.EndOfMessage):
                 break
             if not isinstance(event, h11.Data):
-                raise StreamError("closed before its answer was complete")
+                raise StreamError("connection closed before the response was complete")
             body += event.data
             if len(body) > self._limits.max_http_body_bytes:
-                raise HttpProtocolError("a body over its limit")
+                raise HttpProtocolError("body exceeds its size limit")
         if self._parser.our_state is h11.DONE and self._parser.their_state is h11.DONE:
             self._parser.start_next_cycle()
         return memoryview(body)
 
     def read_lines(self, deadline_us: int) -> Coroutine[Iterator[memoryview] | None]:
-        """Wait for more of an open body and give the lines that are complete by now.
+        """Waits for more data of a streamed body and returns the lines that are complete.
 
         The lines are valid until the next read. None means that the body has ended.
 
         Raises:
-            StreamError: The connection broke or timed out, or a line is over its limit. The
-                iterator raises this too.
+            StreamError: The connection failed or timed out, or a line exceeds its size limit. The returned iterator
+                raises this error too.
         """
         event = yield from self._next_event(deadline_us)
         if not isinstance(event, h11.Data):
@@ -142,14 +142,14 @@
         try:
             self._lines.append(event.data)
         except MessageTooLongError as error:
-            raise HttpProtocolError("a line over its limit") from error
+            raise HttpProtocolError("line exceeds its size limit") from error
         return self._complete_lines()
 
     def _complete_lines(self) -> Iterator[memoryview]:
         try:
             yield from self._lines.lines()
         except MessageTooLongError as error:
-            raise HttpProtocolError("a line over its limit") from error
+            raise HttpProtocolError("line exceeds its size limit") from error
 
     def _next_event(self, deadline_us: int) -> Coroutine[h11.Event]:
         while True:
@@ -158,19 +158,19 @@
             except h11.RemoteProtocolError as error:
                 raise HttpProtocolError(str(error)) from error
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
-                raise StreamError("closed")
+                raise StreamError("connection closed")
             if isinstance(event, h11.Event):
                 return event
             count = yield from self._stream.recv_into(memoryview(self._received), deadline_us)
-            # h11 takes any bytes-like object and keeps its own copy, so the array is free again.
+            # h11 accepts any bytes-like object and copies it, so the array can be reused.
             self._parser.receive_data(cast(bytes, memoryview(self._received)[:count]))
 
 
 def connect_http(address: Address, limits: Limits, deadline_us: int) -> Coroutine[HttpClient]:
-    """Open a connection to an HTTP server.
+    """Opens a connection to an HTTP server.
 
     Raises:
-        ConnectError: It was not established before the deadline.
+        ConnectError: The connection could not be established before the deadline.
     """
     stream = yield from connect(address, deadline_us)
     return HttpClient(stream, address, limits)
--- a/kelpcourse/wire/runtime.py
+++ b/kelpcourse/wire/runtime.py
@@ -1,4 +1,4 @@
-"""What each component of a controller is handed: facade, limits, counters, log and loop."""
+"""The objects shared by the components of a controller: facade, limits, counters, log and loop."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class EventLog(Protocol):
-    """A structured log."""
+    """Interface of a structured log."""
 
     def event(self, name: str, **fields: object) -> None:
-        """Log an event, unless too many of its name were logged lately."""
+        """Logs an event, unless too many events of this name were logged recently."""
 
     def always(self, name: str, **fields: object) -> None:
-        """Log an event whatever was logged before."""
+        """Logs an event regardless of the number of events logged before."""
 
 
 @dataclass(frozen=True)
 class Runtime:
-    """The parts that components share."""
+    """The objects that all components of a controller share."""
 
     facade: Facade
     limits: Limits
@@ -34,26 +34,26 @@
 
     @property
     def clock(self) -> Callable[[], int]:
-        """Gives the time in microseconds."""
+        """A function that returns the time in microseconds."""
         return self.loop.clock
 
     def reject_message(self, source: str, error: Exception) -> None:
-        """Count and log a message that can't be used and is skipped."""
+        """Counts and logs an invalid message that is skipped."""
         self.counters.add(f"{source}_messages_rejected")
         self.log.event("message_rejected", source=source, reason=str(error))
 
 
 class Backoff:
-    """Exponential backoff: waits that double from failure to failure, up to a maximum."""
+    """Exponential backoff, with delays that double after each failure up to a maximum."""
 
     def __init__(self, limits: Limits, max_us: int = 0, spread: float = 0.0) -> None:
-        """Create a backoff that starts at its minimum.
+        """Initializes a backoff that starts with the minimum delay.
 
         Args:
-            limits: The first wait, and the default of the maximum.
-            max_us: The longest wait; 0 means the default.
-            spread: Fraction below 1 by which the waits are longer here. Where all controllers call
-                one service each has its own, so that their retries don't stay synchronised.
+            limits: Limits that contain the minimum delay and the default of the maximum delay.
+            max_us: Maximum delay in microseconds, before `spread` is applied; 0 means the default.
+            spread: Fraction below 1 by which all delays are longer. If all controllers call the same service, each uses
+                a different fraction, so that their retries don't stay synchronised.
         """
         self._limits = limits
         self._max_us = max_us or limits.max_backoff_us
@@ -61,11 +61,11 @@
         self._next_us = limits.min_backoff_us
 
     def next_us(self) -> int:
-        """Give the next wait in microseconds."""
+        """Returns the next delay in microseconds and doubles the one after it, up to the maximum."""
         wait_us = self._next_us
         self._next_us = min(wait_us * 2, self._max_us)
         return round(wait_us * (1 + self._spread))
 
     def reset(self) -> None:
-        """Start from the minimum again."""
+        """Resets the next delay to the minimum."""
         self._next_us = self._limits.min_backoff_us
--- a/kelpcourse/wire/storage.py
+++ b/kelpcourse/wire/storage.py
@@ -1,7 +1,7 @@
-"""The durable store in the loop: a thread does what blocks on the disk.
+"""Durable writes from the event loop, with a thread for operations that block on the disk.
 
-The thread gets one job at a time and owns the journal's files. It tells the loop of the end of each
-over an eventfd, so a slow sync delays nothing else.
+The thread receives one job at a time and owns the journal's files. It notifies the loop of the end of each job through
+an eventfd, so a slow sync does not delay other tasks.
 """
 
 from __future__ import annotations
@@ -24,28 +24,28 @@
 
 
 class JobRunner(Protocol):
-    """Runs one job at a time off the loop."""
+    """Interface for running one job at a time outside the loop."""
 
-    fd: int  # readable once a job has ended
+    fd: int  # descriptor that is readable once a job has ended
 
     def start(self, job: Callable[[], JobResult]) -> None:
-        """Start a job."""
+        """Starts a job."""
 
     def take_result(self) -> JobResult | None:
-        """Give the result of the job that has ended, or None if none has."""
+        """Returns the result of the job that has ended; None if none has."""
 
     def close(self) -> None:
-        """Wait for the job that is running and release the runner."""
+        """Waits for the running job and releases the runner's resources."""
 
 
 class StorageThread:
     """A JobRunner with one worker thread.
 
-    A job that raises counts as one with an unknown outcome: nobody knows what it wrote.
+    A job that raises an exception has an unknown outcome, because it may have written any part of its data.
     """
 
     def __init__(self) -> None:
-        """Start the thread."""
+        """Starts the thread."""
         self.fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._jobs: queue.SimpleQueue[Callable[[], JobResult] | None] = queue.SimpleQueue()
         self._results: queue.SimpleQueue[JobResult] = queue.SimpleQueue()
@@ -53,7 +53,7 @@
         self._thread.start()
 
     def start(self, job: Callable[[], JobResult]) -> None:
-        """Hand a job to the thread."""
+        """Passes a job to the thread."""
         self._jobs.put(job)
 
     def _run(self) -> None:
@@ -69,7 +69,7 @@
             os.eventfd_write(self.fd, 1)
 
     def take_result(self) -> JobResult | None:
-        """Give the result of the job that has ended, or None if none has."""
+        """Returns the result of the job that has ended; None if none has."""
         with contextlib.suppress(BlockingIOError):
             os.eventfd_read(self.fd)
         try:
@@ -78,9 +78,9 @@
             return None
 
     def close(self) -> None:
-        """Wait for the job that is running and end the thread.
+        """Waits for the running job and ends the thread.
 
-        The write of that job is complete, but its result is not reported.
+        The write of that job is completed, but its result is not reported.
         """
         self._jobs.put(None)
         self._thread.join()
@@ -88,7 +88,7 @@
 
 
 class DurableWriter(Generic[T]):
-    """Makes changes durable and reports each, by its ticket, once its outcome is known."""
+    """Makes changes durable and reports the outcome of each one with its ticket."""
 
     def __init__(
         self,
@@ -101,17 +101,17 @@
         on_settled: Callable[[Settled[T]], None],
         on_failed: Callable[[str, bool], None],
     ) -> None:
-        """Create a writer; `run` is its coroutine.
+        """Initializes a writer, whose coroutine is `run`.
 
         Args:
-            loop: Gives the time.
-            limits: Sizes of what is staged and of the journal.
-            journal: The files to write to.
-            recovered: What was found in the files at the start.
-            runner: Where the writes run.
-            snapshot: Encodes the whole state, for compaction.
-            on_settled: Called with the tickets whose outcome is known.
-            on_failed: Called when a job fails, with the reason and whether the store is broken.
+            loop: Loop whose clock is used.
+            limits: Limits of the sizes of staged changes and of the journal.
+            journal: Journal that writes the files.
+            recovered: Content of the files at the start.
+            runner: Runner for the writes.
+            snapshot: Function that returns the encoded complete state, for compaction.
+            on_settled: Function that is called with the tickets whose outcome has become known.
+            on_failed: Function that is called when a job fails, with the reason and whether the store is broken.
         """
         self._loop = loop
         self._journal = journal
@@ -126,7 +126,7 @@
 
     @property
     def broken(self) -> bool:
-        """Whether a sync has failed, so that a new generation of files is needed first."""
+        """Whether changes are rejected until a new generation of files is written, as after a failed sync."""
         return self._commit.broken
 
     @property
@@ -135,11 +135,10 @@
         return self._commit.waiting
 
     def stage(self, payload: bytes, ticket: T) -> bool:
-        """Queue a change to be made durable.
+        """Queues a change to be made durable.
 
         Returns:
-            False if it was rejected. Otherwise `on_settled` gets the ticket later, never within this
-            call.
+            False if the change was rejected. Otherwise `on_settled` receives the ticket later, never during this call.
         """
         accepted = self._commit.stage(payload, ticket)
         if accepted:
@@ -147,7 +146,7 @@
         return accepted
 
     def run(self) -> Coroutine[None]:
-        """Write what is staged; everything staged within one round of the loop shares one sync."""
+        """Writes staged changes, indefinitely; all changes staged in one round of the loop share one sync."""
         while True:
             job = self._commit.next_job(self._loop.clock())
             if job is None:
@@ -173,6 +172,6 @@
         self._on_settled(settled)
 
     def close(self) -> None:
-        """Wait for the write that is running and close the files."""
+        """Waits for the running write and closes the files."""
         self._runner.close()
         self._journal.close()
--- a/kelpcourse/wire/worker.py
+++ b/kelpcourse/wire/worker.py
@@ -1,7 +1,7 @@
-"""Runs long work in a thread while the coroutine that wants its result waits.
+"""Execution of long computations in a thread while a coroutine waits for the result.
 
-For pure work only, on data that nothing else touches meanwhile. The interpreter switches back to the
-loop's thread every few milliseconds, which bounds the latency that the work adds.
+This is only for computations without side effects, on data that no other code accesses at the same time. The
+interpreter switches back to the loop's thread every few milliseconds, which limits the added latency.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 
 class _ThreadJob(Generic[T]):
-    """Work in a thread, its result, and an eventfd that tells of its end.
+    """A computation in a thread, its result, and an eventfd that signals its end.
 
-    The coroutine may be stopped while the work goes on, so whichever side is done last closes the
+    The coroutine may be stopped while the computation continues, so whichever of the two finishes last closes the
     descriptor.
     """
 
@@ -34,7 +34,7 @@
     def run(self) -> None:
         try:
             self.result = self._work()
-        except Exception as error:  # raised again where it is waited for
+        except Exception as error:  # raised again in the waiting coroutine
             self.error = error
         os.eventfd_write(self.fd, 1)
         self.release()
@@ -47,7 +47,7 @@
 
 
 def run_in_thread(work: Callable[[], T]) -> Coroutine[T]:
-    """Call `work` in a thread of its own and return or raise what it does."""
+    """Calls `work` in a thread of its own, and returns its result or raises its exception."""
     job = _ThreadJob(work)
     threading.Thread(target=job.run, name="work", daemon=True).start()
     try:
