--- a/kelpcourse/wire/discovery.py
+++ b/kelpcourse/wire/discovery.py
@@ -122,9 +122,8 @@
             yield from self._follow(watch)
         except (StreamError, InvalidMessageError, InvalidReportError) as error:
             return str(error)
-        except (
-            Exception
-        ):  # report the loss before raising, so that the policy can restart the watch
+        except Exception:
+            # The loss is reported before the error is raised, so that the policy can restart the watch.
             if self._watch is watch:
                 self._watch = None
             if self._previous_watch is watch:
