--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -96,7 +96,7 @@
     "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": 4096},
     "registry": {"address": "127.0.0.2:6400"},
-    "known": {"revision": 41, "complete": True, "members": [entry("s-1", since=1500.0)]},
+    "known": {"revision": 41, "complete": True, "members": [entry("s-1", up_since_ms=1500.0)]},
     "settings": SETTINGS,
 }
 
@@ -319,7 +319,7 @@
         place[last] = value
     zones = root["settings"]["zones"]
     listed = [
-        {**entry(f"s-{k}", since=k % 2 * 51_500.0), "locality": zones[k % len(zones)]}
+        {**entry(f"s-{k}", up_since_ms=k % 2 * 51_500.0), "locality": zones[k % len(zones)]}
         for k in range(20)
     ]
     root["known"]["members"] = listed
