--- a/tests/discovery_service.py
+++ b/tests/discovery_service.py
@@ -11,7 +11,7 @@
 
 
 class DiscoveryService:
-    """Answers each connection by the next act of a script."""
+    """Handles each connection with the next function of a script."""
 
     def __init__(self, bench: Bench, *script: Callable[[Caller], Coroutine[None]]) -> None:
         self.targets: list[str] = []
@@ -28,7 +28,7 @@
 def watch_stream(
     bench: Bench, *lines: bytes, then_silent: bool = True
 ) -> Callable[[Caller], Coroutine[None]]:
-    def act(caller: Caller) -> Coroutine[None]:
+    def serve(caller: Caller) -> Coroutine[None]:
         yield from caller.open_body()
         for line in lines:
             yield from caller.line(line)
@@ -37,14 +37,14 @@
             yield from caller.line(b"")
         yield from caller.silence()
 
-    return act
+    return serve
 
 
 def response_body(text: bytes) -> Callable[[Caller], Coroutine[None]]:
-    def act(caller: Caller) -> Coroutine[None]:
+    def serve(caller: Caller) -> Coroutine[None]:
         yield from caller.answer(200, text)
 
-    return act
+    return serve
 
 
 def unavailable(caller: Caller) -> Coroutine[None]:
--- a/tests/listening.py
+++ b/tests/listening.py
@@ -1,4 +1,4 @@
-"""A listener on the test's loop, and raw client sockets to talk to it."""
+"""A listener on the test's loop, and plain client sockets connected to it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ListenerRig:
-    """A listener on an ephemeral port and the peers that a test connects to it."""
+    """A listener on an ephemeral port and the client sockets that a test connects to it."""
 
     def __init__(self, bench: Bench) -> None:
         self.bench = bench
@@ -37,7 +37,7 @@
         return peer
 
     def collector(self) -> socket.socket:
-        """A peer that has identified itself as a collector."""
+        """Returns a new client socket that has identified itself as a collector."""
         before = len(self.bench.log.named("collector_connected"))
         peer = self.connect()
         peer.sendall(b"collector az=east\r\n")
@@ -53,7 +53,7 @@
 
 
 def push(peer: socket.socket, data: bytes) -> bool:
-    """Send what the system accepts; false once the other side has closed."""
+    """Sends as much data as the system accepts; returns False once the other side has closed."""
     try:
         peer.send(data)
     except BlockingIOError:
@@ -64,13 +64,13 @@
 
 
 def is_closed_after(bench: Bench, peer: socket.socket, data: bytes) -> bool:
-    alive = push(peer, data)
+    is_open = push(peer, data)
     bench.turn()
-    return not alive
+    return not is_open
 
 
 def received(peer: socket.socket) -> bytes | None:
-    """What has come; empty means closed, None means nothing yet."""
+    """Returns the received data; empty means that the connection was closed, None that there is no data yet."""
     try:
         return peer.recv(4096)
     except BlockingIOError:
@@ -80,10 +80,10 @@
 
 
 def received_until_closed(peer: socket.socket) -> bytes:
-    """All that came before the other side closed."""
+    """Returns all data that is received until the other side closes."""
     peer.setblocking(True)
-    said = b""
+    collected = b""
     with contextlib.suppress(ConnectionResetError):
         while part := peer.recv(4096):
-            said += part
-    return said
+            collected += part
+    return collected
--- a/tests/loop_rig.py
+++ b/tests/loop_rig.py
@@ -1,4 +1,4 @@
-"""A loop on a clock of the test's own, with coroutines that record why they are resumed."""
+"""A loop on a fake clock, with coroutines that record why they are resumed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LoopRig:
-    """RecordingLog wake reasons, and the errors that ended tasks."""
+    """A loop that records the wake reasons of coroutines and the errors that ended tasks."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
--- a/tests/relay_service.py
+++ b/tests/relay_service.py
@@ -1,4 +1,4 @@
-"""A scripted relay on the test's loop that accepts, refuses, breaks off or stays silent."""
+"""A scripted relay on the test's loop that accepts or rejects calls, closes connections or does not respond."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class Relay:
-    """Answers calls by a script; after that it accepts everything."""
+    """Responds to calls according to a script, and accepts all calls after its end."""
 
     def __init__(self, bench: Bench, *script: Callable[[Caller, int], Coroutine[None]]) -> None:
         self.calls: list[list[dict[str, object]]] = []
         self.script = list(script)
-        self.closed_count = 0  # connections that the client closed
+        self.closed_count = 0  # number of connections that the client closed
         self.stand_in = StandIn(bench.loop, self._serve)
 
     def _serve(self, caller: Caller) -> Coroutine[None]:
--- a/tests/relays.py
+++ b/tests/relays.py
@@ -26,8 +26,9 @@
     def __init__(self, bench: Bench, *openings: list[bytes]) -> None:
         self._bench = bench
         self._openings = list(openings)
-        self.lines: list[bytes] = []  # sent on every connection
-        self.disconnect_next = False  # closes the first connection that sees it
+        self.lines: list[bytes] = []  # lines to send on every connection
+        # Closes the first connection that checks the flag, which is reset then.
+        self.disconnect_next = False
         self.stand_in = StandIn(bench.loop, self._serve)
 
     def _serve(self, caller: Caller) -> Coroutine[None]:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the outside systems, written from the protocol page, on the test's own loop."""
+"""A controller's runtime on a fake clock, with a scripted policy, and messages as the protocol page specifies them."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     handshake_timeout_us=40 * MS,
     ping_client_idle_us=80 * MS,
     collector_idle_us=160 * MS,
-)  # to test silence
+)  # for tests of idle timeouts
 
 
 class FakeClock:
@@ -57,7 +57,7 @@
 
 
 class RecordingLog:
-    """A log that keeps its lines."""
+    """A log that records its events."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, object]]] = []
@@ -72,12 +72,12 @@
 
 
 class ScriptedPolicy:
-    """A policy that keeps the events of each step and answers with the actions laid ready."""
+    """A policy that records the events of each step and returns prepared actions."""
 
     def __init__(self, _: Settings) -> None:
         self.steps: list[list[Event]] = []
         self.scripted_actions: list[list[Action]] = []
-        self.allows_resend = True  # orders of unknown outcome may be resent immediately
+        self.allows_resend = True  # whether orders of unknown outcome may be resent immediately
 
     def step(self, _now_us: int, events: Sequence[Event]) -> list[Action]:
         self.steps.append(list(events))
@@ -93,7 +93,7 @@
 
 
 class Bench:
-    """The runtime of a controller on a fake clock: time passes only while no byte is in transit."""
+    """The runtime of a controller on a fake clock, which advances only in rounds that wake no task."""
 
     def __init__(self, limits: Limits = FAST_LIMITS, settings: Settings = SETTINGS) -> None:
         self.clock = FakeClock()
@@ -111,7 +111,7 @@
                 return
             self.turn()
         raise AssertionError(
-            f"did not come about; log: {self.log.lines[-5:]}, unexpected errors: {self.unexpected_errors}"
+            f"condition not met; log: {self.log.lines[-5:]}, unexpected errors: {self.unexpected_errors}"
         )
 
     def turn(self) -> None:
@@ -124,7 +124,7 @@
         self.until(lambda: self.clock.now >= until_us)
 
     def order_checkpoints(self, *checkpoint_ids: int) -> None:
-        """Lets the policy order these checkpoints."""
+        """Makes the policy order these checkpoints."""
         self.policy.scripted_actions.append([Checkpoint(each, False) for each in checkpoint_ids])
         self.facade.start(self.clock.now)
         self.facade.pick()
--- a/tests/test_buffers.py
+++ b/tests/test_buffers.py
@@ -1,4 +1,4 @@
-"""The read buffer: lines are slices of it, however the bytes arrive."""
+"""The read buffer, whose lines are slices of it and do not depend on chunk boundaries."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 LINES = [b"one", b"two", b"", b"three" * 30]
 
 
-@pytest.mark.parametrize("piece", [1, 2, 3, 7, 64, 1000])
-def test_lines_do_not_depend_on_chunk_boundaries(piece: int) -> None:
+@pytest.mark.parametrize("chunk_bytes", [1, 2, 3, 7, 64, 1000])
+def test_lines_do_not_depend_on_chunk_boundaries(chunk_bytes: int) -> None:
     buffer, lines = ReadBuffer(16, 1024), []
-    for at in range(0, len(TEXT), piece):
-        buffer.append(TEXT[at : at + piece])
+    for offset in range(0, len(TEXT), chunk_bytes):
+        buffer.append(TEXT[offset : offset + chunk_bytes])
         lines += [bytes(line) for line in buffer.lines()]
     assert lines == LINES
     assert buffer.pending_bytes == len(b"four")
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Watches and fetches: lists, changes, 503, resets and silence."""
+"""Watches and fetches of the endpoint list, and failures by status 503, resets and missing responses."""
 
 from __future__ import annotations
 
@@ -87,26 +87,26 @@
 
 
 def test_heartbeats_keep_a_watch_open_and_silence_ends_it(bench: Bench) -> None:
-    quiet = DiscoveryService(
+    with_heartbeats = DiscoveryService(
         bench, watch_stream(bench, listed(42, complete=False), then_silent=False)
     )
-    discovery_client_for(bench, quiet).watch(True)
+    discovery_client_for(bench, with_heartbeats).watch(True)
     bench.pass_us(5 * FAST_LIMITS.watch_silence_us)
     assert [event.kind for event in reported_lists(bench)] == [EndpointListKind.CHANGES]
-    dead = DiscoveryService(bench, watch_stream(bench, listed(42, complete=False)))
-    discovery_client_for(bench, dead).watch(True)
+    without_heartbeats = DiscoveryService(bench, watch_stream(bench, listed(42, complete=False)))
+    discovery_client_for(bench, without_heartbeats).watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 3)
     assert reported_lists(bench)[-1].kind is EndpointListKind.UNAVAILABLE
 
 
 def test_heartbeats_alone_do_not_count_as_a_response_to_a_watch(bench: Bench) -> None:
-    def only_alive(caller: Caller) -> Coroutine[None]:
+    def only_heartbeats(caller: Caller) -> Coroutine[None]:
         yield from caller.open_body()
         while True:
             yield from caller.line(b"")
             yield Wait(bench.clock() + 10 * MS)
 
-    service = DiscoveryService(bench, only_alive)
+    service = DiscoveryService(bench, only_heartbeats)
     discovery_client_for(bench, service).watch(True)
     bench.until(lambda: reported_lists(bench))
     assert reported_lists(bench)[0].kind is EndpointListKind.UNAVAILABLE
@@ -125,9 +125,8 @@
     bench.until(lambda: len(reported_lists(bench)) == 2)
     assert service.targets[1].endswith("index=43")
     bench.pass_us(10 * MS)
-    assert (
-        reported_lists(bench)[1].kind is EndpointListKind.CHANGES
-    )  # the watch that was ended is not reported as lost
+    # The stopped watch is not reported as lost.
+    assert reported_lists(bench)[1].kind is EndpointListKind.CHANGES
 
 
 def test_invalid_entry_does_not_affect_other_entries(bench: Bench) -> None:
@@ -158,7 +157,7 @@
 
 
 def test_an_entry_with_a_time_out_of_range_is_skipped(bench: Bench) -> None:
-    """It ended the watch by an unexpected error that was not reported: no drain was seen any more."""
+    """Such an entry ended the watch by an unexpected error that was not reported, so later drains were missed."""
     invalid = listed(42, entry("a", up_since_ms=1e18), entry("b"), complete=False)
     service = DiscoveryService(
         bench, watch_stream(bench, invalid, listed(43, entry("c"), complete=False))
@@ -187,13 +186,12 @@
     "fault", [silent, incomplete_line, "heartbeats", unavailable, reset], ids=str
 )
 def test_call_without_a_response_ends_within_its_timeout(bench: Bench, fault: object) -> None:
-    """Silence, an incomplete line or heartbeats alone: none delays the outcome for longer."""
-    act = watch_stream(bench, then_silent=False) if fault == "heartbeats" else fault
-    service = DiscoveryService(bench, act)  # type: ignore[arg-type]
-    began_us = bench.clock()
+    """Neither silence nor an incomplete line nor heartbeats alone delay the outcome beyond the timeout."""
+    serve = watch_stream(bench, then_silent=False) if fault == "heartbeats" else fault
+    service = DiscoveryService(bench, serve)  # type: ignore[arg-type]
+    started_us = bench.clock()
     discovery_client_for(bench, service).watch(True)
     bench.until(lambda: reported_lists(bench))
     assert [reported.kind for reported in reported_lists(bench)] == [EndpointListKind.UNAVAILABLE]
-    assert (
-        bench.clock() - began_us <= FAST_LIMITS.list_timeout_us + 20 * MS
-    )  # the bench's clock, not the machine's
+    # The fake clock of the bench is compared, not the system's clock.
+    assert bench.clock() - started_us <= FAST_LIMITS.list_timeout_us + 20 * MS
--- a/tests/test_discovery_codec.py
+++ b/tests/test_discovery_codec.py
@@ -1,4 +1,4 @@
-"""Entries of discovery's list: decoded and validated."""
+"""Decoding and validation of the entries of discovery's list."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 
 
 def test_entries_are_decoded_and_validated() -> None:
-    bad: list[InvalidMessageError] = []
+    errors: list[InvalidMessageError] = []
     message = decode_endpoint_list(
-        {"revision": 1, "complete": True, "members": [entry("a", up_since_ms=1500.5)]}, bad.append
+        {"revision": 1, "complete": True, "members": [entry("a", up_since_ms=1500.5)]},
+        errors.append,
     )
     assert message.endpoints[0].status is EndpointStatus.READY
     assert message.endpoints[0].started_ms == 1500.5
-    assert bad == []
+    assert errors == []
     for name, value in [
         ("id", ""),
         ("host_port", "nowhere"),
@@ -29,13 +30,14 @@
         ("locality", 7),
     ]:
         decode_endpoint_list(
-            {"revision": 1, "complete": True, "members": [{**entry("a"), name: value}]}, bad.append
+            {"revision": 1, "complete": True, "members": [{**entry("a"), name: value}]},
+            errors.append,
         )
-        assert f"'{name}'" in str(bad.pop())
+        assert f"'{name}'" in str(errors.pop())
     for wrong in (
         {"revision": 1, "complete": True},
         {"revision": "1", "complete": True, "members": []},
         {"revision": 1, "complete": "so", "members": []},
     ):
         with pytest.raises(InvalidMessageError):
-            decode_endpoint_list(wrong, bad.append)
+            decode_endpoint_list(wrong, errors.append)
--- a/tests/test_discovery_reconnect.py
+++ b/tests/test_discovery_reconnect.py
@@ -1,4 +1,4 @@
-"""The discovery client when the configuration names a new address."""
+"""The discovery client after a change of discovery's address in the configuration."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def test_previous_watch_is_kept_until_the_new_one_receives_data(bench: Bench) -> None:
-    """Nothing is reported lost while the new address fails at first."""
+    """No loss is reported while the first connections to the new address fail."""
     old = DiscoveryService(bench, watch_stream(bench, listed(42, entry("h1")), then_silent=False))
     _, new = reconnected(
         bench,
@@ -77,7 +77,7 @@
 
 
 def test_retries_at_a_new_address_that_is_down_back_off_and_spread() -> None:
-    """A new configuration moves all controllers together: 230 of them at ten attempts a second made 2,300."""
+    """A new configuration reconnects all controllers at once: 230 with ten attempts a second each made 2,300."""
     limits = replace(FAST_LIMITS, watch_retry_us=800 * MS)
     one, other = Backoff(limits, limits.watch_retry_us), Backoff(limits, limits.watch_retry_us, 0.5)
     waits = [(one.next_us(), other.next_us()) for _ in range(12)]
@@ -108,7 +108,7 @@
 
 
 def test_previous_and_new_watch_track_separate_versions(bench: Bench) -> None:
-    """With one version for both, what the previous watch sent made the new one's first line look like a gap."""
+    """With one version for both, a line of the previous watch made the new one's first line look like a gap."""
     pending_lines: list[bytes] = []
 
     def previous(caller: Caller) -> Coroutine[None]:
--- a/tests/test_discovery_versions.py
+++ b/tests/test_discovery_versions.py
@@ -1,4 +1,4 @@
-"""Lists and changes that arrive out of order, and discovery that has started over."""
+"""Lists and changes that arrive out of order, and discovery that was restarted with new version numbers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_changes_older_than_the_known_version_end_the_watch(bench: Bench) -> None:
-    """Something was missed, and only a fresh call can tell what."""
+    """Some changes are missing, and only a new call can return them."""
     service = DiscoveryService(bench, watch_stream(bench, listed(40, entry("a"), complete=False)))
     discovery_client_for(bench, service, 41).watch(True)
     bench.until(lambda: reported_lists(bench))
@@ -23,9 +23,9 @@
 
 
 def test_older_complete_list_does_not_mark_draining_endpoint_ready(bench: Bench) -> None:
-    """A host that drains was ready again by a list of before."""
-    drains = watch_stream(bench, listed(43, entry("a", "draining"), complete=False))
-    service = DiscoveryService(bench, drains, response_body(listed(41, entry("a"))))
+    """An older list marked a draining endpoint as ready again."""
+    drain_stream = watch_stream(bench, listed(43, entry("a", "draining"), complete=False))
+    service = DiscoveryService(bench, drain_stream, response_body(listed(41, entry("a"))))
     discovery = discovery_client_for(bench, service)
     discovery.watch(True)
     bench.until(lambda: reported_lists(bench))
@@ -41,7 +41,7 @@
 
 
 def test_repeated_older_list_is_accepted_as_a_restart_of_discovery(bench: Bench) -> None:
-    """Otherwise its changes would be rejected for good, and no drain would be seen any more."""
+    """Otherwise all of its changes would be rejected, and drains would be missed."""
     times = FAST_LIMITS.max_stale_lists
     service = DiscoveryService(
         bench,
@@ -93,7 +93,7 @@
 
 
 def test_fetch_during_a_watch_does_not_end_it(bench: Bench) -> None:
-    """The watch's next line was taken for a gap, as the fetch had moved the version on."""
+    """The fetch advanced the version, so the next line of the watch was mistaken for a gap."""
     pending_lines: list[bytes] = []
 
     def watched(caller: Caller) -> Coroutine[None]:
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of scripted endpoints: each is reported, whatever the endpoint does."""
+"""Health checks of scripted endpoints, each of which is reported regardless of the endpoint's behaviour."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 @pytest.fixture
 def bench() -> Iterator[Bench]:
-    made = Bench()
-    made.facade.report_cached_list([member("h1")], 1)
-    yield made
-    made.close()
+    created = Bench()
+    created.facade.report_cached_list([member("h1")], 1)
+    yield created
+    created.close()
 
 
-def answering(status: int, text: bytes) -> Callable[[Caller], Coroutine[None]]:
+def responding(status: int, body: bytes) -> Callable[[Caller], Coroutine[None]]:
     def serve(caller: Caller) -> Coroutine[None]:
         call = yield from caller.request()
         assert call == ("/metrics/load", b"")
-        yield from caller.answer(status, text)
+        yield from caller.answer(status, body)
 
     return serve
 
@@ -47,15 +47,19 @@
     ("serve", "status", "load"),
     [
         (
-            answering(200, b'{"inflight":7,"queue":2,"util":0.61}'),
+            responding(200, b'{"inflight":7,"queue":2,"util":0.61}'),
             HealthCheckStatus.OK,
             (("inflight", 7.0), ("queue", 2.0), ("util", 0.61)),
         ),
-        (answering(200, b""), HealthCheckStatus.OK, ()),
-        (answering(200, b'{"inflight":"many","queue":1}'), HealthCheckStatus.OK, (("queue", 1.0),)),
-        (answering(200, b"{"), HealthCheckStatus.ERROR, ()),
-        (answering(503, b'{"inflight":7}'), HealthCheckStatus.FULL, (("inflight", 7.0),)),
-        (answering(500, b""), HealthCheckStatus.ERROR, ()),
+        (responding(200, b""), HealthCheckStatus.OK, ()),
+        (
+            responding(200, b'{"inflight":"many","queue":1}'),
+            HealthCheckStatus.OK,
+            (("queue", 1.0),),
+        ),
+        (responding(200, b"{"), HealthCheckStatus.ERROR, ()),
+        (responding(503, b'{"inflight":7}'), HealthCheckStatus.FULL, (("inflight", 7.0),)),
+        (responding(500, b""), HealthCheckStatus.ERROR, ()),
         (silent, HealthCheckStatus.TIMEOUT, ()),
         (reset, HealthCheckStatus.RESET, ()),
     ],
@@ -85,7 +89,7 @@
         bench.runtime,
         limits=replace(FAST_LIMITS, max_concurrent_health_checks=2, max_queued_health_checks=3),
     )
-    endpoint = StandIn(bench.loop, answering(200, b""))
+    endpoint = StandIn(bench.loop, responding(200, b""))
     checker = HealthChecker(bench.runtime)
     for _ in range(8):
         checker.check("h1", endpoint.address)
@@ -95,11 +99,11 @@
 
 
 def test_a_check_that_fails_unexpectedly_is_reported_and_the_next_one_runs(bench: Bench) -> None:
-    """The policy awaits a result of each, and checks queued behind it were never made."""
+    """No result was reported, which the policy waits for, and the checks queued after it were never made."""
     bench.runtime = replace(
         bench.runtime, limits=replace(FAST_LIMITS, max_concurrent_health_checks=1)
     )
-    endpoint = StandIn(bench.loop, answering(200, b""))
+    endpoint = StandIn(bench.loop, responding(200, b""))
     checker = HealthChecker(bench.runtime)
     checker.check("h1", ("127.0.0.1", 99_999))
     checker.check("h1", endpoint.address)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Accepting, timeouts, eviction and memory of client connections."""
+"""Acceptance, timeouts, eviction and memory limits of client connections."""
 
 from __future__ import annotations
 
@@ -24,11 +24,13 @@
 def test_a_line_over_the_limit_disconnects_its_client_alone(bench: Bench) -> None:
     bench.runtime = replace(bench.runtime, limits=replace(FAST_LIMITS, max_line_bytes=64 << 10))
     listener_rig = ListenerRig(bench)
-    endless, sound = listener_rig.collector(), listener_rig.collector()
-    assert any(is_closed_after(bench, endless, b"heard" + b" x=" * 1400) for _ in range(2000))
-    sound.sendall(DEMAND_REPORT)
+    sending_endlessly, unaffected = listener_rig.collector(), listener_rig.collector()
+    assert any(
+        is_closed_after(bench, sending_endlessly, b"heard" + b" x=" * 1400) for _ in range(2000)
+    )
+    unaffected.sendall(DEMAND_REPORT)
     bench.until(listener_rig.reports)
-    assert received(sound) is None
+    assert received(unaffected) is None
     listener_rig.close()
 
 
@@ -44,14 +46,14 @@
     assert received(collector) == b""
 
 
-@pytest.mark.parametrize("said", [b"", b"ping\r\n"], ids=["at once", "after a ping"])
+@pytest.mark.parametrize("sent", [b"", b"ping\r\n"], ids=["immediately", "after a ping"])
 def test_an_incomplete_line_does_not_extend_the_handshake_timeout(
-    short_timeout_listener_rig: ListenerRig, said: bytes
+    short_timeout_listener_rig: ListenerRig, sent: bytes
 ) -> None:
-    """Its time runs from the start of the message, not from the last byte."""
+    """The timeout starts with the message, not with its last byte."""
     listener_rig = short_timeout_listener_rig
     peer = listener_rig.connect()
-    push(peer, said)
+    push(peer, sent)
     for _ in range(20):
         push(peer, b"x")
         listener_rig.bench.pass_us(SHORT_IDLE_LIMITS.handshake_timeout_us // 10)
@@ -82,7 +84,7 @@
 
 
 def test_a_new_connection_is_not_evicted_for_later_ones(bench: Bench) -> None:
-    """A collector in the midst of a crowd, whose first line is still on its way."""
+    """It may be a collector among many clients, whose first line has not arrived yet."""
     bench.runtime = replace(bench.runtime, limits=replace(FAST_LIMITS, max_connections=8))
     listener_rig = ListenerRig(bench)
     for _ in range(20):
@@ -113,17 +115,17 @@
 
 
 class FailingAccept:
-    """accept fails as it does with EMFILE, so many times."""
+    """Makes `accept` fail with EMFILE a given number of times."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, times: int) -> None:
-        self.left = times
-        real = socket.socket.accept
+        self.remaining = times
+        original = socket.socket.accept
 
         def accept(sock: socket.socket) -> tuple[socket.socket, object]:
-            if self.left:
-                self.left -= 1
+            if self.remaining:
+                self.remaining -= 1
                 raise OSError(errno.EMFILE, "too many open files")
-            return real(sock)
+            return original(sock)
 
         monkeypatch.setattr(socket.socket, "accept", accept)
 
@@ -144,7 +146,7 @@
 def test_without_descriptors_or_connections_the_new_one_is_rejected(
     listener_rig: ListenerRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A spare descriptor is given up for that: else the listener would be woken for ever and do nothing."""
+    """The spare descriptor is released for it; otherwise the listener would be woken repeatedly without progress."""
     FailingAccept(monkeypatch, 1)
     rejected = listener_rig.connect()
     listener_rig.bench.until(lambda: listener_rig.bench.counters["connections_evicted"] == 1)
@@ -171,7 +173,7 @@
 
 
 def test_connection_made_before_the_loop_runs_is_served(bench: Bench) -> None:
-    """The address was tried out and closed again: who connected in between was taken by the system and reset."""
+    """The address was bound as a test and closed again, which reset connections made in between."""
     listener_rig = ListenerRig(bench)
     bench.loop.stop(listener_rig.task)
     sock = bind_listener(listener_rig.address)
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""The loop: reasons of a wake-up, stopping of tasks, and errors that end one task alone."""
+"""The loop: wake reasons, stopping of tasks, and errors that end only one task."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     rig, signal = LoopRig(), Signal()
     fd = pair[0].fileno()
     rig.loop.start(
-        "it",
+        "task",
         rig.record_waits(
             Wait(fd=fd, event_mask=READ), Wait(signal=signal), Wait(rig.clock.now + 10)
         ),
@@ -30,7 +30,7 @@
 
 def test_nothing_is_resumed_before_its_deadline(pair: SocketPair) -> None:
     rig = LoopRig()
-    rig.loop.start("it", rig.record_waits(Wait(rig.clock.now + 10, pair[0].fileno(), READ)))
+    rig.loop.start("task", rig.record_waits(Wait(rig.clock.now + 10, pair[0].fileno(), READ)))
     assert rig.loop.run_once(rig.clock.now) == 0
     assert rig.recorded == []
 
@@ -44,7 +44,7 @@
         finally:
             cleaned.append(True)
 
-    task = rig.loop.start("it", routine())
+    task = rig.loop.start("task", routine())
     rig.loop.stop(task)
     rig.loop.stop(task)
     pair[1].send(b"x")
@@ -86,12 +86,12 @@
 def test_loop_does_not_accumulate_tasks(pair: SocketPair) -> None:
     rig = LoopRig()
 
-    def endless() -> Coroutine[None]:
+    def receive_endlessly() -> Coroutine[None]:
         while True:
             yield Wait(rig.clock.now + 60_000_000, pair[0].fileno(), READ)
             pair[0].recv(10)
 
-    rig.loop.start("endless", endless())
+    rig.loop.start("receive_endlessly", receive_endlessly())
     for _ in range(500):
         pair[1].send(b"x")
         assert rig.loop.run_once(rig.clock.now) == 1
@@ -101,7 +101,7 @@
 
 def test_signal_cleared_before_the_round_wakes_no_task() -> None:
     rig, signal = LoopRig(), Signal()
-    rig.loop.start("it", rig.record_waits(Wait(rig.clock.now + 10, signal=signal)))
+    rig.loop.start("task", rig.record_waits(Wait(rig.clock.now + 10, signal=signal)))
     signal.set()
     signal.clear()
     assert rig.loop.run_once(rig.clock.now) == 0
@@ -123,13 +123,15 @@
     now = rig.clock.now
     order: list[str] = []
 
-    def at(name: str, until_us: int) -> Coroutine[None]:
+    def wait_until(name: str, until_us: int) -> Coroutine[None]:
         yield Wait(until_us)
         order.append(name)
 
     for name, after in (("c", 30), ("a", 10), ("b", 20), ("b2", 20)):
-        rig.loop.start(name, at(name, now + after))
-    rig.loop.start("it", rig.record_waits(Wait(now + 15, pair[0].fileno(), READ), Wait(now + 1000)))
+        rig.loop.start(name, wait_until(name, now + after))
+    rig.loop.start(
+        "task", rig.record_waits(Wait(now + 15, pair[0].fileno(), READ), Wait(now + 1000))
+    )
     pair[1].send(b"x")
     rig.loop.run_once(now)
     rig.clock.now += 30
@@ -139,15 +141,15 @@
 
 
 def test_stale_deadlines_are_removed(pair: SocketPair) -> None:
-    """A connection with a deadline of a minute and a thousand messages a second would leave 60,000."""
+    """A connection with a deadline of one minute and 1,000 messages a second would leave 60,000 stale deadlines."""
     rig = LoopRig()
 
-    def endless() -> Coroutine[None]:
+    def receive_endlessly() -> Coroutine[None]:
         while True:
             yield Wait(rig.clock.now + 60_000_000, pair[0].fileno(), READ)
             pair[0].recv(10)
 
-    rig.loop.start("endless", endless())
+    rig.loop.start("receive_endlessly", receive_endlessly())
     for _ in range(1000):
         pair[1].send(b"x")
         rig.loop.run_once(rig.clock.now)
@@ -202,14 +204,14 @@
 
 
 def test_a_reused_descriptor_belongs_to_its_last_waiter(pair: SocketPair) -> None:
-    """The end of the previous wait removed the new registration: the task was never woken again."""
+    """The end of the previous wait removed the new registration, so the new task was never woken."""
     rig = LoopRig()
     old = rig.loop.start("old", rig.record_waits(Wait(rig.clock.now + 5, pair[0].fileno(), READ)))
     fd = pair[0].fileno()
     pair[0].close()
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        if ours.fileno() != fd:  # whatever else is open, the new one gets that number
+        if ours.fileno() != fd:  # give the new descriptor that number, even if others are open
             os.dup2(ours.fileno(), fd)
         rig.loop.start("new", rig.record_waits(Wait(fd=fd, event_mask=READ)))
         rig.loop.stop(old)
@@ -224,7 +226,7 @@
 def test_a_copy_of_a_closed_descriptor_that_stays_ready_does_not_end_the_loop(
     pair: SocketPair,
 ) -> None:
-    """The system goes on reporting it while a copy is open, and nobody waits for it."""
+    """The system reports it as long as a duplicate is open, although no task waits for it."""
     rig = LoopRig()
     copy = pair[0].dup()
     task = rig.loop.start("closed", rig.record_waits(Wait(fd=pair[0].fileno(), event_mask=READ)))
@@ -243,15 +245,15 @@
     rig = LoopRig()
     tasks: dict[str, Task] = {}
 
-    def stops(other: str) -> Coroutine[None]:
+    def stop_other(other: str) -> Coroutine[None]:
         yield Wait(rig.clock.now)
         rig.loop.stop(tasks[other])
-        rig.recorded.append("stopped it")
+        rig.recorded.append("stopped the other")
 
-    tasks["a"] = rig.loop.start("a", stops("b"))
-    tasks["b"] = rig.loop.start("b", stops("a"))
+    tasks["a"] = rig.loop.start("a", stop_other("b"))
+    tasks["b"] = rig.loop.start("b", stop_other("a"))
     rig.loop.run_once(rig.clock.now)
-    assert rig.recorded == ["stopped it"]
+    assert rig.recorded == ["stopped the other"]
     assert len(rig.loop) == 0
 
 
@@ -262,7 +264,7 @@
         try:
             yield Wait()
         finally:
-            raise KeyError("its end")
+            raise KeyError("error while closing")
 
     rig.loop.stop(rig.loop.start("failing_on_close", failing_on_close()))
     assert [name for name, _ in rig.unexpected_errors] == ["failing_on_close"]
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -101,7 +101,7 @@
 
 
 def test_a_connection_closed_between_two_calls_is_not_written_to(bench: Bench) -> None:
-    """What is written to it would be lost or not, and the call would count as broken."""
+    """It would be unknown whether the relay received the call, and the call would count as failed."""
     relay, order_queue = Relay(bench, throttle_and_close), order_queue_of(SET_WEIGHT, CHECKPOINT)
     start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
@@ -183,12 +183,12 @@
 def test_new_orders_do_not_shorten_the_backoff(
     bench: Bench,
 ) -> None:
-    """Raised while a call failed, the signal of new orders ended each wait at once."""
+    """The signal of new orders, set while a call failed, ended each delay immediately."""
     relay, order_queue = Relay(bench), order_queue_of(SET_WEIGHT, CHECKPOINT)
     relay.stand_in.close()
     orders_queued = start_calls(bench, relay, order_queue)
-    for stamp in range(6, 206):
-        order_queue.add([SetWeight(0, "h1", stamp), Checkpoint(stamp, False)])
+    for checkpoint_id in range(6, 206):
+        order_queue.add([SetWeight(0, "h1", checkpoint_id), Checkpoint(checkpoint_id, False)])
         orders_queued.set()
         bench.pass_us(MS)
     assert 10 < bench.counters["relay_calls_failed"] <= 10 + 200 * MS // FAST_LIMITS.max_backoff_us
@@ -224,4 +224,4 @@
     assert sent == [f"h{k}" for k in range(2000)]
     assert all(call[-1]["verb"] == "SYNC" for call in relay.calls)
     bench.until(lambda: OrdersAccepted(5) in bench.policy.events)
-    assert bench.policy.events.count(OrdersAccepted(5)) == 1  # with its last part
+    assert bench.policy.events.count(OrdersAccepted(5)) == 1  # when the last part is accepted
--- a/tests/test_relay_codec.py
+++ b/tests/test_relay_codec.py
@@ -1,4 +1,4 @@
-"""The relay's codec: orders as the protocol shows them, answers and events."""
+"""The relay's codec: orders, responses and events as the protocol specifies them."""
 
 from __future__ import annotations
 
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -39,7 +39,7 @@
 
 
 def test_after_a_gap_the_snapshot_is_reconciled(bench: Bench) -> None:
-    """A proxy in both snapshots may have left and come back; one that is missing has left."""
+    """A proxy in both snapshots may have left and rejoined; one that is missing in the second has left."""
     source = EventBroadcaster(bench, [joined(0), joined(1), b"{}"], [joined(1), joined(2), b"{}"])
     start_streams(bench, source)
     bench.until(lambda: len(bench.policy.events) == 3)
@@ -90,7 +90,7 @@
 
 
 def test_a_line_that_is_not_json_leads_to_a_new_snapshot(bench: Bench) -> None:
-    """What the line was to say is lost, so its stream can't be continued."""
+    """The event in the line is lost, so the stream can't be continued."""
     source = EventBroadcaster(bench, [joined(0), b"{}", b'{"type":"jo'], [joined(1), b"{}"])
     start_streams(bench, source)
     bench.until(lambda: ProxyLeft(0) in bench.policy.events)
--- a/tests/test_relay_outcome_unknown.py
+++ b/tests/test_relay_outcome_unknown.py
@@ -1,4 +1,4 @@
-"""Calls to the relay that may or may not have been carried out."""
+"""Calls to the relay whose outcome is unknown, as they may or may not have been carried out."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
         [1.5, 5, 2.0, 6],
     )
     assert bench.counters["relay_calls_failed"] == 1
-    # the channel may hold the step twice: 36,000 lines ordered again uncounted would be more than it may
+    # The relay may hold the step twice: 36,000 entries ordered again without being counted would exceed the limit.
     assert [event for event in bench.policy.events if isinstance(event, OrdersOutcomeUnknown)] == [
         OrdersOutcomeUnknown((5,))
     ]
@@ -76,7 +76,7 @@
 def start_calls_that_must_not_be_resent(
     bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
 ) -> tuple[Relay, OrderQueue]:
-    """The first call breaks, and the policy does not allow to resend it yet."""
+    """Starts calls of which the first fails, while the policy does not allow it to be resent yet."""
     bench.policy.allows_resend = False
     relay, order_queue = Relay(bench, fault), order_queue_of(SET_WEIGHT, CHECKPOINT)
     start_calls(bench, relay, order_queue)
@@ -89,7 +89,7 @@
 def test_a_call_of_unknown_outcome_waits_until_the_policy_allows_to_resend(
     bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
 ) -> None:
-    """6,416 lines waited where 5,800 may: an answer was lost, and the call went again beside its first copy."""
+    """A call was resent beside its first copy, whose response was lost: 6,416 entries pending, with a limit of 5,800."""
     relay, order_queue = start_calls_that_must_not_be_resent(bench, fault)
     bench.until(
         lambda: len([e for e in bench.policy.events if isinstance(e, OrdersOutcomeUnknown)]) > 3
@@ -123,17 +123,17 @@
 
 
 def test_call_that_fails_before_its_last_byte_is_resent_immediately(bench: Bench) -> None:
-    """The relay takes no more of it than the system holds. It was never carried out, and goes again at once."""
+    """The relay reads none of it, so only what the system buffers is sent, and the call is never carried out."""
     bench.runtime = replace(bench.runtime, limits=replace(FAST_LIMITS, max_call_bytes=1 << 30))
     long = "h" * 2_000
     orders: list[Order] = [SetWeight(0, f"{long}{k}", 1.0) for k in range(10_000)]
 
-    def takes_nothing(_: Caller) -> Coroutine[None]:
+    def read_nothing(_: Caller) -> Coroutine[None]:
         while True:
             yield Wait(bench.clock() + MS)
 
     bench.policy.allows_resend = False
-    stalled, order_queue = StandIn(bench.loop, takes_nothing), order_queue_of(*orders, CHECKPOINT)
+    stalled, order_queue = StandIn(bench.loop, read_nothing), order_queue_of(*orders, CHECKPOINT)
     bench.loop.start(
         "calls", RelayCalls(bench.runtime, stalled.address, order_queue, Signal()).run()
     )
@@ -161,14 +161,15 @@
     calls.reconnect_to(new.stand_in.address)
     bench.pass_us(4 * FAST_LIMITS.call_timeout_us)
     assert not new.calls
-    calls.reconnect_to(old.stand_in.address)  # and back, before the first move was through
+    # Back to the old address before the first change was completed.
+    calls.reconnect_to(old.stand_in.address)
     bench.policy.allows_resend = True
     bench.until(lambda: not order_queue.batch_count)
     assert (old.verbs(), new.verbs()) == ([["SET", "SYNC"]] * 2, [])
 
 
 def test_a_withdrawal_during_an_unknown_outcome_is_sent_with_the_resent_call(bench: Bench) -> None:
-    """Behind it, not ahead: the call may let the same host back."""
+    """It is sent after the call, not before it, because the call may restore the same endpoint."""
     relay, order_queue = (
         Relay(bench, never_respond),
         order_queue_of(RestoreEndpoint("h1"), CHECKPOINT),
--- a/tests/test_report_handler.py
+++ b/tests/test_report_handler.py
@@ -123,7 +123,7 @@
 def test_a_malformed_line_disconnects_its_collector_alone(
     listener_rig: ListenerRig, rest: bytes
 ) -> None:
-    """What was good before counts; nothing that follows is waited for, as no line end may ever come."""
+    """Valid lines before it are handled. Its end is not awaited, because a malformed line may never end."""
     peer, other = listener_rig.collector(), listener_rig.collector()
     peer.sendall(ENDPOINT_REPORT + rest)
     listener_rig.bench.until(lambda: listener_rig.bench.counters["collectors_disconnected"])
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "sent",
     [
         b"\xe9\x81\xc5\xa5\xcf",
         b"GET / HTTP/1.1\r\n",
@@ -152,11 +152,11 @@
     ids=repr,
 )
 def test_an_unauthenticated_client_is_refused_at_once(
-    listener_rig: ListenerRig, said: bytes
+    listener_rig: ListenerRig, sent: bytes
 ) -> None:
     """None of its reports reaches the policy, even if it has pinged."""
     client = listener_rig.connect()
-    client.sendall(said)
+    client.sendall(sent)
     listener_rig.bench.until(lambda: listener_rig.bench.counters["clients_rejected"])
     assert b"refused\r\n" in received_until_closed(client)
     assert listener_rig.reports() == []
@@ -183,7 +183,7 @@
 
 
 def test_complete_line_before_a_close_is_handled(listener_rig: ListenerRig) -> None:
-    """A complete line that was read counts, even if the connection closes in the same round."""
+    """A complete line that was read is handled, even if the connection closes in the same round."""
     peer = listener_rig.collector()
     peer.sendall(ENDPOINT_REPORT)
     peer.close()
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""Reads and writes of a stream, their timeouts and its end."""
+"""Reads, writes, timeouts and the end of a stream."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     rig = LoopRig()
     stream, space = Stream(pair[0]), memoryview(bytearray(8))
 
-    def talk() -> Coroutine[None]:
+    def transfer() -> Coroutine[None]:
         yield from stream.send(b"hello", rig.clock.now + 10)
         rig.recorded.append((yield from stream.recv_into(space, rig.clock.now + 10)))
         try:
@@ -21,7 +21,7 @@
             rig.recorded.append(str(error))
         rig.recorded.append((yield from stream.recv_into(space, rig.clock.now + 10)))
 
-    rig.loop.start("talk", talk())
+    rig.loop.start("transfer", transfer())
     assert pair[1].recv(10) == b"hello"
     pair[1].send(b"abc")
     rig.loop.run_once(rig.clock.now)
@@ -37,13 +37,13 @@
 def test_a_write_that_the_peer_does_not_accept_times_out(pair: SocketPair) -> None:
     rig = LoopRig()
 
-    def talk() -> Coroutine[None]:
+    def transfer() -> Coroutine[None]:
         try:
             yield from Stream(pair[0]).send(b"x" * (8 << 20), rig.clock.now + 10)
         except StreamError as error:
             rig.recorded.append(str(error))
 
-    rig.loop.start("talk", talk())
+    rig.loop.start("transfer", transfer())
     rig.clock.now += 10
     rig.loop.run_once(rig.clock.now)
     assert rig.recorded == ["peer did not accept all data before the deadline"]
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -1,4 +1,4 @@
-"""Golden bytes: what goes over each wire and what is read from it, held to the last byte.
+"""Golden bytes of each protocol: the exact bytes that are sent, and the values decoded from received bytes.
 
 The expected bytes were recorded once and are never regenerated: a change that alters any of them
 alters a protocol.
@@ -54,7 +54,7 @@
 )
 from tests.standins import FAST_LIMITS, Bench, member
 
-# Values in the program's own types. Names of types and fields stand in this section alone, and their bytes below.
+# Values in the program's own types and their bytes. Only this section names types and fields; the tests use bytes.
 
 ORDERS: tuple[tuple[Order, bytes], ...] = (
     (SetWeight(4, "s-1", 1.5), b'{"verb":"SET","cluster":4,"host":"s-1","share":1.5}'),
@@ -197,15 +197,15 @@
 
 
 def reported(bench: Bench) -> list[Event]:
-    """What reached the decisions, without the first event, which tells of the start."""
+    """Returns the events that reached the policy, without the first one, which reports the start."""
     return bench.policy.events[1:]
 
 
-# Both ends of a connection, as sockets alone
+# Both ends of a connection, as plain sockets
 
 
 class RawServer:
-    """Accepts one connection, keeps what it receives and answers a complete request by given bytes."""
+    """Accepts one connection, records the received bytes and responds to a complete request with given bytes."""
 
     def __init__(self, answer: bytes) -> None:
         self._answer = answer
@@ -216,7 +216,7 @@
         self.address: tuple[str, int] = self._listening.getsockname()
 
     def request(self, last_bytes: bytes) -> bytes:
-        """What has come, with the port named PORT, once it ends so; else empty."""
+        """Returns the request once it ends with `last_bytes`, with its port replaced by PORT; else empty bytes."""
         try:
             if self._connection is None:
                 self._connection, _ = self._listening.accept()
@@ -340,9 +340,9 @@
     ]
 
 
-@pytest.mark.parametrize("taken", [0, 1, 2])
-def test_response_to_a_call_read_from_bytes(taken: int) -> None:
-    assert decode_response(memoryview(b'{"ok_count":%d,"more":null}' % taken), 2) == taken
+@pytest.mark.parametrize("accepted", [0, 1, 2])
+def test_response_to_a_call_read_from_bytes(accepted: int) -> None:
+    assert decode_response(memoryview(b'{"ok_count":%d,"more":null}' % accepted), 2) == accepted
 
 
 # Discovery
@@ -424,7 +424,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "answer"),
+    ("sent", "answer"),
     [
         (b"ping\r\n", b"pong\r\n"),
         (b"ping\nping\r\n", b"pong\r\npong\r\n"),
@@ -435,14 +435,14 @@
         (b"\xff\r\n", b"refused\r\n"),
     ],
 )
-def test_bytes_of_the_listeners_responses(bench: Bench, said: bytes, answer: bytes) -> None:
+def test_bytes_of_the_listeners_responses(bench: Bench, sent: bytes, answer: bytes) -> None:
     with socket.create_server(("127.0.0.1", 0)) as unused:
         address = unused.getsockname()
     run_listener(bench, address)
     received = b""
     with socket.create_connection(address) as client:
         client.setblocking(False)
-        client.sendall(said)
+        client.sendall(sent)
 
         def answered() -> bool:
             nonlocal received
