--- a/kelpcourse/wire/loop.py
+++ b/kelpcourse/wire/loop.py
@@ -7,7 +7,7 @@
 must not yield.
 
 The cost of a round depends on the number of tasks that are ready or due, not on the number of waiting tasks: deadlines
-are kept in a heap, and each signal has a list of its waiters. If a wait ends before its deadline, its heap entry
+are kept in a heap, and each signal stores its waiters. If a wait ends before its deadline, its heap entry
 remains. Such stale entries are skipped, and removed once they outnumber the valid ones.
 """
 
--- a/kelpcourse/wire/relay_calls.py
+++ b/kelpcourse/wire/relay_calls.py
@@ -62,7 +62,8 @@
         self._sent_count = 0  # number of orders in the current call; 0 until it was sent completely
         # Number of consecutive responses that rejected a call as invalid.
         self._invalid_responses = 0
-        # The order that was refused last; one refusal may be due to a corrupted response.
+        # The order that was refused last. It is dropped only if it is refused again, because one refusal may be due to
+        # a corrupted response.
         self._refused_order: Order | None = None
         self._backoff = Backoff(runtime.limits)
         self.reachable = Signal()
--- a/kelpcourse/wire/relay_codec.py
+++ b/kelpcourse/wire/relay_codec.py
@@ -31,7 +31,7 @@
 | event | `share` | request rate of the proxy per second |
 | event | `standing` | whether the proxy has no table |
 | event | `version` | checkpoint id |
-| event | `lag_ms` | time from the order to its application, in milliseconds |
+| event | `lag_ms` | lag of the proxy in milliseconds |
 """
 
 from __future__ import annotations
--- a/tests/test_relay_outcome_unknown.py
+++ b/tests/test_relay_outcome_unknown.py
@@ -89,7 +89,10 @@
 def test_a_call_of_unknown_outcome_waits_until_the_policy_allows_to_resend(
     bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
 ) -> None:
-    """A call was resent beside its first copy, whose response was lost: 6,416 entries pending, with a limit of 5,800."""
+    """A call whose response was lost was resent while its first copy was pending.
+
+    6,416 entries were pending then, with a limit of 5,800.
+    """
     relay, order_queue = start_calls_that_must_not_be_resent(bench, fault)
     bench.until(
         lambda: len([e for e in bench.policy.events if isinstance(e, OrdersOutcomeUnknown)]) > 3
