--- a/tests/relays.py
+++ b/tests/relays.py
@@ -7,7 +7,7 @@
 from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.orders import BindProxy, Checkpoint, Order, SetWeight
 from kelpcourse.wire.loop import Coroutine, Wait
-from tests.standins import MS, QUICK, Bench, Caller, StandIn
+from tests.standins import FAST_LIMITS, MS, Bench, Caller, StandIn
 
 SET_WEIGHT = SetWeight(0, "h1", 1.5)
 BIND = BindProxy(3, 0, ("read",))
@@ -15,7 +15,7 @@
 
 
 def order_queue_of(*orders: Order) -> OrderQueue:
-    order_queue = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
+    order_queue = OrderQueue(FAST_LIMITS.max_queued_orders, FAST_LIMITS.max_superseded_checkpoints)
     order_queue.add(orders)
     return order_queue
 
@@ -26,8 +26,9 @@
     def __init__(self, bench: Bench, *openings: list[bytes]) -> None:
         self._bench = bench
         self._openings = list(openings)
-        self.lines: list[bytes] = []  # sent on every connection
-        self.disconnect_next = False  # closes the first connection that sees it
+        self.lines: list[bytes] = []  # lines to send on every connection
+        # Closes the first connection that checks the flag, which is reset then.
+        self.disconnect_next = False
         self.stand_in = StandIn(bench.loop, self._serve)
 
     def _serve(self, caller: Caller) -> Coroutine[None]:
--- a/tests/test_discovery_versions.py
+++ b/tests/test_discovery_versions.py
@@ -1,4 +1,4 @@
-"""Lists and changes that arrive out of order, and discovery that has started over."""
+"""Lists and changes that arrive out of order, and discovery that was restarted with new version numbers."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 from kelpcourse.wire.loop import Coroutine, Wait
 from tests.discovery_service import (
     DiscoveryService,
-    client_of,
+    discovery_client_for,
     reported_lists,
     response_body,
     watch_stream,
 )
-from tests.standins import MS, QUICK, Bench, Caller, entry, listed
+from tests.standins import FAST_LIMITS, MS, Bench, Caller, entry, listed
 
 
 def test_changes_older_than_the_known_version_end_the_watch(bench: Bench) -> None:
-    """Something was missed, and only a fresh call can tell what."""
-    service = DiscoveryService(bench, watch_stream(bench, listed(40, entry("a"), whole=False)))
-    client_of(bench, service, 41).watch(True)
+    """Some changes are missing, and only a new call can return them."""
+    service = DiscoveryService(bench, watch_stream(bench, listed(40, entry("a"), complete=False)))
+    discovery_client_for(bench, service, 41).watch(True)
     bench.until(lambda: reported_lists(bench))
     assert reported_lists(bench)[0].kind is EndpointListKind.UNAVAILABLE
 
 
-def test_an_older_complete_list_restores_no_draining_endpoint(bench: Bench) -> None:
-    """A host that drains was ready again by a list of before."""
-    drains = watch_stream(bench, listed(43, entry("a", "draining"), whole=False))
-    service = DiscoveryService(bench, drains, response_body(listed(41, entry("a"))))
-    discovery = client_of(bench, service)
+def test_older_complete_list_does_not_mark_draining_endpoint_ready(bench: Bench) -> None:
+    """An older list marked a draining endpoint as ready again."""
+    drain_stream = watch_stream(bench, listed(43, entry("a", "draining"), complete=False))
+    service = DiscoveryService(bench, drain_stream, response_body(listed(41, entry("a"))))
+    discovery = discovery_client_for(bench, service)
     discovery.watch(True)
     bench.until(lambda: reported_lists(bench))
     discovery.fetch()
@@ -40,15 +40,15 @@
     ]
 
 
-def test_discovery_that_repeats_an_older_list_has_started_over(bench: Bench) -> None:
-    """Otherwise its changes would be rejected for good, and no drain would be seen any more."""
-    times = QUICK.max_stale_lists
+def test_repeated_older_list_is_accepted_as_a_restart_of_discovery(bench: Bench) -> None:
+    """Otherwise all of its changes would be rejected, and drains would be missed."""
+    times = FAST_LIMITS.max_stale_lists
     service = DiscoveryService(
         bench,
         *[response_body(listed(3, entry("a")))] * times,
-        watch_stream(bench, listed(4, entry("b"), whole=False)),
+        watch_stream(bench, listed(4, entry("b"), complete=False)),
     )
-    discovery = client_of(bench, service)
+    discovery = discovery_client_for(bench, service)
     for count in range(times):
         discovery.fetch()
         bench.until(lambda count=count: len(reported_lists(bench)) == count + 1)  # type: ignore[misc]
@@ -60,14 +60,14 @@
     assert service.targets[-1].endswith("index=3")
 
 
-def test_repeated_older_changes_lead_to_a_request_for_everything(bench: Bench) -> None:
-    times = QUICK.max_stale_lists
+def test_repeated_older_changes_lead_to_a_request_for_the_complete_list(bench: Bench) -> None:
+    times = FAST_LIMITS.max_stale_lists
     service = DiscoveryService(
         bench,
-        *[watch_stream(bench, listed(3, whole=False))] * times,
+        *[watch_stream(bench, listed(3, complete=False))] * times,
         watch_stream(bench, listed(3, entry("a"))),
     )
-    discovery = client_of(bench, service)
+    discovery = discovery_client_for(bench, service)
     for count in range(times):
         discovery.watch(True)
         bench.until(lambda count=count: len(reported_lists(bench)) == count + 1)  # type: ignore[misc]
@@ -80,7 +80,7 @@
 def test_an_older_list_between_newer_ones_is_not_counted(bench: Bench) -> None:
     old, new = response_body(listed(3, entry("a"))), response_body(listed(50, entry("a")))
     service = DiscoveryService(bench, old, old, new, old, old, new)
-    discovery = client_of(bench, service)
+    discovery = discovery_client_for(bench, service)
     for count in range(6):
         discovery.fetch()
         bench.until(lambda count=count: len(reported_lists(bench)) == count + 1)  # type: ignore[misc]
@@ -92,25 +92,28 @@
     ] * 2
 
 
-def test_a_fetch_in_between_does_not_end_the_watch(bench: Bench) -> None:
-    """The watch's next line was taken for a gap, as the fetch had moved the version on."""
+def test_fetch_during_a_watch_does_not_end_it(bench: Bench) -> None:
+    """The fetch advanced the version, so the next line of the watch was mistaken for a gap."""
     pending_lines: list[bytes] = []
 
     def watched(caller: Caller) -> Coroutine[None]:
         yield from caller.open_body()
-        yield from caller.line(listed(42, entry("a"), whole=False))
+        yield from caller.line(listed(42, entry("a"), complete=False))
         while True:
             while not pending_lines:
                 yield Wait(bench.clock() + MS)
             yield from caller.line(pending_lines.pop(0))
 
     service = DiscoveryService(bench, watched, response_body(listed(45, entry("a", "draining"))))
-    discovery = client_of(bench, service)
+    discovery = discovery_client_for(bench, service)
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 1)
     discovery.fetch()
     bench.until(lambda: len(reported_lists(bench)) == 2)
-    pending_lines += [listed(44, entry("a"), whole=False), listed(46, entry("b"), whole=False)]
+    pending_lines += [
+        listed(44, entry("a"), complete=False),
+        listed(46, entry("b"), complete=False),
+    ]
     bench.until(lambda: len(reported_lists(bench)) == 3)
     assert [
         (reported.version, [h.status for h in reported.endpoints])
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -1,4 +1,4 @@
-"""Facade: reports become events of the policy, its actions become work."""
+"""Facade: reports become events for the policy, and its actions become work."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
 )
 from kelpcourse.policy.settings import RetryPolicy
 from tests.fleet import SECOND
-from tests.standins import MS, QUICK, ScriptedPolicy
+from tests.standins import FAST_LIMITS, MS, ScriptedPolicy
 
 
 @pytest.mark.usefixtures("facade")
-def test_the_first_step_has_the_start_and_the_cached_list(policy: ScriptedPolicy) -> None:
+def test_first_step_receives_the_start_event_and_the_cached_list(policy: ScriptedPolicy) -> None:
     (step,) = policy.steps
     assert step[0] == Started(7)
     assert isinstance(step[1], EndpointList)
@@ -57,7 +57,7 @@
 
 
 def test_reports_become_events_of_one_step_in_order(facade: Facade, policy: ScriptedPolicy) -> None:
-    policy.ready.append([Checkpoint(905, False)])
+    policy.scripted_actions.append([Checkpoint(905, False)])
     facade.start(2000)
     facade.report_proxy_joined(1, "east", 21.5, True)
     facade.report_attempts("h1", "west", 10, 1, 1000.0, 41.7, [("inflight", 7.0)])
@@ -67,8 +67,8 @@
     facade.report_health_check("h1", "timeout", 400_000, ())
     facade.report_list_unavailable()
     assert not facade.tick(5000)
-    assert facade.next_due_us() == 5000 + QUICK.step_batching_us
-    assert facade.tick(5000 + QUICK.step_batching_us)
+    assert facade.next_due_us() == 5000 + FAST_LIMITS.step_batching_us
+    assert facade.tick(5000 + FAST_LIMITS.step_batching_us)
     assert policy.steps[2] == [
         ProxyJoined(1, "east", 21.5, True),
         EndpointReport(1, "west", 10, 1, SECOND, 41_700, (("inflight", 7.0),)),
@@ -80,7 +80,7 @@
     ]
 
 
-def test_there_is_no_step_without_a_report_or_a_due_timer(
+def test_no_step_runs_without_a_report_or_a_due_timer(
     facade: Facade, policy: ScriptedPolicy
 ) -> None:
     assert facade.next_due_us() is None
@@ -88,10 +88,8 @@
     assert len(policy.steps) == 1
 
 
-def test_timers_fire_once_at_their_time_and_in_order(
-    facade: Facade, policy: ScriptedPolicy
-) -> None:
-    policy.ready = [[SetTimer("late", 9000), SetTimer("soon", 8000)]]
+def test_timers_fire_once_when_due_and_in_order(facade: Facade, policy: ScriptedPolicy) -> None:
+    policy.scripted_actions = [[SetTimer("late", 9000), SetTimer("soon", 8000)]]
     facade.report_proxy_left(0)
     facade.tick(2000)
     facade.tick(5000)
@@ -102,8 +100,8 @@
     assert policy.steps[2:] == [[TimerFired("soon")], [TimerFired("late")]]
 
 
-def test_actions_become_work_by_endpoint_name(facade: Facade, policy: ScriptedPolicy) -> None:
-    policy.ready = [
+def test_actions_become_work_with_endpoint_names(facade: Facade, policy: ScriptedPolicy) -> None:
+    policy.scripted_actions = [
         [
             SetWeight(0, 1, 1 / 3),
             ClearTable(2),
@@ -134,9 +132,8 @@
     assert (work.watch, work.fetches) == (True, 1)
     assert work.health_checks == [HealthCheckRequest("h1", ("127.0.0.1", 9))]
     assert work.log_messages == ["seen"]
-    assert (
-        work.undeliverable == 2
-    )  # a peer, for whom there is no word here, and a host never listed
+    # The message to a peer has no connection, and the endpoint of the last weight was never listed.
+    assert work.undeliverable == 2
     assert facade.pick().orders == []
 
 
@@ -160,7 +157,7 @@
         lambda facade: facade.report_demand(9, "read", 1, 0, 1.0),
     ],
 )
-def test_a_report_that_is_unknown_or_out_of_range_does_not_reach_the_policy(
+def test_a_report_with_an_unknown_or_out_of_range_value_does_not_reach_the_policy(
     facade: Facade, report: Callable[[Facade], None]
 ) -> None:
     with pytest.raises(InvalidReportError):
@@ -171,7 +168,7 @@
 def test_a_failed_step_raises_and_does_not_stop_the_policy(
     facade: Facade, policy: ScriptedPolicy
 ) -> None:
-    policy.ready = [[SetTimer("tick", 9000)]]
+    policy.scripted_actions = [[SetTimer("tick", 9000)]]
     facade.report_proxy_left(0)
     facade.tick(2000)
     facade.tick(5000)
@@ -187,20 +184,22 @@
     with pytest.raises(ZeroDivisionError):
         facade.tick(9000)
     failing.append(False)
-    assert facade.next_due_us() == 9000 + QUICK.coroutine_restart_us
-    assert facade.tick(9000 + QUICK.coroutine_restart_us)
+    assert facade.next_due_us() == 9000 + FAST_LIMITS.coroutine_restart_us
+    assert facade.tick(9000 + FAST_LIMITS.coroutine_restart_us)
     assert policy.steps[-1] == [TimerFired("tick")]
 
 
-def test_timers_are_bounded(facade: Facade, policy: ScriptedPolicy) -> None:
-    policy.ready = [[SetTimer("t", 10**9 + k) for k in range(QUICK.max_timers + 5)]]
+def test_the_number_of_pending_timers_is_bounded(facade: Facade, policy: ScriptedPolicy) -> None:
+    policy.scripted_actions = [
+        [SetTimer("t", 10**9 + k) for k in range(FAST_LIMITS.max_timers + 5)]
+    ]
     facade.report_proxy_left(0)
     facade.tick(2000)
     facade.tick(2000 + 10 * MS)
     assert facade.pick().undeliverable == 5
 
 
-def test_time_never_goes_back_for_the_policy(facade: Facade, policy: ScriptedPolicy) -> None:
+def test_the_time_passed_to_the_policy_is_monotonic(facade: Facade, policy: ScriptedPolicy) -> None:
     times: list[int] = []
     unpatched_step = policy.step
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -10,13 +10,13 @@
 from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.orders import Checkpoint, Order, RestoreEndpoint, SetWeight, WithdrawEndpoint
 from kelpcourse.memory.proxies import Applied, Joined, Left, ProxyEvent, ProxyRegistry
-from kelpcourse.policy.draining import FORGET_AFTER_US
+from kelpcourse.policy.draining import WITHDRAWAL_RETENTION_US
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.wire.buffers import ReadBuffer
 from kelpcourse.wire.report_codec import DemandReportMessage, EndpointReportMessage, decode_line
 from tests.fleet import SECOND, SETTINGS
-from tests.standins import QUICK, member
-from tests.test_work import steps
+from tests.standins import FAST_LIMITS, member
+from tests.test_work import executed_instructions
 
 HOSTS = 10
 PROXIES = 8
@@ -27,10 +27,14 @@
 
     def __init__(self) -> None:
         settings = replace(SETTINGS, proxy_count=PROXIES)
-        self.facade = Facade(settings, 7, QUICK)
-        self.outbox = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
-        self.proxies = ProxyRegistry(QUICK.max_buffered_events, QUICK.event_stream_overlap_us)
-        self.buffer = ReadBuffer(QUICK.initial_read_buffer_bytes, QUICK.max_line_bytes)
+        self.facade = Facade(settings, 7, FAST_LIMITS)
+        self.outbox = OrderQueue(
+            FAST_LIMITS.max_queued_orders, FAST_LIMITS.max_superseded_checkpoints
+        )
+        self.proxies = ProxyRegistry(
+            FAST_LIMITS.max_buffered_events, FAST_LIMITS.event_stream_overlap_us
+        )
+        self.buffer = ReadBuffer(FAST_LIMITS.initial_read_buffer_bytes, FAST_LIMITS.max_line_bytes)
         self.now = 50 * SECOND
         self.second = 0
         self.version = 1
@@ -54,7 +58,7 @@
                 case Joined(proxy, zone, share, standing):
                     self.facade.report_proxy_joined(proxy, zone, share, standing)
                 case Left(proxy):
-                    self.outbox.forget_proxy(proxy)
+                    self.outbox.drop_bindings(proxy)
                     self.facade.report_proxy_left(proxy)
                 case Applied(proxy, stamp, lag_ms):
                     for answered in self.outbox.covered_checkpoints(stamp):
@@ -82,7 +86,7 @@
         self.buffer.append(self.report_lines())
         for line in self.buffer.lines():
             self.take(line)
-        self.facade.tick(self.now - QUICK.step_batching_us)
+        self.facade.tick(self.now - FAST_LIMITS.step_batching_us)
         self.facade.tick(self.now)
         orders = self.facade.pick().orders
         for order in orders:
@@ -110,7 +114,7 @@
         """Serves so long; the interpreter's steps that it took and the objects that are kept after it."""
         work = 0
         for _ in range(seconds):
-            work += steps(self.serve)
+            work += executed_instructions(self.serve)
         gc.collect()
         return work, len(gc.get_objects())
 
@@ -142,7 +146,7 @@
         gc.collect()
         entries.append(service.entries_of_a_binding())
         kept.append(len(gc.get_objects()))
-    assert max(entries) < 2 * HOSTS + FORGET_AFTER_US // SECOND
+    assert max(entries) < 2 * HOSTS + WITHDRAWAL_RETENTION_US // SECOND
     assert max(kept[1:]) < kept[0] + 200
 
 
