--- a/kelpcourse/shared/__init__.py
+++ b/kelpcourse/shared/__init__.py
@@ -1,1 +1,1 @@
-"""Several controllers for one fleet: Raft consensus, leases on groups of proxies, and their connections and disks."""
+"""Shared control of one fleet by several controllers: Raft, leases on proxy groups, peer connections and storage."""
--- a/kelpcourse/shared/certificates.py
+++ b/kelpcourse/shared/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates of a fleet's own authority: created, checked, and loaded into TLS contexts."""
+"""Creation and loading of the certificates of controllers and of the fleet's own certificate authority."""
 
 from __future__ import annotations
 
@@ -16,16 +16,21 @@
 
 AUTHORITY_CERTIFICATE = "ca.pem"
 AUTHORITY_KEY = "ca.key"
-AUTHORITY_DAYS = 3650
-MEMBER_DAYS = 365
-BACKDATED = datetime.timedelta(minutes=5)  # clocks differ
+AUTHORITY_VALIDITY_DAYS = 3650
+MEMBER_VALIDITY_DAYS = 365
+# The validity of a certificate starts this long before its creation, because clocks differ.
+CLOCK_SKEW_ALLOWANCE = datetime.timedelta(minutes=5)
 SECONDS_PER_DAY = 86_400
-SECRET_MODE = 0o600
-PUBLIC_MODE = 0o644
+PRIVATE_KEY_MODE = 0o600
+CERTIFICATE_MODE = 0o644
 
 
 def create_authority(folder: Path, name: str = "kelpcourse fleet") -> None:
-    """Writes `ca.pem` and `ca.key`. Raises CertificateError if one exists."""
+    """Writes the authority's certificate `ca.pem` and its private key `ca.key`.
+
+    Raises:
+        CertificateError: One of the files exists.
+    """
     key = ec.generate_private_key(ec.SECP256R1())
     now = datetime.datetime.now(datetime.UTC)
     usage = x509.KeyUsage(
@@ -40,7 +45,7 @@
         decipher_only=False,
     )
     certificate = (
-        _builder(name, _common_name(name), key.public_key(), AUTHORITY_DAYS, now)
+        _builder(name, _common_name(name), key.public_key(), AUTHORITY_VALIDITY_DAYS, now)
         .add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
         .add_extension(usage, critical=True)
         .add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), critical=False)
@@ -50,12 +55,15 @@
 
 
 def create_member_certificate(
-    authority_folder: Path, name: str, days: int = MEMBER_DAYS, target_folder: Path | None = None
+    authority_folder: Path,
+    name: str,
+    days: int = MEMBER_VALIDITY_DAYS,
+    target_folder: Path | None = None,
 ) -> None:
-    """Writes `NAME.pem` and `NAME.key`, signed by the authority.
+    """Writes the certificate `NAME.pem`, signed by the authority, and its private key `NAME.key`.
 
     Raises:
-        CertificateError: There is no authority, or one of the files exists.
+        CertificateError: The authority can't be read, or one of the files exists.
     """
     authority, signer = _load_authority(authority_folder)
     key = ec.generate_private_key(ec.SECP256R1())
@@ -75,7 +83,11 @@
 
 
 def days_until_expiry(certificate: Path) -> float:
-    """Returns how long a certificate is valid. Raises CertificateError if it can't be read."""
+    """Returns the days until a certificate expires; negative if it has expired.
+
+    Raises:
+        CertificateError: The file can't be read.
+    """
     try:
         expires = x509.load_pem_x509_certificate(certificate.read_bytes()).not_valid_after_utc
     except (OSError, ValueError) as error:
@@ -85,7 +97,7 @@
 
 
 def tls_context(is_server: bool, authority: Path, certificate: Path, key: Path) -> ssl.SSLContext:
-    """Returns a context in which both sides show a certificate of the authority, with TLS 1.3 at least.
+    """Returns a context for TLS 1.3 or later in which both sides must present a certificate of the authority.
 
     Raises:
         CertificateError: A file can't be read or used.
@@ -120,7 +132,7 @@
         .issuer_name(issuer)
         .public_key(key)
         .serial_number(x509.random_serial_number())
-        .not_valid_before(now - BACKDATED)
+        .not_valid_before(now - CLOCK_SKEW_ALLOWANCE)
         .not_valid_after(now + datetime.timedelta(days=days))
     )
 
@@ -131,9 +143,9 @@
         authority = x509.load_pem_x509_certificate((folder / AUTHORITY_CERTIFICATE).read_bytes())
         signer = serialization.load_pem_private_key(key_path.read_bytes(), None)
     except (OSError, ValueError) as error:
-        raise CertificateError(f"{folder}: no authority: {error}") from error
+        raise CertificateError(f"{folder}: authority can't be read: {error}") from error
     if not isinstance(signer, ec.EllipticCurvePrivateKey):
-        raise CertificateError(f"{key_path}: not a key of this kind")
+        raise CertificateError(f"{key_path}: not an elliptic curve key")
     return authority, signer
 
 
@@ -146,15 +158,17 @@
     private = key.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     )
-    _write_new(key_path, private, SECRET_MODE)
-    _write_new(certificate_path, certificate.public_bytes(serialization.Encoding.PEM), PUBLIC_MODE)
+    _write_new(key_path, private, PRIVATE_KEY_MODE)
+    _write_new(
+        certificate_path, certificate.public_bytes(serialization.Encoding.PEM), CERTIFICATE_MODE
+    )
 
 
 def _write_new(path: Path, data: bytes, mode: int) -> None:
-    """Never replaces a file: a lost authority can't be created again."""
+    """Writes a new file; never replaces one, because a lost authority can't be created again."""
     try:
         fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, mode)
     except FileExistsError as error:
-        raise CertificateError(f"{path} is there already") from error
+        raise CertificateError(f"{path} already exists") from error
     with open(fd, "wb") as file:
         file.write(data)
--- a/kelpcourse/shared/errors.py
+++ b/kelpcourse/shared/errors.py
@@ -1,82 +1,87 @@
-"""Errors of shared controllers. All of them are a `SharedError`."""
+"""Errors of shared controllers, all derived from `SharedError`."""
 
 from __future__ import annotations
 
 
 class SharedError(Exception):
-    """Base of the errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class RequestRejectedError(SharedError):
-    """A request that this member can't carry out now; the message says why."""
+    """Raised for a request that this member can't carry out at present; the message contains the reason."""
 
 
 class NotLeaderError(RequestRejectedError):
-    """A request that only the leader can carry out came to another member."""
+    """Raised when a member that is not the leader receives a request that only the leader can carry out."""
 
     def __init__(self, message: str, leader: str | None = None) -> None:
-        """Names the leader, if it is known."""
+        """Creates the error with the name of the leader, if it is known."""
         super().__init__(message)
         self.leader = leader
 
 
 class TransferInProgressError(RequestRejectedError):
-    """The leader accepts nothing while it transfers its leadership."""
+    """Raised when the leader receives a request while it transfers its leadership."""
 
     def __init__(self, target: str) -> None:
-        """Names the member that is to lead."""
-        super().__init__(f"leadership is going to {target}")
+        """Creates the error with the member that becomes the leader."""
+        super().__init__(f"leadership is being transferred to {target}")
         self.target = target
 
 
 class InvalidTransferError(RequestRejectedError):
-    """Leadership can be transferred to another voter only."""
+    """Raised when leadership is to be transferred to a member that is no voter, or to the leader itself."""
 
     def __init__(self, target: str) -> None:
-        """Names the member that was asked for."""
-        super().__init__(f"{target} is not another voter")
+        """Creates the error with the requested member."""
+        super().__init__(f"{target} is not a voter or is already the leader")
         self.target = target
 
 
 class BacklogFullError(RequestRejectedError):
-    """Too many log entries are proposed and not committed."""
+    """Raised when too many proposed log entries are not committed yet."""
 
     def __init__(self, max_entries: int) -> None:
-        """Says how many entries may wait."""
+        """Creates the error with the maximum number of uncommitted entries."""
         super().__init__(f"{max_entries} entries wait already")
         self.max_entries = max_entries
 
 
 class MembershipChangeError(RequestRejectedError):
-    """A change of members that would be unsafe or that names no member."""
+    """Raised for a change of members that would be unsafe or that names an unknown member."""
 
 
 class LogConflictError(SharedError):
-    """An `AppendEntries` request would replace a committed entry: some member broke the protocol."""
+    """Raised when an `AppendEntries` request would replace a committed entry: a member has violated the protocol."""
 
     def __init__(self, index: int, commit_index: int) -> None:
-        """Says which entry, and up to where the log is committed."""
-        super().__init__(f"entry {index} would be replaced, and {commit_index} is committed")
+        """Creates the error with the index of the entry and the commit index."""
+        super().__init__(
+            f"entry {index} would be replaced, but entries up to {commit_index} are committed"
+        )
         self.index = index
         self.commit_index = commit_index
 
 
 class LogIndexError(SharedError):
-    """The log does not hold the entry at an index, or does not hold it any more."""
+    """Raised for an index at which the log contains no entry, or no committed entry that can be compacted."""
 
     def __init__(self, index: int, first_index: int, last_index: int) -> None:
-        """Says which entry, and which ones there are."""
-        super().__init__(f"no entry {index}: the log holds {first_index} to {last_index}")
+        """Creates the error with the requested index and the range of the log."""
+        super().__init__(f"no entry {index}: the log contains {first_index} to {last_index}")
         self.index = index
 
 
 class StateLostError(SharedError):
-    """The disk does not hold what this member has promised: it has to join again with an empty folder."""
+    """Raised when the disk lacks state that this member has acknowledged.
+
+    The member has to join the cluster again, with an empty folder.
+    """
 
 
 class PeerMessageError(SharedError):
-    """Bytes on a connection between controllers that are no valid message."""
+    """Raised for invalid messages on a connection between controllers."""
 
 
 class CertificateError(SharedError):
-    """A certificate or key that can't be used."""
+    """Raised for a certificate or key that can't be used or created."""
--- a/tests/test_certificates.py
+++ b/tests/test_certificates.py
@@ -1,4 +1,4 @@
-"""Certificates of a fleet's own authority."""
+"""Tests of the certificates of a fleet's own authority."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 )
 
 
-def test_keys_are_never_overwritten_and_their_expiry_is_known(tmp_path: Path) -> None:
+def test_keys_are_not_overwritten_and_days_until_expiry_are_returned(tmp_path: Path) -> None:
     certificates.create_authority(tmp_path)
     certificates.create_member_certificate(tmp_path, "n0", days=30)
     assert 29 < certificates.days_until_expiry(tmp_path / "n0.pem") < 30.1
     assert (tmp_path / "n0.key").stat().st_mode & 0o77 == 0
-    with pytest.raises(CertificateError, match="is there already"):
+    with pytest.raises(CertificateError, match="already exists"):
         certificates.create_authority(tmp_path)
-    with pytest.raises(CertificateError, match="no authority"):
+    with pytest.raises(CertificateError, match="authority can't be read"):
         certificates.create_member_certificate(tmp_path / "nowhere", "n1")
--- a/tests/test_shared_settings.py
+++ b/tests/test_shared_settings.py
@@ -13,7 +13,7 @@
     done = CliRunner().invoke(cli, ["shared", "keys", str(tmp_path), "n1", "n2"])
     assert done.exit_code == 0, done.output
     again = CliRunner().invoke(cli, ["shared", "keys", str(tmp_path), "n1"])
-    assert (again.exit_code, "n1.key is there already" in again.stderr) == (2, True)
+    assert (again.exit_code, "n1.key already exists" in again.stderr) == (2, True)
     good = """shared {
     me "n1"
     state "state"
