--- a/kelpcourse/shared/errors.py
+++ b/kelpcourse/shared/errors.py
@@ -15,7 +15,7 @@
     """Raised when a member that is not the leader receives a request that only the leader can carry out."""
 
     def __init__(self, message: str, leader: str | None = None) -> None:
-        """Creates the error with the name of the leader, if it is known."""
+        """Initializes the error with the name of the leader, if it is known."""
         super().__init__(message)
         self.leader = leader
 
@@ -24,7 +24,7 @@
     """Raised when the leader receives a request while it transfers its leadership."""
 
     def __init__(self, target: str) -> None:
-        """Creates the error with the member that becomes the leader."""
+        """Initializes the error with the member that becomes the leader."""
         super().__init__(f"leadership is being transferred to {target}")
         self.target = target
 
@@ -33,7 +33,7 @@
     """Raised when leadership is to be transferred to a member that is no voter, or to the leader itself."""
 
     def __init__(self, target: str) -> None:
-        """Creates the error with the requested member."""
+        """Initializes the error with the requested member."""
         super().__init__(f"{target} is not a voter or is already the leader")
         self.target = target
 
@@ -42,7 +42,7 @@
     """Raised when too many proposed log entries are not committed yet."""
 
     def __init__(self, max_entries: int) -> None:
-        """Creates the error with the maximum number of uncommitted entries."""
+        """Initializes the error with the maximum number of uncommitted entries."""
         super().__init__(f"{max_entries} entries wait already")
         self.max_entries = max_entries
 
@@ -55,7 +55,7 @@
     """Raised when an `AppendEntries` request would replace a committed entry: a member has violated the protocol."""
 
     def __init__(self, index: int, commit_index: int) -> None:
-        """Creates the error with the index of the entry and the commit index."""
+        """Initializes the error with the index of the entry and the commit index."""
         super().__init__(
             f"entry {index} would be replaced, but entries up to {commit_index} are committed"
         )
@@ -67,7 +67,7 @@
     """Raised for an index at which the log contains no entry, or no committed entry that can be compacted."""
 
     def __init__(self, index: int, first_index: int, last_index: int) -> None:
-        """Creates the error with the requested index and the range of the log."""
+        """Initializes the error with the requested index and the range of the log."""
         super().__init__(f"no entry {index}: the log contains {first_index} to {last_index}")
         self.index = index
 
--- a/kelpcourse/shared/peer_codec.py
+++ b/kelpcourse/shared/peer_codec.py
@@ -1,7 +1,7 @@
-"""Messages between controllers as protobuf, by the tables of `peer_schema`.
+"""Encoding and decoding of messages between controllers as protobuf, according to the tables of `peer_schema`.
 
-A reader ignores fields that it does not know, and takes an envelope whose body it does not know for an
-`UnsupportedMessage`: a peer of a later version is understood as far as possible.
+Unknown fields are ignored, and an envelope with an unknown body is decoded as an `UnsupportedMessage`, so that
+messages of a peer with a later version are understood as far as possible.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     MESSAGES,
     Envelope,
     Field,
-    Part,
+    NestedMessage,
     ProtoMessage,
     body_field_name,
 )
@@ -39,19 +39,19 @@
 )
 
 VERSION = 1
-FieldValue: TypeAlias = Any  # by the table of the message
+FieldValue: TypeAlias = Any  # the type depends on the field's entry in `MESSAGES`
 
 
 @dataclass(frozen=True)
 class Hello:
-    """The first message of a connection, and its heartbeat: who speaks."""
+    """The first message of a connection, which names its sender; repeated as the heartbeat of the connection."""
 
     member: MemberId
 
 
 @dataclass(frozen=True)
 class UnsupportedMessage:
-    """A message of a version that this program does not know."""
+    """A message whose body is unknown, as sent by a later version of this program."""
 
     version: int
 
@@ -65,7 +65,7 @@
     body: PeerMessage | Hello | UnsupportedMessage
 
 
-# Classes of messages, by their names in the schema.
+# Message classes by their names in the schema.
 MESSAGE_TYPES: dict[str, type[PeerMessage | Hello]] = {
     "Hello": Hello,
     "Vote": RequestVote,
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True)
 class _FieldCodec:
-    """How one field is written and read; chosen once, as the tables are fixed."""
+    """Functions that write and read one field, chosen once at import because the tables are fixed."""
 
     name: str
     attribute: str
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True)
 class _BodyCodec:
-    """How one kind of message is written and read."""
+    """Codecs of all fields of one kind of message."""
 
     envelope_field: str
     message_type: type[PeerMessage | Hello]
@@ -121,9 +121,9 @@
 
 
 def _write_entries(target: ProtoMessage, name: str, entries: tuple[LogEntry, ...]) -> None:
-    stored = getattr(target, name)
+    message_entries = getattr(target, name)
     for entry in entries:
-        added = stored.add(
+        added = message_entries.add(
             index=entry.index, term=entry.term, kind=entry.kind.value, data=entry.data
         )
         if entry.config is not None:
@@ -153,11 +153,11 @@
     name = field.name
     attribute = field.attribute_name
     match field.type:
-        case Part.MEMBERS:
+        case NestedMessage.MEMBERS:
             return _FieldCodec(name, attribute, _write_configuration, _read_configuration)
-        case Part.LOG_ENTRY:
+        case NestedMessage.LOG_ENTRY:
             return _FieldCodec(name, attribute, _write_entries, _read_entries)
-        case Part.HELD:
+        case NestedMessage.HELD:
             return _FieldCodec(name, attribute, _write_epochs, _read_epochs)
         case _ if field.is_repeated:
             return _FieldCodec(name, attribute, _write_repeated, _read_repeated)
@@ -171,14 +171,14 @@
 
 
 _CODECS = [_body_codec(name, message_type) for name, message_type in MESSAGE_TYPES.items()]
-_BY_TYPE = {codec.message_type: codec for codec in _CODECS}
-_BY_ENVELOPE_FIELD = {codec.envelope_field: codec for codec in _CODECS}
+_CODEC_BY_TYPE = {codec.message_type: codec for codec in _CODECS}
+_CODEC_BY_ENVELOPE_FIELD = {codec.envelope_field: codec for codec in _CODECS}
 
 
 def encode(sender: MemberId, recipient: MemberId, body: PeerMessage | Hello) -> bytes:
-    """Returns the bytes of a message."""
+    """Encodes a message."""
     envelope = Envelope(version=VERSION, sender=sender, to=recipient)
-    codec = _BY_TYPE[type(body)]
+    codec = _CODEC_BY_TYPE[type(body)]
     target = getattr(envelope, codec.envelope_field)
     target.SetInParent()
     for field in codec.fields:
@@ -187,7 +187,11 @@
 
 
 def decode(data: bytes) -> AddressedMessage:
-    """Reads a message. Raises PeerMessageError."""
+    """Decodes a message.
+
+    Raises:
+        PeerMessageError: The bytes are not a valid message.
+    """
     try:
         envelope = Envelope.FromString(data)
         body = _read_body(envelope)
@@ -200,7 +204,7 @@
     field_name = envelope.WhichOneof("body")
     if field_name is None:
         return UnsupportedMessage(envelope.version)
-    codec = _BY_ENVELOPE_FIELD[field_name]
+    codec = _CODEC_BY_ENVELOPE_FIELD[field_name]
     source = getattr(envelope, field_name)
     values = {field.attribute: field.read(source, field.name) for field in codec.fields}
     return codec.message_type(**values)
--- a/kelpcourse/shared/peer_framing.py
+++ b/kelpcourse/shared/peer_framing.py
@@ -1,4 +1,4 @@
-"""Length-prefixed messages on a stream: four bytes of length, big-endian, then the message."""
+"""Length-prefixed messages on a stream: a length of four bytes, big-endian, and then the message."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def with_length_prefix(message: bytes) -> bytes:
-    """Returns a message as it is sent."""
+    """Returns a message with its length in front, as it is sent."""
     return len(message).to_bytes(LENGTH_PREFIX_BYTES, "big") + message
 
 
@@ -20,30 +20,37 @@
     """Reads length-prefixed messages from a stream."""
 
     def __init__(self, stream: Stream, limits: Limits) -> None:
-        """Reads from a connected stream."""
+        """Initializes a reader of a connected stream."""
         self._stream = stream
         self._max_message_bytes = limits.max_peer_message_bytes
         self._received = bytearray()
         self._buffer = memoryview(bytearray(limits.initial_read_buffer_bytes))
 
     def next(self, deadline_us: int) -> Coroutine[bytes]:
-        """Reads one message. Raises StreamError, or PeerMessageError if the message is too long."""
+        """Reads one message.
+
+        Raises:
+            StreamError: The connection failed, was closed, or the message was not complete before the deadline.
+            PeerMessageError: The message exceeds the size limit.
+        """
         while True:
             data = self._take_message()
             if data is not None:
                 return data
             count = yield from self._stream.recv_into(self._buffer, deadline_us)
             if not count:
-                raise StreamError("closed")
+                raise StreamError("connection closed")
             self._received += self._buffer[:count]
 
     def _take_message(self) -> bytes | None:
-        """A message that has arrived completely."""
+        """Removes and returns the next message if it was received completely, otherwise None."""
         if len(self._received) < LENGTH_PREFIX_BYTES:
             return None
         size = int.from_bytes(self._received[:LENGTH_PREFIX_BYTES], "big")
         if size > self._max_message_bytes:
-            raise PeerMessageError(f"a message of {size} bytes, {self._max_message_bytes} at most")
+            raise PeerMessageError(
+                f"message of {size} bytes exceeds the limit of {self._max_message_bytes}"
+            )
         end = LENGTH_PREFIX_BYTES + size
         if len(self._received) < end:
             return None
--- a/kelpcourse/shared/peer_schema.py
+++ b/kelpcourse/shared/peer_schema.py
@@ -1,7 +1,8 @@
-"""The protobuf schema of messages between controllers, built at import: no compiler is needed.
+"""The protobuf schema of messages between controllers, built at import so that no protobuf compiler is needed.
 
-`MESSAGES` and `BODIES` are the only place where field numbers stand. Fields are only ever added, under new numbers.
-A field whose name in the schema differs from the attribute that it carries names the attribute.
+Field numbers are defined in `MESSAGES`, `BODY_FIELD_NUMBERS` and `ENVELOPE_FIELDS` only. To stay compatible with
+other versions, fields are added under new numbers and never changed or removed. A `Field` whose name in the schema
+differs from the attribute of the message class specifies that attribute.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 
 PACKAGE = "kelpcourse.shared"
-ProtoMessage: TypeAlias = Any  # classes made at import have no static types
+ProtoMessage: TypeAlias = Any  # classes created at import have no static types
 _FIELD = descriptor_pb2.FieldDescriptorProto
 
 
 class Scalar(Enum):
-    """Types of fields that are no messages."""
+    """Types of fields that are not messages."""
 
     UINT64 = _FIELD.TYPE_UINT64
     SINT64 = _FIELD.TYPE_SINT64
@@ -27,8 +28,8 @@
     BOOL = _FIELD.TYPE_BOOL
 
 
-class Part(Enum):
-    """Messages within messages, by their name in the schema."""
+class NestedMessage(Enum):
+    """Messages nested in other messages, by their name in the schema."""
 
     MEMBERS = "Members"
     LOG_ENTRY = "LogEntry"
@@ -37,17 +38,25 @@
 
 @dataclass(frozen=True)
 class Field:
-    """A field of a message."""
+    """A field of a message.
+
+    Attributes:
+        number: Field number in the schema.
+        name: Name in the schema.
+        type: Type of a value.
+        attribute: Attribute of the message class that contains the value; empty if it has the name of the field.
+        is_repeated: Whether the field contains any number of values.
+    """
 
     number: int
     name: str
-    type: Scalar | Part
-    attribute: str = ""  # of the message's class; empty: as the field
+    type: Scalar | NestedMessage
+    attribute: str = ""
     is_repeated: bool = False
 
     @property
     def attribute_name(self) -> str:
-        """Name of the attribute that the field carries."""
+        """Name of the attribute of the message class that contains the value."""
         return self.attribute or self.name
 
 
@@ -61,7 +70,7 @@
         Field(2, "term", Scalar.UINT64),
         Field(3, "kind", Scalar.STRING),
         Field(4, "data", Scalar.BYTES),
-        Field(5, "members", Part.MEMBERS, "config"),
+        Field(5, "members", NestedMessage.MEMBERS, "config"),
     ),
     "Held": (
         Field(1, "group", Scalar.UINT64),
@@ -83,7 +92,7 @@
         Field(1, "term", Scalar.UINT64),
         Field(2, "prev_index", Scalar.UINT64, "prev_log_index"),
         Field(3, "prev_term", Scalar.UINT64, "prev_log_term"),
-        Field(4, "entries", Part.LOG_ENTRY, is_repeated=True),
+        Field(4, "entries", NestedMessage.LOG_ENTRY, is_repeated=True),
         Field(5, "commit", Scalar.UINT64, "leader_commit"),
         Field(6, "sent_us", Scalar.SINT64),
     ),
@@ -98,7 +107,7 @@
         Field(1, "term", Scalar.UINT64),
         Field(2, "index", Scalar.UINT64, "last_included_index"),
         Field(3, "snap_term", Scalar.UINT64, "last_included_term"),
-        Field(4, "members", Part.MEMBERS, "config"),
+        Field(4, "members", NestedMessage.MEMBERS, "config"),
         Field(5, "offset", Scalar.UINT64, "offset_bytes"),
         Field(6, "data", Scalar.BYTES),
         Field(7, "total", Scalar.UINT64, "total_bytes"),
@@ -113,18 +122,18 @@
     "ElectNow": (Field(1, "term", Scalar.UINT64),),
     "Ask": (
         Field(1, "asked_us", Scalar.SINT64, "sent_us"),
-        Field(2, "holds", Part.HELD, "epochs", is_repeated=True),
+        Field(2, "holds", NestedMessage.HELD, "epochs", is_repeated=True),
     ),
     "Renewed": (
         Field(1, "asked_us", Scalar.SINT64, "request_sent_us"),
-        Field(2, "holds", Part.HELD, "epochs", is_repeated=True),
+        Field(2, "holds", NestedMessage.HELD, "epochs", is_repeated=True),
     ),
     "Tell": (Field(1, "facts", Scalar.BYTES, "commands", is_repeated=True),),
     "Hello": (Field(1, "member", Scalar.STRING),),
 }
 
-# The envelope's bodies, by their field numbers there.
-BODIES: dict[str, int] = {
+# Field numbers of the bodies in the envelope, by message.
+BODY_FIELD_NUMBERS: dict[str, int] = {
     "Hello": 16,
     "Vote": 17,
     "VoteReply": 18,
@@ -145,7 +154,7 @@
 
 
 def body_field_name(message_name: str) -> str:
-    """Returns the envelope's field for a message."""
+    """Returns the name of the envelope's field that contains a message."""
     return message_name.lower()
 
 
@@ -157,7 +166,7 @@
         _add_message(file, name, fields)
     envelope = _add_message(file, "Envelope", ENVELOPE_FIELDS)
     envelope.oneof_decl.add(name="body")
-    for name, number in BODIES.items():
+    for name, number in BODY_FIELD_NUMBERS.items():
         envelope.field.add(
             name=body_field_name(name),
             number=number,
@@ -176,7 +185,7 @@
     for field in fields:
         added = message.field.add(name=field.name, number=field.number)
         added.label = _FIELD.LABEL_REPEATED if field.is_repeated else _FIELD.LABEL_OPTIONAL
-        if isinstance(field.type, Part):
+        if isinstance(field.type, NestedMessage):
             added.type = _FIELD.TYPE_MESSAGE
             added.type_name = f".{PACKAGE}.{field.type.value}"
         else:
--- a/tests/test_peer_bytes.py
+++ b/tests/test_peer_bytes.py
@@ -1,4 +1,4 @@
-"""The bytes of every message between controllers, as revision 5b4a458 wrote them: read and written the same."""
+"""Every message between controllers is still encoded to and decoded from the bytes of revision 5b4a458."""
 
 from __future__ import annotations
 
@@ -40,14 +40,17 @@
         "9a014b080310041802220e080510031a046461746122027800221d080610031a06636f6e6669672a0f"
         "0a036140310a036240321203634033220d080710031a076e6f7468696e672804308eda9601",
     ),
-    "append of nothing": (AppendEntries(0, 0, 0, (), 0, -9), "9a01023011"),
+    "append without entries": (AppendEntries(0, 0, 0, (), 0, -9), "9a01023011"),
     "append reply": (AppendEntriesReply(3, True, 5, 6, 7), "a2010a0803100118052006280e"),
-    "append reply of no": (AppendEntriesReply(3, False, 5, 6, 7), "a20108080318052006280e"),
+    "append reply without success": (
+        AppendEntriesReply(3, False, 5, 6, 7),
+        "a20108080318052006280e",
+    ),
     "piece": (
         InstallSnapshot(3, 9, 2, CONFIG, 16, b"part", 99, 1),
         "aa0123080310091802220f0a036140310a036240321203634033281032047061727438634002",
     ),
-    "piece without members": (
+    "piece with an empty configuration": (
         InstallSnapshot(3, 9, 2, Configuration(frozenset()), 0, b"", 0, 1),
         "aa010a08031009180222004002",
     ),
@@ -57,29 +60,29 @@
     "renewed": (LeaseReply(5, {}), "ca0102080a"),
     "renewed with a group": (LeaseReply(5, {300: 70_000}), "ca010b080a120708ac0210f0a204"),
     "tell": (ForwardedCommands((b"a", b"")), "d201050a01610a00"),
-    "tell of nothing": (ForwardedCommands(()), "d20100"),
+    "tell without commands": (ForwardedCommands(()), "d20100"),
 }
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_each_message_has_the_bytes_that_it_had(name: str) -> None:
+def test_encoded_bytes_are_unchanged(name: str) -> None:
     body, expected = MESSAGES[name]
     assert peer_codec.encode("a@1", "b@2", body).hex() == ENVELOPE + expected
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_the_bytes_of_each_message_are_read_as_before(name: str) -> None:
+def test_recorded_bytes_are_decoded(name: str) -> None:
     body, data = MESSAGES[name]
     assert peer_codec.decode(bytes.fromhex(ENVELOPE + data)) == AddressedMessage("a@1", "b@2", body)
 
 
-def test_an_envelope_without_a_known_body_is_unknown() -> None:
+def test_envelope_without_known_body_is_unsupported() -> None:
     assert peer_codec.decode(bytes.fromhex(ENVELOPE)) == AddressedMessage(
         "a@1", "b@2", UnsupportedMessage(1)
     )
 
 
-def test_an_unknown_kind_of_entry_is_named() -> None:
+def test_error_contains_the_unknown_entry_kind() -> None:
     data = bytes.fromhex(ENVELOPE + MESSAGES["append"][1]).replace(b"nothing", b"nonsens")
     with pytest.raises(PeerMessageError, match="nonsens"):
         peer_codec.decode(data)
--- a/tests/test_peer_codec.py
+++ b/tests/test_peer_codec.py
@@ -1,4 +1,4 @@
-"""The codec of messages between controllers."""
+"""Tests of the codec of messages between controllers."""
 
 from __future__ import annotations
 
@@ -53,31 +53,33 @@
 
 
 @pytest.mark.parametrize("body", BODIES)
-def test_each_message_survives_encoding(body: PeerMessage | Hello) -> None:
+def test_encoded_message_decodes_to_the_same_value(body: PeerMessage | Hello) -> None:
     assert peer_codec.decode(peer_codec.encode("a@1", "b@2", body)) == AddressedMessage(
         "a@1", "b@2", body
     )
 
 
-def test_a_message_of_the_next_version_is_understood_as_far_as_possible() -> None:
-    """Fields and bodies that are not known yet: here under numbers that this version does not use."""
-    later = peer_codec.encode("a", "b", TimeoutNow(3)) + b"\xa2\x06\x03new"
-    assert peer_codec.decode(later) == AddressedMessage("a", "b", TimeoutNow(3))
-    assert (
-        b"\xa2\x06\x03new" in Envelope.FromString(later).SerializeToString()
-    )  # kept, as it is not ours to drop
-    other = Envelope(version=2, sender="a", to="b").SerializeToString() + b"\xfa\x07\x00"
-    assert peer_codec.decode(other) == AddressedMessage("a", "b", UnsupportedMessage(2))
+def test_unknown_fields_and_bodies_of_a_later_version_are_tolerated() -> None:
+    """An unknown field is ignored and an unknown body is decoded as unsupported.
+
+    The field and the body have numbers that this version does not use.
+    """
+    message = peer_codec.encode("a", "b", TimeoutNow(3)) + b"\xa2\x06\x03new"
+    assert peer_codec.decode(message) == AddressedMessage("a", "b", TimeoutNow(3))
+    # protobuf keeps the unknown field when it encodes the message again.
+    assert b"\xa2\x06\x03new" in Envelope.FromString(message).SerializeToString()
+    unsupported = Envelope(version=2, sender="a", to="b").SerializeToString() + b"\xfa\x07\x00"
+    assert peer_codec.decode(unsupported) == AddressedMessage("a", "b", UnsupportedMessage(2))
 
 
 @given(st.binary(max_size=80))
 @settings(max_examples=400, deadline=None, derandomize=True)
-def test_random_bytes_raise_nothing_but_a_peer_message_error(data: bytes) -> None:
+def test_invalid_bytes_raise_only_peer_message_errors(data: bytes) -> None:
     with contextlib.suppress(PeerMessageError):
         peer_codec.decode(data)
 
 
-def test_an_unknown_entry_kind_is_rejected() -> None:
+def test_unknown_entry_kind_is_rejected() -> None:
     body = AppendEntries(1, 0, 0, (LogEntry(1, 1, EntryKind.DATA, b""),), 0, 0)
     with pytest.raises(PeerMessageError):
         peer_codec.decode(peer_codec.encode("a", "b", body).replace(b"data", b"dada"))
