--- a/kelpcourse/shared/member.py
+++ b/kelpcourse/shared/member.py
@@ -1,4 +1,4 @@
-"""A member in its process: the controller's step function with its storage, its peers and the clock."""
+"""A member of a cluster: the controller's step function connected to storage, peers and the clock."""
 
 from __future__ import annotations
 
@@ -33,23 +33,39 @@
 
 Supervise = Callable[[str, Callable[[], Coroutine[None]]], None]
 
-STORAGE_POLL_US = 5_000  # while the storage is not ready at a start
+STORAGE_POLL_US = 5_000  # polling interval while the storage is not ready after a start
 
 
 @dataclass(frozen=True)
 class MemberSettings:
-    """What a member is told about itself and its peers."""
+    """Settings of a member and its peers.
+
+    Attributes:
+        name: Name of the member in the settings.
+        address: Address on which the member listens for its peers.
+        peer_addresses: Addresses of the other controllers by name.
+        state_folder: Folder of the persistent state.
+        bootstrap: Whether an empty folder starts a new cluster with this member alone.
+        tls: Function that returns the current TLS contexts, or None for connections without TLS.
+    """
 
     name: str
     address: Address
-    peer_addresses: Mapping[str, Address]  # by name
+    peer_addresses: Mapping[str, Address]
     state_folder: Path
-    bootstrap: bool  # begin a new cluster with this member alone, if the folder is empty
+    bootstrap: bool
     tls: Callable[[], TlsContexts | None]
 
 
 class FleetMember:
-    """Runs a controller: carries out what its step function puts out."""
+    """Runs a controller and carries out the output of its step function.
+
+    Attributes:
+        member_id: Id of this member.
+        controller: The step function; None until the storage is ready and after the member has halted.
+        address: Address on which this member listens for its peers.
+        halt_reason: Reason why the member has halted; empty if it has not.
+    """
 
     def __init__(
         self,
@@ -62,11 +78,11 @@
         runner: JobRunner,
         on_event: Callable[[ControllerEvent], None],
     ) -> None:
-        """Opens storage and the listening socket; `start` starts the coroutines.
+        """Opens the storage and the listening socket; `start` starts the coroutines.
 
         Raises:
-            StateLostError: The state folder does not hold all that was promised.
-            InUse: Another process holds the folder.
+            StateLostError: The state folder lacks state that this member has acknowledged.
+            FolderInUseError: Another process uses the folder.
             OSError: The folder or the address can't be used.
         """
         self._loop = loop
@@ -116,7 +132,7 @@
         supervise("shared", self.run)
 
     def run(self) -> Coroutine[None]:
-        """Runs the step function once the storage is ready: before that it can promise nothing."""
+        """Runs the step function once the storage is ready; before, the member could not store what it acknowledges."""
         while not self._storage.is_ready and not self.halt_reason:
             yield Wait(self._loop.clock() + STORAGE_POLL_US)
         if not self.halt_reason and self.controller is None:
@@ -143,7 +159,7 @@
         )
 
     def close(self) -> None:
-        """Closes the socket and releases the folder."""
+        """Closes the connections and releases the state folder."""
         self._peers.close()
         self._storage.close()
 
@@ -160,7 +176,7 @@
             self._process_output()
 
     def _on_storage_failed(self, reason: str) -> None:
-        """Ends this member's part in the cluster: its leases expire, and others take over."""
+        """Halts this member: its leases expire, and other members take over its groups."""
         self.halt_reason = reason
         self.controller = None
         self._counters.add("member_halts")
@@ -173,7 +189,7 @@
             self._process_output()
 
     def epoch(self, group: GroupId) -> int | None:
-        """Returns under which epoch the group may be ordered for now, or None."""
+        """Returns the epoch under which orders may be sent for a proxy group at present, or None."""
         if self.controller is None:
             return None
         return self.controller.epoch(group, self._loop.clock())
@@ -181,33 +197,40 @@
     # Operators' commands
 
     def add(self, name: str) -> str:
-        """Adds a running controller: as a learner first, and as a voter once it has caught up.
+        """Adds a running controller as a learner, or promotes a learner that has caught up to a voter.
 
         Returns:
-            What was done.
+            Text that describes the change.
 
         Raises:
-            RequestRejectedError: This member does not lead, or the controller can't be added now.
+            RequestRejectedError: This member is not the leader, or the controller can't be added at present.
         """
         controller = self._leading_controller()
         member = self._peers.members.get(name)
         if member is None:
             raise MembershipChangeError(
-                f"{name} has not said Hello: is it running, and is it in the settings?"
+                f"{name} has not connected: check that it is running and in the settings"
             )
         config = controller.raft.config
         if member in config.voters:
-            raise MembershipChangeError(f"{member} is a voter already")
+            raise MembershipChangeError(f"{member} is already a voter")
         if member not in config.learners:
             proposed = Configuration(config.voters, config.learners | {member})
             self._change_membership(controller, proposed)
-            return f"{member} learns"
+            return f"{member} is now a learner"
         proposed = Configuration(config.voters | {member}, config.learners - {member})
         self._change_membership(controller, proposed)
-        return f"{member} votes"
+        return f"{member} is now a voter"
 
     def remove(self, name: str) -> str:
-        """Removes a member; returns what was done. Raises RequestRejectedError."""
+        """Removes a member from the cluster.
+
+        Returns:
+            Text that describes the change.
+
+        Raises:
+            RequestRejectedError: This member is not the leader, or the member can't be removed at present.
+        """
         controller = self._leading_controller()
         config = controller.raft.config
         removed = _members_named(name, config)
@@ -216,7 +239,14 @@
         return f"{', '.join(sorted(removed))} removed"
 
     def transfer(self, name: str) -> str:
-        """Transfers leadership; returns what was done. Raises RequestRejectedError."""
+        """Transfers leadership to another voter.
+
+        Returns:
+            Text that describes the change.
+
+        Raises:
+            RequestRejectedError: This member is not the leader, or the target is not another voter.
+        """
         controller = self._leading_controller()
         target = name
         for member in controller.raft.config.voters:
@@ -226,18 +256,24 @@
         controller.raft.transfer_leadership(target)
         controller.tick(self._loop.clock())
         self._process_output()
-        return f"leadership goes to {target}"
+        return f"leadership is being transferred to {target}"
 
     def drain(self, name: str, is_drained: bool = True) -> str:
-        """Lets a member hold no group, or takes that back; returns what was done.
+        """Drains a member, so that it holds no proxy group, or ends the drain.
+
+        The drain is stored in the replicated log, so that it also applies under later leaders.
+
+        Returns:
+            Text that describes the change.
 
-        Goes through the log, so that every later leader knows it. Raises RequestRejectedError.
+        Raises:
+            RequestRejectedError: This member is not the leader, or no member has this name.
         """
         controller = self._leading_controller()
         members = sorted(_members_named(name, controller.raft.config))
         for member in members:
             self.submit(SetMemberDrained(member, is_drained))
-        effect = "holds nothing any more" if is_drained else "may hold groups again"
+        effect = "is being drained" if is_drained else "is no longer drained"
         return f"{', '.join(members)} {effect}"
 
     def _leading_controller(self) -> Controller:
@@ -252,7 +288,10 @@
     # Output
 
     def _process_output(self) -> None:
-        """Writes before messages; the step function itself holds back what rests on a write."""
+        """Carries out the controller's output, writes first.
+
+        The step function itself delays messages that depend on a write until that write is durable.
+        """
         if self.controller is None:
             return
         output = self.controller.take_output()
@@ -280,15 +319,19 @@
         self._on_event(event)
 
     def status(self) -> dict[str, object]:
-        """Returns what this controller knows, as `kelpcourse shared status` shows it."""
+        """Returns this controller's view of the cluster, as shown by `kelpcourse shared status`."""
         if self.controller is None:
             return {"member": self.member_id, "halted": self.halt_reason}
         return controller_status(self.controller, self._loop.clock())
 
 
 def _members_named(name: str, config: Configuration) -> set[MemberId]:
-    """Members by a name, or by a name with its token. Raises MembershipChangeError."""
+    """Returns the members with a name, or the member with a name and token.
+
+    Raises:
+        MembershipChangeError: There is no such member.
+    """
     members = {member for member in config.members if name in (member, member_name(member))}
     if not members:
-        raise MembershipChangeError(f"{name} is no member")
+        raise MembershipChangeError(f"{name} is not a member")
     return members
--- a/kelpcourse/shared/peers.py
+++ b/kelpcourse/shared/peers.py
@@ -1,7 +1,8 @@
-"""Connections among controllers: each dials every other one and sends on that connection only.
+"""Connections among controllers: each controller connects to every other one and sends on that connection only.
 
-A connection begins with `Hello` and carries length-prefixed messages. With TLS the name in a certificate must be the
-name of the member that speaks. Messages are not kept for a peer that is away: Raft sends again by itself.
+A connection starts with `Hello` and carries length-prefixed messages. With TLS, the common name in a certificate must
+be the name of the sending member. Messages queued while a peer is not connected are discarded, because Raft repeats
+what is still needed.
 """
 
 from __future__ import annotations
@@ -30,35 +31,40 @@
 from kelpcourse.wire.stream import Address, Stream, connect, listen
 from kelpcourse.wire.tls import TlsStream
 
-UNEXPECTED_READ_BYTES = 512  # nothing but the connection's end is expected
+# Size of the read buffer of outgoing connections, on which peers send nothing but the end of the connection.
+CLOSE_CHECK_BUFFER_BYTES = 512
 MEMBER_TOKEN_SEPARATOR = "@"
 
 
 @dataclass(frozen=True)
 class TlsContexts:
-    """Contexts for connections of both directions; replaced when certificates are renewed."""
+    """TLS contexts for incoming and outgoing connections, replaced when certificates are renewed."""
 
     server: ssl.SSLContext
     client: ssl.SSLContext
 
 
 def member_name(member: MemberId) -> str:
-    """Returns a member's name without the token of its disk."""
+    """Returns a member's name without the token of its state folder."""
     return member.partition(MEMBER_TOKEN_SEPARATOR)[0]
 
 
 class OutboundQueue:
-    """Messages to one peer; the oldest are dropped when too many wait."""
+    """Queue of messages to one peer, which drops the oldest message when it is full."""
 
     def __init__(self, name: str, address: Address, max_messages: int) -> None:
-        """Starts empty."""
+        """Initializes an empty queue."""
         self.name = name
         self.address = address
         self.messages: deque[bytes] = deque(maxlen=max_messages)
         self.not_empty = Signal()
 
     def put(self, message: bytes) -> bool:
-        """Adds a message; false: an older one was dropped for it."""
+        """Adds a message.
+
+        Returns:
+            False if the oldest message was dropped to make room.
+        """
         is_full = len(self.messages) == self.messages.maxlen
         self.messages.append(message)
         self.not_empty.set()
@@ -66,7 +72,12 @@
 
 
 class Peers:
-    """All connections of one member."""
+    """All connections of one member.
+
+    Attributes:
+        members: Member that sent the latest valid `Hello` under each name.
+        address: Address on which this member listens.
+    """
 
     def __init__(
         self,
@@ -80,21 +91,21 @@
         tls: Callable[[], TlsContexts | None],
         on_message: Callable[[MemberId, PeerMessage], None],
     ) -> None:
-        """Listens at `address`; `start` starts the coroutines.
+        """Opens the listening socket; `start` starts the coroutines.
 
         Args:
-            loop: Runs the coroutines.
-            limits: Of connections and messages.
-            counters: Of the process.
-            log: Of the process.
-            member_id: This member.
-            address: Where to listen.
-            peer_addresses: The other controllers, by name.
-            tls: Returns the current contexts, or None for plain connections.
-            on_message: Called with the sender and its message.
+            loop: Loop that runs the coroutines.
+            limits: Limits of connections and messages.
+            counters: Counters of the process.
+            log: Log of the process.
+            member_id: Id of this member.
+            address: Address to listen on.
+            peer_addresses: Addresses of the other controllers by name.
+            tls: Function that returns the current TLS contexts, or None for connections without TLS.
+            on_message: Function that is called with the sender and the message.
 
         Raises:
-            OSError: The address can't be listened at.
+            OSError: The address can't be listened on.
         """
         self._loop = loop
         self._limits = limits
@@ -107,10 +118,10 @@
             name: OutboundQueue(name, peer_address, limits.max_queued_peer_messages)
             for name, peer_address in peer_addresses.items()
         }
-        self.members: dict[str, MemberId] = {}  # by name: who last said Hello under it
+        self.members: dict[str, MemberId] = {}
         self._socket = listen(address, limits.listen_backlog)
         self._connection_count = 0
-        self._incoming: list[Task] = []
+        self._incoming_tasks: list[Task] = []
         self.address: Address = self._socket.getsockname()[:2]
 
     def start(self, supervise: Callable[[str, Callable[[], Coroutine[None]]], None]) -> None:
@@ -120,13 +131,13 @@
             supervise("peer out", lambda queue=queue: self._send_all(queue))  # type: ignore[misc]
 
     def close(self) -> None:
-        """Stops what comes in."""
-        for task in self._incoming:
+        """Closes the listening socket and stops the coroutines of incoming connections."""
+        for task in self._incoming_tasks:
             self._loop.stop(task)
         self._socket.close()
 
     def send(self, recipient: MemberId, message: PeerMessage) -> None:
-        """Queues a message, if the recipient is in the settings."""
+        """Queues a message; a message to a recipient that is not in the settings is dropped and counted."""
         queue = self._queues.get(member_name(recipient))
         if queue is None:
             self._counters.add("peer_messages_lost")
@@ -154,7 +165,7 @@
             if tls is not None:
                 stream = TlsStream(stream, tls.client, False, queue.name)
                 yield from stream.handshake(clock() + self._limits.peer_handshake_timeout_us)
-            queue.messages.clear()  # what waited while the peer was away is obsolete
+            queue.messages.clear()  # messages queued while the peer was not connected are obsolete
             yield from self._send_hello(stream)
             backoff.reset()
             self._log.event("peer_connected", peer=queue.name)
@@ -168,7 +179,7 @@
             queue.not_empty.clear()
             while queue.messages:
                 yield from self._send_message(stream, queue.messages.popleft())
-            # The peer sends nothing here: what can be read is the connection's end, or TLS's own.
+            # The peer sends no messages here: readable data means the end of the connection, or data of TLS itself.
             woken = yield Wait(
                 clock() + self._limits.peer_heartbeat_us,
                 stream.sock.fileno(),
@@ -178,17 +189,17 @@
             if woken is WakeReason.READY:
                 yield from self._check_open(stream)
             elif woken is WakeReason.TIMED_OUT:
-                # A heartbeat: two followers have nothing else to say to each other.
+                # Two followers exchange no other messages, so without heartbeats their connection would time out.
                 yield from self._send_hello(stream)
 
     def _check_open(self, stream: Stream) -> Coroutine[None]:
-        buffer = memoryview(bytearray(UNEXPECTED_READ_BYTES))
+        buffer = memoryview(bytearray(CLOSE_CHECK_BUFFER_BYTES))
         try:
             count = yield from stream.recv_into(buffer, self._loop.clock())
-        except StreamTimeoutError:  # TLS has taken what came for itself
+        except StreamTimeoutError:  # only TLS itself had data to process
             return
         if not count:
-            raise StreamError("closed")
+            raise StreamError("connection closed")
 
     def _send_hello(self, stream: Stream) -> Coroutine[None]:
         hello = encode(self._member_id, "", Hello(self._member_id))
@@ -217,9 +228,9 @@
             if self._connection_count >= self._limits.max_peer_connections:
                 connection.close()
                 continue
-            self._incoming = [task for task in self._incoming if task.wait is not None]
+            self._incoming_tasks = [task for task in self._incoming_tasks if task.wait is not None]
             task = self._loop.start("peer in", self._receive_all(Stream(connection)))
-            self._incoming.append(task)
+            self._incoming_tasks.append(task)
 
     def _receive_all(self, stream: Stream) -> Coroutine[None]:
         self._connection_count += 1
@@ -236,8 +247,8 @@
             hello = self._decode((yield from reader.next(deadline_us)))
             self._check_hello(hello, certified_name)
             while True:
-                silence_us = clock() + self._limits.peer_silence_timeout_us
-                message = self._decode((yield from reader.next(silence_us)))
+                silence_deadline_us = clock() + self._limits.peer_silence_timeout_us
+                message = self._decode((yield from reader.next(silence_deadline_us)))
                 self._handle(message, hello.sender)
         except (StreamError, PeerMessageError) as error:
             self._counters.add("peer_connections_closed")
@@ -253,22 +264,24 @@
     def _check_hello(self, message: AddressedMessage, certified_name: str | None) -> None:
         name = member_name(message.sender)
         if not isinstance(message.body, Hello) or message.body.member != message.sender:
-            raise PeerMessageError("a connection that does not begin with its member")
+            raise PeerMessageError("the first message is not a Hello of its sender")
         if name not in self._queues:
-            raise PeerMessageError(f"{name!r:.60} is no member in the settings")
+            raise PeerMessageError(f"{name!r:.60} is not a member in the settings")
         if certified_name is not None and certified_name != name:
-            raise PeerMessageError(f"{name!r:.60} with the certificate of {certified_name!r:.60}")
+            raise PeerMessageError(
+                f"{name!r:.60} presented the certificate of {certified_name!r:.60}"
+            )
         self.members[name] = message.sender
 
-    def _handle(self, message: AddressedMessage, connected: MemberId) -> None:
-        if message.sender != connected:
+    def _handle(self, message: AddressedMessage, connected_member: MemberId) -> None:
+        if message.sender != connected_member:
             raise PeerMessageError(
-                f"a message of {message.sender!r:.60} on the connection of {connected!r:.60}"
+                f"message from {message.sender!r:.60} on the connection of {connected_member!r:.60}"
             )
         if isinstance(message.body, UnsupportedMessage | Hello):
             self._counters.add("peer_messages_unknown")
         elif message.recipient != self._member_id:
-            # For this name with another disk, which is another member.
+            # The recipient has the name of this member but another state folder, so it is another member.
             self._counters.add("peer_messages_misrouted")
         else:
-            self._on_message(connected, message.body)
+            self._on_message(connected_member, message.body)
--- a/kelpcourse/shared/storage.py
+++ b/kelpcourse/shared/storage.py
@@ -1,7 +1,7 @@
-"""A member's persistent state on disk. One failure ends the member's part in the cluster.
+"""A member's persistent state on disk. A member halts after the first failed write.
 
-A member whose write failed does not know what it has promised and kept. It halts, its leases expire, and another
-member takes over; a restart reads what the disk holds.
+After a failed write it is unknown which changes are durable, so the member could break what it has acknowledged. Once
+it has halted, its leases expire and another member takes over; a restart continues with what the disk contains.
 """
 
 from __future__ import annotations
@@ -38,7 +38,12 @@
 
 
 class MemberStorage:
-    """The persistent state of one member, in a folder of its own."""
+    """The persistent state of one member, in a folder of its own.
+
+    Attributes:
+        warnings: Problems that were found when the folder was opened.
+        member_id: Name of the member and token of the folder.
+    """
 
     def __init__(
         self,
@@ -54,32 +59,32 @@
         """Opens the folder, or creates it.
 
         Args:
-            path: The folder.
-            name: The controller's name in the settings.
-            bootstrap: Whether an empty folder begins a new cluster with this member alone.
-            loop: Runs the writer.
-            limits: Of the journal.
-            runner: Runs calls that block on the disk.
-            on_written: Called with the number of the last write that is durable.
-            on_failed: Called with the reason once a write has failed.
+            path: Path of the folder.
+            name: Name of the controller in the settings.
+            bootstrap: Whether an empty folder starts a new cluster with this member alone.
+            loop: Loop that runs the writer.
+            limits: Limits of the journal.
+            runner: Runner for operations that block on the disk.
+            on_written: Function that is called with the number of the last write that is durable.
+            on_failed: Function that is called with the reason when the first write fails.
 
         Raises:
-            StateLostError: The folder does not hold all that was promised.
-            InUse: Another process holds the folder.
+            StateLostError: The folder lacks state that the member has acknowledged.
+            FolderInUseError: Another process uses the folder.
             OSError: The folder can't be read or written.
         """
         journal = Journal(Folder(path))
-        found = journal.open()
-        self.warnings: list[RecoveryWarning] = found.warnings
+        recovered = journal.open()
+        self.warnings: list[RecoveryWarning] = recovered.warnings
         token_path = path / TOKEN_FILE
         try:
-            _check_complete(found, path, name, token_path)
+            _check_complete(recovered, path, name, token_path)
         except StateLostError:
             journal.close()
             raise
         self.member_id = _member_id(token_path, name)
-        self._state = self._recover(found, bootstrap)
-        journal.begin(found, self._encoded_state())
+        self._state = self._recover(recovered, bootstrap)
+        journal.begin(recovered, self._encoded_state())
         self._on_written = on_written
         self._on_failed = on_failed
         self._halted = False
@@ -87,27 +92,27 @@
             loop,
             limits,
             journal,
-            found,
+            recovered,
             runner,
             self._encoded_state,
             self._on_settled,
             self._on_job_failed,
         )
 
-    def _recover(self, found: Recovered, bootstrap: bool) -> PersistentState:
+    def _recover(self, recovered: Recovered, bootstrap: bool) -> PersistentState:
         try:
-            if found.snapshot:
-                start = decode_state(found.snapshot)
+            if recovered.snapshot:
+                start = decode_state(recovered.snapshot)
             else:
                 voters = frozenset({self.member_id}) if bootstrap else frozenset[MemberId]()
                 start = initial_state(Configuration(voters))
-            return replay(start, [record.payload for record in found.records])
+            return replay(start, [record.payload for record in recovered.records])
         except msgspec.DecodeError as error:
             raise StateLostError(f"an entry can't be read: {error}") from error
 
     @property
     def state(self) -> PersistentState:
-        """What is durable."""
+        """The durable state."""
         return self._state
 
     @property
@@ -116,13 +121,13 @@
         return not self._writer.broken
 
     def write(self, writes: Sequence[StateWrite]) -> None:
-        """Starts to make writes durable; `on_written` is called later."""
+        """Queues writes; `on_written` is called once they are durable."""
         for write in writes:
             if not self._halted and not self._writer.stage(encode_write(write), write):
                 self._halt("a write was rejected")
 
     def run(self) -> Coroutine[None]:
-        """The writer's coroutine."""
+        """Runs the writer, indefinitely."""
         yield from self._writer.run()
 
     def _encoded_state(self) -> bytes:
@@ -146,24 +151,28 @@
             self._on_failed(reason)
 
     def close(self) -> None:
-        """Waits for the write under way, and releases the folder."""
+        """Waits for the running write and releases the folder."""
         self._writer.close()
 
 
-def _check_complete(found: Recovered, path: Path, name: str, token_path: Path) -> None:
-    """Checks that nothing of what the member promised is lost. Raises StateLostError."""
-    alarming = [warning for warning in found.warnings if warning.alarming]
-    is_empty = found.snapshot is None
+def _check_complete(recovered: Recovered, path: Path, name: str, token_path: Path) -> None:
+    """Checks that no state is lost that the member has acknowledged.
+
+    Raises:
+        StateLostError: The folder has lost state or is damaged.
+    """
+    alarming = [warning for warning in recovered.warnings if warning.alarming]
+    is_empty = recovered.snapshot is None
     if is_empty and (token_path.exists() or alarming):
         raise StateLostError(
-            f"{path} has lost what {name} promised; remove the folder and add the member again"
+            f"{path} has lost state of {name}; remove the folder and add the member again"
         )
     if alarming:
         raise StateLostError(f"{path} is damaged: {'; '.join(r.problem for r in alarming)}")
 
 
 def _member_id(token_path: Path, name: str) -> MemberId:
-    """The name and a token that this folder keeps: with an empty folder it is another member."""
+    """Returns the name with the folder's token, which is created if needed: an empty folder makes a new member."""
     if not token_path.exists():
         temporary = token_path.with_name(f"{TOKEN_FILE}.tmp")
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
--- a/tests/test_member.py
+++ b/tests/test_member.py
@@ -1,4 +1,4 @@
-"""Members as they run: on sockets with TLS, with disks in threads, killed and restarted."""
+"""Tests of members with TLS connections and storage threads that are killed and restarted."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @pytest.fixture
 def rig(tmp_path: Path) -> Iterator[Rig]:
-    made = Rig(tmp_path, 3, True)
-    yield made
-    made.close()
+    member_rig = Rig(tmp_path, 3, True)
+    yield member_rig
+    member_rig.close()
 
 
-def test_a_cluster_starts_with_one_member_grows_and_shares_its_groups(rig: Rig) -> None:
+def test_cluster_of_one_member_grows_and_distributes_proxy_groups(rig: Rig) -> None:
     for name in rig.names:
         rig.start(name)
     rig.add_all_voters()
@@ -29,7 +29,7 @@
     leader = rig.leader()
     assert leader is not None
     assert leader.status()["voters"] == sorted(m.member_id for m in rig.members.values())
-    with pytest.raises(RequestRejectedError, match="is a voter already"):
+    with pytest.raises(RequestRejectedError, match="is already a voter"):
         leader.add(next(n for n in rig.names if rig.members[n] is not leader))
     follower = next(m for m in rig.members.values() if m is not leader)
     with pytest.raises(RequestRejectedError, match="not the leader"):
@@ -38,29 +38,29 @@
     rig.run_until(lambda: all(m.status()["withdrawn"] == ["h"] for m in rig.members.values()))
 
 
-def test_a_killed_member_is_replaced_and_returns_with_its_state(rig: Rig) -> None:
+def test_killed_member_is_replaced_and_restarts_with_its_state(rig: Rig) -> None:
     for name in rig.names:
         rig.start(name)
     rig.add_all_voters()
     rig.run_until(lambda: len(rig.holders()) == 6)
     leader = rig.leader()
     assert leader is not None
-    victim = next(n for n, m in rig.members.items() if m is leader)
-    me = leader.member_id
-    rig.kill(victim)
+    killed_name = next(n for n, m in rig.members.items() if m is leader)
+    member_id = leader.member_id
+    rig.kill(killed_name)
     rig.run_until(lambda: len(rig.holders()) == 6 and rig.leader() is not None)
-    assert victim not in rig.holders().values()
-    again = rig.start(victim)
-    assert again.member_id == me
+    assert killed_name not in rig.holders().values()
+    restarted = rig.start(killed_name)
+    assert restarted.member_id == member_id
     rig.run_until(lambda: len(set(rig.holders().values())) == 3)
 
 
-def test_a_member_with_a_wrong_certificate_is_rejected(rig: Rig) -> None:
+def test_member_with_the_certificate_of_another_is_rejected(rig: Rig) -> None:
     rig.start("n0")
     rig.start("n1", certificate="n2")
     rig.run_until(
         lambda: any(
-            "with the certificate of" in str(line["reason"])
+            "presented the certificate of" in str(line["reason"])
             or "Hostname mismatch" in str(line["reason"])
             for line in [
                 *rig.log.named("peer_connection_closed"),
@@ -70,5 +70,5 @@
     )
     leader = rig.members["n0"]
     rig.run_until(lambda: leader.status().get("role") == "leader")
-    with pytest.raises(RequestRejectedError, match="has not said Hello"):
+    with pytest.raises(RequestRejectedError, match="has not connected"):
         leader.add("n1")
--- a/tests/test_shared_processes.py
+++ b/tests/test_shared_processes.py
@@ -1,4 +1,4 @@
-"""Controllers as processes, and the commands to them."""
+"""Tests of controllers that run as processes and are managed by commands."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Processes:
-    """Three controllers, each a process of its own, and the commands to them."""
+    """Three controllers, each in a process of its own, and the commands to them."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -50,18 +50,22 @@
             stdout=subprocess.DEVNULL,
         )
 
-    def say(self, name: str, word: str, *words: str) -> Result:
-        return CliRunner().invoke(cli, ["shared", word, str(self.folder / f"{name}.kdl"), *words])
+    def run_command(self, name: str, command: str, *arguments: str) -> Result:
+        return CliRunner().invoke(
+            cli, ["shared", command, str(self.folder / f"{name}.kdl"), *arguments]
+        )
 
     def status(self, name: str) -> dict[str, Any]:
-        """Empty while it does not answer yet."""
-        told: dict[str, Any] = orjson.loads(self.say(name, "status", "--json").stdout or "{}")
-        return told
+        """Returns the status of a controller; empty while it does not respond yet."""
+        status: dict[str, Any] = orjson.loads(
+            self.run_command(name, "status", "--json").stdout or "{}"
+        )
+        return status
 
-    def until(self, what: Callable[[], object]) -> None:
-        ends = time.monotonic() + 60
-        while not what():
-            assert time.monotonic() < ends, {name: self.status(name) for name in self.running}
+    def run_until(self, condition: Callable[[], object]) -> None:
+        deadline_s = time.monotonic() + 60
+        while not condition():
+            assert time.monotonic() < deadline_s, {name: self.status(name) for name in self.running}
 
     def holders(self, name: str) -> set[str]:
         return {g["holder"].partition("@")[0] for g in self.status(name).get("groups", [])}
@@ -74,36 +78,41 @@
 
 @pytest.fixture
 def processes(tmp_path: Path) -> Iterator[Processes]:
-    made = Processes(tmp_path)
-    yield made
-    made.close()
+    controllers = Processes(tmp_path)
+    yield controllers
+    controllers.close()
 
 
-def test_a_cluster_is_run_by_commands_and_survives_a_killed_leader(processes: Processes) -> None:
+def test_commands_manage_a_cluster_that_survives_a_killed_leader(processes: Processes) -> None:
     for name in ("n0", "n1", "n2"):
         processes.start(name)
-    processes.until(lambda: processes.status("n0").get("role") == "leader")
-    refused = processes.say("n1", "add", "n2")
-    assert (refused.exit_code, "not the leader" in refused.stderr) == (2, True)
+    processes.run_until(lambda: processes.status("n0").get("role") == "leader")
+    result = processes.run_command("n1", "add", "n2")
+    assert (result.exit_code, "not the leader" in result.stderr) == (2, True)
     for name in ("n1", "n2"):
-        processes.until(lambda name=name: "learns" in processes.say("n0", "add", name).output)  # type: ignore[misc]
-        processes.until(lambda name=name: "votes" in processes.say("n0", "add", name).output)  # type: ignore[misc]
-    processes.until(lambda: processes.holders("n0") == {"n0", "n1", "n2"})
-    assert "group    0 epoch" in processes.say("n0", "status").stdout
-    assert processes.say("n0", "drain", "n2").exit_code == 0
-    processes.until(lambda: processes.holders("n0") == {"n0", "n1"})
-    assert processes.say("n0", "transfer", "n1").exit_code == 0
-    processes.until(lambda: processes.status("n1").get("role") == "leader")
+        processes.run_until(
+            lambda name=name: "is now a learner" in processes.run_command("n0", "add", name).output  # type: ignore[misc]
+        )
+        processes.run_until(
+            lambda name=name: "is now a voter" in processes.run_command("n0", "add", name).output  # type: ignore[misc]
+        )
+    processes.run_until(lambda: processes.holders("n0") == {"n0", "n1", "n2"})
+    assert "group    0 epoch" in processes.run_command("n0", "status").stdout
+    assert processes.run_command("n0", "drain", "n2").exit_code == 0
+    processes.run_until(lambda: processes.holders("n0") == {"n0", "n1"})
+    assert processes.run_command("n0", "transfer", "n1").exit_code == 0
+    processes.run_until(lambda: processes.status("n1").get("role") == "leader")
     processes.running.pop("n1").kill()
-    processes.until(lambda: any(processes.status(n).get("role") == "leader" for n in ("n0", "n2")))
-    processes.until(
-        lambda: processes.holders("n0") == {"n0"}
-    )  # whoever leads: the drain is in the log
-    processes.until(
-        lambda: any(processes.say(n, "undrain", "n2").exit_code == 0 for n in ("n0", "n2"))
+    processes.run_until(
+        lambda: any(processes.status(n).get("role") == "leader" for n in ("n0", "n2"))
+    )
+    # The drain of n2 applies under any leader, because it is in the replicated log.
+    processes.run_until(lambda: processes.holders("n0") == {"n0"})
+    processes.run_until(
+        lambda: any(processes.run_command(n, "undrain", "n2").exit_code == 0 for n in ("n0", "n2"))
     )
-    processes.until(lambda: processes.holders("n0") == {"n0", "n2"})
+    processes.run_until(lambda: processes.holders("n0") == {"n0", "n2"})
     processes.start("n1")
-    processes.until(lambda: processes.holders("n0") == {"n0", "n1", "n2"})
+    processes.run_until(lambda: processes.holders("n0") == {"n0", "n1", "n2"})
     processes.running["n2"].send_signal(signal.SIGTERM)
     assert processes.running.pop("n2").wait(60) == 0
