--- a/kelpcourse/shared/settings.py
+++ b/kelpcourse/shared/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a controller in a shared fleet: a KDL file, checked and resolved.
+"""Settings of a controller in a shared fleet, read from a KDL file, validated and resolved.
 
     shared {
         me "n1"
@@ -9,9 +9,9 @@
         tls authority="ca.pem" certificate="n1.pem" key="n1.key"
     }
 
-Names in the file are those of the `...Block` classes; all else uses `SharedSettings`:
+The `...Block` classes use the names of the file, with underscores for hyphens. All other code uses `SharedSettings`:
 
-| file                      | here                                                  |
+| file                      | `SharedSettings`                                      |
 | ------------------------- | ----------------------------------------------------- |
 | `me`, `state`, `begins`   | `name`, `state_folder`, `bootstrap`                   |
 | `member`                  | `addresses`                                           |
@@ -45,13 +45,13 @@
 
 EXPIRY_WARNING_DAYS = 30
 US_PER_MS = 1_000
-MIN_HEARTBEATS_PER_ELECTION = 3
-RENEWALS_PER_LEASE = 4  # a lease outlives the loss of some renewals
-MEMBER_TIMEOUT_US_PER_LEASE_MS = 750  # three quarters of a lease
+MIN_HEARTBEATS_PER_ELECTION = 3  # minimum ratio of `election-ms` to `beat-ms`
+RENEWALS_PER_LEASE = 4  # more than one, so that a lease survives the loss of some renewals
+MEMBER_TIMEOUT_US_PER_LEASE_MS = 750  # a member times out after three quarters of a lease
 
 
 class MemberBlock(Block, kw_only=True, frozen=True):
-    """A controller and its address."""
+    """The name and the address of a controller."""
 
     args: ClassVar = ("name",)
     name: Name
@@ -59,7 +59,7 @@
 
 
 class TlsBlock(Block, kw_only=True, frozen=True):
-    """Files of certificates, relative to the settings file."""
+    """Paths of the certificates and the key, relative to the settings file."""
 
     authority: str
     certificate: str
@@ -67,7 +67,7 @@
 
 
 class SharedBlock(Block, kw_only=True, frozen=True):
-    """The whole file."""
+    """The settings of a shared controller."""
 
     me: Name
     state: str
@@ -81,66 +81,81 @@
     drift: Annotated[float, msgspec.Meta(ge=0, le=0.3)] = 0.05
 
     def problems(self) -> Iterator[tuple[str, str]]:
-        """Yields fields that contradict each other, and why."""
+        """Yields the fields that contradict other fields, each with the reason."""
         names = [member.name for member in self.member]
         for name in sorted({name for name in names if names.count(name) > 1}):
-            yield "member", f"{name} is listed twice"
+            yield "member", f"{name} appears twice"
         if self.me not in names:
             yield "me", f"{self.me} is not among the members"
         if self.election_ms < MIN_HEARTBEATS_PER_ELECTION * self.beat_ms:
             yield (
                 "election-ms",
-                f"{self.election_ms} is under three heartbeats of {self.beat_ms}: "
-                "one lost heartbeat would unseat the leader",
+                f"{self.election_ms} is less than three heartbeat intervals of {self.beat_ms}: "
+                "one lost heartbeat would cause an election",
             )
         if self.lease_ms < self.election_ms:
             yield (
                 "lease-ms",
-                f"{self.lease_ms} is under an election of {self.election_ms}: "
-                "leases would expire in each election",
+                f"{self.lease_ms} is less than the election timeout of {self.election_ms}: "
+                "leases would expire during each election",
             )
 
 
 class File(Block, kw_only=True, frozen=True):
-    """A file with its one block."""
+    """The settings file, which contains one block."""
 
     shared: SharedBlock
 
 
 @dataclass(frozen=True)
 class SharedSettings:
-    """The settings, resolved."""
+    """Resolved settings of a controller.
+
+    Attributes:
+        name: Name of this controller.
+        state_folder: Folder of the persistent state.
+        bootstrap: Whether an empty state folder starts a new cluster with this controller alone.
+        addresses: Addresses of all controllers by name, including this one.
+        options: Options of the step function.
+        tls: TLS contexts for connections between controllers; None for connections without TLS.
+        certificate_days_left: Days from the reading of the file until this controller's certificate expires;
+            None without TLS.
+    """
 
     name: str
     state_folder: Path
     bootstrap: bool
-    addresses: dict[str, Address]  # by name, this controller's too
+    addresses: dict[str, Address]
     options: ControllerOptions
     tls: TlsContexts | None
     certificate_days_left: float | None
 
     @property
     def peer_addresses(self) -> dict[str, Address]:
-        """Addresses of the other controllers, by name."""
+        """Addresses of the other controllers by name."""
         return {name: address for name, address in self.addresses.items() if name != self.name}
 
 
 def read_settings(path: Path) -> SharedSettings:
-    """Reads a settings file and the certificates that it names. Raises SettingsError with every mistake."""
-    file, mistakes = load(path, File)
+    """Reads a settings file and the certificates that it names.
+
+    Raises:
+        SettingsError: The file or a certificate is invalid; contains all problems that were found.
+    """
+    file, problems = load(path, File)
     if file is None:
-        raise SettingsError(_by_line(mistakes))
+        raise SettingsError(_sorted_by_line(problems))
     block = file.shared
-    addresses = _read_addresses(path, block, mistakes)
+    addresses = _read_addresses(path, block, problems)
     tls = None
     certificate_days_left = None
     if block.tls is not None:
         try:
             tls, certificate_days_left = _load_tls(path.parent, block.tls)
         except CertificateError as error:
-            mistakes.append(SettingProblem(str(path), block.tls.line, "shared.tls", str(error)))
-    if mistakes:
-        raise SettingsError(_by_line(mistakes))
+            problems.append(SettingProblem(str(path), block.tls.line, "shared.tls", str(error)))
+    if problems:
+        raise SettingsError(_sorted_by_line(problems))
     return SharedSettings(
         name=block.me,
         state_folder=path.parent / block.state,
@@ -152,21 +167,21 @@
     )
 
 
-def _by_line(mistakes: list[SettingProblem]) -> list[SettingProblem]:
-    return sorted(mistakes, key=lambda mistake: mistake.line)
+def _sorted_by_line(problems: list[SettingProblem]) -> list[SettingProblem]:
+    return sorted(problems, key=lambda problem: problem.line)
 
 
 def _read_addresses(
-    path: Path, block: SharedBlock, mistakes: list[SettingProblem]
+    path: Path, block: SharedBlock, problems: list[SettingProblem]
 ) -> dict[str, Address]:
-    """Addresses by name; adds what can't be read to the mistakes."""
+    """Returns the addresses by name, and adds a problem for each address that can't be parsed."""
     addresses = {}
     for member in block.member:
         try:
             addresses[member.name] = read_address(member.address, "address")
         except InvalidMessageError:
             reason = f"is not host:port: {member.address!r:.60}"
-            mistakes.append(SettingProblem(str(path), member.line, "shared.member.address", reason))
+            problems.append(SettingProblem(str(path), member.line, "shared.member.address", reason))
     return addresses
 
 
@@ -187,7 +202,7 @@
 
 
 def _load_tls(folder: Path, block: TlsBlock) -> tuple[TlsContexts, float]:
-    """The contexts, and how many days the certificate is valid."""
+    """Returns the TLS contexts and the days until the certificate expires."""
     authority = folder / block.authority
     certificate = folder / block.certificate
     key = folder / block.key
--- a/kelpcourse/shared/standalone.py
+++ b/kelpcourse/shared/standalone.py
@@ -1,4 +1,4 @@
-"""A controller as a process of its own, and the operators' commands to it."""
+"""A controller that runs as a process of its own, and the operators' commands to it."""
 
 from __future__ import annotations
 
@@ -25,10 +25,16 @@
 
 
 class ControllerProcess:
-    """The loop, log, signals and commands around a member."""
+    """A process that runs a member, with loop, log, signals and commands."""
 
     def __init__(self, path: Path, settings: SharedSettings, limits: Limits) -> None:
-        """Prepares the member; raises what `FleetMember` does."""
+        """Initializes the process and its member.
+
+        Raises:
+            StateLostError: The state folder lacks state that the member has acknowledged.
+            FolderInUseError: Another process uses the state folder.
+            OSError: The state folder or the address can't be used.
+        """
         self._process = Process(settings.name, limits)
         self._path = path
         self._settings = settings
@@ -58,7 +64,7 @@
         return self._settings.tls
 
     def run(self) -> int:
-        """Runs until a signal ends the process; returns its exit code."""
+        """Runs until a signal ends the process, and returns the exit code."""
         return self._process.run(self._start, self._member.close, self._reload)
 
     def _start(self) -> None:
@@ -67,7 +73,7 @@
         self._process.supervise("certificate", self._watch_certificate)
 
     def _reload(self) -> None:
-        """Reads certificates again; only connections made from now on use them."""
+        """Reloads the settings; only new certificates take effect, on connections that are opened later."""
         try:
             self._settings = read_settings(self._path)
         except SettingsError as error:
@@ -90,7 +96,7 @@
 
     def _run_command(self, data: bytes) -> dict[str, object]:
         member = self._member
-        known: dict[str, Callable[[str], str]] = {
+        handlers: dict[str, Callable[[str], str]] = {
             "add": member.add,
             "remove": member.remove,
             "transfer": member.transfer,
@@ -103,23 +109,34 @@
             member_name = str(request["member"])
             if command_name == "status":
                 return member.status()
-            done = known[command_name](member_name)
+            outcome = handlers[command_name](member_name)
         except RequestRejectedError as error:
             return {"error": str(error)}
         except (orjson.JSONDecodeError, KeyError, TypeError) as error:
-            return {"error": f"a command that can't be read: {error!r}"}
-        self._log.always("member_command_completed", command=command_name, succeeded=done)
-        return {"done": done}
+            return {"error": f"command can't be read: {error!r}"}
+        self._log.always("member_command_completed", command=command_name, succeeded=outcome)
+        return {"done": outcome}
 
 
 def serve(path: Path, settings: SharedSettings) -> int:
-    """Runs the controller of a settings file; returns the exit code. Raises StateLostError."""
+    """Runs the controller of a settings file and returns the exit code.
+
+    Raises:
+        StateLostError: The state folder lacks state that the member has acknowledged.
+        FolderInUseError: Another process uses the state folder.
+        OSError: The state folder or the address can't be used.
+    """
     os.set_blocking(sys.stdout.fileno(), False)
     return ControllerProcess(path, settings, Limits()).run()
 
 
 def run_command(state_folder: Path, command_name: str, member: str) -> dict[str, Any]:
-    """Sends a command to a running controller; returns its reply. Raises NoAnswer or OSError."""
+    """Sends a command to a running controller and returns its reply.
+
+    Raises:
+        NoAnswerError: The controller did not reply before the timeout.
+        OSError: The state folder can't be read or written.
+    """
     request = orjson.dumps({"command": command_name, "member": member})
     reply: dict[str, Any] = orjson.loads(send_command(state_folder, request))
     return reply
--- a/kelpcourse/shared/status.py
+++ b/kelpcourse/shared/status.py
@@ -1,4 +1,4 @@
-"""What `kelpcourse shared status` shows, as JSON and as text. The names of the JSON are fixed."""
+"""Output of `kelpcourse shared status` as JSON and as text. Operators' tools depend on the names in the JSON."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def controller_status(controller: Controller, now_us: int) -> dict[str, object]:
-    """Returns what a controller knows."""
+    """Returns a controller's view of the cluster, as JSON values."""
     raft = controller.raft
     state = controller.state
     last_index = raft.log.last_index
@@ -49,9 +49,9 @@
 
 
 def status_lines(status: dict[str, Any]) -> list[str]:
-    """Returns the lines that the command prints."""
+    """Returns the lines that the command prints for a status."""
     if "role" not in status:
-        return [f"{status['member']} has no part: {status['halted'] or 'starting'}"]
+        return [f"{status['member']} is not active: {status['halted'] or 'starting'}"]
     lines = [
         f"{status['member']} {status['role']} of term {status['term']},"
         f" leader {status['leader'] or 'unknown'}, committed {status['committed']}"
@@ -71,7 +71,7 @@
 
 
 def _group_line(group: dict[str, Any]) -> str:
-    lease_text = "" if group["left_ms"] is None else f" lease left {group['left_ms']} ms"
+    lease_text = "" if group["left_ms"] is None else f" lease expires in {group['left_ms']} ms"
     return (
         f"group {group['group']:>4} epoch {group['epoch']:>4} {group['holder'] or '-'}{lease_text}"
     )
--- a/tests/memberrig.py
+++ b/tests/memberrig.py
@@ -1,4 +1,4 @@
-"""Members in one loop, on sockets and disks."""
+"""Members that run in one loop, with real sockets and files."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Rig:
-    """Members in one loop, on the real clock: what is asserted is what comes about, not when."""
+    """Members in one loop on the real clock, so tests wait for conditions and make no assertions about durations."""
 
     def __init__(self, folder: Path, count: int, tls: bool) -> None:
         self.folder = folder
@@ -69,7 +69,7 @@
         options = ControllerOptions(
             6, RaftOptions(20 * MS, 150 * MS), LeaseTiming(400 * MS, 0.05, 60 * MS, 250 * MS, 4)
         )
-        made = FleetMember(
+        member = FleetMember(
             self.loop,
             Limits(),
             Counters(),
@@ -80,9 +80,13 @@
             lambda _: None,
         )
         self.tasks[name] = []
-        made.start(lambda what, make: self.tasks[name].append(self.loop.start(what, make())))
-        self.members[name] = made
-        return made
+        member.start(
+            lambda task_name, factory: self.tasks[name].append(
+                self.loop.start(task_name, factory())
+            )
+        )
+        self.members[name] = member
+        return member
 
     def kill(self, name: str) -> None:
         for task in self.tasks.pop(name):
@@ -90,18 +94,18 @@
         self.members.pop(name).close()
 
     def run_until(self, condition: Callable[[], object]) -> None:
-        ends = time.monotonic() + 60
+        deadline_s = time.monotonic() + 60
         while not condition():
-            assert time.monotonic() < ends, (self.unexpected_errors, self.log.lines[-6:])
+            assert time.monotonic() < deadline_s, (self.unexpected_errors, self.log.lines[-6:])
             self.loop.run_once(time.monotonic_ns() // 1000 + 5 * MS)
             assert not self.unexpected_errors, self.unexpected_errors
 
     def leader(self) -> FleetMember | None:
-        led = [m for m in self.members.values() if m.status().get("role") == "leader"]
-        return led[0] if led else None
+        leaders = [m for m in self.members.values() if m.status().get("role") == "leader"]
+        return leaders[0] if leaders else None
 
     def add_all_voters(self) -> None:
-        """All of them vote."""
+        """Makes all members voters: the first call of `add` adds a learner, the second promotes it."""
         for name in self.names[1:]:
             for _ in range(2):
                 self.run_until(lambda name=name: self._added(name))  # type: ignore[misc]
--- a/tests/test_member_storage.py
+++ b/tests/test_member_storage.py
@@ -1,4 +1,4 @@
-"""A member's storage: what it lost is noticed."""
+"""Tests that lost state of a member is detected."""
 
 from __future__ import annotations
 
@@ -23,32 +23,32 @@
 from tests.memberrig import Rig
 
 
-def test_lost_state_is_reported_and_an_empty_folder_is_another_member(tmp_path: Path) -> None:
+def test_lost_state_is_reported_and_an_empty_folder_makes_a_new_member(tmp_path: Path) -> None:
     loop = Loop(lambda: 0, lambda *_: None)
 
-    def made(path: Path) -> MemberStorage:
+    def open_storage(path: Path) -> MemberStorage:
         return MemberStorage(
             path, "n0", True, loop, Limits(), StorageThread(), lambda _: None, lambda _: None
         )
 
     rig = Rig(tmp_path, 1, False)
-    first = rig.start("n0")
-    rig.run_until(lambda: first.status().get("role") == "leader")
-    me = first.member_id
+    member = rig.start("n0")
+    rig.run_until(lambda: member.status().get("role") == "leader")
+    member_id = member.member_id
     rig.kill("n0")
     rig.close()
     state = tmp_path / "state-n0"
-    kept = {path.name: path.read_bytes() for path in state.iterdir()}
-    snapshot = max(name for name in kept if name.startswith("snapshot"))
-    (state / snapshot).write_bytes(kept[snapshot][:-3])
+    file_contents = {path.name: path.read_bytes() for path in state.iterdir()}
+    snapshot = max(name for name in file_contents if name.startswith("snapshot"))
+    (state / snapshot).write_bytes(file_contents[snapshot][:-3])
     with pytest.raises(StateLostError):
-        made(state)
+        open_storage(state)
     for path in state.iterdir():
         path.unlink()
-    fresh = made(state)
-    assert fresh.member_id != me
-    assert fresh.state == PersistentState(
-        0, None, Snapshot(0, 0, Configuration(frozenset({fresh.member_id})), b"")
+    new_storage = open_storage(state)
+    assert new_storage.member_id != member_id
+    assert new_storage.state == PersistentState(
+        0, None, Snapshot(0, 0, Configuration(frozenset({new_storage.member_id})), b"")
     )
-    fresh.close()
+    new_storage.close()
     loop.close()
--- a/tests/test_page_examples.py
+++ b/tests/test_page_examples.py
@@ -1,4 +1,4 @@
-"""Examples on the operators' pages are accepted by the readers of their files."""
+"""Tests that the examples on the operators' pages are accepted by the readers of these files."""
 
 from __future__ import annotations
 
@@ -19,23 +19,27 @@
 
 
 def example(page: str, first_line: str) -> str:
-    """The indented block of a page that begins with a line, without the indent."""
+    """Returns the only indented block of a page that starts with `first_line`, without the indent."""
     blocks = re.findall(r"(?:^    .*\n|^\n)+", (DOCS / page).read_text("utf-8"), re.MULTILINE)
-    texts = ["".join(line.removeprefix(INDENT) for line in b.splitlines(True)) for b in blocks]
-    found = [text.strip("\n") + "\n" for text in texts if text.strip("\n").startswith(first_line)]
-    assert len(found) == 1, f"{page} has {len(found)} examples that begin with {first_line!r}"
-    return found[0]
+    examples = [
+        "".join(line.removeprefix(INDENT) for line in block.splitlines(True)) for block in blocks
+    ]
+    matches = [
+        text.strip("\n") + "\n" for text in examples if text.strip("\n").startswith(first_line)
+    ]
+    assert len(matches) == 1, f"{page} has {len(matches)} examples that begin with {first_line!r}"
+    return matches[0]
 
 
 def run(*arguments: str) -> str:
-    done = CliRunner().invoke(cli, arguments)
-    assert done.exit_code == 0, done.output
-    return done.stdout
+    result = CliRunner().invoke(cli, arguments)
+    assert result.exit_code == 0, result.output
+    return result.stdout
 
 
 @pytest.fixture
 def shared_folder(tmp_path: Path) -> Path:
-    """A folder with the certificates that the page's example names."""
+    """Creates a folder with the certificates that the example on the page names."""
     run("shared", "keys", str(tmp_path), "n1")
     return tmp_path
 
@@ -46,7 +50,7 @@
     return read_settings(path)
 
 
-def test_settings_of_a_shared_controller_on_its_page_are_accepted(shared_folder: Path) -> None:
+def test_shared_settings_on_the_page_are_accepted(shared_folder: Path) -> None:
     settings = read_shared(shared_folder, example("operating-shared.md", "shared {"))
     assert settings.name == "n1"
     assert sorted(settings.addresses) == ["n1", "n2", "n3"]
@@ -58,7 +62,7 @@
     return re.findall(r"`(begins [^`]+)`", page)
 
 
-def test_the_page_names_the_bootstrap_setting_in_the_table_and_with_the_command() -> None:
+def test_bootstrap_setting_is_in_the_table_and_with_the_command() -> None:
     assert len(bootstrap_settings()) == 2
 
 
@@ -69,13 +73,13 @@
     assert settings.bootstrap
 
 
-def test_bare_true_is_not_a_value_in_the_settings(shared_folder: Path) -> None:
+def test_true_without_a_hash_is_rejected(shared_folder: Path) -> None:
     text = example("operating-shared.md", "shared {")
     with pytest.raises(SettingsError):
         read_shared(shared_folder, text.replace("shared {\n", "shared {\n    begins true\n"))
 
 
-def test_zone_and_settings_on_the_page_of_zones_are_accepted(tmp_path: Path) -> None:
+def test_zone_file_and_zone_settings_on_the_page_are_accepted(tmp_path: Path) -> None:
     key = tmp_path / "staff.key"
     key.write_bytes(base64.b64encode(bytes(KEY_BYTES)))
     key.chmod(0o600)
@@ -85,6 +89,6 @@
     settings.write_text(example("operating-zones.md", "zones {"))
     listed = run("zones", "check", str(zone_file), "--origin", "games.example.org")
     assert "id=s-1 " in listed
-    assert "kind=m2" not in listed  # the command prints the discovery protocol's names
+    assert "kind=m2" not in listed  # the command prints the names of the discovery protocol
     assert "flavor=m2" in listed
     assert run("check", str(settings)) == "games.example.org. 1 hosts\n"
--- a/tests/test_shared_settings.py
+++ b/tests/test_shared_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a shared fleet, and the commands that create and check them."""
+"""Tests of the settings of a shared fleet, and of the commands that create keys and check settings."""
 
 from __future__ import annotations
 
@@ -9,12 +9,14 @@
 from kelpcourse.cli.main import cli
 
 
-def test_settings_of_a_shared_fleet_are_checked(tmp_path: Path) -> None:
-    done = CliRunner().invoke(cli, ["shared", "keys", str(tmp_path), "n1", "n2"])
-    assert done.exit_code == 0, done.output
-    again = CliRunner().invoke(cli, ["shared", "keys", str(tmp_path), "n1"])
-    assert (again.exit_code, "n1.key already exists" in again.stderr) == (2, True)
-    good = """shared {
+def test_valid_shared_settings_are_accepted_and_problems_are_reported_by_line(
+    tmp_path: Path,
+) -> None:
+    result = CliRunner().invoke(cli, ["shared", "keys", str(tmp_path), "n1", "n2"])
+    assert result.exit_code == 0, result.output
+    repeated = CliRunner().invoke(cli, ["shared", "keys", str(tmp_path), "n1"])
+    assert (repeated.exit_code, "n1.key already exists" in repeated.stderr) == (2, True)
+    valid_text = """shared {
     me "n1"
     state "state"
     member "n1" address="127.0.0.1:7001"
@@ -23,28 +25,32 @@
 }
 """
     path = tmp_path / "shared.kdl"
-    path.write_text(good)
-    done = CliRunner().invoke(cli, ["shared", "check", str(path)])
-    assert (done.exit_code, done.stdout) == (0, "n1 of 2 controllers, 24 groups\n")
+    path.write_text(valid_text)
+    result = CliRunner().invoke(cli, ["shared", "check", str(path)])
+    assert (result.exit_code, result.stdout) == (0, "n1 of 2 controllers, 24 groups\n")
     path.write_text(
-        good.replace('me "n1"', 'me "n9"\n    lease-ms 100')
+        valid_text.replace('me "n1"', 'me "n9"\n    lease-ms 100')
         .replace('"127.0.0.1:7002"', '"nowhere"')
         .replace("n1.key", "n2.key")
         .replace("state", "stat")
     )
-    done = CliRunner().invoke(cli, ["shared", "check", str(path)])
-    assert done.exit_code == 2
-    assert [line.split("shared.kdl:")[1].split(": ")[:2] for line in done.stderr.splitlines()] == [
+    result = CliRunner().invoke(cli, ["shared", "check", str(path)])
+    assert result.exit_code == 2
+    assert [
+        line.split("shared.kdl:")[1].split(": ")[:2] for line in result.stderr.splitlines()
+    ] == [
         ["1", "shared.state"],
         ["4", "shared.stat"],
     ]
     path.write_text(
-        good.replace('me "n1"', 'me "n9"\n    lease-ms 100')
+        valid_text.replace('me "n1"', 'me "n9"\n    lease-ms 100')
         .replace('"127.0.0.1:7002"', '"nowhere"')
         .replace("n1.key", "n2.key")
     )
-    done = CliRunner().invoke(cli, ["shared", "check", str(path)])
-    assert [line.split("shared.kdl:")[1].split(": ")[:2] for line in done.stderr.splitlines()] == [
+    result = CliRunner().invoke(cli, ["shared", "check", str(path)])
+    assert [
+        line.split("shared.kdl:")[1].split(": ")[:2] for line in result.stderr.splitlines()
+    ] == [
         ["1", "shared.me"],
         ["1", "shared.lease-ms"],
         ["6", "shared.member.address"],
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,7 @@
-"""The store in the loop: what one round stages shares a sync, and a job that raises has failed."""
+"""Tests of durable writes from the loop.
+
+Changes staged in one round share a sync, and a job that raises an exception has an unknown outcome.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 
 class ManualRunner:
-    """A JobRunner whose jobs run when a test says so."""
+    """A JobRunner that runs a job only when the test calls `run_job`."""
 
     def __init__(self) -> None:
         self.fd = os.eventfd(0, os.EFD_NONBLOCK)
@@ -42,7 +45,7 @@
         os.close(self.fd)
 
 
-def test_changes_of_one_round_share_a_sync_and_none_is_settled_before_it(
+def test_changes_of_one_round_share_a_sync_and_are_settled_after_it(
     bench: Bench, tmp_path: Path
 ) -> None:
     journal, runner = Journal(Folder(tmp_path)), ManualRunner()
@@ -58,7 +61,7 @@
         lambda *_: None,
     )
     bench.loop.start("store", writer.run())
-    assert not writer.stage(b"early", "early")  # no generation stands yet
+    assert not writer.stage(b"early", "early")  # no generation has been written yet
     runner.run_job()
     bench.until(lambda: not writer.broken)
     assert all(writer.stage(str(k).encode(), str(k)) for k in range(50))
@@ -70,7 +73,7 @@
     writer.close()
 
 
-def test_a_job_that_raises_has_an_unknown_outcome(bench: Bench, tmp_path: Path) -> None:
+def test_job_that_raises_an_exception_has_an_unknown_outcome(bench: Bench, tmp_path: Path) -> None:
     thread = StorageThread()
     thread.start(lambda: JobResult(Outcome.DONE, 1 // 0, ""))
     results: list[JobResult] = []
