--- a/kelpcourse/shared/member.py
+++ b/kelpcourse/shared/member.py
@@ -159,7 +159,7 @@
         )
 
     def close(self) -> None:
-        """Closes the connections and releases the state folder."""
+        """Closes the listening socket and incoming connections, and releases the state folder."""
         self._peers.close()
         self._storage.close()
 
@@ -245,7 +245,8 @@
             Text that describes the change.
 
         Raises:
-            RequestRejectedError: This member is not the leader, or the target is not another voter.
+            RequestRejectedError: This member is not the leader, is already transferring its leadership, or the target is
+                not another voter.
         """
         controller = self._leading_controller()
         target = name
