--- a/kelpcourse/shared/member.py
+++ b/kelpcourse/shared/member.py
@@ -245,8 +245,8 @@
             Text that describes the change.
 
         Raises:
-            RequestRejectedError: This member is not the leader, is already transferring its leadership, or the target is
-                not another voter.
+            RequestRejectedError: This member is not the leader, is already transferring its leadership, or the target
+                is not another voter.
         """
         controller = self._leading_controller()
         target = name
