--- a/kelpcourse/shared/storage.py
+++ b/kelpcourse/shared/storage.py
@@ -79,7 +79,7 @@
             raise
         self.member_id = _member_id(token_path, name)
         self._state = self._recover(found, bootstrap)
-        journal.begin(found, self._encoded_state())
+        journal.ensure_generation(found, self._encoded_state())
         self._on_written = on_written
         self._on_failed = on_failed
         self._halted = False
--- a/kelpcourse/store/commit.py
+++ b/kelpcourse/store/commit.py
@@ -96,14 +96,14 @@
         return self._job is not None
 
     @property
-    def waiting(self) -> int:
+    def pending_changes(self) -> int:
         """The number of changes that are not durable yet."""
         return len(self._staged) + len(self._writing)
 
     def stage(self, payload: bytes, ticket: Ticket) -> bool:
         """Stages a change; false: it is rejected, as nothing can be written or too much is pending."""
         size_bytes = FRAME.size + len(payload)
-        if self._broken or self.waiting >= self._limits.max_staged_changes:
+        if self._broken or self.pending_changes >= self._limits.max_staged_changes:
             return False
         pending_bytes = self._pending_bytes + size_bytes
         if self._pending_bytes and pending_bytes > self._limits.max_staged_bytes:
--- a/kelpcourse/store/journal.py
+++ b/kelpcourse/store/journal.py
@@ -62,7 +62,7 @@
             if warning.alarming and warning.file in self._folder.names():
                 self._folder.rename(warning.file, warning.file + DAMAGED_SUFFIX)
 
-    def begin(self, found: Recovered, snapshot: bytes) -> None:
+    def ensure_generation(self, found: Recovered, snapshot: bytes) -> None:
         """Makes the generation that a start needs, while no client waits for anything yet.
 
         Where it can't be made `found` stays as it is, and the writer retries.
--- a/kelpcourse/wire/storage.py
+++ b/kelpcourse/wire/storage.py
@@ -130,9 +130,9 @@
         return self._commit.broken
 
     @property
-    def waiting(self) -> int:
+    def pending_changes(self) -> int:
         """The number of changes that are staged and not yet durable."""
-        return self._commit.waiting
+        return self._commit.pending_changes
 
     def stage(self, payload: bytes, ticket: T) -> bool:
         """Queues a change to be made durable.
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -122,7 +122,7 @@
     def _note_failure(self, primary: DnsPeer, error: Exception) -> None:
         self._client.counters.add("zone_soa_queries_failed")
         if isinstance(error, StreamTimeoutError):
-            self._report(self._zone.reconciler.source_silent(str(primary)))
+            self._report(self._zone.reconciler.source_timed_out(str(primary)))
         self._client.log.event(
             "zone_soa_query_failed",
             zone=self._zone.origin,
--- a/kelpcourse/zones/reconciliation.py
+++ b/kelpcourse/zones/reconciliation.py
@@ -95,7 +95,7 @@
         """Notes that no source confirmed the zone within the SOA's expire time (RFC 1035, 3.3.13)."""
         self.expired = True
 
-    def source_silent(self, source: str) -> list[Contradiction]:
+    def source_timed_out(self, source: str) -> list[Contradiction]:
         """Ends the contradiction of a source that does not answer any more."""
         return self._end(source)
 
--- a/kelpcourse/zones/zone_store.py
+++ b/kelpcourse/zones/zone_store.py
@@ -97,7 +97,7 @@
     def stage(self, update: PendingUpdate) -> bool:
         """Queues an update to be made durable; False if it cannot be taken now."""
         max_pending = self._runtime.limits.max_pending_dns_updates
-        if self._writer is None or self._writer.waiting >= max_pending:
+        if self._writer is None or self._writer.pending_changes >= max_pending:
             return False
         origin = update.zone.origin
         if origin in self._unsaved_origins:
@@ -124,7 +124,9 @@
         with garbage_collection_paused():
             found = journal.open()
             replay.run(found.snapshot, (record.payload for record in found.records))
-        journal.begin(found, encode_snapshot(replay.zones.values(), replay.unconfigured_zones()))
+        journal.ensure_generation(
+            found, encode_snapshot(replay.zones.values(), replay.unconfigured_zones())
+        )
         for warning in found.warnings:
             runtime.log.always(
                 "store_warning",
--- a/tests/test_store_commit.py
+++ b/tests/test_store_commit.py
@@ -29,7 +29,7 @@
     commit.next_job(0)
     commit.stage(b"b", "B")
     settled = commit.settle(Outcome.NOT_WRITTEN, 0, 0)
-    assert (settled.durable, settled.undone, commit.broken, commit.waiting) == (
+    assert (settled.durable, settled.undone, commit.broken, commit.pending_changes) == (
         [],
         ["A", "B"],
         False,
--- a/tests/test_zone_follower.py
+++ b/tests/test_zone_follower.py
@@ -232,7 +232,7 @@
     primary.zone = zone_with(101, sample_endpoints(), endpoint_records("s-9"))
     query_again(world, node, primary)
     world.run_until(
-        lambda: node.zones.store.writer is not None and not node.zones.store.writer.waiting
+        lambda: node.zones.store.writer is not None and not node.zones.store.writer.pending_changes
     )
     node.kill()
     primary.silent = True
--- a/tests/test_zone_reconciliation.py
+++ b/tests/test_zone_reconciliation.py
@@ -50,6 +50,6 @@
     reconciler = VersionReconciler(version(100))
     assert reconciler.offer("a", version(100))[0] is Verdict.SAME
     assert reconciler.offer("b", version(100, b"another"))[0] is Verdict.DIFFERS
-    assert [c.begins for c in reconciler.source_silent("b")] == [False]
+    assert [c.begins for c in reconciler.source_timed_out("b")] == [False]
     assert not reconciler.contradicted
-    assert reconciler.source_silent("b") == []
+    assert reconciler.source_timed_out("b") == []
