--- a/kelpcourse/cli/errors.py
+++ b/kelpcourse/cli/errors.py
@@ -38,12 +38,12 @@
     def run(*args: Parameters.args, **options: Parameters.kwargs) -> Result:
         from kelpcourse.kdl import SettingsError
         from kelpcourse.service.config import ConfigError
-        from kelpcourse.store.errors import FolderInUseError, NoAnswerError
+        from kelpcourse.store.errors import FolderInUseError, NoResponseError
         from kelpcourse.zones.errors import ZoneError
 
         try:
             return command(*args, **options)
-        except (SettingsError, ConfigError, ZoneError, FolderInUseError, NoAnswerError) as error:
+        except (SettingsError, ConfigError, ZoneError, FolderInUseError, NoResponseError) as error:
             fail(str(error))
         except OSError as error:
             place = f"{error.filename}: " if error.filename else ""
--- a/kelpcourse/store/__init__.py
+++ b/kelpcourse/store/__init__.py
@@ -1,1 +1,1 @@
-"""State that survives crashes: a journal of changes and snapshots, for any part that hands over bytes."""
+"""Crash-safe storage: a journal of changes and snapshots, whose payloads are bytes that the caller encodes."""
--- a/kelpcourse/store/commit.py
+++ b/kelpcourse/store/commit.py
@@ -1,8 +1,8 @@
-"""Group commit as a state machine: when changes are written together, and what a failure undoes.
+"""Group commit as a state machine: decides which changes are written together and which ones a failure undoes.
 
-One job runs at a time. What is staged while it runs goes into the next: one sync serves all of them. Each
-staged change builds on those before it, so with a failed job all that was staged since fails too.
-No input or output.
+One job runs at a time. Changes that are staged while it runs are written by the next job, with one sync for all of
+them. Each staged change builds on the changes before it, so a failed job also undoes all changes staged after it.
+This module does no input or output.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 
 class Outcome(Enum):
-    """What came of a job."""
+    """The outcome of a job."""
 
     DONE = "done"
-    NOT_WRITTEN = "not_written"  # the file is as it was before the job
-    UNKNOWN = "unknown"  # a sync failed; a second one can't tell what the first one lost
+    NOT_WRITTEN = "not_written"  # the file is the same as before the job
+    UNKNOWN = "unknown"  # a sync failed; a later successful sync does not show what was lost
 
 
 class JobResult(NamedTuple):
-    """What came of a job, the bytes that it wrote, and the reason of a failure."""
+    """The outcome of a job, the number of bytes that it wrote, and the reason for a failure."""
 
     outcome: Outcome
     size_bytes: int = 0
@@ -35,16 +35,20 @@
 
 @dataclass(frozen=True)
 class Append:
-    """A job: write records to the journal and sync it."""
+    """A job that appends records to the journal and syncs it."""
 
     records: tuple[Record, ...]
 
 
 @dataclass(frozen=True)
 class Compact:
-    """A job: a new generation of a snapshot of all that is durable and an empty journal after it."""
+    """A job that creates a new generation: a snapshot of the durable state, and an empty journal.
 
-    snapshot_number: int  # of the snapshot's own record; the next change is one above
+    Attributes:
+        snapshot_number: Number of the snapshot's own record. The next change has the number after it.
+    """
+
+    snapshot_number: int
 
 
 Job = Append | Compact
@@ -52,26 +56,32 @@
 
 @dataclass
 class Settled(Generic[Ticket]):
-    """The tickets of the changes that a job settled, in the order they were staged."""
+    """The tickets of the changes that a job settled, in the order in which they were staged.
+
+    Attributes:
+        durable: Tickets of the changes that are durable.
+        undone: Tickets of the changes that were not written.
+        compacted: Whether a new generation was created.
+    """
 
     durable: list[Ticket] = field(default_factory=list)
     undone: list[Ticket] = field(default_factory=list)
-    compacted: bool = False  # a new generation is in place
+    compacted: bool = False
 
 
 class Commit(Generic[Ticket]):
-    """Staged changes, each with a ticket of the caller's."""
+    """Tracks staged changes, each with a ticket that the caller provides."""
 
     def __init__(
         self, limits: Limits, next_number: int, journal_bytes: int, needs_generation: bool
     ) -> None:
-        """Goes on after a recovery.
+        """Initializes the state from the result of a recovery.
 
         Args:
-            limits: how much may be staged, and when the journal is compacted.
-            next_number: number of the next record.
-            journal_bytes: size of the journal that was recovered.
-            needs_generation: a new generation is needed before anything is written.
+            limits: Limits of staged changes and of the journal's size before a compaction.
+            next_number: Number of the next record.
+            journal_bytes: Size of the recovered journal, in bytes.
+            needs_generation: Whether a new generation must be created before anything is written.
         """
         self._limits = limits
         self._next_number = next_number
@@ -83,11 +93,11 @@
         self._staged: list[tuple[Record, Ticket]] = []
         self._writing: list[tuple[Record, Ticket]] = []
         self._job: Job | None = None
-        self._pending_bytes = 0  # staged or being written
+        self._pending_bytes = 0  # size of the frames that are staged or being written
 
     @property
     def broken(self) -> bool:
-        """Whether changes are rejected until a new generation is in place."""
+        """Whether changes are rejected until a new generation has been created."""
         return self._broken
 
     @property
@@ -97,11 +107,15 @@
 
     @property
     def pending_changes(self) -> int:
-        """The number of changes that are not durable yet."""
+        """The number of changes that are staged or being written, and so not durable yet."""
         return len(self._staged) + len(self._writing)
 
     def stage(self, payload: bytes, ticket: Ticket) -> bool:
-        """Stages a change; false: it is rejected, as nothing can be written or too much is pending."""
+        """Stages a change, unless the journal cannot be written or too many changes or bytes are pending.
+
+        Returns:
+            Whether the change was staged.
+        """
         size_bytes = FRAME.size + len(payload)
         if self._broken or self.pending_changes >= self._limits.max_staged_changes:
             return False
@@ -114,7 +128,7 @@
         return True
 
     def next_job(self, now_us: int) -> Job | None:
-        """The job to be started now, if any. A compaction comes between two batches."""
+        """Returns the job to start now, if any. A due compaction precedes the next batch."""
         if self._job is not None:
             return None
         if self._compaction_due(now_us):
@@ -126,11 +140,11 @@
         return self._job
 
     def due_us(self) -> int | None:
-        """When a job is to be retried though nothing is staged."""
+        """Returns when to retry the compaction of a broken journal; None if it is not broken or a job is running."""
         return self._retry_us if self._broken and self._job is None else None
 
     def settle(self, outcome: Outcome, size_bytes: int, now_us: int) -> Settled[Ticket]:
-        """Takes the end of the running job, which wrote `size_bytes`."""
+        """Handles the end of the running job, which wrote `size_bytes`."""
         job = self._job
         self._job = None
         if isinstance(job, Compact):
--- a/kelpcourse/store/frames.py
+++ b/kelpcourse/store/frames.py
@@ -1,10 +1,11 @@
-"""The file format: records with number, length and checksum, so that damage is found. No input or output.
+"""The file format: records with number, length and checksum, which make damage detectable.
 
-A file starts with a header (what it is, its generation, the number of its first record), then come frames:
+A file starts with a header (the kind of file, its generation, the number of its first record), followed by frames.
+The fields of a frame with their sizes in bytes:
 
     marker 2 | length 4 | number 8 | CRC-32 of length, number and payload 4 | payload
 
-All figures are big-endian. CRC-32 is zlib's (ISO 3309).
+All integers are big-endian. The checksum is the CRC-32 of zlib (ISO 3309). This module does no input or output.
 """
 
 from __future__ import annotations
@@ -22,28 +23,28 @@
 FRAME = struct.Struct(">2sIQI")
 CHECKED_FIELDS = struct.Struct(">IQ")
 MARKER = b"\xc5\x5a"
-MAX_PAYLOAD_BYTES = 256 << 20  # a length beyond it is damage
-LOOK_AHEAD_BYTES = 1 << 20  # after damage, in which a later record is looked for
+MAX_PAYLOAD_BYTES = 256 << 20  # a greater length in a frame is treated as damage
+LOOK_AHEAD_BYTES = 1 << 20  # range after damage that is searched for a later intact record
 
 
 class Kind(Enum):
-    """What a file is, by the first bytes of its header."""
+    """The kind of a file, with the first bytes of its header."""
 
     JOURNAL = b"KCJ1"
     SNAPSHOT = b"KCS1"
 
 
 class Damage(Enum):
-    """How a file ends."""
+    """The damage found in a file."""
 
     NONE = "none"
     TORN = "torn"  # the last write is incomplete, as after a crash
-    INSIDE = "inside"  # later records are intact: bytes were changed or lost in the middle
+    INSIDE = "inside"  # bytes before intact records were changed or lost
 
 
 @dataclass(frozen=True)
 class Record:
-    """A payload with its number; numbers follow each other."""
+    """A payload with its number; records are numbered consecutively."""
 
     number: int
     payload: bytes
@@ -51,26 +52,34 @@
 
 @dataclass(frozen=True)
 class Contents:
-    """What a file holds up to its first damage."""
+    """The contents of a file up to the first damage.
+
+    Attributes:
+        generation: Generation of the file.
+        first_number: Number of the first record.
+        records: Intact records before the damage.
+        intact_bytes: Size of the file up to the damage, in bytes.
+        damage: Damage that was found.
+    """
 
     generation: int
     first_number: int
     records: tuple[Record, ...]
-    intact_bytes: int  # from the start of the file up to the damage
+    intact_bytes: int
     damage: Damage
 
 
 def header(kind: Kind, generation: int, first_number: int) -> bytes:
-    """The header of a file whose first record has the number `first_number`."""
+    """Returns the header of a file whose first record has the number `first_number`."""
     head = HEADER.pack(kind.value, generation, first_number)
     return head + HEADER_SUM.pack(zlib.crc32(head))
 
 
 def frame(record: Record) -> bytes:
-    """A record as it is written.
+    """Returns the frame of a record.
 
     Raises:
-        RecordTooLargeError: the payload is over MAX_PAYLOAD_BYTES.
+        RecordTooLargeError: The payload is larger than MAX_PAYLOAD_BYTES.
     """
     size_bytes = len(record.payload)
     if size_bytes > MAX_PAYLOAD_BYTES:
@@ -80,10 +89,10 @@
 
 
 def read(kind: Kind, data: bytes) -> Contents:
-    """Reads a file up to its first damage.
+    """Decodes the bytes of a file up to the first damage.
 
     Raises:
-        UnusableFileError: the header is cut off, damaged or of another kind.
+        UnusableFileError: The header is truncated, damaged or of another kind of file.
     """
     generation, first_number = _read_header(kind, data)
     records: list[Record] = []
@@ -102,20 +111,20 @@
 
 
 def _read_header(kind: Kind, data: bytes) -> tuple[int, int]:
-    """Generation and number of the first record."""
+    """Returns the generation of a file and the number of its first record."""
     if len(data) < HEADER_BYTES:
-        raise UnusableFileError("the header is cut")
+        raise UnusableFileError("the header is truncated")
     magic, generation, first_number = HEADER.unpack_from(data)
     (checksum,) = HEADER_SUM.unpack_from(data, HEADER.size)
     if checksum != zlib.crc32(data[: HEADER.size]):
-        raise UnusableFileError("the header's checksum is wrong")
+        raise UnusableFileError("the checksum of the header does not match")
     if magic != kind.value:
-        raise UnusableFileError(f"not a {kind.name.lower()}")
+        raise UnusableFileError(f"the file is not a {kind.name.lower()}")
     return generation, first_number
 
 
 def _record_at(data: bytes, offset: int) -> Record | None:
-    """The intact record whose frame starts at `offset`, if there is one."""
+    """Returns the intact record whose frame starts at `offset`, or None."""
     if len(data) - offset < FRAME.size:
         return None
     marker, size_bytes, number, checksum = FRAME.unpack_from(data, offset)
@@ -130,7 +139,7 @@
 
 
 def _damage_at(data: bytes, offset: int, number: int) -> Damage:
-    """Tells a torn end from damage inside: a crash leaves no later record beyond the damage."""
+    """Distinguishes a torn end from damage inside: after a crash, no later record follows the damage."""
     end = min(len(data), offset + LOOK_AHEAD_BYTES)
     candidate = data.find(MARKER, offset + 1, end)
     while candidate >= 0:
--- a/kelpcourse/store/journal.py
+++ b/kelpcourse/store/journal.py
@@ -1,4 +1,4 @@
-"""The journal on disk: records are appended and synced, snapshots begin new generations."""
+"""The journal on disk: appends and syncs records, and creates a new generation with each snapshot."""
 
 from __future__ import annotations
 
@@ -21,27 +21,30 @@
 
 
 class Journal:
-    """Files of one folder. Calls block on the disk; after `open` they belong to one thread."""
+    """The journal and snapshot files of one folder.
+
+    Methods block on the disk. After `open`, only one thread may call them.
+    """
 
     def __init__(self, folder: Folder) -> None:
-        """Names the folder; nothing is read or locked before `open`."""
+        """Initializes the journal with a folder; nothing is read or locked before `open`."""
         self._folder = folder
         self._generation = 0
         self._fd = CLOSED
-        self._durable_bytes = 0  # of the journal that is written on
+        self._durable_bytes = 0  # size of the durable part of the current journal
 
     def open(self) -> Recovered:
-        """Locks the folder and recovers what is durable.
+        """Locks the folder and recovers the durable state.
 
         Raises:
-            FolderInUseError: another process holds the folder.
-            OSError: the disk fails.
+            FolderInUseError: Another process holds the lock of the folder.
+            OSError: The folder cannot be read or written.
         """
         self._folder.lock()
         found = recover(self._folder.names(), self._folder.read)
         self._generation = found.generation
         if found.needs_generation:
-            self._set_damaged_aside(found)
+            self._keep_damaged_files(found)
         else:
             self._open_file(found)
         return found
@@ -52,20 +55,20 @@
             self._durable_bytes = os.fstat(self._fd).st_size
             return
         self._durable_bytes = found.truncate_to_bytes
-        # What follows must not be read as records of this process later.
+        # Bytes after the intact part must not be decoded later as records of this process.
         self._folder.truncate(self._fd, found.truncate_to_bytes)
         self._folder.sync(self._fd)
 
-    def _set_damaged_aside(self, found: Recovered) -> None:
-        """Keeps files with damage that no crash leaves, for an investigation."""
+    def _keep_damaged_files(self, found: Recovered) -> None:
+        """Renames files with damage that a crash does not cause, and so keeps them for analysis."""
         for warning in found.warnings:
             if warning.alarming and warning.file in self._folder.names():
                 self._folder.rename(warning.file, warning.file + DAMAGED_SUFFIX)
 
     def ensure_generation(self, found: Recovered, snapshot: bytes) -> None:
-        """Makes the generation that a start needs, while no client waits for anything yet.
+        """Creates a new generation if the recovery requires one, before any client is served.
 
-        Where it can't be made `found` stays as it is, and the writer retries.
+        If this fails, `found` is unchanged and the writer retries.
         """
         if not found.needs_generation:
             return
@@ -74,16 +77,16 @@
             found.journal_bytes = 0
 
     def append(self, records: Sequence[Record]) -> JobResult:
-        """Writes records and syncs them."""
+        """Appends records to the journal and syncs them."""
         data = b"".join(map(frame, records))
         try:
             self._folder.write(self._fd, data, self._durable_bytes)
         except OSError as error:
-            return JobResult(self._undo_write(), reason=f"writing: {error.strerror}")
+            return JobResult(self._undo_write(), reason=f"write failed: {error.strerror}")
         try:
             self._folder.sync(self._fd)
         except OSError as error:
-            return JobResult(Outcome.UNKNOWN, reason=f"syncing: {error.strerror}")
+            return JobResult(Outcome.UNKNOWN, reason=f"sync failed: {error.strerror}")
         self._durable_bytes += len(data)
         return JobResult(Outcome.DONE, len(data))
 
@@ -95,11 +98,11 @@
         return Outcome.NOT_WRITTEN
 
     def compact(self, number: int, snapshot: bytes) -> JobResult:
-        """Begins a new generation; the one before is left for a recovery that can't read the new one.
+        """Creates a new generation, and keeps the previous one for a recovery that cannot read the new one.
 
         Args:
-            number: of the snapshot's record; the journal goes on with the next.
-            snapshot: all that is durable.
+            number: Number of the snapshot's record. The new journal starts with the next number.
+            snapshot: Encoded state with all durable changes.
         """
         generation = self._generation + 1
         snapshot_name = file_name(Kind.SNAPSHOT, generation)
@@ -109,7 +112,7 @@
         data = header(Kind.SNAPSHOT, generation, number) + frame(Record(number, snapshot))
         fd = CLOSED
         try:
-            # The journal first: a snapshot without its journal would be read as a crash.
+            # The journal is created first: recovery takes a snapshot without its journal for a crash.
             fd = self._create_file(temporary_journal, header(Kind.JOURNAL, generation, number + 1))
             os.close(self._create_file(temporary_snapshot, data))
             self._folder.rename(temporary_journal, journal_name)
@@ -122,7 +125,7 @@
             self._folder.rename(temporary_snapshot, snapshot_name)
             self._folder.sync_names()
         except OSError as error:
-            # It may be in place after a crash: nothing may be added to the generation before.
+            # The new generation may exist after a crash, so nothing may be appended to the previous one.
             os.close(fd)
             self._generation = generation
             return JobResult(Outcome.UNKNOWN, reason=_generation_failed(error))
@@ -149,7 +152,7 @@
             try:
                 self._folder.remove(name)
             except OSError:
-                # Recovery leaves it out, and the next generation tries again.
+                # Recovery ignores the file, and the next compaction tries to remove it again.
                 continue
 
     def _close_file(self) -> None:
@@ -164,4 +167,4 @@
 
 
 def _generation_failed(error: OSError) -> str:
-    return f"a new generation: {error.strerror}"
+    return f"creating a new generation failed: {error.strerror}"
--- a/kelpcourse/store/recovery.py
+++ b/kelpcourse/store/recovery.py
@@ -1,7 +1,8 @@
-"""Recovery after a crash: which snapshot is used, which records follow it, what is cut off.
+"""Recovery after a crash: selects the snapshot, the records after it, and where a journal is truncated.
 
-Generation g is a snapshot and the journal of all changes after it. Making generation g+1 leaves g in place,
-so that a snapshot that was written completely and damaged later can be done without. No input or output of its own.
+Generation g consists of a snapshot and the journal of all changes after it. Creating generation g+1 keeps the files
+of g, so that recovery is possible without a snapshot that was damaged after it was written completely. This module
+does no input or output itself.
 """
 
 from __future__ import annotations
@@ -16,55 +17,73 @@
 NAME = re.compile(r"(snapshot|journal)-(\d{12})\Z")
 TEMPORARY_SUFFIX = ".tmp"
 DAMAGED_SUFFIX = ".damaged"
-STATE = "state"  # named in a warning on all files together
+STATE = "state"  # name in a warning that concerns all files
 
 Load = Callable[[str], bytes]
 
 
 def file_name(kind: Kind, generation: int) -> str:
-    """The name of a generation's snapshot or journal."""
+    """Returns the file name of a generation's snapshot or journal."""
     return f"{kind.name.lower()}-{generation:012d}"
 
 
 @dataclass(frozen=True)
 class RecoveryWarning:
-    """Something that was found and is reported to the operators."""
+    """A problem that recovery found, to be reported to the operators.
+
+    Attributes:
+        file: Name of the file, or STATE.
+        problem: Description of the problem.
+        lost_bytes: Number of bytes that were not recovered.
+        alarming: Whether a crash alone does not explain the problem.
+    """
 
     file: str
     problem: str
     lost_bytes: int = 0
-    alarming: bool = False  # more than what a crash leaves behind
+    alarming: bool = False
 
 
 @dataclass
 class Recovered:
-    """What is durable, and how to go on."""
+    """The durable state, and how the journal is continued.
+
+    Attributes:
+        generation: Generation whose journal is continued; 0 if there is none yet.
+        snapshot: Payload of the snapshot; None if there is none.
+        records: Records after the snapshot, in order.
+        next_number: Number of the next record.
+        truncate_to_bytes: Size of the intact part of that journal, in bytes; None if it is undamaged.
+        journal_bytes: Total size of the intact parts of all journals that were read, in bytes.
+        warnings: Problems that were found.
+        needs_generation: Whether a new generation must be created before anything is written.
+    """
 
-    generation: int = 0  # of the journal that is written on; 0: there is none yet
+    generation: int = 0
     snapshot: bytes | None = None
     records: list[Record] = field(default_factory=list)
     next_number: int = 1
-    truncate_to_bytes: int | None = None  # bytes of that journal that are intact, if not all are
-    journal_bytes: int = 0  # of all journals that were read
+    truncate_to_bytes: int | None = None
+    journal_bytes: int = 0
     warnings: list[RecoveryWarning] = field(default_factory=list)
-    needs_generation: bool = False  # a new generation is to be made before anything is written
+    needs_generation: bool = False
 
 
 @dataclass(frozen=True)
 class Files:
-    """The generations of which there are files."""
+    """The generations that have a snapshot file and those that have a journal file."""
 
     snapshots: tuple[int, ...]  # newest first
     journals: frozenset[int]
 
     @property
     def newest(self) -> int:
-        """The newest generation of all; 0 if there is none."""
+        """The newest generation that has a file; 0 if there is none."""
         return max(*self.snapshots, *self.journals, 0, 0)
 
 
 def sort_files(names: Sequence[str]) -> Files:
-    """Snapshots and journals among a folder's names."""
+    """Returns the generations of the snapshots and journals among the file names of a folder."""
     generations: dict[str, list[int]] = {"snapshot": [], "journal": []}
     for name in names:
         match = NAME.match(name)
@@ -75,34 +94,34 @@
 
 
 def recover(names: Sequence[str], load: Load) -> Recovered:
-    """Reads the newest intact snapshot and the journals from its generation on, and nothing else.
+    """Reads the newest intact snapshot and the journals from its generation onward, and no other file.
 
     Args:
-        names: of all files in the folder.
-        load: reads a file; what it raises goes through.
+        names: Names of all files in the folder.
+        load: Function that reads a file. Its exceptions are not caught.
     """
     files = sort_files(names)
     recovered = Recovered()
-    if _take_snapshot(files, load, recovered):
-        _follow_journals(files, load, recovered)
+    if _recover_snapshot(files, load, recovered):
+        _recover_journals(files, load, recovered)
         return recovered
     recovered.needs_generation = True
     if files.snapshots or files.journals:
         recovered.generation = files.newest
-        # A first generation that a crash cut short holds no change.
+        # If a crash interrupted the creation of the first generation, its journal has no change.
         lost = any(load(file_name(Kind.JOURNAL, generation)) for generation in files.journals)
-        problem = "no snapshot can be used: nothing is restored"
+        problem = "no usable snapshot: nothing was restored"
         recovered.warnings.append(RecoveryWarning(STATE, problem, alarming=lost))
     return recovered
 
 
 def from_bytes(files: Mapping[str, bytes]) -> Recovered:
-    """Recovers from files in memory, by name."""
+    """Recovers the state from the contents of files, by name."""
     return recover(sorted(files), files.__getitem__)
 
 
-def _take_snapshot(files: Files, load: Load, recovered: Recovered) -> bool:
-    """Takes the newest intact snapshot; false if there is none."""
+def _recover_snapshot(files: Files, load: Load, recovered: Recovered) -> bool:
+    """Restores the newest intact snapshot; returns False if there is none."""
     for generation in files.snapshots:
         name = file_name(Kind.SNAPSHOT, generation)
         contents = _read(Kind.SNAPSHOT, name, load(name), recovered)
@@ -110,7 +129,7 @@
             continue
         if contents.damage is not Damage.NONE or len(contents.records) != 1:
             recovered.warnings.append(
-                RecoveryWarning(name, "the snapshot is not whole", alarming=True)
+                RecoveryWarning(name, "the snapshot is incomplete or damaged", alarming=True)
             )
             continue
         recovered.generation = generation
@@ -120,15 +139,15 @@
     return False
 
 
-def _follow_journals(files: Files, load: Load, recovered: Recovered) -> None:
-    """Takes journals from the snapshot's generation on, as long as their numbers follow each other."""
+def _recover_journals(files: Files, load: Load, recovered: Recovered) -> None:
+    """Reads the journals from the snapshot's generation onward, as long as their numbers are consecutive."""
     generation = recovered.generation
     while generation in files.journals:
-        if not _take_journal(generation, files, load, recovered):
+        if not _recover_journal(generation, files, load, recovered):
             break
         generation += 1
     else:
-        # A snapshot without its journal: the crash came between the two, and nothing was written since.
+        # A snapshot without its journal: the process crashed between creating the two, and nothing was written since.
         recovered.needs_generation = (
             recovered.needs_generation or recovered.generation not in files.journals
         )
@@ -136,8 +155,8 @@
         recovered.generation = max(recovered.generation, files.newest)
 
 
-def _take_journal(generation: int, files: Files, load: Load, recovered: Recovered) -> bool:
-    """Takes one journal; false where the next one can't follow it."""
+def _recover_journal(generation: int, files: Files, load: Load, recovered: Recovered) -> bool:
+    """Reads one journal; returns False if the next journal cannot continue it."""
     name = file_name(Kind.JOURNAL, generation)
     data = load(name)
     contents = _read(Kind.JOURNAL, name, data, recovered)
@@ -145,7 +164,9 @@
         recovered.needs_generation = True
         return False
     if contents.first_number > recovered.next_number:
-        problem = f"starts at {contents.first_number}, {recovered.next_number} was next"
+        problem = (
+            f"starts at record {contents.first_number}, expected record {recovered.next_number}"
+        )
         recovered.warnings.append(RecoveryWarning(name, problem, len(data), alarming=True))
         recovered.needs_generation = True
         return False
@@ -159,14 +180,14 @@
     recovered.truncate_to_bytes = None
     if contents.damage is not Damage.NONE:
         inside = contents.damage is Damage.INSIDE
-        problem = "damaged inside" if inside else "the last write is torn"
+        problem = "damaged before intact records" if inside else "the last write is incomplete"
         lost_bytes = len(data) - contents.intact_bytes
         recovered.warnings.append(RecoveryWarning(name, problem, lost_bytes, inside))
         recovered.truncate_to_bytes = contents.intact_bytes
         recovered.needs_generation = inside or generation + 1 in files.journals
         return False
-    # A journal of an abandoned generation may lag behind the one before it: its numbers then end
-    # too early for what would be written on.
+    # The journal of an abandoned generation may end at a lower number than the journal before it. The next record
+    # would then not follow the last record of this journal.
     recovered.needs_generation = end_number != recovered.next_number
     return True
 
@@ -181,9 +202,9 @@
 
 
 def obsolete(names: Sequence[str], generation: int) -> list[str]:
-    """Files that no recovery needs once `generation` is in place.
+    """Returns the names of the files that no recovery needs once `generation` exists.
 
-    These are all before the last earlier generation that has a snapshot, and what was never finished.
+    These are the files of all generations before the last earlier one that has a snapshot, and unfinished files.
     """
     earlier = [snapshot for snapshot in sort_files(names).snapshots if snapshot < generation]
     min_generation = max(earlier, default=generation)
--- a/tests/test_store_commit.py
+++ b/tests/test_store_commit.py
@@ -1,4 +1,4 @@
-"""Group commit: which job runs when, and what a failed one undoes."""
+"""Group commit: the order of jobs, and the changes that a failed job undoes."""
 
 from __future__ import annotations
 
@@ -8,10 +8,12 @@
 from kelpcourse.store.commit import Append, Commit, Compact, Outcome
 from kelpcourse.store.frames import Record
 
-FEW = replace(Limits(), max_staged_changes=4, min_compaction_bytes=100, snapshot_retry_us=50)
+SMALL_LIMITS = replace(
+    Limits(), max_staged_changes=4, min_compaction_bytes=100, snapshot_retry_us=50
+)
 
 
-def test_one_job_serves_all_that_was_staged_and_one_runs_at_a_time() -> None:
+def test_one_job_runs_at_a_time_and_writes_all_staged_changes() -> None:
     commit: Commit[str] = Commit(Limits(), 1, 0, False)
     assert commit.next_job(0) is None
     assert commit.stage(b"a", "A")
@@ -23,7 +25,7 @@
     assert commit.next_job(0) == Append((Record(3, b"c"),))
 
 
-def test_a_failed_job_undoes_what_was_built_on_it_and_numbers_stay_without_gaps() -> None:
+def test_a_failed_job_undoes_later_changes_and_numbers_stay_consecutive() -> None:
     commit: Commit[str] = Commit(Limits(), 1, 0, False)
     commit.stage(b"a", "A")
     commit.next_job(0)
@@ -39,9 +41,9 @@
     assert commit.next_job(0) == Append((Record(1, b"c"),))
 
 
-def test_after_a_failed_sync_only_a_new_generation_is_written_on() -> None:
-    """A second sync that succeeds says nothing of what the first one lost."""
-    commit: Commit[str] = Commit(FEW, 5, 0, False)
+def test_changes_are_rejected_after_a_failed_sync_until_a_new_generation_exists() -> None:
+    """A later successful sync does not show what the failed sync lost."""
+    commit: Commit[str] = Commit(SMALL_LIMITS, 5, 0, False)
     commit.stage(b"a", "A")
     commit.next_job(0)
     assert commit.settle(Outcome.UNKNOWN, 0, 7).undone == ["A"]
@@ -55,8 +57,8 @@
     assert commit.stage(b"b", "B")
 
 
-def test_a_journal_that_grew_is_compacted_between_two_batches_and_not_tried_without_end() -> None:
-    commit: Commit[str] = Commit(FEW, 1, 90, False)
+def test_a_large_journal_is_compacted_between_batches_and_a_failure_is_retried_later() -> None:
+    commit: Commit[str] = Commit(SMALL_LIMITS, 1, 90, False)
     commit.stage(b"a" * 20, "A")
     assert isinstance(commit.next_job(0), Append)
     commit.stage(b"b", "B")
@@ -69,16 +71,16 @@
     assert commit.next_job(52) == Compact(2)
 
 
-def test_a_generation_that_may_or_may_not_stand_takes_no_change() -> None:
-    commit: Commit[str] = Commit(FEW, 1, 200, False)
+def test_a_compaction_with_unknown_outcome_undoes_staged_changes() -> None:
+    commit: Commit[str] = Commit(SMALL_LIMITS, 1, 200, False)
     commit.stage(b"a", "A")
     assert commit.next_job(0) == Compact(0)
     assert commit.settle(Outcome.UNKNOWN, 0, 1).undone == ["A"]
     assert commit.broken
 
 
-def test_what_waits_is_bounded() -> None:
-    commit: Commit[int] = Commit(FEW, 1, 0, False)
+def test_staged_changes_and_bytes_are_bounded() -> None:
+    commit: Commit[int] = Commit(SMALL_LIMITS, 1, 0, False)
     assert [commit.stage(b"x", k) for k in range(6)] == [True] * 4 + [False] * 2
-    wide: Commit[int] = Commit(replace(FEW, max_staged_bytes=100), 1, 0, False)
-    assert [wide.stage(b"x" * 60, k) for k in range(2)] == [True, False]
+    small_bytes: Commit[int] = Commit(replace(SMALL_LIMITS, max_staged_bytes=100), 1, 0, False)
+    assert [small_bytes.stage(b"x" * 60, k) for k in range(2)] == [True, False]
--- a/tests/test_stored_controller.py
+++ b/tests/test_stored_controller.py
@@ -136,7 +136,7 @@
     storage = opener.open(folder)
     assert plain(storage.state) == RECORDED["without_last_write"]
     assert [(r.file, r.problem, r.lost_bytes, r.alarming) for r in storage.warnings] == [
-        (JOURNAL, "the last write is torn", LAST_RECORD_BYTES - cut_bytes, False)
+        (JOURNAL, "the last write is incomplete", LAST_RECORD_BYTES - cut_bytes, False)
     ]
 
 
@@ -149,7 +149,7 @@
     storage = opener.open(folder)
     assert plain(storage.state) == RECORDED["without_last_write"]
     assert [(r.file, r.problem, r.lost_bytes) for r in storage.warnings] == [
-        (JOURNAL, "the last write is torn", LAST_RECORD_BYTES)
+        (JOURNAL, "the last write is incomplete", LAST_RECORD_BYTES)
     ]
 
 
@@ -160,7 +160,7 @@
     data = bytearray((folder / JOURNAL).read_bytes())
     data[HEADER_BYTES + FRAME_BYTES] ^= 1
     (folder / JOURNAL).write_bytes(data)
-    with pytest.raises(StateLostError, match=r"state is damaged: damaged inside"):
+    with pytest.raises(StateLostError, match=r"state is damaged: damaged before intact records"):
         opener.open(folder)
     assert (folder / f"{JOURNAL}.damaged").read_bytes() == data
     assert (folder / SNAPSHOT).read_bytes() == (GOLDEN / SNAPSHOT).read_bytes()
@@ -169,7 +169,9 @@
 def test_a_cut_snapshot_is_named_and_its_files_are_kept(folder: Path, opener: Opener) -> None:
     data = (folder / SNAPSHOT).read_bytes()[:-3]
     (folder / SNAPSHOT).write_bytes(data)
-    with pytest.raises(StateLostError, match=r"state is damaged: the snapshot is not whole"):
+    with pytest.raises(
+        StateLostError, match=r"state is damaged: the snapshot is incomplete or damaged"
+    ):
         opener.open(folder)
     kept = [path.read_bytes() for path in sorted(folder.glob(f"{SNAPSHOT}*"))]
     assert kept == [data]
