--- a/kelpcourse/zones/history.py
+++ b/kelpcourse/zones/history.py
@@ -1,4 +1,7 @@
-"""The differences that led to the current version: for IXFR (RFC 1995) and for restoring a former version. Pure."""
+"""The differences that led to the current version, for IXFR (RFC 1995) and for restoring a former version.
+
+This module does no input or output.
+"""
 
 from __future__ import annotations
 
@@ -12,10 +15,14 @@
 
 
 class History:
-    """The latest differences of a zone, bounded by the number of records in them."""
+    """The latest differences of a zone, limited by the total number of records in them."""
 
     def __init__(self, max_records: int) -> None:
-        """Starts empty; forgets the oldest differences beyond `max_records` records."""
+        """Initializes an empty history.
+
+        Args:
+            max_records: Maximum total number of records; the oldest differences beyond it are removed.
+        """
         self._max_records = max_records
         self._differences: deque[Difference] = deque()
         self._record_count = 0
@@ -29,7 +36,7 @@
         return len(self._differences)
 
     def serials(self) -> list[int]:
-        """Returns the former versions that can be restored, oldest first."""
+        """Returns the serials of the former versions that can be restored, oldest first."""
         return [
             difference.old_serial
             for difference in self._differences
@@ -37,7 +44,7 @@
         ]
 
     def add(self, difference: Difference) -> None:
-        """Adds the latest difference; one that does not follow on replaces all before it."""
+        """Adds the latest difference; if it does not start from the last version, all earlier ones are removed."""
         if difference.old_serial is None:
             self._clear()
             return
@@ -49,7 +56,7 @@
             self._record_count -= self._differences.popleft().record_count
 
     def differences_since(self, serial: int) -> list[Difference] | None:
-        """Returns what leads from a version to the current one; None if it is not known any more."""
+        """Returns the differences from a former version to the current one; None if the history does not reach it."""
         differences: list[Difference] = []
         for difference in reversed(self._differences):
             differences.append(difference)
@@ -64,7 +71,7 @@
 
 
 def version_at(zone: Zone, history: History, serial: int) -> Zone | None:
-    """Returns the version with a serial; None if it is not known any more."""
+    """Returns the former version with the given serial; None if the history does not reach it."""
     differences = history.differences_since(serial)
     if differences is None:
         return None
@@ -75,10 +82,10 @@
 
 
 def restore_version(zone: Zone, history: History, serial: int, accepted_ms: int) -> Difference:
-    """Returns the step to a new version with the records of a former one and the next serial.
+    """Returns the difference to a new version that has the records of a former version and the next serial.
 
     Raises:
-        UnknownVersionError: the former version is not known any more.
+        UnknownVersionError: The history does not reach the former version.
     """
     restored = version_at(zone, history, serial)
     if restored is None:
--- a/kelpcourse/zones/pending_version.py
+++ b/kelpcourse/zones/pending_version.py
@@ -1,4 +1,4 @@
-"""A pending version of a zone: changes on top of a version that stays as it is. Pure."""
+"""A pending version of a zone: changes on top of a version that remains unmodified. No input or output."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 class _SetChange:
     """The changes to the records of one owner and type."""
 
-    ttl: int | None = None  # None: as it was
+    ttl: int | None = None  # None if the TTL is unchanged
     added: dict[bytes, None] = field(default_factory=dict)
     removed: dict[bytes, None] = field(default_factory=dict)
 
 
 class PendingVersion:
-    """The next version of a zone while it is being made, at the cost of what changes."""
+    """The next version of a zone while it is prepared; its cost depends on the number of changed records."""
 
     def __init__(self, zone: Zone) -> None:
-        """Starts without changes on top of `zone`."""
+        """Initializes a pending version on top of `zone` without changes."""
         self.zone = zone
         self.origin = zone.origin
         self._changes: dict[tuple[str, int], _SetChange] = {}
 
     def add(self, record: Record) -> None:
-        """Adds a record; if it is there already, its set only takes on the TTL."""
+        """Adds a record; if the version already has it, only the TTL of its record set changes."""
         records = self.zone.record_set(record.owner, record.type)
         change = self._changes.setdefault((record.owner, record.type), _SetChange())
         if records is not None and record.data in records.data:
@@ -40,7 +40,7 @@
         change.ttl = record.ttl
 
     def remove(self, owner: str, type_: int, data: bytes) -> bool:
-        """Removes a record; returns whether it was there."""
+        """Removes a record; returns whether the version had the record."""
         if not self.has_record(owner, type_, data):
             return False
         change = self._changes.setdefault((owner, type_), _SetChange())
@@ -56,7 +56,7 @@
             self.remove(owner, type_, data)
 
     def has_record(self, owner: str, type_: int, data: bytes) -> bool:
-        """Whether there is such a record, whatever its TTL."""
+        """Reports whether the version has the record, regardless of its TTL."""
         change = self._changes.get((owner, type_))
         if change is not None and (data in change.added or data in change.removed):
             return data in change.added
@@ -81,7 +81,7 @@
         return count + len(change.added) - len(change.removed)
 
     def ttl(self, owner: str, type_: int) -> int:
-        """Returns the TTL of a set of records in seconds; 0 if there is none."""
+        """Returns the TTL of a record set in seconds; 0 if there is no such record set."""
         change = self._changes.get((owner, type_))
         if change is not None and change.ttl is not None:
             return change.ttl
@@ -89,14 +89,14 @@
         return records.ttl if records is not None else 0
 
     def types(self, owner: str) -> list[int]:
-        """Returns the types of the records that a name has, in ascending order."""
+        """Returns the types of the records of an owner, in ascending order."""
         changed_types = {type_ for name, type_ in self._changes if name == owner}
         known_types = {*self.zone.types(owner), *changed_types}
         return [type_ for type_ in sorted(known_types) if self.record_count(owner, type_)]
 
     @property
     def soa_data(self) -> bytes:
-        """The data of the SOA record; empty if there is none."""
+        """The data of the SOA record; empty if the version has no SOA record."""
         return next(self.record_data(self.origin, SOA), b"")
 
     def set_soa(self, data: bytes) -> None:
@@ -106,19 +106,19 @@
         self.add(Record(self.origin, SOA, ttl, data))
 
     def is_changed(self) -> bool:
-        """Whether the pending version differs from the one below it."""
+        """Reports whether the pending version differs from the version that it is based on."""
         return any(True for _ in self._removed()) or any(True for _ in self._added())
 
     def advance_serial(self) -> None:
-        """Increments the serial unless the SOA record was changed (RFC 2136, section 3.6)."""
+        """Increments the serial unless the pending changes include the SOA record (RFC 2136, section 3.6)."""
         if self.soa_data and self.soa_data == self.zone.soa_data:
             self.set_soa(with_serial(self.soa_data, next_serial(self.zone.serial)))
 
     def difference(self, accepted_ms: int) -> Difference:
-        """Returns the step from the version below to the pending one.
+        """Returns the difference from the version that this one is based on.
 
         Raises:
-            MissingSoaError: the pending version has no SOA record.
+            MissingSoaError: The pending version has no SOA record.
         """
         if not self.soa_data:
             raise MissingSoaError(self.origin)
--- a/kelpcourse/zones/persistence.py
+++ b/kelpcourse/zones/persistence.py
@@ -1,6 +1,6 @@
-"""Persistence: the encoding of stored zone entries, and how entries become zones again. Pure.
+"""Persistence: encodes and decodes stored zone entries, and replays them. This module does no input or output.
 
-An entry is a msgpack array: a tag, then the fields in their order. Tags and order are the stored format:
+An entry is a msgpack array of a tag and the fields in order. Tags and order are the stored format:
 
     changed   ZoneChanged
     seen      ZoneConfirmed
@@ -24,30 +24,42 @@
 
 
 class ZoneChanged(msgspec.Struct, tag="changed", array_like=True, frozen=True):
-    """A zone went from one version to the next."""
+    """An entry for the change of a zone from one version to the next."""
 
     origin: str
     difference: Difference
 
 
 class ZoneConfirmed(msgspec.Struct, tag="seen", array_like=True, frozen=True):
-    """The source of a zone confirmed the current version."""
+    """An entry for the confirmation of the current version by the source of the zone.
+
+    Attributes:
+        origin: Origin of the zone.
+        confirmed_ms: Unix time of the confirmation, in milliseconds.
+    """
 
     origin: str
-    confirmed_ms: int  # Unix time
+    confirmed_ms: int
 
 
 class StoredZone(msgspec.Struct, tag="kept", array_like=True, frozen=True):
-    """A whole zone with the differences that led to it."""
+    """An entry for a whole zone with the differences that led to its current version.
+
+    Attributes:
+        origin: Origin of the zone.
+        records: All records of the current version.
+        history: Differences that led to the current version, oldest first.
+        confirmed_ms: Unix time of the last confirmation by the source of the zone, in milliseconds.
+    """
 
     origin: str
     records: tuple[Record, ...]
     history: tuple[Difference, ...]
-    confirmed_ms: int  # Unix time
+    confirmed_ms: int
 
 
 class ZoneSnapshot(msgspec.Struct, tag="snapshot", array_like=True, frozen=True):
-    """All zones of a store."""
+    """An entry for all zones of a store."""
 
     zones: tuple[StoredZone, ...]
 
@@ -66,7 +78,7 @@
     """Decodes a stored entry.
 
     Raises:
-        StoredEntryError: it is malformed.
+        StoredEntryError: The entry is malformed.
     """
     try:
         return _decoder.decode(payload)
@@ -78,8 +90,8 @@
     """Returns the stored form of a snapshot.
 
     Args:
-        zones: the zones of the settings.
-        unconfigured: zones that the store has and the settings do not name; they are kept.
+        zones: Zones that the settings name.
+        unconfigured: Stored zones that the settings do not name; they are kept in the store.
     """
     configured = [stored_zone(zone) for zone in zones if zone.zone.exists]
     return encode_entry(ZoneSnapshot((*configured, *unconfigured)))
@@ -94,7 +106,7 @@
 
 @contextmanager
 def garbage_collection_paused() -> Iterator[None]:
-    """Pauses cyclic garbage collection: a replay makes many objects and no garbage."""
+    """Pauses cyclic garbage collection, because a replay creates many objects and no garbage."""
     was_enabled = gc.isenabled()
     gc.disable()
     try:
@@ -105,18 +117,24 @@
 
 
 class ZoneReplay:
-    """Replays stored entries; zones that the settings do not name are kept as they are."""
+    """Replays stored entries; zones that the settings do not name are kept unchanged."""
 
     def __init__(self, origins: Sequence[str], service: str, limits: Limits) -> None:
-        """Starts with an empty state for each zone of the settings."""
+        """Initializes an empty state for each zone.
+
+        Args:
+            origins: Origins of the zones that the settings name.
+            service: Label prefix of the owners of the SRV records that announce endpoints.
+            limits: Limits of each zone.
+        """
         self.zones = {origin: ZoneState(origin, service, limits) for origin in origins}
-        self.warnings: list[str] = []  # about entries that could not be used
+        self.warnings: list[str] = []  # problems of the entries that could not be replayed
         self._unconfigured: dict[str, ZoneState] = {}
         self._service = service
         self._limits = limits
 
     def unconfigured_zones(self) -> tuple[StoredZone, ...]:
-        """Returns the zones that the store has and the settings do not name."""
+        """Returns the stored zones that the settings do not name."""
         return tuple(stored_zone(zone) for zone in self._unconfigured.values() if zone.zone.exists)
 
     def run(self, snapshot_payload: bytes | None, payloads: Iterable[bytes]) -> None:
@@ -129,7 +147,7 @@
             zone.finish_replay()
 
     def _replay_payload(self, payload: bytes) -> None:
-        """An entry that cannot be used leaves the zone at the version before it."""
+        """Replays one encoded entry; an unusable entry leaves the zone unchanged and adds a warning."""
         try:
             self._replay_entry(decode_entry(payload))
         except ZoneError as error:
--- a/kelpcourse/zones/records.py
+++ b/kelpcourse/zones/records.py
@@ -1,7 +1,7 @@
-"""Records of a zone in the form in which versions are stored. Pure.
+"""Records of a zone in the form in which versions are stored. This module does no input or output.
 
-Record data is kept in the canonical wire form (RFC 4034, section 6.2): it is small, hashes fast and is written to the
-journal as it is. dnspython parses it where its fields are needed.
+Record data is kept in the canonical wire form (RFC 4034, section 6.2), which is compact, fast to hash and written to
+the journal without conversion. dnspython parses it where its fields are needed.
 """
 
 from __future__ import annotations
@@ -16,23 +16,30 @@
 SOA = int(dns.rdatatype.SOA)
 NS = int(dns.rdatatype.NS)
 CNAME = int(dns.rdatatype.CNAME)
-# An SOA record ends with five numbers, whatever the names before them are (RFC 1035, 3.3.13).
+# An SOA record ends with five 32-bit numbers, after two names of variable length (RFC 1035, section 3.3.13).
 SOA_NUMBER_BYTES = 4
 SOA_NUMBERS_BYTES = 5 * SOA_NUMBER_BYTES
 
 
 class Record(NamedTuple):
-    """One record; the fields are stored in this order."""
+    """A record of a zone. The order of the fields is the stored format.
 
-    owner: str  # absolute, lower case
+    Attributes:
+        owner: Absolute owner name, in lower case.
+        type: Number of the record type.
+        ttl: Time to live, in seconds.
+        data: Record data in canonical wire form.
+    """
+
+    owner: str
     type: int
-    ttl: int  # seconds
-    data: bytes  # canonical wire form
+    ttl: int
+    data: bytes
 
 
 @dataclass(frozen=True)
 class Soa:
-    """The numbers of an SOA record (RFC 1035, section 3.3.13); times in seconds."""
+    """The numbers of an SOA record (RFC 1035, section 3.3.13), with times in seconds."""
 
     serial: int
     refresh: int
@@ -43,7 +50,7 @@
 
 @dataclass(slots=True)
 class RecordSet:
-    """All records of one owner and type; they share a TTL (RFC 2181, section 5.2)."""
+    """All records of one owner and type, which share a TTL (RFC 2181, section 5.2)."""
 
     ttl: int
     data: dict[bytes, None]
@@ -83,7 +90,7 @@
 
 
 def with_serial(data: bytes, serial: int) -> bytes:
-    """Returns the data of an SOA record with another serial."""
+    """Returns the data of an SOA record with its serial replaced."""
     start = len(data) - SOA_NUMBERS_BYTES
     return (
         data[:start] + serial.to_bytes(SOA_NUMBER_BYTES, "big") + data[start + SOA_NUMBER_BYTES :]
--- a/kelpcourse/zones/serials.py
+++ b/kelpcourse/zones/serials.py
@@ -1,4 +1,4 @@
-"""Arithmetic on the serial numbers of zones, which wrap around at 2^32 (RFC 1982). Pure."""
+"""Arithmetic on the serial numbers of zones, which wrap around at 2^32 (RFC 1982)."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class SerialOrder(Enum):
-    """How one serial compares with another."""
+    """The result of comparing one serial with another."""
 
     SAME = "same"
     AHEAD = "ahead"
     BEHIND = "behind"
-    UNDEFINED = "undefined"  # exactly half the space apart (RFC 1982, section 3.2)
+    UNDEFINED = "undefined"  # exactly half the serial space apart (RFC 1982, section 3.2)
 
 
 def compare_serials(serial: int, other: int) -> SerialOrder:
-    """Tells where `serial` is relative to `other` (RFC 1982, section 3.2)."""
+    """Returns the position of `serial` relative to `other` (RFC 1982, section 3.2)."""
     distance = (serial - other) % SERIAL_SPACE
     if distance == 0:
         return SerialOrder.SAME
@@ -28,5 +28,5 @@
 
 
 def next_serial(serial: int) -> int:
-    """Increments a serial (RFC 1982, section 3.1); leaves out 0, which some servers take for none."""
+    """Returns the next serial (RFC 1982, section 3.1), and skips 0, which some servers treat as no serial."""
     return (serial + 1) % SERIAL_SPACE or 1
--- a/kelpcourse/zones/versions.py
+++ b/kelpcourse/zones/versions.py
@@ -1,6 +1,7 @@
-"""Versions of a zone and the differences between them. Pure.
+"""Versions of a zone and the differences between them. This module does no input or output.
 
-A version holds its records by owner and type. Applying a difference costs what it touches, not the whole zone.
+A version stores its records by owner and type, so the cost of applying a difference depends on the number of records
+in the difference, not on the size of the zone.
 """
 
 from __future__ import annotations
@@ -14,46 +15,55 @@
 
 
 class Difference(msgspec.Struct, frozen=True, array_like=True):
-    """The step from one version of a zone to another, both SOA records included (RFC 1995).
+    """The difference between two versions of a zone, including both SOA records (RFC 1995).
 
-    It is stored as it is, with its fields in this order.
+    The order of the fields is the stored format.
+
+    Attributes:
+        old_serial: Serial of the old version; None if there was no version.
+        new_serial: Serial of the new version.
+        removed: Records that only the old version has.
+        added: Records that only the new version has.
+        accepted_ms: Unix time at which the new version was accepted, in milliseconds.
     """
 
-    old_serial: int | None  # None: there was no zone
+    old_serial: int | None
     new_serial: int
     removed: tuple[Record, ...]
     added: tuple[Record, ...]
-    accepted_ms: int  # Unix time
+    accepted_ms: int
 
     def inverse(self, accepted_ms: int) -> Difference:
-        """Returns the step back; there must have been a version before."""
+        """Returns the difference in the opposite direction. There must be an old version."""
         assert self.old_serial is not None
         return Difference(self.new_serial, self.old_serial, self.added, self.removed, accepted_ms)
 
     @property
     def record_count(self) -> int:
-        """Records removed and added."""
+        """The number of records that are removed or added."""
         return len(self.removed) + len(self.added)
 
 
 class Zone:
-    """The records of one version."""
+    """The records of one version of a zone."""
 
     def __init__(self, origin: str) -> None:
-        """Starts without any record."""
+        """Initializes a version without records."""
         self.origin = origin
         self._owners: dict[str, dict[int, RecordSet]] = {}
-        # Names with names below them (RFC 4592, section 2.2.2), and how many owners these are.
+        # Number of owners below each name that has owners below it (RFC 4592, section 2.2.2).
         self._ancestors: dict[str, int] = {}
         self._count = 0
-        self._soa: bytes | None = None  # needed at every change
+        self._soa: bytes | None = (
+            None  # data of the SOA record, cached because every change needs it
+        )
 
     def __len__(self) -> int:
         """Returns the number of records."""
         return self._count
 
     def copy(self) -> Zone:
-        """Returns an independent copy, at the cost of the whole zone."""
+        """Returns an independent copy; the cost is proportional to the size of the zone."""
         copied = Zone(self.origin)
         copied._owners = {
             owner: {
@@ -69,7 +79,7 @@
 
     @property
     def exists(self) -> bool:
-        """Whether there is an SOA record."""
+        """Whether the version has an SOA record."""
         return self._soa is not None
 
     @property
@@ -77,7 +87,7 @@
         """The data of the SOA record.
 
         Raises:
-            MissingSoaError: there is none.
+            MissingSoaError: The version has no SOA record.
         """
         if self._soa is None:
             raise MissingSoaError(self.origin)
@@ -85,28 +95,36 @@
 
     @property
     def soa(self) -> Soa:
-        """The numbers of the SOA record; raises MissingSoaError if there is none."""
+        """The numbers of the SOA record.
+
+        Raises:
+            MissingSoaError: The version has no SOA record.
+        """
         return parse_soa(self.soa_data)
 
     @property
     def serial(self) -> int:
-        """The serial of the version; raises MissingSoaError if there is no SOA record."""
+        """The serial of the version.
+
+        Raises:
+            MissingSoaError: The version has no SOA record.
+        """
         return soa_serial(self.soa_data)
 
     def record_set(self, owner: str, type_: int) -> RecordSet | None:
-        """Returns the records of an owner and type; None if there are none."""
+        """Returns the set of records of an owner and type; None if there is no such record."""
         return self._owners.get(owner, {}).get(type_)
 
     def types(self, owner: str) -> Iterable[int]:
-        """Returns the types of the records that a name has."""
+        """Returns the types of the records of an owner."""
         return self._owners.get(owner, {}).keys()
 
     def has_records(self, owner: str) -> bool:
-        """Whether a name has any record."""
+        """Reports whether a name has any record."""
         return owner in self._owners
 
     def name_exists(self, owner: str) -> bool:
-        """Whether a name exists, if only through names below it (RFC 4592, section 2.2.2)."""
+        """Reports whether a name exists: it has records, or a name below it has (RFC 4592, section 2.2.2)."""
         return owner in self._owners or owner in self._ancestors
 
     def owners(self) -> Iterable[str]:
@@ -121,7 +139,7 @@
                     yield Record(owner, type_, records.ttl, data)
 
     def add(self, record: Record) -> None:
-        """Adds a record; its set takes on the TTL."""
+        """Adds a record; its TTL becomes the TTL of the whole record set."""
         record_sets = self._owners.get(record.owner)
         if record_sets is None:
             record_sets = self._owners[record.owner] = {}
@@ -137,7 +155,7 @@
             self._count += 1
 
     def remove(self, record: Record) -> bool:
-        """Removes a record, whatever its TTL; returns whether it was there."""
+        """Removes a record regardless of its TTL; returns whether the version had the record."""
         record_sets = self._owners.get(record.owner, {})
         records = record_sets.get(record.type)
         if records is None or record.data not in records.data:
@@ -154,10 +172,10 @@
         return True
 
     def apply(self, difference: Difference) -> None:
-        """Moves on to the version that a difference leads to.
+        """Applies a difference, which turns this version into the new one.
 
         Raises:
-            MissingRecordError: it does not start from this version; nothing has changed.
+            MissingRecordError: The difference removes a record that this version does not have; nothing was changed.
         """
         owners = self._owners
         for owner, type_, _, data in difference.removed:
@@ -171,7 +189,7 @@
             self.add(record)
 
     def _count_ancestors(self, owner: str, change: int) -> None:
-        """Counts an owner, or no longer, at the names between it and the origin."""
+        """Adds `change` to the number of owners below each ancestor of `owner`, up to the origin."""
         name = owner
         while name != self.origin:
             dot = name.find(".")
@@ -186,7 +204,7 @@
 
 
 def build_zone(origin: str, records: Iterable[Record]) -> Zone:
-    """Returns a version with these records."""
+    """Returns a version with the given records."""
     zone = Zone(origin)
     for record in records:
         zone.add(record)
@@ -194,10 +212,10 @@
 
 
 def difference_between(old: Zone, new: Zone, accepted_ms: int) -> Difference:
-    """Returns the step from one version to another.
+    """Returns the difference between two versions.
 
     Raises:
-        MissingSoaError: the new version has no SOA record.
+        MissingSoaError: The new version has no SOA record.
     """
     removed: list[Record] = []
     added: list[Record] = []
@@ -216,7 +234,7 @@
 
 
 def _missing_data(records: RecordSet, other: RecordSet | None) -> Iterable[bytes]:
-    """Returns the data that another set lacks: all of it if the TTL differs."""
+    """Returns the record data that the other set does not have, or all data if the TTLs differ."""
     if other is None or records.ttl != other.ttl:
         return records.data
     return [data for data in records.data if data not in other.data]
--- a/kelpcourse/zones/zone_state.py
+++ b/kelpcourse/zones/zone_state.py
@@ -1,7 +1,8 @@
-"""The state of one zone: its versions, its version reconciliation and the endpoints it announces. Pure.
+"""The state of one zone: its versions, its version reconciliation and the endpoints that it announces.
 
-Where updates are accepted there are two versions: the durable one, which is served and announced, and the head, which
-the next update builds on. They are equal whenever no update waits for the disk.
+A zone that accepts updates has two versions: the durable one, which is served and published, and the head, which the
+next update is based on. They are equal whenever no update is waiting to become durable. This module does no input or
+output.
 """
 
 from __future__ import annotations
@@ -25,41 +26,49 @@
 
 
 class ZoneState:
-    """One zone with its history, its accepted version and its endpoints."""
+    """A zone with its history, its accepted version and its endpoints."""
 
     def __init__(self, origin: str, service: str, limits: Limits) -> None:
-        """Starts without any version; `service` is the label prefix of the SRV records to read."""
+        """Initializes a zone without any version.
+
+        Args:
+            origin: Key of the zone's origin.
+            service: Label prefix of the owners of the SRV records that announce endpoints.
+            limits: Limits of the records, the history and the removals.
+        """
         self.origin = origin
         self.zone = Zone(origin)
         self.history = History(limits.max_zone_history_records)
         self.extractor = EndpointExtractor(origin, service)
         self.reconciler = VersionReconciler(None)
-        self.confirmed_ms = 0  # Unix time when its source last confirmed it
+        # Unix time in milliseconds at which the source of the zone last confirmed the version.
+        self.confirmed_ms = 0
         self._limits = limits
         self._removals = RemovalHistory(limits.zone_removal_window_us)
-        self._head: Zone | None = None  # None: the same as `zone`
+        self._head: Zone | None = None  # None if the head is the same as `zone`
         self._head_extractor: EndpointExtractor | None = None
         self._staged_updates = 0
         self._service = service
 
     @property
     def head(self) -> Zone:
-        """The version that the next update builds on."""
+        """The version that the next update is based on."""
         return self._head if self._head is not None else self.zone
 
     @property
     def staged_updates(self) -> int:
-        """Updates that are part of the head and not yet durable."""
+        """The number of updates that are part of the head and not yet durable."""
         return self._staged_updates
 
     def apply(self, difference: Difference, now_us: int) -> EndpointChanges:
         """Makes a version current that is durable or can be fetched again.
 
-        Returns the endpoints that changed, by name; None for one that is gone.
+        Returns:
+            The endpoints that changed, by name; None for an endpoint that was removed.
 
         Raises:
-            ZoneError: the difference does not follow on, or the zone would be too large; nothing
-                has changed.
+            ZoneError: The difference does not start from the current version, or the zone would be too large;
+                nothing was changed.
         """
         self._check_sequence(difference)
         record_count = len(self.zone) + len(difference.added) - len(difference.removed)
@@ -73,27 +82,27 @@
         return changes
 
     def replay(self, difference: Difference) -> None:
-        """Applies a version from the store; `finish_replay` derives the rest once at the end.
+        """Applies a stored difference. `finish_replay` must be called once after the last one.
 
         Raises:
-            ZoneError: the difference does not follow on; nothing has changed.
+            ZoneError: The difference does not start from the current version; nothing was changed.
         """
         self._check_sequence(difference)
         self.zone.apply(difference)
         self.history.add(difference)
 
     def finish_replay(self) -> None:
-        """Derives the accepted version and the endpoints after the last replayed version."""
+        """Derives the accepted version and the endpoints from the last replayed version."""
         if self.zone.exists:
             self._accept_current()
             self.extractor.start(self.zone)
 
     def difference_to(self, new: Zone, at_ms: int) -> Difference:
-        """Returns the difference from the current version to one that was received in full."""
+        """Returns the difference from the current version to a version that was received in full."""
         return difference_between(self.zone, new, at_ms)
 
     def new_pending_version(self) -> PendingVersion:
-        """Returns a pending version on top of the head, for one update to change."""
+        """Returns a pending version on top of the head, for the changes of one update."""
         return PendingVersion(self.head)
 
     def stage_update(
@@ -105,15 +114,15 @@
     ) -> str:
         """Adds an update to the head if the update policy allows it.
 
-        An update that was added must be followed by `commit_update` or `undo_update`.
+        The caller must later pass an update that was added to `commit_update` or `undo_update`.
 
         Returns:
             Why the policy rejects the update; empty if the update was added.
 
         Raises:
-            ZoneError: the difference does not fit the head; nothing has changed.
+            ZoneError: The difference does not start from the head; nothing was changed.
         """
-        head, extractor = self._open_head()
+        head, extractor = self._ensure_head()
         endpoints = dict(extractor.endpoints) if grant.max_removed_fraction < 1 else {}
         head.apply(difference)
         changes = extractor.apply(difference, head)
@@ -126,20 +135,20 @@
         return reason
 
     def undo_update(self, difference: Difference) -> None:
-        """Removes the last staged update from the head, as it cannot be made durable."""
-        head, extractor = self._open_head()
+        """Removes the last staged update from the head after it was rejected or could not be made durable."""
+        head, extractor = self._ensure_head()
         inverse = difference.inverse(difference.accepted_ms)
         head.apply(inverse)
         extractor.apply(inverse, head)
         self._staged_updates -= 1
 
     def commit_update(self, difference: Difference, now_us: int) -> EndpointChanges:
-        """Makes the oldest staged update current, as it is durable now."""
+        """Makes the oldest staged update current after it has become durable."""
         self._staged_updates -= 1
         return self.apply(difference, now_us)
 
     def discard_head(self) -> None:
-        """Forgets the head after the zone changed by another way than updates."""
+        """Discards the head after the zone has changed by other means than an update."""
         assert not self._staged_updates
         self._head = None
         self._head_extractor = None
@@ -151,8 +160,11 @@
         if self.zone.exists and difference.old_serial != self.zone.serial:
             raise VersionSequenceError(self.origin, difference.old_serial, self.zone.serial)
 
-    def _open_head(self) -> tuple[Zone, EndpointExtractor]:
-        """The head is copied at the first update and then kept: a copy costs the whole zone."""
+    def _ensure_head(self) -> tuple[Zone, EndpointExtractor]:
+        """Returns the head and its extractor, and creates them at the first update.
+
+        They are kept afterwards, because the cost of copying is proportional to the size of the zone.
+        """
         if self._head is None or self._head_extractor is None:
             self._head = self.zone.copy()
             self._head_extractor = EndpointExtractor(self.origin, self._service)
--- a/kelpcourse/zones/zone_store.py
+++ b/kelpcourse/zones/zone_store.py
@@ -1,8 +1,8 @@
-"""The store of the zones: replays them at the start, and makes new versions durable.
+"""The store of the zones: replays them at startup, and makes new versions durable.
 
-A dynamic update is committed once it is durable. A version from a primary or a file is in force already when it is
-saved, as it can be fetched again. If saving one fails, later differences do not follow on from what the store has, so
-the zone counts as unsaved until the whole zone is saved.
+A dynamic update is committed once it is durable. A version from a primary or a file is already current when it is
+saved, because it can be fetched again. If saving such a version fails, later differences do not start from the stored
+version, so the zone counts as unsaved until the whole zone is saved.
 """
 
 from __future__ import annotations
@@ -35,23 +35,24 @@
 
 @dataclass(frozen=True)
 class SavedVersion:
-    """The ticket of a version that is in force already."""
+    """The ticket of a version that is already current."""
 
     origin: str
 
 
 class ZoneStore:
-    """Keeps the zones in the state folder, or in memory alone if the settings name none."""
+    """Keeps the zones in the state folder, or only in memory if the settings name no folder."""
 
     def __init__(
         self, settings: ZonesSettings, runtime: ZoneRuntime, on_committed: OnCommitted
     ) -> None:
-        """Opens the state folder and replays what it holds.
+        """Opens the state folder and replays its contents.
 
         Args:
-            settings: Name the zones and the state folder.
-            runtime: The shared parts.
-            on_committed: Called with each zone that an update changed, once that is durable.
+            settings: Settings that name the zones and the state folder.
+            runtime: Parts that the components of the service share.
+            on_committed: Function that is called with each zone that an update changed and with the changed endpoints,
+                once the update is durable.
 
         Raises:
             FolderInUseError: Another process has the folder open.
@@ -60,7 +61,8 @@
         self._runtime = runtime
         self._on_committed = on_committed
         self._unsaved_origins: set[str] = set()
-        self._in_snapshot: set[str] = set()  # unsaved zones that the snapshot being written has
+        # Unsaved zones that are part of the snapshot that is being written.
+        self._origins_in_snapshot: set[str] = set()
         replay = ZoneReplay(
             [zone.origin for zone in settings.zones], settings.service, runtime.limits
         )
@@ -72,12 +74,12 @@
 
     @property
     def writer(self) -> DurableWriter[PendingUpdate | SavedVersion] | None:
-        """The writer to the state folder; None without a folder."""
+        """The writer to the state folder; None if there is no folder."""
         return self._writer
 
     @property
     def is_recovering(self) -> bool:
-        """Whether the store cannot take a change yet, though no write has failed."""
+        """Whether the store does not accept changes yet, although no write has failed."""
         return (
             self._writer is not None
             and self._writer.broken
@@ -85,17 +87,17 @@
         )
 
     def start(self, start_coroutine: StartCoroutine) -> None:
-        """Starts writing."""
+        """Starts the coroutine that writes changes."""
         if self._writer is not None:
             start_coroutine("store", self._writer.run)
 
     def close(self) -> None:
-        """Waits for the write that is running and closes the files."""
+        """Waits for the running write and closes the files."""
         if self._writer is not None:
             self._writer.close()
 
     def stage(self, update: PendingUpdate) -> bool:
-        """Queues an update to be made durable; False if it cannot be taken now."""
+        """Queues an update to be made durable; returns False if the update cannot be queued now."""
         max_pending = self._runtime.limits.max_pending_dns_updates
         if self._writer is None or self._writer.pending_changes >= max_pending:
             return False
@@ -107,7 +109,7 @@
         return self._writer.stage(encode_entry(ZoneChanged(origin, update.difference)), update)
 
     def save(self, zone: ZoneState, entry: Entry) -> None:
-        """Queues an entry on a version that is in force already, or the whole zone if unsaved."""
+        """Queues an entry for a version that is already current, or the whole zone if the zone is unsaved."""
         if self._writer is None:
             return
         origin = zone.origin
@@ -156,12 +158,12 @@
         )
 
     def _encode_snapshot(self) -> bytes:
-        self._in_snapshot = set(self._unsaved_origins)
+        self._origins_in_snapshot = set(self._unsaved_origins)
         return encode_snapshot(self.zone_states.values(), self._unconfigured_zones)
 
     def _on_settled(self, settled: Settled[PendingUpdate | SavedVersion]) -> None:
         if settled.compacted:
-            self._unsaved_origins -= self._in_snapshot
+            self._unsaved_origins -= self._origins_in_snapshot
         for ticket in settled.durable:
             if isinstance(ticket, PendingUpdate):
                 self._commit(ticket)
@@ -183,4 +185,4 @@
 
     def _mark_unsaved(self, origin: str) -> None:
         self._unsaved_origins.add(origin)
-        self._in_snapshot.discard(origin)
+        self._origins_in_snapshot.discard(origin)
