--- a/kelpcourse/zones/endpoint_attributes.py
+++ b/kelpcourse/zones/endpoint_attributes.py
@@ -1,8 +1,8 @@
-"""Attributes of an endpoint in the TXT records of its name. Pure.
+"""Attributes of an endpoint in the TXT records of its name.
 
     s-1.games.example.org.  TXT  "kind=m2" "cell=3" "phase=ready" "started=1767225600000"
 
-Strings are name=value as in RFC 6763, section 6. Names as written in the records, and the fields that they set:
+Strings are of the form name=value, as in RFC 6763, section 6. The names in the records and the fields that they set:
 
     kind     EndpointAttributes.kind
     cell     EndpointAttributes.cell
@@ -22,39 +22,52 @@
 DEFAULT_KIND = "default"
 MAX_KIND_LENGTH = 256
 MAX_COUNT_DIGITS = 20
-COUNT_LIMIT = 1 << 53  # integers below it are exact as floating-point numbers
-REPLACEMENT_CHARACTER = "\ufffd"  # stands for bytes that are not UTF-8
+COUNT_LIMIT = 1 << 53  # integers below this limit are exact as floating-point numbers
+REPLACEMENT_CHARACTER = "\ufffd"  # result of decoding bytes that are not UTF-8
 
 
 @dataclass(frozen=True, order=True)
 class RecordProblem:
-    """A record that cannot be used; `field` names the part of it that is wrong."""
+    """A problem of a record that cannot be used.
+
+    Attributes:
+        owner: Owner of the record.
+        field: Part of the record, or attribute, that is invalid.
+        text: Description of the problem.
+    """
 
     owner: str
     field: str
     text: str
 
     def __str__(self) -> str:
-        """Returns owner, field and text, separated by colons."""
+        """Returns the owner, the field and the text, separated by colons."""
         return f"{self.owner}: {self.field}: {self.text}"
 
 
 @dataclass
 class EndpointAttributes:
-    """What the TXT records of a name say about the endpoint."""
+    """The attributes of an endpoint that the TXT records of its name set.
+
+    Attributes:
+        kind: Kind of the endpoint, which request classes can require.
+        cell: Number of the endpoint's cell.
+        status: Status of the endpoint.
+        started_ms: Unix time of the endpoint's start, in milliseconds; 0 if it started long ago.
+    """
 
     kind: str = DEFAULT_KIND
     cell: int = 0
     status: EndpointStatus = EndpointStatus.READY
-    started_ms: int = 0  # Unix time; 0: long ago
+    started_ms: int = 0
 
 
 def read_attributes(
     owner: str, txt_data: Iterable[bytes], problems: list[RecordProblem]
 ) -> EndpointAttributes:
-    """Reads the TXT records of a name, in the order of their data.
+    """Returns the attributes in the TXT records of a name, which are read in the order of their data.
 
-    A string that cannot be used is appended to `problems` and ignored; the others count.
+    A string that cannot be used is ignored and reported in `problems`; the other strings are used.
     """
     attributes = EndpointAttributes()
     values: dict[str, str] = {}
@@ -75,17 +88,17 @@
     name, equals, value = text.partition("=")
     name = name.lower()
     if not equals or name not in ATTRIBUTE_NAMES:
-        return  # TXT records have other uses, too
+        return  # TXT records also have other uses
     first = values.setdefault(name, value)
     if first != value:
-        text = f"told twice: {first!r:.40} counts, not {value!r:.40}"
+        text = f"appears twice: {first!r:.40} is used, not {value!r:.40}"
         problems.append(RecordProblem(owner, name, text))
     elif not _set_attribute(attributes, name, value):
-        problems.append(RecordProblem(owner, name, f"has no such value: {value!r:.60}"))
+        problems.append(RecordProblem(owner, name, f"has an invalid value: {value!r:.60}"))
 
 
 def _set_attribute(attributes: EndpointAttributes, name: str, value: str) -> bool:
-    """Returns whether the attribute may have the value, and was set."""
+    """Sets an attribute if the value is valid; returns whether it was set."""
     match name:
         case "kind" if _is_kind(value):
             attributes.kind = value
@@ -113,7 +126,7 @@
 
 
 def _character_strings(data: bytes) -> Iterator[bytes]:
-    """Splits TXT data into its strings (RFC 1035, section 3.3.14)."""
+    """Yields the character strings of TXT data (RFC 1035, section 3.3.14)."""
     offset = 0
     while offset < len(data):
         size = data[offset]
--- a/kelpcourse/zones/endpoint_extraction.py
+++ b/kelpcourse/zones/endpoint_extraction.py
@@ -1,12 +1,13 @@
-"""Endpoint extraction: SRV, A, AAAA and TXT records of a zone to endpoints. Pure.
+"""Endpoint extraction: converts the SRV, A, AAAA and TXT records of a zone to endpoints.
 
     _game._tcp.room-a.games.example.org.  SRV  0 1 5000 s-1.games.example.org.
     s-1.games.example.org.                A    10.1.0.18
     s-1.games.example.org.                TXT  "kind=m2" "cell=3" "phase=ready" "started=1767225600000"
 
-SRV is read as in RFC 2782: its weight is the weight of the endpoint (0: unknown), and the label between the service
-and the origin is the endpoint's zone in the sense of the policy. Of several priorities for one target the lowest
-counts. A record that cannot be used is reported as a problem and ignored.
+SRV records are interpreted as in RFC 2782: the weight of the record is the weight of the endpoint (0 if unknown), and
+the label between the service and the origin is the endpoint's zone in the sense of the policy. If SRV records with
+different priorities have the same target, the one with the lowest priority value is used. A record that cannot be used
+is reported as a problem and ignored. This module does no input or output.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 A = int(dns.rdatatype.A)
 AAAA = int(dns.rdatatype.AAAA)
 TXT = int(dns.rdatatype.TXT)
-SRV_HEADER = struct.Struct(">HHH")  # priority, weight, port
+SRV_HEADER = struct.Struct(">HHH")  # priority, weight and port
 ROOT = "."
 PLAIN_CHARACTERS = frozenset(b"abcdefghijklmnopqrstuvwxyz0123456789-_.")
 T = TypeVar("T")
@@ -39,54 +40,77 @@
 
 @dataclass(frozen=True, order=True)
 class SrvAnnouncement:
-    """What an SRV record says about its target."""
+    """The data of an SRV record about its target. Announcements are ordered by the fields in this order.
+
+    Attributes:
+        priority: Priority of the record; the lowest value is preferred.
+        zone: Zone of the endpoint in the sense of the policy.
+        port: Port of the endpoint.
+        weight: Weight of the endpoint; 0 if unknown.
+        owner: Owner of the record.
+    """
 
     priority: int
-    zone: str  # in the sense of the policy
+    zone: str
     port: int
     weight: int
     owner: str
 
 
 class EndpointExtractor:
-    """The endpoints of one zone, updated with each difference at the cost of what it touches."""
+    """Tracks the endpoints of one zone.
+
+    The cost of an update depends on the number of names that a difference changes, not on the size of the zone.
+    """
 
     def __init__(self, origin: str, service: str) -> None:
-        """Starts without endpoints; `service` is the label prefix of the SRV records to read.
+        """Initializes an extractor without endpoints.
+
+        Args:
+            origin: Key of the zone's origin.
+            service: Label prefix of the owners of the SRV records that announce endpoints.
 
         Raises:
-            InvalidNameError: `service` is not a name.
+            InvalidNameError: `service` is not a domain name.
         """
         self.origin = origin
         self._service = labels(read_name(service, "service"))
-        self._announcements: dict[str, set[SrvAnnouncement]] = {}  # by target
-        self._unusable_srv: dict[str, set[RecordProblem]] = {}  # by owner
-        self.endpoints: dict[str, ListedEndpoint] = {}  # by name relative to the origin
-        # The endpoints that the last difference changed, as they were before it.
+        # Announcements by target.
+        self._announcements: dict[str, set[SrvAnnouncement]] = {}
+        # Problems of SRV records by owner.
+        self._unusable_srv: dict[str, set[RecordProblem]] = {}
+        # Endpoints by name relative to the origin.
+        self.endpoints: dict[str, ListedEndpoint] = {}
+        # Endpoints that the last difference changed, with their values before it.
         self.previous: dict[str, ListedEndpoint | None] = {}
         self._target_problems: dict[str, tuple[RecordProblem, ...]] = {}
 
     def problems(self) -> list[RecordProblem]:
-        """Returns every record that cannot be used, in the order of their owners."""
+        """Returns the problems of all records that cannot be used, sorted by owner."""
         by_target = [problem for each in self._target_problems.values() for problem in each]
         by_owner = [problem for each in self._unusable_srv.values() for problem in each]
         return sorted(by_target + by_owner)
 
     def start(self, zone: Zone) -> dict[str, ListedEndpoint | None]:
-        """Reads a whole zone; returns its endpoints by name."""
+        """Reads a whole zone and returns its endpoints by name."""
         return self._apply((), zone.records(), zone)
 
     def apply(self, difference: Difference, zone: Zone) -> dict[str, ListedEndpoint | None]:
-        """Reads a difference; `zone` is the version that it leads to.
+        """Reads a difference.
+
+        Args:
+            difference: Difference between two versions.
+            zone: The new version.
 
-        Returns the endpoints that changed, by name; None for one that is gone.
+        Returns:
+            The endpoints that changed, by name; None for an endpoint that was removed.
         """
         return self._apply(difference.removed, difference.added, zone)
 
     def _apply(
         self, removed: Iterable[Record], added: Iterable[Record], zone: Zone
     ) -> dict[str, ListedEndpoint | None]:
-        touched: dict[str, None] = {}  # targets, in a stable order
+        touched: dict[str, None] = {}  # targets of changed records, in a stable order
         for record in removed:
             self._read_record(record, touched, present=False)
         for record in added:
@@ -117,16 +141,18 @@
         touched[target] = None
 
     def _parse_srv(self, record: Record) -> tuple[str, SrvAnnouncement]:
-        """Returns the target and what the record says about it (RFC 2782)."""
+        """Returns the target of an SRV record and the announcement in it (RFC 2782)."""
         owner_labels = labels(record.owner)
         zone_end = len(owner_labels) - len(labels(self.origin))
         zone_labels = owner_labels[len(self._service) : zone_end]
         if len(zone_labels) != 1:
-            raise InvalidAnnouncementError("owner", f"not SERVICE.ZONE-OF-HOSTS.{self.origin}")
+            raise InvalidAnnouncementError(
+                "owner", f"is not of the form SERVICE.ENDPOINT-ZONE.{self.origin}"
+            )
         priority, weight, port = SRV_HEADER.unpack_from(record.data)
         target = _parse_name(record.data, SRV_HEADER.size)
         if target == ROOT:
-            reason = "target is the root: the service is not there (RFC 2782)"
+            reason = "target is the root, so the service is not available (RFC 2782)"
             raise InvalidAnnouncementError("target", reason)
         if target == self.origin or not is_under(target, self.origin):
             reason = f"target {target} is not below {self.origin}"
@@ -159,11 +185,11 @@
         if announcement is None:
             return None
         if not announcement.port:
-            problems.append(RecordProblem(announcement.owner, "port", f"0 for {target}"))
+            problems.append(RecordProblem(announcement.owner, "port", f"is 0 for {target}"))
             return None
         address = _choose_address(target, zone, problems)
         if address is None:
-            text = f"no A or AAAA, though {announcement.owner} names it"
+            text = f"no A or AAAA record, although it is the target of {announcement.owner}"
             problems.append(RecordProblem(target, "address", text))
             return None
         txt_records = zone.record_set(target, TXT)
@@ -183,33 +209,36 @@
     def _choose_announcement(
         self, target: str, problems: list[RecordProblem]
     ) -> SrvAnnouncement | None:
-        """Returns the first in order of priority, zone and port, so every controller picks the same."""
+        """Returns the first announcement by priority, zone and port, so that every controller picks the same one."""
         announcements = sorted(self._announcements.get(target, ()))
-        if not announcements:  # an address alone is no endpoint
+        if not announcements:  # an address without an SRV record does not announce an endpoint
             return None
         chosen = announcements[0]
         for other in announcements[1:]:
             if other.priority == chosen.priority:
-                text = f"{target} is named by {chosen.owner} too, which counts (port {chosen.port})"
+                text = (
+                    f"{target} is also the target of {chosen.owner}, "
+                    f"which is used (port {chosen.port})"
+                )
                 problems.append(RecordProblem(other.owner, "target", text))
         return chosen
 
 
 def _choose_address(target: str, zone: Zone, problems: list[RecordProblem]) -> str | None:
-    """Returns the lowest A or else the lowest AAAA, so every controller picks the same."""
+    """Returns the lowest A address, or else the lowest AAAA address, so that every controller picks the same one."""
     for type_ in (A, AAAA):
         addresses = zone.record_set(target, type_)
         if addresses is None:
             continue
         if len(addresses.data) > 1:
-            text = f"{len(addresses.data)} of one type: the lowest counts"
+            text = f"{len(addresses.data)} records of one type: the lowest address is used"
             problems.append(RecordProblem(target, "address", text))
         return str(ipaddress.ip_address(min(addresses.data)))
     return None
 
 
 def _set_membership(sets: dict[str, set[T]], key: str, item: T, *, present: bool) -> None:
-    """Adds an item to the set of a key or removes it; no empty set is kept."""
+    """Adds an item to the set of a key, or removes it; a set that becomes empty is deleted."""
     members = sets.setdefault(key, set())
     if present:
         members.add(item)
@@ -222,7 +251,7 @@
 def _parse_name(data: bytes, offset: int) -> str:
     """Returns the canonical form of a name in wire form (RFC 1035, section 3.1).
 
-    Plain names are read here without dnspython, as this is done for each endpoint.
+    Names without special characters are decoded without dnspython for speed, because this is done for each endpoint.
     """
     parts = []
     position = offset
--- a/kelpcourse/zones/file_watcher.py
+++ b/kelpcourse/zones/file_watcher.py
@@ -1,4 +1,4 @@
-"""Zone files as a source of versions: read at the start, and again whenever they change."""
+"""Zone files as a source of versions: they are read at startup, and again whenever they change."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from kelpcourse.zones.zone_state import ZoneState
 from kelpcourse.zones.zonefile import read_zone_file
 
-FILE_SOURCE = "file"  # in version reconciliation
+FILE_SOURCE = "file"  # name of the source in version reconciliation
 
 OnVersion = Callable[[ZoneState, Difference, str], None]
 
 
 class ZoneFileWatcher:
-    """Polls the zone files and passes newer versions on."""
+    """Polls the zone files and passes newer versions to a callback."""
 
     def __init__(
         self,
@@ -32,23 +32,24 @@
         runtime: ZoneRuntime,
         on_version: OnVersion,
     ) -> None:
-        """Creates a watcher; `run` is its coroutine.
+        """Initializes a watcher; `run` is its coroutine.
 
         Args:
-            paths: The files, by the origins of their zones.
-            zone_states: The zones by origin.
-            runtime: The shared parts.
-            on_version: Called with the zone, the difference and the path of a newer version.
+            paths: Paths of the files, by the origins of their zones.
+            zone_states: Zones by origin.
+            runtime: Parts that the components of the service share.
+            on_version: Function that is called with the zone, the difference and the path of a newer version.
         """
         self._paths = dict(paths)
         self._zone_states = zone_states
         self._runtime = runtime
         self._on_version = on_version
-        self._fingerprints: dict[str, tuple[int, ...]] = {}  # when last read, by origin
+        # Fingerprint of each file when it was last read, by origin.
+        self._fingerprints: dict[str, tuple[int, ...]] = {}
         self._reload_requested = Signal()
 
     def read_at_start(self, origin: str) -> None:
-        """Reads the file of a zone, if it has one, before the loop runs."""
+        """Reads the file of a zone, if it has one, synchronously before the loop runs."""
         path = self._paths.get(origin)
         if path is None:
             return
@@ -61,12 +62,12 @@
         self._offer(origin, path, version)
 
     def reload(self) -> None:
-        """Has all files read now, whether they changed or not."""
+        """Requests that all files are read now, whether they changed or not."""
         self._fingerprints.clear()
         self._reload_requested.set()
 
     def run(self) -> Coroutine[None]:
-        """Looks at all files after each poll interval, and on `reload`."""
+        """Checks all files for changes after each poll interval and on `reload`."""
         while True:
             deadline_us = self._runtime.now_us() + self._runtime.limits.zone_file_poll_us
             yield Wait(deadline_us, signal=self._reload_requested)
@@ -76,7 +77,7 @@
                     yield from self._read(origin, path)
 
     def _read(self, origin: str, path: Path) -> Coroutine[None]:
-        """Reads a file in a thread; pending updates come before its version."""
+        """Reads a file in a thread, and offers its version after the pending updates have been settled."""
         try:
             version = yield from run_in_thread(
                 partial(read_zone_file, path, origin, self._runtime.limits)
@@ -113,22 +114,22 @@
         contradictions: list[Contradiction],
     ) -> None:
         if verdict is Verdict.SAME:
-            reason = "other records under the serial held"
+            reason = "the records differ although the serial is the same"
         elif contradictions:
             reason = verdict.value
         else:
-            return  # reported before
+            return  # the contradiction has already been reported
         error = RejectedFileVersionError(str(path), version.serial, zone.zone.serial, reason)
         self._reject(zone.origin, error)
 
     def _reject(self, origin: str, error: ZoneError) -> None:
-        """The current version stays in force."""
+        """Reports a rejected file; the zone keeps its current version."""
         self._runtime.counters.add("zone_files_rejected")
         self._runtime.log.always("zone_file_rejected", zone=origin, reason=str(error))
 
 
 def _is_known(zone: ZoneState, version: Zone, verdict: Verdict) -> bool:
-    """Whether the file has the current version, or a former one that updates have succeeded."""
+    """Reports whether the file has the current version, or a former version that updates have replaced."""
     if verdict is Verdict.SAME:
         return _has_same_records(zone.zone, version)
     if verdict is not Verdict.BEHIND:
@@ -138,7 +139,7 @@
 
 
 def _has_same_records(first: Zone, second: Zone) -> bool:
-    """Whether two versions have the same records except for the SOA."""
+    """Reports whether two versions have the same records except for the SOA record."""
     return _records_without_soa(first) == _records_without_soa(second)
 
 
@@ -147,7 +148,7 @@
 
 
 def _fingerprint(path: Path) -> tuple[int, ...]:
-    """What changes whenever the file is written; empty if there is none."""
+    """Returns metadata that changes whenever the file is written; empty if the file cannot be accessed."""
     try:
         stat = path.stat()
     except OSError:
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -1,4 +1,4 @@
-"""The secondary's side of a zone: queries primaries for the SOA and transfers newer versions."""
+"""The secondary's side of a zone: queries the primaries for the SOA record and transfers newer versions."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 
 
 class FollowerListener(Protocol):
-    """Takes what a follower finds out."""
+    """Interface for the results of a follower's queries and transfers."""
 
     def version_received(self, zone: ZoneState, difference: Difference, source: str) -> None:
-        """A newer version was received in full."""
+        """Handles a newer version that was received in full."""
 
     def zone_confirmed(self, zone: ZoneState) -> None:
-        """A primary has the current version."""
+        """Handles the confirmation that a primary has the current version."""
 
     def zone_expired(self, zone: ZoneState) -> None:
-        """No primary confirmed the zone within the SOA's expire time."""
+        """Handles a zone that no primary confirmed within the SOA's expire time."""
 
 
 class ZoneFollower:
@@ -56,14 +56,14 @@
         confirmed_us: int,
         listener: FollowerListener,
     ) -> None:
-        """Creates a follower; `run` is its coroutine.
+        """Initializes a follower; `run` is its coroutine.
 
         Args:
-            client: Sends the queries.
-            zone: The zone, with the version that the store had.
-            primaries: The servers to query.
-            confirmed_us: When a primary last confirmed the version, on the loop's clock.
-            listener: Takes versions, confirmations and the expiry.
+            client: Client that sends the queries.
+            zone: Zone with the stored version, if there is one.
+            primaries: Servers to query.
+            confirmed_us: Time in microseconds, on the loop's clock, at which a primary last confirmed the version.
+            listener: Listener for newer versions, confirmations and the expiry.
         """
         self._client = client
         self._clock = client.loop.clock
@@ -76,12 +76,12 @@
         self._notified = Signal()
 
     def notify(self) -> None:
-        """Takes in that a primary announced a new version."""
+        """Handles a NOTIFY of a primary, by which it announces a new version."""
         self._timer.notify(self._clock())
         self._notified.set()
 
     def run(self) -> Coroutine[None]:
-        """Queries the primaries whenever it is due."""
+        """Queries the primaries whenever a query is due."""
         while True:
             self._check_expiry()
             primary_name = self._timer.begin_query(self._clock())
@@ -101,14 +101,14 @@
         if self._zone.reconciler.expired or not self._timer.is_expired(self._clock()):
             return
         self._zone.reconciler.expire()
-        self._timer.notify(self._clock())  # any version of the primaries is accepted now
+        self._timer.notify(self._clock())  # from now on any version of a primary is accepted
         self._listener.zone_expired(self._zone)
 
     def _refresh_from(self, primary: DnsPeer) -> Coroutine[None]:
         try:
             verdict = yield from self._query_and_transfer(primary)
         except (StreamError, ZoneError, dns.xfr.UseTCP) as error:
-            self._note_failure(primary, error)
+            self._report_failure(primary, error)
             self._timer.query_failed(self._clock())
             return
         if verdict.contradicts:
@@ -119,7 +119,7 @@
         self._timer.query_succeeded(self._clock(), confirmed=True)
         self._listener.zone_confirmed(self._zone)
 
-    def _note_failure(self, primary: DnsPeer, error: Exception) -> None:
+    def _report_failure(self, primary: DnsPeer, error: Exception) -> None:
         self._client.counters.add("zone_soa_queries_failed")
         if isinstance(error, StreamTimeoutError):
             self._report(self._zone.reconciler.source_timed_out(str(primary)))
@@ -131,7 +131,7 @@
         )
 
     def _query_and_transfer(self, primary: DnsPeer) -> Coroutine[Verdict]:
-        """Queries the SOA, and transfers the zone if the primary has a newer version."""
+        """Queries a primary for the SOA record, and transfers the zone if the primary has a newer version."""
         self._client.counters.add("zone_soa_queries")
         origin = self._zone.origin
         query = make_query(origin, dns.rdatatype.SOA, primary)
@@ -146,7 +146,7 @@
         return verdict
 
     def _transfer_newer(self, primary: DnsPeer) -> Coroutine[Verdict]:
-        """Transfers differences, or the whole zone if they cannot be used."""
+        """Transfers differences, or the whole zone if the differences cannot be used."""
         if self._zone.zone.exists and not self._zone.reconciler.expired:
             try:
                 return (yield from self._transfer(primary, IXFR))
@@ -174,20 +174,26 @@
                 response = yield from exchange.receive()
                 is_complete = yield from self._add_message(transfer, response)
                 if self._clock() > deadline_us:
-                    raise StreamTimeoutError("the transfer took too long")
+                    raise StreamTimeoutError("the transfer exceeded its time limit")
         finally:
             exchange.close()
         return self._accept(primary, transfer.result())
 
     def _add_message(self, transfer: IncomingTransfer, response: TcpResponse) -> Coroutine[bool]:
-        """A large message is taken in by a thread; only this coroutine changes the zone meanwhile."""
+        """Adds a message to the transfer, in a thread if it is large; returns whether the transfer is complete.
+
+        Only this coroutine changes the zone while the thread runs.
+        """
         if len(response.wire) <= self._client.limits.max_inline_zone_bytes:
             return transfer.add_message(response.wire, response.message)
         add_message = partial(transfer.add_message, response.wire, response.message)
         return (yield from run_in_thread(add_message))
 
     def _accept(self, primary: DnsPeer, received: TransferredVersion) -> Verdict:
-        """The received version is compared anew, as several servers may share one address."""
+        """Accepts the received version if it is newer.
+
+        It is compared with the current version again, because several servers may share one address.
+        """
         version = received.version()
         if version is None:
             raise NoNewerVersionError(self._zone.origin)
@@ -201,7 +207,7 @@
         return verdict
 
     def _difference_to(self, received: TransferredVersion) -> Difference:
-        """The listener sets the time of the difference."""
+        """Returns the difference to the received version; the listener sets the time of acceptance."""
         accepted_ms = 0
         if received.zone is not None:
             check_servable(received.zone)
--- a/kelpcourse/zones/merged_list.py
+++ b/kelpcourse/zones/merged_list.py
@@ -1,9 +1,10 @@
-"""The merged endpoint list of several zones, and its changes. Pure.
+"""The merged endpoint list of several zones, and its changes.
 
 An endpoint is identified by its name relative to the origin, so that a zone and its copy under another origin announce
-the same endpoints. It is in the list while any zone announces it. Where zones disagree, the first in the order of the
-settings decides on address, zone, kind, cell and weight; the endpoint is draining if any zone says so; and it started
-when the latest of them says. A zone that cannot be reached keeps its endpoints.
+the same endpoints. An endpoint is listed while any zone announces it. If zones disagree, the address, zone, kind, cell
+and weight are those of the first zone in the order of the settings; the endpoint is draining if any zone announces it
+as draining; and its start is the latest start that a zone announces. The endpoints of an unreachable zone stay in the
+list. This module does no input or output.
 """
 
 from __future__ import annotations
@@ -17,7 +18,13 @@
 
 @dataclass(frozen=True)
 class EndpointConflict:
-    """The beginning or the end of a disagreement on more than an endpoint's status and start."""
+    """The beginning or the end of a disagreement of zones on other attributes than status and start.
+
+    Attributes:
+        endpoint: Name of the endpoint.
+        zones: Origins of the zones that announce the endpoint; for the end of a conflict, as last reported.
+        begins: Whether the conflict begins, or concerns other zones than before; otherwise it ends.
+    """
 
     endpoint: str
     zones: tuple[str, ...]
@@ -25,27 +32,29 @@
 
 
 class MergedEndpointList:
-    """The merged list, with a version that grows with each change.
+    """The merged list, with a version number that is incremented with each change.
 
-    An endpoint that comes back after it was gone for longer than the grace did no work meanwhile:
-    it counts as started when it came back, whatever its record says, so that it warms up. Within
-    the grace proxies may still be using it, and its start stays as it was.
+    An endpoint that is listed again after a longer absence than the grace period has done no work in between. Its
+    start is then the time at which it was listed again, whatever its record says, so that it is warming up. Within the
+    grace period proxies may still be using the endpoint, so its start is unchanged.
     """
 
     def __init__(self, zones: Sequence[str], grace_us: int, max_remembered: int) -> None:
-        """Starts empty, with no zone loaded.
+        """Initializes an empty list with no zone loaded.
 
         Args:
-            zones: the origins, the one that decides first.
-            grace_us: how long an endpoint may be gone without counting as started anew.
-            max_remembered: how many endpoints that are gone are remembered.
+            zones: Origins of the zones, in descending order of precedence.
+            grace_us: Maximum time, in microseconds, for which an endpoint may be absent without counting as restarted.
+            max_remembered: Maximum number of removed endpoints whose removal time is remembered.
         """
         self._zones = list(zones)
         self._grace_us = grace_us
         self._max_remembered = max_remembered
         self._announced: dict[str, dict[str, ListedEndpoint]] = {zone: {} for zone in zones}
         self.endpoints: dict[str, ListedEndpoint] = {}
-        self._gone_us: dict[str, int] = {}  # in the order they went
+        # Loop time at which each absent endpoint was removed, in microseconds, oldest first.
+        self._removed_us: dict[str, int] = {}
+        # Unix time in milliseconds at which each endpoint was listed again after an absence longer than the grace.
         self._returned_ms: dict[str, int] = {}
         self._conflicts: dict[str, tuple[str, ...]] = {}
         self._loaded: set[str] = set()
@@ -54,10 +63,10 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether every zone has been loaded once.
+        """Whether every zone has been loaded at least once.
 
-        Until then the list may add endpoints but removes none: what a zone that was never loaded
-        announces is not known to be gone.
+        Until then the list adds endpoints but removes none, because a zone that has never been loaded may announce
+        the endpoints that are missing.
         """
         return len(self._loaded) == len(self._zones)
 
@@ -67,9 +76,10 @@
         return len(self._unavailable) < len(self._zones)
 
     def zone_loaded(self, zone: str) -> bool:
-        """Notes that a version of a zone is accepted and confirmed.
+        """Records that a version of a zone is accepted and confirmed.
 
-        Returns whether the list became complete by it.
+        Returns:
+            Whether this completed the list.
         """
         self._unavailable.discard(zone)
         if zone in self._loaded:
@@ -78,16 +88,23 @@
         return self.is_complete
 
     def zone_expired(self, zone: str) -> None:
-        """Notes that a zone has expired; its endpoints stay in the list."""
+        """Records that a zone has expired; its endpoints stay in the list."""
         self._unavailable.add(zone)
 
     def update(
         self, zone: str, changes: Mapping[str, ListedEndpoint | None], now_us: int, unix_ms: int
     ) -> tuple[list[ListedEndpoint], list[EndpointConflict]]:
-        """Merges the changes of one zone: endpoints by name, None for one that is gone.
+        """Merges the changes of one zone into the list, as one change of the list.
 
-        Returns the entries of the list that changed, as one change, with the status GONE for those
-        that were removed; and the conflicts that began or ended.
+        Args:
+            zone: Origin of the zone.
+            changes: Changed endpoints by name; None for an endpoint that was removed.
+            now_us: Time of the loop's clock, in microseconds.
+            unix_ms: Unix time, in milliseconds.
+
+        Returns:
+            The entries of the list that changed, with the status GONE for removed ones, and the conflicts that began
+            or ended.
         """
         announced = self._announced[zone]
         for name, endpoint in changes.items():
@@ -106,7 +123,7 @@
     def _merge(
         self, name: str, now_us: int, unix_ms: int, conflicts: list[EndpointConflict]
     ) -> Iterable[ListedEndpoint]:
-        """Updates one entry of the list; returns it if it changed."""
+        """Updates one entry of the list and returns it if it changed."""
         announcements = {
             zone: announced[name]
             for zone, announced in self._announced.items()
@@ -118,10 +135,10 @@
             if previous is None:
                 return ()
             del self.endpoints[name]
-            self._note_removal(name, now_us)
+            self._record_removal(name, now_us)
             return (replace(previous, status=EndpointStatus.GONE),)
         if previous is None:
-            self._note_arrival(name, now_us, unix_ms)
+            self._record_arrival(name, now_us, unix_ms)
         merged = self._merged(name, list(announcements.values()))
         if merged == previous:
             return ()
@@ -137,16 +154,16 @@
             started_ms=max(latest_start_ms, self._returned_ms.get(name, 0)),
         )
 
-    def _note_removal(self, name: str, now_us: int) -> None:
-        self._gone_us[name] = now_us
-        while len(self._gone_us) > self._max_remembered:
-            oldest = next(iter(self._gone_us))
-            del self._gone_us[oldest]
+    def _record_removal(self, name: str, now_us: int) -> None:
+        self._removed_us[name] = now_us
+        while len(self._removed_us) > self._max_remembered:
+            oldest = next(iter(self._removed_us))
+            del self._removed_us[oldest]
             self._returned_ms.pop(oldest, None)
 
-    def _note_arrival(self, name: str, now_us: int, unix_ms: int) -> None:
-        gone_us = self._gone_us.pop(name, None)
-        if gone_us is not None and now_us - gone_us > self._grace_us:
+    def _record_arrival(self, name: str, now_us: int, unix_ms: int) -> None:
+        removed_us = self._removed_us.pop(name, None)
+        if removed_us is not None and now_us - removed_us > self._grace_us:
             self._returned_ms[name] = unix_ms
 
     def _check_conflict(
@@ -155,7 +172,7 @@
         announcements: Mapping[str, ListedEndpoint],
         conflicts: list[EndpointConflict],
     ) -> None:
-        """Appends to `conflicts` if one on this endpoint begins, ends or concerns other zones."""
+        """Appends to `conflicts` if a conflict on this endpoint begins, ends or concerns other zones than before."""
         distinct = {
             replace(each, status=EndpointStatus.READY, started_ms=0.0)
             for each in announcements.values()
--- a/kelpcourse/zones/offline.py
+++ b/kelpcourse/zones/offline.py
@@ -1,4 +1,4 @@
-"""What commands do with zones when no server runs, or through the server that runs on the same state folder."""
+"""Operations on zones for commands, without a server or through the server that uses the same state folder."""
 
 from __future__ import annotations
 
@@ -29,20 +29,25 @@
 from kelpcourse.zones.zone_state import ZoneState
 from kelpcourse.zones.zonefile import read_zone_file
 
-MAX_READ_ATTEMPTS = 5  # a server may replace the files meanwhile
+MAX_READ_ATTEMPTS = 5  # a running server may replace the files while they are read
 MAX_REMEMBERED_NAMES = 1 << 20
 
 
 @dataclass(frozen=True)
 class CheckedFile:
-    """What a zone file announces, and what is wrong with it."""
+    """The result of checking a zone file.
+
+    Attributes:
+        endpoints: Endpoints that the file announces, sorted by name.
+        problems: Problems of the records that cannot be used, each with the path of the file.
+    """
 
     endpoints: list[ListedEndpoint]
     problems: list[str]
 
 
 def check_file(path: Path, origin: str, service: str, limits: Limits) -> CheckedFile:
-    """Returns the endpoints of a zone file, and a problem for each record that cannot be used.
+    """Checks a zone file and returns its endpoints and the problems of its records.
 
     Raises:
         ZoneError: The file as a whole cannot be used.
@@ -57,7 +62,7 @@
 
 
 def read_state(settings: ZonesSettings, state: Path, limits: Limits) -> ZoneReplay:
-    """Replays a state folder without locking it, beside a server that may be writing there.
+    """Replays a state folder without locking it, because a running server may be writing to it.
 
     Raises:
         OSError: The folder cannot be read.
@@ -69,7 +74,7 @@
 
 
 def merged_endpoints(zones: Iterable[ZoneState]) -> list[ListedEndpoint]:
-    """Returns the merged endpoint list as the routing policy takes it, sorted by name."""
+    """Returns the merged endpoint list that the routing policy would receive, sorted by name."""
     zone_list = list(zones)
     merged = MergedEndpointList([zone.origin for zone in zone_list], 0, MAX_REMEMBERED_NAMES)
     for zone in zone_list:
@@ -78,10 +83,10 @@
 
 
 def discovery_entry(endpoint: ListedEndpoint) -> dict[str, object]:
-    """Returns an endpoint as the JSON of the discovery protocol has it.
+    """Returns an endpoint in the JSON form of the discovery protocol.
 
-    JSON name to internal name: id = name, host_port = address, locality = zone, flavor = kind,
-    phase = status, size = weight, up_since_ms = started_ms.
+    JSON name to internal name: id = name, host_port = address, locality = zone, flavor = kind, phase = status,
+    size = weight, up_since_ms = started_ms.
     """
     started_ms: float = endpoint.started_ms
     return {
@@ -97,10 +102,10 @@
 
 
 def restore(settings: ZonesSettings, origin: str, serial: int) -> RestoreResult:
-    """Restores a zone through the server that runs on this state, or in this process if none does.
+    """Restores a zone through the server that uses the state folder, or in this process if no server does.
 
     Raises:
-        ZoneError: The settings name no state folder, or the origin is not a name.
+        ZoneError: The settings name no state folder, or the origin is not a domain name.
         OSError: The state folder cannot be read or written.
     """
     if settings.state is None:
@@ -136,7 +141,7 @@
 
 
 class _Discard:
-    """A log and an endpoint list listener that discard everything."""
+    """Implements the log and the endpoint list listener, and discards everything."""
 
     def event(self, name: str, **fields: object) -> None:
         pass
@@ -154,11 +159,11 @@
 
 
 def _start_nothing(name: str, factory: CoroutineFactory) -> None:
-    """Takes coroutines that a short-lived service does not need."""
+    """Ignores a coroutine that the service does not need for a single command."""
 
 
 def _restore_in_process(settings: ZonesSettings, command: RestoreCommand) -> RestoreResult:
-    """Runs the service with its store alone until the command is carried out."""
+    """Runs the service with only its store until the command is complete."""
     errors: list[Exception] = []
     results: list[RestoreResult] = []
     limits = Limits()
--- a/kelpcourse/zones/publisher.py
+++ b/kelpcourse/zones/publisher.py
@@ -1,4 +1,4 @@
-"""Publishes the endpoints of the zones as one list, and reports what is wrong with them."""
+"""Publishes the endpoints of the zones as one list, and reports problems of the records and zones."""
 
 from __future__ import annotations
 
@@ -20,7 +20,14 @@
         runtime: ZoneRuntime,
         listener: EndpointListListener,
     ) -> None:
-        """Takes the empty list, and the request classes to report if they have no endpoint."""
+        """Initializes a publisher.
+
+        Args:
+            merged_list: Merged endpoint list, which is empty.
+            classes: Request classes that are reported if they have no endpoint.
+            runtime: Parts that the components of the service share.
+            listener: Listener for changes of the list.
+        """
         self.merged_list = merged_list
         self._classes = classes
         self._runtime = runtime
@@ -28,7 +35,7 @@
         self._classes_without_endpoints: set[str] = set()
 
     def publish(self, zone: ZoneState, changes: EndpointChanges) -> None:
-        """Publishes the changes of one version as one change of the list."""
+        """Publishes the endpoint changes of one version of a zone as one change of the list."""
         merged = self.merged_list
         changed, conflicts = merged.update(
             zone.origin, changes, self._runtime.now_us(), self._runtime.unix_ms()
@@ -44,7 +51,7 @@
         self._check_classes()
 
     def zone_confirmed(self, origin: str) -> None:
-        """Publishes the whole list if it was unavailable before a zone was confirmed."""
+        """Handles the confirmation of a zone; publishes the whole list if it was unavailable before."""
         merged = self.merged_list
         was_available = merged.is_available
         merged.zone_loaded(origin)
@@ -54,7 +61,7 @@
             )
 
     def zone_expired(self, origin: str) -> None:
-        """Reports the list as unavailable if the last zone has expired."""
+        """Handles the expiry of a zone; reports the list as unavailable if it was the last available zone."""
         was_available = self.merged_list.is_available
         self.merged_list.zone_expired(origin)
         if was_available and not self.merged_list.is_available:
@@ -81,7 +88,7 @@
         )
 
     def _check_classes(self) -> None:
-        """Publishes whatever the result, but reports classes that have no endpoint left."""
+        """Reports changes in the set of classes without an endpoint; this never prevents publishing."""
         without_endpoints = set(
             classes_without_endpoints(self._classes, self.merged_list.endpoints.values())
         )
--- a/kelpcourse/zones/reconciliation.py
+++ b/kelpcourse/zones/reconciliation.py
@@ -1,10 +1,11 @@
-"""Version reconciliation: which version of a zone is accepted when its sources disagree. Pure.
-
-A version with a serial ahead of the accepted one (RFC 1982) is accepted. A version behind it is not: a stale primary,
-or one that was restored from a backup, offers such a version, and accepting it would bring back endpoints that are
-gone. The contradiction is reported once; while it lasts, the source confirms nothing, so the zone expires as if its
-primary were silent. Once a zone has expired, any version is accepted. An operator who wants it earlier raises the
-serial at the primary.
+"""Version reconciliation: decides which version of a zone is accepted when its sources disagree.
+
+A version with a serial ahead of the accepted one (RFC 1982) is accepted. A version with a serial behind it is
+rejected: it comes from a stale primary, or from one that was restored from a backup, and accepting it would list
+endpoints that have been removed. The contradiction is reported once. While it lasts, the source does not count as
+confirming the accepted version, so the zone expires as it does without a response of the primary. Once a zone has
+expired, any version is accepted. To have the version accepted earlier, an operator raises the serial at the primary.
+This module does no input or output.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 
 
 class Verdict(Enum):
-    """How an offered version compares with the accepted one."""
+    """The result of comparing an offered version with the accepted one."""
 
-    NEWER = "newer"  # to be fetched and accepted
-    SAME = "same"  # confirms the accepted version
-    BEHIND = "behind"
-    UNDEFINED = "undefined"  # half the serial space apart: neither is newer
-    DIFFERS = "differs"  # the same serial with another SOA record: two histories
+    NEWER = "newer"  # the offered version is fetched and accepted
+    SAME = "same"  # the source confirms the accepted version
+    BEHIND = "behind"  # the serial is behind the accepted one
+    UNDEFINED = "undefined"  # the serials are half the serial space apart, so neither is newer
+    DIFFERS = "differs"  # same serial but another SOA record, so the histories have diverged
 
     @property
     def contradicts(self) -> bool:
@@ -40,14 +41,19 @@
 
 @dataclass(frozen=True)
 class Version:
-    """A version of a zone, identified by its serial and its SOA record."""
+    """A version of a zone, identified by its serial and its SOA record.
+
+    Attributes:
+        serial: Serial of the version.
+        soa: Canonical data of the SOA record, which is compared if the serials are equal.
+    """
 
     serial: int
-    soa: bytes  # canonical data, compared where serials are the same
+    soa: bytes
 
 
 def compare_versions(accepted: Version | None, offered: Version) -> Verdict:
-    """Compares an offered version with the accepted one, if there is one."""
+    """Compares an offered version with the accepted version; without an accepted version it is newer."""
     if accepted is None:
         return Verdict.NEWER
     verdict = VERDICTS[compare_serials(offered.serial, accepted.serial)]
@@ -58,7 +64,15 @@
 
 @dataclass(frozen=True)
 class Contradiction:
-    """The beginning or the end of a contradiction, to be reported to the operators."""
+    """The beginning or the end of a contradiction, to be reported to the operators.
+
+    Attributes:
+        source: Name of the source.
+        verdict: Result of the comparison that began the contradiction.
+        accepted_serial: Serial of the accepted version; 0 if there is none.
+        offered_serial: Serial of the version that the source offered.
+        begins: Whether the contradiction begins; otherwise it ends.
+    """
 
     source: str
     verdict: Verdict
@@ -68,10 +82,10 @@
 
 
 class VersionReconciler:
-    """The accepted version of one zone, and the sources that contradict it."""
+    """Tracks the accepted version of one zone and the sources that contradict it."""
 
     def __init__(self, accepted: Version | None) -> None:
-        """Starts with no contradiction; `accepted` is None while there is no version."""
+        """Initializes the state without contradictions; `accepted` is None if there is no version yet."""
         self.accepted = accepted
         self.expired = False
         self._contradictions: dict[str, tuple[Verdict, int]] = {}  # by source
@@ -82,32 +96,38 @@
         return bool(self._contradictions)
 
     def offer(self, source: str, offered: Version) -> tuple[Verdict, list[Contradiction]]:
-        """Judges a version that a source has, and tells which contradiction begins or ends."""
+        """Compares a version that a source offers with the accepted one.
+
+        Returns:
+            The result of the comparison, and the contradictions that begin or end.
+        """
         verdict = compare_versions(None if self.expired else self.accepted, offered)
-        return verdict, self._note(source, verdict, offered.serial)
+        return verdict, self._update_contradiction(source, verdict, offered.serial)
 
     def accept(self, version: Version) -> None:
-        """Makes this version the accepted one; the zone is no longer expired."""
+        """Makes a version the accepted one; the zone is then no longer expired."""
         self.accepted = version
         self.expired = False
 
     def expire(self) -> None:
-        """Notes that no source confirmed the zone within the SOA's expire time (RFC 1035, 3.3.13)."""
+        """Marks the zone as expired, as no source confirmed it within the SOA's expire time (RFC 1035, 3.3.13)."""
         self.expired = True
 
     def source_timed_out(self, source: str) -> list[Contradiction]:
-        """Ends the contradiction of a source that does not answer any more."""
-        return self._end(source)
+        """Ends the contradiction of a source that no longer responds."""
+        return self._end_contradiction(source)
 
-    def _note(self, source: str, verdict: Verdict, serial: int) -> list[Contradiction]:
+    def _update_contradiction(
+        self, source: str, verdict: Verdict, serial: int
+    ) -> list[Contradiction]:
         if not verdict.contradicts:
-            return self._end(source)
+            return self._end_contradiction(source)
         if self._contradictions.get(source) == (verdict, serial):
             return []
         self._contradictions[source] = verdict, serial
         return [self._contradiction(source, verdict, serial, begins=True)]
 
-    def _end(self, source: str) -> list[Contradiction]:
+    def _end_contradiction(self, source: str) -> list[Contradiction]:
         if source not in self._contradictions:
             return []
         verdict, serial = self._contradictions.pop(source)
--- a/kelpcourse/zones/restore.py
+++ b/kelpcourse/zones/restore.py
@@ -1,7 +1,7 @@
 """Restores a former version of a zone, on commands from the state folder's spool or from the same process.
 
-Only the owner of the folder can write there, so a command needs no further authentication. The JSON names of commands
-and results are those on disk: `origin`, `serial`, `hosts` (endpoint count) and `error`.
+Only the owner of the folder can write to it, so commands need no further authentication. The JSON names of commands
+and results are part of the file format: `origin`, `serial`, `hosts` (number of endpoints) and `error`.
 """
 
 from __future__ import annotations
@@ -26,25 +26,36 @@
 
 
 class RestoreCommand(msgspec.Struct, frozen=True):
-    """Asks for a zone as it was at a serial."""
+    """A command to restore a former version of a zone.
+
+    Attributes:
+        origin: Origin of the zone.
+        serial: Serial of the former version.
+    """
 
     origin: str
     serial: int
 
 
 class RestoreResult(msgspec.Struct, frozen=True):
-    """The new version of the zone, or why it was not restored."""
+    """The result of a restore command.
+
+    Attributes:
+        serial: Serial of the new version.
+        endpoint_count: Number of endpoints that the new version announces.
+        error: Why the zone was not restored; empty if it was restored.
+    """
 
     serial: int = 0
     endpoint_count: int = msgspec.field(default=0, name="hosts")
-    error: str = ""  # empty if the zone was restored
+    error: str = ""
 
 
 OnResult = Callable[[RestoreResult], None]
 
 
 class ZoneRestorer:
-    """Makes a former version the next one."""
+    """Creates a new version with the records of a former version."""
 
     def __init__(
         self,
@@ -53,17 +64,24 @@
         runtime: ZoneRuntime,
         stage: Callable[[PendingUpdate], bool],
     ) -> None:
-        """Takes settings and zones by origin, and the function that queues an update."""
+        """Initializes the restorer.
+
+        Args:
+            settings: Settings of the zones, by origin.
+            zone_states: Zones by origin.
+            runtime: Parts that the components of the service share.
+            stage: Function that queues an update and returns whether it was queued.
+        """
         self._settings = settings
         self._zone_states = zone_states
         self._runtime = runtime
         self._stage = stage
 
     def restore(self, command: RestoreCommand, on_result: OnResult) -> None:
-        """Restores a zone; the result comes once it is durable or cannot be."""
+        """Restores a zone; `on_result` is called once the new version is durable or has failed."""
         zone = self._zone_states.get(command.origin)
         if zone is None:
-            on_result(RestoreResult(error=f"no zone {command.origin} is in the settings"))
+            on_result(RestoreResult(error=f"zone {command.origin} is not in the settings"))
             return
         rejection = self._rejection_of(zone)
         if rejection:
@@ -84,16 +102,16 @@
 
     def _rejection_of(self, zone: ZoneState) -> str:
         if self._settings[zone.origin].primaries:
-            return f"{zone.origin} follows a primary: put it back there"
+            return f"{zone.origin} is transferred from a primary: restore it there"
         if zone.staged_updates:
-            return "updates are under way: try again"
+            return "updates are in progress: try again"
         return ""
 
     def _settled(
         self, zone: ZoneState, restored_serial: int, on_result: OnResult, durable: bool
     ) -> None:
         if not durable:
-            on_result(RestoreResult(error="the state can't be written"))
+            on_result(RestoreResult(error="the state folder cannot be written"))
             return
         endpoint_count = len(zone.extractor.endpoints)
         self._runtime.counters.add("zone_restores")
@@ -108,16 +126,16 @@
 
 
 class CommandReader:
-    """Reads commands from the spool and writes their results there."""
+    """Reads commands from the spool and writes their results to it."""
 
     def __init__(self, folder: Path, runtime: ZoneRuntime, restorer: ZoneRestorer) -> None:
-        """Takes the state folder; `run` is the coroutine."""
+        """Initializes a reader of the spool in the state folder; `run` is its coroutine."""
         self._folder = folder
         self._runtime = runtime
         self._restorer = restorer
 
     def run(self) -> Coroutine[None]:
-        """Looks for commands after each poll interval."""
+        """Checks for commands after each poll interval."""
         while True:
             yield Wait(self._runtime.now_us() + self._runtime.limits.zone_command_poll_us)
             for path, data in take_commands(self._folder):
@@ -130,6 +148,6 @@
         try:
             command = msgspec.json.decode(data, type=RestoreCommand)
         except msgspec.DecodeError as error:
-            write_result(RestoreResult(error=f"a command that can't be read: {error}"))
+            write_result(RestoreResult(error=f"the command cannot be decoded: {error}"))
             return
         self._restorer.restore(command, write_result)
--- a/kelpcourse/zones/runtime.py
+++ b/kelpcourse/zones/runtime.py
@@ -1,4 +1,4 @@
-"""What the service of zones is given by the process that hosts it."""
+"""The interface between the zone service and the process that hosts it."""
 
 from __future__ import annotations
 
@@ -18,31 +18,39 @@
 
 
 class EndpointListListener(Protocol):
-    """Takes changes of the merged endpoint list."""
+    """Interface for changes of the merged endpoint list."""
 
     def list_changed(
         self, endpoints: Sequence[ListedEndpoint], version: int, complete: bool
     ) -> None:
-        """Takes the whole list if `complete`, else the endpoints that changed or are gone."""
+        """Handles the whole list if `complete`, otherwise the endpoints that changed or were removed."""
 
     def list_unavailable(self) -> None:
-        """Takes in that every zone has expired; the endpoints stay."""
+        """Handles the expiry of every zone; the endpoints stay in the list."""
 
 
 @dataclass(frozen=True)
 class ZoneRuntime:
-    """The parts that the components of the service share."""
+    """The parts that the components of the service share.
+
+    Attributes:
+        loop: Event loop.
+        limits: Limits of the process.
+        counters: Counters of the process.
+        log: Event log.
+        start_coroutine: Function that starts a named coroutine that must keep running, and restarts it after an error.
+    """
 
     loop: Loop
     limits: Limits
     counters: Counters
     log: EventLog
-    start_coroutine: StartCoroutine  # keeps a coroutine running that must not end
+    start_coroutine: StartCoroutine
 
     def now_us(self) -> int:
-        """Returns the time of the loop's monotonic clock."""
+        """Returns the time of the loop's monotonic clock, in microseconds."""
         return self.loop.clock()
 
     def unix_ms(self) -> int:
-        """Returns the Unix time."""
+        """Returns the Unix time, in milliseconds."""
         return time.time_ns() // 1_000_000
--- a/kelpcourse/zones/service.py
+++ b/kelpcourse/zones/service.py
@@ -1,4 +1,4 @@
-"""The service of zones: connects store, DNS server, followers and zone files to one published endpoint list."""
+"""The zone service: connects the store, DNS server, followers and zone files to one published endpoint list."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
 
 class ZoneService:
-    """All zones of the settings, as long as the process runs.
+    """Runs all zones of the settings.
 
-    It is the context of the request handlers and the listener of the followers.
+    The service is the context of the request handlers and the listener of the followers.
     """
 
     def __init__(
@@ -38,14 +38,14 @@
         classes: tuple[EndpointClass, ...] = (),
         grace_us: int = 0,
     ) -> None:
-        """Opens the store; nothing runs before `start`.
+        """Opens the store; no coroutine runs before `start`.
 
         Args:
-            settings: The zones and what is done with them.
-            runtime: The shared parts.
-            listener: Takes the merged endpoint list.
-            classes: The request classes, for the removal limit of updates.
-            grace_us: For how long an endpoint that is gone may still be in use.
+            settings: Settings of the zones.
+            runtime: Parts that the components of the service share.
+            listener: Listener for changes of the merged endpoint list.
+            classes: Request classes, for the removal limit of updates.
+            grace_us: Time, in microseconds, for which proxies may still use an endpoint after its removal.
 
         Raises:
             FolderInUseError: Another process has the state folder open.
@@ -61,7 +61,8 @@
             list(self.zone_states), grace_us, runtime.limits.max_endpoint_names
         )
         self._publisher = EndpointPublisher(self.merged_list, classes, runtime, listener)
-        self._saved_confirmation_us: dict[str, int] = {}  # by origin
+        # Loop time at which a confirmation of each zone was last saved, in microseconds, by origin.
+        self._saved_confirmation_us: dict[str, int] = {}
         self._followers: dict[str, ZoneFollower] = {}
         self._notifiers: dict[str, list[Notifier]] = {origin: [] for origin in self.zone_states}
         paths = {zone.origin: zone.file for zone in settings.zones if zone.file is not None}
@@ -79,7 +80,7 @@
         return self._server.address if self._server is not None else None
 
     def start(self) -> None:
-        """Publishes what the store and the files hold, then starts to answer requests.
+        """Publishes the zones of the store and the files, and starts to respond to requests.
 
         Raises:
             OSError: The address of the server cannot be bound.
@@ -103,11 +104,11 @@
             self._start_server(self.settings.listen)
 
     def start_store(self, start_coroutine: StartCoroutine) -> None:
-        """Starts the store alone, for a command that is carried out without a server."""
+        """Starts only the store, for a command that runs without a server."""
         self.store.start(start_coroutine)
 
     def close(self) -> None:
-        """Closes the sockets of the server and the files of the store."""
+        """Closes the server's sockets and the files of the store."""
         if self._server is not None:
             self._server.close()
         self.store.close()
@@ -117,31 +118,31 @@
         self._file_watcher.reload()
 
     def restore(self, command: RestoreCommand, on_result: OnResult) -> None:
-        """Restores a zone as it was at a serial; the result comes once it is durable."""
+        """Restores a former version of a zone; `on_result` is called once it is durable or has failed."""
         self._restorer.restore(command, on_result)
 
-    # The context of the request handlers.
+    # Methods that the request handlers call (HandlerContext).
 
     def now_us(self) -> int:
-        """Returns the time of the loop's monotonic clock."""
+        """Returns the time of the loop's monotonic clock, in microseconds."""
         return self._runtime.now_us()
 
     def unix_ms(self) -> int:
-        """Returns the Unix time."""
+        """Returns the Unix time, in milliseconds."""
         return self._runtime.unix_ms()
 
     def stage(self, update: PendingUpdate) -> bool:
-        """Queues an update to be made durable; False if it cannot be taken now."""
+        """Queues an update to be made durable; returns False if the update cannot be queued now."""
         return self.store.stage(update)
 
     def notify_received(self, origin: str) -> None:
-        """Has the follower of a zone query its primaries."""
+        """Requests that the follower of a zone queries its primaries."""
         self._followers[origin].notify()
 
-    # The listener of the followers.
+    # Methods that the followers call (FollowerListener).
 
     def version_received(self, zone: ZoneState, difference: Difference, source: str) -> None:
-        """Makes a version current before it is durable, as its source can be asked for it again."""
+        """Makes a version current before it is durable, because it can be fetched from its source again."""
         difference = msgspec.structs.replace(difference, accepted_ms=self.unix_ms())
         changes = zone.apply(difference, self.now_us())
         zone.discard_head()
@@ -158,7 +159,7 @@
         self.store.save(zone, ZoneChanged(zone.origin, difference))
 
     def zone_confirmed(self, zone: ZoneState) -> None:
-        """Notes that a primary has the current version; saves that once in a while."""
+        """Records that a primary has the current version, and saves this at a minimum interval."""
         now_us = self.now_us()
         zone.confirmed_ms = self.unix_ms()
         self._publisher.zone_confirmed(zone.origin)
--- a/kelpcourse/zones/settings.py
+++ b/kelpcourse/zones/settings.py
@@ -1,6 +1,6 @@
-"""The operators' settings for zones: read from a KDL file, checked and resolved.
+"""The operators' settings for zones, which are read from a KDL file, checked and resolved.
 
-Settings as they are named in the file, and the fields that hold them once resolved:
+The settings as they are named in the file, and the fields that contain their resolved values:
 
     zone primary    ZoneSettings.primaries
     zone transfer   ZoneSettings.transfer_keys
@@ -37,24 +37,38 @@
 from kelpcourse.zones.update_policy import UpdateGrant, read_grant
 
 US_PER_SECOND = 1e6
-NO_ADDRESS: Address = ("", 0)  # stands for an address that is malformed
+NO_ADDRESS: Address = ("", 0)  # placeholder for a malformed address
 
 
 @dataclass(frozen=True)
 class DnsPeer:
-    """Another DNS server and the key for messages between it and this one."""
+    """Another DNS server.
+
+    Attributes:
+        address: Address of the server.
+        key: Key for messages between the two servers; None if they are not signed.
+    """
 
     address: Address
     key: dns.tsig.Key | None
 
     def __str__(self) -> str:
-        """Returns its address."""
+        """Returns the address of the server."""
         return format_address(self.address)
 
 
 @dataclass(frozen=True)
 class ZoneSettings:
-    """The settings of one zone, resolved."""
+    """The resolved settings of one zone.
+
+    Attributes:
+        origin: Key of the zone's origin.
+        file: Path of the zone file; None if the zone has none.
+        primaries: Servers that the zone is transferred from.
+        grants: Rights of keys to update the zone.
+        transfer_keys: Names of the keys that may transfer the zone.
+        notify: Secondaries that are notified of changes.
+    """
 
     origin: str
     file: Path | None
@@ -66,7 +80,16 @@
 
 @dataclass(frozen=True)
 class ZonesSettings:
-    """The settings of all zones, resolved."""
+    """The resolved settings of all zones.
+
+    Attributes:
+        path: Path of the settings file.
+        listen: Address of the DNS server; None if it does not run.
+        state: Path of the state folder; None if zones are kept only in memory.
+        service: Label prefix of the owners of the SRV records that announce endpoints.
+        keys: TSIG keys by name.
+        zones: Settings of each zone.
+    """
 
     path: Path
     listen: Address | None
@@ -77,7 +100,7 @@
 
 
 def format_address(address: Address) -> str:
-    """Returns host:port, with brackets around an IPv6 address."""
+    """Returns an address as host:port, with brackets around an IPv6 address."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
@@ -86,7 +109,7 @@
     """Parses host:port or [host]:port.
 
     Raises:
-        InvalidMessageError: it is neither.
+        InvalidMessageError: The text has neither form.
     """
     host, port = parse_address(text, field)
     has_brackets = host.startswith("[") and host.endswith("]")
@@ -94,10 +117,15 @@
 
 
 def read_settings(path: Path, listen: str = "", state: Path | None = None) -> ZonesSettings:
-    """Reads a settings file; `listen` and `state` replace what the file says.
+    """Reads a settings file.
+
+    Args:
+        path: Path of the file.
+        listen: Address that replaces the one in the file, unless empty.
+        state: Path of a state folder that replaces the one in the file, unless None.
 
     Raises:
-        SettingsError: with every problem of the file and of the secrets that it names.
+        SettingsError: The settings or the secret files that they name have problems; the error lists all of them.
     """
     file, problems = load(path, File)
     if file is None:
@@ -118,7 +146,7 @@
 
 
 class _Resolver:
-    """Resolves the zones block of one file; problems are collected to be reported together."""
+    """Resolves the zones block of one file, and collects all problems to report them together."""
 
     def __init__(self, path: Path, block: ZonesBlock, problems: list[SettingProblem]) -> None:
         self._path = path
@@ -128,10 +156,14 @@
         self._key_names = {read_name(key.name, "") for key in block.key if _is_name(key.name)}
 
     def resolve(self) -> ZonesSettings:
-        """Raises SettingsError if there is any problem, also one found before."""
+        """Resolves all settings of the block.
+
+        Raises:
+            SettingsError: There is a problem in this block, or one was found before.
+        """
         block = self._block
         if not block.zone:
-            self._note(block, "zones.zone", "there is none")
+            self._add_problem(block, "zones.zone", "at least one zone is required")
         self._resolve_name(block, block.service, "zones.service")
         listen = None
         if block.listen:
@@ -151,36 +183,36 @@
             zones=tuple(zones),
         )
 
-    def _note(self, block: Block, field: str, text: str) -> None:
+    def _add_problem(self, block: Block, field: str, text: str) -> None:
         self._problems.append(SettingProblem(str(self._path), block.line, field, text))
 
     def _resolve_path(self, text: str) -> Path:
-        """Paths are relative to the settings file."""
+        """Returns a path of the settings, which is relative to the folder of the settings file."""
         return self._path.parent / text
 
     def _resolve_name(self, block: Block, text: str, field: str) -> str:
-        """Returns an empty name if the text is not a name."""
+        """Returns the key of a domain name; empty if the text is not a domain name."""
         try:
             return read_name(text, "")
         except ZoneError:
-            self._note(block, field, f"is not a name: {text!r:.80}")
+            self._add_problem(block, field, f"is not a domain name: {text!r:.80}")
             return ""
 
     def _resolve_address(self, block: Block, text: str, field: str) -> Address:
         try:
             return read_address(text, field)
         except InvalidMessageError:
-            self._note(block, field, f"is not host:port: {text!r:.60}")
+            self._add_problem(block, field, f"is not of the form host:port: {text!r:.60}")
             return NO_ADDRESS
 
     def _resolve_key(self, block: KeyBlock) -> None:
         name = self._resolve_name(block, block.name, "zones.key")
         if name in self._keys:
-            self._note(block, "zones.key", f"{name} stands twice")
+            self._add_problem(block, "zones.key", f"{name} appears twice")
         try:
             secret = read_secret(self._resolve_path(block.secret_file), block.secret_file)
         except SecretFileError as error:
-            self._note(block, "zones.key.secret-file", str(error))
+            self._add_problem(block, "zones.key.secret-file", str(error))
             return
         if name:
             self._keys[name] = dns.tsig.Key(
@@ -188,10 +220,10 @@
             )
 
     def _resolve_key_name(self, block: Block, name: str, field: str) -> str:
-        """Returns the name of a key that the file must define."""
+        """Returns the name of a key, and adds a problem if the file does not define the key."""
         key_name = self._resolve_name(block, name, field)
         if key_name and key_name not in self._key_names:
-            self._note(block, field, f"no key {name!r:.80} is set")
+            self._add_problem(block, field, f"key {name!r:.80} is not defined")
         return key_name
 
     def _resolve_zones(self) -> list[ZoneSettings]:
@@ -203,7 +235,7 @@
         return zones
 
     def _resolve_zone(self, block: ZoneBlock) -> ZoneSettings | None:
-        """Returns None if the zone's name is malformed."""
+        """Returns the settings of a zone; None if the name of the zone is malformed."""
         origin = self._resolve_name(block, block.origin, "zones.zone")
         if not origin:
             return None
@@ -239,26 +271,28 @@
         return grants
 
     def _resolve_grant(self, block: UpdateBlock, origin: str) -> UpdateGrant | None:
-        """Returns None if a name or a type is malformed."""
+        """Returns the right to update a zone; None if a name or a type is malformed."""
         key_name = self._resolve_key_name(block, block.key, "zones.zone.update.key")
         window_us = round(block.within * US_PER_SECOND)
         try:
             return read_grant(key_name, origin, block.names, block.types, block.most, window_us)
         except ZoneError as error:
-            self._note(block, "zones.zone.update", str(error))
+            self._add_problem(block, "zones.zone.update", str(error))
             return None
 
     def _check_origins(self, zones: Sequence[ZoneSettings]) -> None:
-        """Notes each pair of zones of which one is below the other."""
+        """Adds a problem for each pair of zones of which one is the other or below it."""
         for index, zone in enumerate(zones):
             for other in zones[:index]:
                 if is_under(zone.origin, other.origin) or is_under(other.origin, zone.origin):
                     block = self._block.zone[index]
-                    self._note(block, "zones.zone", f"{zone.origin} and {other.origin} overlap")
+                    self._add_problem(
+                        block, "zones.zone", f"{zone.origin} and {other.origin} overlap"
+                    )
 
 
 def _is_name(text: str) -> bool:
-    """Whether a text is a name other than the root."""
+    """Reports whether a text is a domain name other than the root."""
     try:
         return bool(labels(read_name(text, "")))
     except ZoneError:
--- a/kelpcourse/zones/settings_blocks.py
+++ b/kelpcourse/zones/settings_blocks.py
@@ -1,6 +1,6 @@
-"""The zones block of a KDL settings file, with its types and ranges.
+"""The zones block of a KDL settings file, with types and ranges.
 
-The fields are named as the settings are: a hyphen in a setting stands for an underscore here. Times are in seconds.
+Fields have the names of the settings, with an underscore in place of a hyphen. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class KeyBlock(Block, kw_only=True, frozen=True):
-    """A TSIG key (RFC 8945) and the file of its secret."""
+    """A TSIG key (RFC 8945) and the file that contains its secret."""
 
     args: ClassVar = ("name",)
     name: Name
@@ -36,7 +36,7 @@
 
 
 class UpdateBlock(Block, kw_only=True, frozen=True):
-    """What one key may change in a zone."""
+    """The changes that one key may make to a zone."""
 
     key: Name
     most: Fraction = 1.0
@@ -60,7 +60,7 @@
 
 
 class ZoneBlock(Block, kw_only=True, frozen=True):
-    """One zone, its source and its clients."""
+    """One zone with its source and the clients that may use it."""
 
     args: ClassVar = ("origin",)
     origin: Name
@@ -71,17 +71,17 @@
     notify: tuple[NotifyBlock, ...] = ()
 
     def problems(self) -> Iterator[tuple[str, str]]:
-        """Yields fields that contradict each other, and why."""
+        """Yields the name and the problem of each field that is missing or contradicts another one."""
         if self.file and self.primary:
-            yield "primary", "a zone comes from its file or from a primary, not from both"
+            yield "primary", "a zone cannot have both a file and a primary"
         if not (self.file or self.primary or self.update):
             yield "file", "a zone needs a file, a primary or a key that may update it"
         if self.update and self.primary:
-            yield "update", "a zone that follows a primary takes no updates: send them there"
+            yield "update", "a zone with a primary cannot be updated: send updates to the primary"
 
 
 class ZonesBlock(Block, kw_only=True, frozen=True):
-    """All zones with what they share."""
+    """All zones, and the settings that they share."""
 
     listen: str = ""
     state: str = ""
@@ -90,14 +90,14 @@
     zone: tuple[ZoneBlock, ...]
 
     def problems(self) -> Iterator[tuple[str, str]]:
-        """Yields fields that are missing, and why they are needed."""
+        """Yields the name of each missing field and the reason why it is required."""
         if not self.state and any(zone.update for zone in self.zone):
-            yield "state", "is missing: an update is answered only once it is kept"
+            yield "state", "is missing: updates must be stored before they are confirmed"
         if not self.listen and any(zone.update or zone.transfer for zone in self.zone):
-            yield "listen", "is missing: updates and transfers come in there"
+            yield "listen", "is missing: updates and transfers are received at this address"
 
 
 class File(Block, kw_only=True, frozen=True):
-    """A file with its one block."""
+    """A settings file, which consists of one block."""
 
     zones: ZonesBlock
--- a/kelpcourse/zones/source.py
+++ b/kelpcourse/zones/source.py
@@ -1,4 +1,4 @@
-"""Zones in place of discovery: passes the merged endpoint list to the routing policy of a controller."""
+"""Zones instead of discovery: passes the merged endpoint list to the routing policy of a controller."""
 
 from __future__ import annotations
 
@@ -15,10 +15,9 @@
 
 
 class ZoneSource:
-    """Serves the calls for an endpoint list that a discovery client serves otherwise.
+    """Provides the endpoint list with the interface of a discovery client.
 
-    Changes are passed on as they come, whether a watch is enabled or not, as no network lies
-    between.
+    Changes are passed on immediately, whether the watch is enabled or not, because the list is in the same process.
     """
 
     def __init__(
@@ -47,11 +46,11 @@
         self.zones = ZoneService(zones, zone_runtime, self, classes, settings.drain_grace_us)
 
     def start(self) -> None:
-        """Starts the zones."""
+        """Starts the zone service."""
         self.zones.start()
 
     def close(self) -> None:
-        """Closes the zones."""
+        """Closes the zone service."""
         self.zones.close()
 
     def reread(self) -> None:
@@ -59,16 +58,16 @@
         self.zones.reload()
 
     def watch(self, enabled: bool) -> None:
-        """Passes the whole list on if the watch is enabled."""
+        """Passes the whole list to the facade if the watch is enabled."""
         if enabled:
             self._pass_whole_list()
 
     def fetch(self) -> None:
-        """Passes the whole list on."""
+        """Passes the whole list to the facade."""
         self._pass_whole_list()
 
     def reconnect_to(self, address: Address) -> None:
-        """Does nothing, as there is no connection to a discovery service."""
+        """Does nothing, because there is no connection to a discovery service."""
 
     def list_changed(
         self, endpoints: Sequence[ListedEndpoint], version: int, complete: bool
@@ -85,7 +84,7 @@
         self._runtime.log.event(
             "discovery_unavailable",
             call="zones",
-            reason="no zone is there to be followed",
+            reason="no zone is available",
             version=self.zones.merged_list.version,
         )
         self._runtime.facade.report_list_unavailable()
--- a/kelpcourse/zones/standalone.py
+++ b/kelpcourse/zones/standalone.py
@@ -1,4 +1,4 @@
-"""Zones without a controller: a primary or secondary in a process of its own, until SIGTERM."""
+"""Zones without a controller: a primary or secondary in its own process, which runs until SIGTERM."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class StandaloneZones:
-    """The process; it logs changes of the merged endpoint list."""
+    """The process, which logs changes of the merged endpoint list."""
 
     def __init__(self, settings: ZonesSettings, limits: Limits, log_fd: int = STDOUT_FD) -> None:
         """Opens the store of the zones.
@@ -49,11 +49,11 @@
         )
 
     def run(self) -> int:
-        """Runs until a signal asks for the end; returns the exit code."""
+        """Runs until a signal requests the end of the process, and returns the exit code."""
         return self._process.run(self.zones.start, self.zones.close, self.zones.reload)
 
 
 def serve(settings: ZonesSettings) -> int:
-    """Runs the zones of the settings; returns the exit code."""
+    """Runs the zones of the settings and returns the exit code."""
     os.set_blocking(sys.stdout.fileno(), False)
     return StandaloneZones(settings, Limits()).run()
--- a/kelpcourse/zones/zonefile.py
+++ b/kelpcourse/zones/zonefile.py
@@ -1,4 +1,4 @@
-"""Zone files (RFC 1035, section 5), parsed with dnspython's reader directly into records."""
+"""Zone files (RFC 1035, section 5), parsed directly into records with the zone file reader of dnspython."""
 
 from __future__ import annotations
 
@@ -35,10 +35,11 @@
 
 
 def read_zone_file(path: Path, origin: str, limits: Limits) -> Zone:
-    """Reads a zone file.
+    """Reads and parses a zone file.
 
     Raises:
-        ZoneFileError: it cannot be read, with the file and, where there is one, the line.
+        ZoneFileError: The file cannot be read, has a syntax error or has a zone that cannot be served. The error names
+            the file and, if it concerns a line, the line.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -50,12 +51,18 @@
 
 
 def parse_zone_text(text: str, origin: str, limits: Limits, name: str = "zone") -> Zone:
-    """Parses the text of a zone file; `name` stands for the file in errors.
+    """Parses the text of a zone file.
 
-    $INCLUDE is rejected, as only the file itself is watched for changes.
+    $INCLUDE is rejected, because only the file itself is watched for changes.
+
+    Args:
+        text: Text of the file.
+        origin: Key of the zone's origin.
+        limits: Limits with the maximum number of records.
+        name: Name of the file in errors.
 
     Raises:
-        ZoneFileError: the text has a mistake, or the zone cannot be served.
+        ZoneFileError: The text has an error, or the zone cannot be served.
     """
     sink = _RecordSink(origin, limits)
     tokenizer = dns.tokenizer.Tokenizer(text, filename=name)
@@ -84,7 +91,7 @@
 
 
 def format_zone(zone: Zone) -> str:
-    """Returns the text of a zone file; equal zones give equal texts."""
+    """Returns the text of a zone file; zones with the same records have the same text."""
     lines = [f"$ORIGIN {zone.origin}"]
     for record in sorted(zone.records(), key=lambda record: _file_order(record, zone.origin)):
         data = parse_record_data(record.type, record.data).to_text()
@@ -93,14 +100,14 @@
 
 
 def _file_order(record: Record, origin: str) -> tuple[bool, bool, str, int, bytes]:
-    """The origin's records come first, with the SOA record before all."""
+    """Returns the sort key of a record: the SOA record first, then the other records of the origin, then the rest."""
     return record.owner != origin, record.type != SOA, record.owner, record.type, record.data
 
 
 def _line_number(tokenizer: dns.tokenizer.Tokenizer, text: str) -> int:
-    """Returns the line of the last character that was needed.
+    """Returns the number of the line with the last character that was consumed.
 
-    The tokenizer's own count includes a line end that it only looked at.
+    The tokenizer's own line number also counts a line end that was read and put back.
     """
     read_count = tokenizer.file.tell()
     if tokenizer.ungotten_char is not None:
@@ -109,7 +116,11 @@
 
 
 def _check_aliases(zone: Zone) -> None:
-    """Raises AliasConflictError if a name has a CNAME and other records (RFC 1034, 3.6.2)."""
+    """Checks that no name has a CNAME record and other records (RFC 1034, section 3.6.2).
+
+    Raises:
+        AliasConflictError: A name has both.
+    """
     for owner in zone.owners():
         types = set(zone.types(owner))
         if CNAME in types and len(types) > 1:
@@ -118,7 +129,7 @@
 
 
 class _RecordSink:
-    """The calls of a dnspython transaction that its zone file reader makes."""
+    """The methods of a dnspython transaction that dnspython's zone file reader calls."""
 
     def __init__(self, origin: str, limits: Limits) -> None:
         self.records: list[Record] = []
@@ -127,14 +138,14 @@
         self._max_records = limits.max_zone_records
 
     def origin_information(self) -> tuple[dns.name.Name, bool, dns.name.Name]:
-        """Claims the root: the reader ignores names outside its zone, and they must be reported."""
+        """Returns the root as the origin: the reader ignores names outside its zone, which must be reported here."""
         return dns.name.root, False, dns.name.root
 
     def check_put_rdataset(self, check: object) -> None:
-        """Drops the reader's check, which needs whole sets; `_check_aliases` replaces it."""
+        """Ignores the check of the reader, which needs whole record sets; `_check_aliases` replaces it."""
 
     def _set_origin(self, name: dns.name.Name) -> None:
-        """$ORIGIN applies to the records that follow it; the zone stays the same."""
+        """Ignores $ORIGIN, which the reader applies to the names after it and which does not change the zone."""
 
     def add(self, name: dns.name.Name, ttl: int, rdata: dns.rdata.Rdata) -> None:
         owner = canonical(name)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -74,8 +74,8 @@
     done = run("zones", "check", folder / "games.zone", "--origin", ORIGIN)
     assert (done.exit_code, len(done.stdout.splitlines())) == (1, 4)
     assert done.stderr == (
-        f"{folder}/games.zone: s-9.{ORIGIN}: address: no A or AAAA, though"
-        f" _game._tcp.room-a.{ORIGIN} names it\n"
+        f"{folder}/games.zone: s-9.{ORIGIN}: address: no A or AAAA record, although it is the target of"
+        f" _game._tcp.room-a.{ORIGIN}\n"
     )
     (folder / "games.zone").write_text("@ SOA nothing\n")
     done = run("zones", "check", folder / "games.zone", "--origin", ORIGIN)
@@ -101,12 +101,16 @@
         [":5", "zones.key.secret-file"],
         [":8", "zones.zone.updaet"],
     ]
-    assert "others may read it (mode 0644): chmod 600" in done.stderr
+    assert "readable by other users (mode 0644): run chmod 600" in done.stderr
     assert run("run", folder / "nowhere.kdl").exit_code == 2
 
 
 @pytest.mark.parametrize(
-    ("secret", "said"), [(b"%%", "not the base64"), (b"c2hvcnQ=", "5 bytes, 16 at least")]
+    ("secret", "said"),
+    [
+        (b"%%", "must contain only a secret in base64"),
+        (b"c2hvcnQ=", "5 bytes instead of at least 16"),
+    ],
 )
 def test_an_invalid_secret_is_reported(folder: Path, secret: bytes, said: str) -> None:
     (folder / "staff.key").write_bytes(secret)
