--- a/tests/test_zone_endpoint_extraction.py
+++ b/tests/test_zone_endpoint_extraction.py
@@ -23,15 +23,15 @@
             "s-1", txt='"kind=m2" "cell=3" "phase=draining" "started=1767225600000"', weight=7
         )
     )
-    (one,) = extractor.endpoints.values()
-    assert (one.name, one.address, one.zone, one.kind, one.cell) == (
+    (endpoint,) = extractor.endpoints.values()
+    assert (endpoint.name, endpoint.address, endpoint.zone, endpoint.kind, endpoint.cell) == (
         "s-1",
         ("10.0.0.1", 5000),
         "room-a",
         "m2",
         3,
     )
-    assert (one.status, one.weight, one.started_ms) == (
+    assert (endpoint.status, endpoint.weight, endpoint.started_ms) == (
         EndpointStatus.DRAINING,
         7.0,
         1767225600000.0,
@@ -42,9 +42,11 @@
 def test_an_endpoint_needs_an_srv_and_an_address_record() -> None:
     srv, address = endpoint_records("s-1")
     assert extractor_of(address).endpoints == {}
-    alone = extractor_of(srv)
-    assert alone.endpoints == {}
-    assert [(p.owner, p.field) for p in alone.problems()] == [("s-1." + ORIGIN, "address")]
+    without_address = extractor_of(srv)
+    assert without_address.endpoints == {}
+    assert [(p.owner, p.field) for p in without_address.problems()] == [
+        ("s-1." + ORIGIN, "address")
+    ]
     assert extractor_of(srv, record("s-1", "AAAA", "::1")).endpoints["s-1"].address == ("::1", 5000)
 
 
@@ -78,7 +80,7 @@
         (record("s-1", "A", "10.0.0.2"), "s-1", "address"),
     ],
 )
-def test_an_unusable_record_is_reported_and_the_others_count(
+def test_an_unusable_record_is_reported_and_the_others_are_used(
     record: Record, owner: str, field: str
 ) -> None:
     extractor = extractor_of(*endpoint_records("s-1"), *endpoint_records("s-3"), record)
@@ -87,7 +89,7 @@
     assert extractor.endpoints["s-1"].status is EndpointStatus.READY
 
 
-def test_of_two_srv_records_for_a_target_every_controller_chooses_the_same() -> None:
+def test_the_choice_between_srv_records_of_one_target_does_not_depend_on_their_order() -> None:
     first, second = endpoint_records("s-1", "room-a"), endpoint_records("s-1", "room-b")
     for order in ([*first, *second], [*second, *first]):
         assert extractor_of(*order).endpoints["s-1"].zone == "room-a"
@@ -100,14 +102,14 @@
     start = zone_with(1, endpoint_records("s-1"), endpoint_records("s-2"))
     extractor = EndpointExtractor(ORIGIN, SERVICE)
     extractor.start(start)
-    draft = pending_version_of(
+    pending_version = pending_version_of(
         start,
         [record("s-1", "A", "10.9.9.9"), record("s-1", "TXT", '"started=7"')],
         [record("s-1", "A", "10.0.0.1")],
     )
-    step = draft.difference(0)
-    start.apply(step)
-    changes = extractor.apply(step, start)
+    update = pending_version.difference(0)
+    start.apply(update)
+    changes = extractor.apply(update, start)
     assert list(changes) == ["s-1"]
     assert changes["s-1"] is not None
     assert (changes["s-1"].address[0], changes["s-1"].started_ms) == ("10.9.9.9", 7.0)
--- a/tests/test_zone_files.py
+++ b/tests/test_zone_files.py
@@ -1,4 +1,4 @@
-"""Zone files: what is wrong is told with its line, and a zone written out is the same zone."""
+"""Zone files: errors are reported with their line, and a formatted zone is parsed to the same zone."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "what"),
+    ("text", "line", "reason"),
     [
         ("s-1 A 10.0.0.x\n", 4, "malformed"),
         ("s-1 A 10.0.0.1\nx.com. A 1.2.3.4\n", 5, "x.com. is not in"),
@@ -24,38 +24,38 @@
         ("s-1 A 10.0.0.1 extra\ns-2 A 10.0.0.2\n", 4, ""),
     ],
 )
-def test_a_mistake_is_told_with_its_line(text: str, line: int, what: str) -> None:
+def test_an_error_is_reported_with_its_line(text: str, line: int, reason: str) -> None:
     with pytest.raises(ZoneError) as error:
         parse_zone_text(HEAD + text, ORIGIN, LIMITS, "games.zone")
     assert str(error.value).startswith(f"games.zone:{line}: ")
-    assert what in str(error.value)
+    assert reason in str(error.value)
 
 
 @pytest.mark.parametrize(
-    ("text", "what"),
+    ("text", "reason"),
     [
         ("s-1 A 10.0.0.1\n", "has not exactly one SOA"),
         (HEAD + "x CNAME s-1\nx A 10.0.0.1\n", "has a CNAME and other records: A"),
     ],
 )
-def test_a_zone_that_can_not_be_served_is_refused(text: str, what: str) -> None:
-    with pytest.raises(ZoneError, match=what):
+def test_a_zone_that_cannot_be_served_is_rejected(text: str, reason: str) -> None:
+    with pytest.raises(ZoneError, match=reason):
         parse_zone_text("$TTL 60\n" + text, ORIGIN, LIMITS)
 
 
-def test_a_zone_written_out_is_the_same_zone() -> None:
-    start = zone_with(
+def test_a_formatted_zone_is_parsed_to_the_same_records() -> None:
+    original = zone_with(
         7,
         sample_endpoints(),
         [record("x", "TXT", '"a b" "c;d"'), record("*", "MX", "5 mail.example.org.")],
     )
-    assert sorted(parse_zone_text(format_zone(start), ORIGIN, LIMITS).records()) == sorted(
-        start.records()
+    assert sorted(parse_zone_text(format_zone(original), ORIGIN, LIMITS).records()) == sorted(
+        original.records()
     )
 
 
-def test_names_are_relative_to_the_origin_of_the_place() -> None:
-    made = parse_zone_text(
+def test_names_are_relative_to_the_preceding_origin_directive() -> None:
+    zone = parse_zone_text(
         HEAD + "$ORIGIN room.games.example.org.\ns-1 A 10.0.0.1\n", ORIGIN, LIMITS
     )
-    assert made.has_records("s-1.room." + ORIGIN)
+    assert zone.has_records("s-1.room." + ORIGIN)
--- a/tests/test_zone_merged_list.py
+++ b/tests/test_zone_merged_list.py
@@ -17,62 +17,63 @@
     return MergedEndpointList(sources or ("z",), grace_us, 100)
 
 
-def test_an_endpoint_that_returns_after_the_grace_counts_as_started_then() -> None:
-    one = merged_list()
-    one.update("z", {"s": listed_endpoint("s", started_ms=5.0)}, 0, 1_000)
-    gone, _ = one.update("z", {"s": None}, 10 * MS, 1_010)
+def test_an_endpoint_listed_again_after_the_grace_counts_as_restarted() -> None:
+    merged = merged_list()
+    merged.update("z", {"s": listed_endpoint("s", started_ms=5.0)}, 0, 1_000)
+    gone, _ = merged.update("z", {"s": None}, 10 * MS, 1_010)
     assert [m.status for m in gone] == [EndpointStatus.GONE]
-    back, _ = one.update("z", {"s": listed_endpoint("s", started_ms=5.0)}, 60 * MS, 1_060)
-    assert back == [listed_endpoint("s", started_ms=5.0)]
-    one.update("z", {"s": None}, 100 * MS, 1_100)
-    back, _ = one.update(
+    relisted, _ = merged.update("z", {"s": listed_endpoint("s", started_ms=5.0)}, 60 * MS, 1_060)
+    assert relisted == [listed_endpoint("s", started_ms=5.0)]
+    merged.update("z", {"s": None}, 100 * MS, 1_100)
+    relisted, _ = merged.update(
         "z", {"s": listed_endpoint("s", started_ms=5.0)}, 100 * MS + 2 * SECOND_US + 1, 3_101
     )
-    assert [m.started_ms for m in back] == [3_101.0]
-    drained, _ = one.update(
+    assert [m.started_ms for m in relisted] == [3_101.0]
+    draining, _ = merged.update(
         "z", {"s": listed_endpoint("s", status=EndpointStatus.DRAINING)}, 9 * SECOND_US, 9_000
     )
-    assert [(m.status, m.started_ms) for m in drained] == [(EndpointStatus.DRAINING, 3_101.0)]
+    assert [(m.status, m.started_ms) for m in draining] == [(EndpointStatus.DRAINING, 3_101.0)]
 
 
-def test_an_endpoint_is_listed_while_any_zone_announces_it_and_drains_if_any_says_so() -> None:
+def test_an_endpoint_is_listed_if_any_zone_announces_it_and_draining_if_any_drains_it() -> None:
     merged = merged_list("a", "b")
     merged.update("a", {"s": listed_endpoint("s", started_ms=5.0)}, 0, 0)
     assert merged.update("b", {"s": listed_endpoint("s", started_ms=9.0)}, 0, 0)[0] == [
         listed_endpoint("s", started_ms=9.0)
     ]
-    out, _ = merged.update("b", {"s": listed_endpoint("s", status=EndpointStatus.DRAINING)}, 0, 0)
-    assert [m.status for m in out] == [EndpointStatus.DRAINING]
-    assert (
-        merged.update("a", {"s": None}, 0, 0)[0] != []
-    )  # it started long ago now, and drains as before
+    changed, _ = merged.update(
+        "b", {"s": listed_endpoint("s", status=EndpointStatus.DRAINING)}, 0, 0
+    )
+    assert [m.status for m in changed] == [EndpointStatus.DRAINING]
+    # Without zone a, the latest start is 0. The endpoint is still draining.
+    assert merged.update("a", {"s": None}, 0, 0)[0] != []
     assert merged.endpoints["s"].status is EndpointStatus.DRAINING
     assert [m.status for m in merged.update("b", {"s": None}, 0, 0)[0]] == [EndpointStatus.GONE]
 
 
-def test_a_conflict_of_zones_is_reported_once_and_the_first_zone_decides() -> None:
+def test_a_conflict_of_zones_is_reported_once_and_the_first_zone_has_precedence() -> None:
     merged = merged_list("a", "b")
     merged.update("b", {"s": listed_endpoint("s", address="10.0.0.2")}, 0, 0)
-    out, conflicts = merged.update("a", {"s": listed_endpoint("s", address="10.0.0.1")}, 0, 0)
-    assert [m.address[0] for m in out] == ["10.0.0.1"]
+    changed, conflicts = merged.update("a", {"s": listed_endpoint("s", address="10.0.0.1")}, 0, 0)
+    assert [m.address[0] for m in changed] == ["10.0.0.1"]
     assert [(c.endpoint, c.begins) for c in conflicts] == [("s", True)]
     assert (
         merged.update("a", {"s": listed_endpoint("s", address="10.0.0.1", started_ms=1.0)}, 0, 0)[1]
         == []
     )
-    out, conflicts = merged.update("a", {"s": None}, 0, 0)
-    assert [m.address[0] for m in out] == ["10.0.0.2"]
+    changed, conflicts = merged.update("a", {"s": None}, 0, 0)
+    assert [m.address[0] for m in changed] == ["10.0.0.2"]
     assert [c.begins for c in conflicts] == [False]
 
 
-def test_a_change_of_several_endpoints_is_one_version_and_no_change_is_none() -> None:
-    one = merged_list()
-    out, _ = one.update("z", {f"s-{k}": listed_endpoint(f"s-{k}") for k in range(5)}, 0, 0)
-    assert (len(out), one.version) == (5, 1)
-    assert one.update("z", {"s-0": listed_endpoint("s-0")}, 0, 0) == ([], [])
-    assert one.version == 1
-    out, _ = one.update("z", {f"s-{k}": None for k in range(5)}, 0, 0)
-    assert (len(out), one.version, one.endpoints) == (5, 2, {})
+def test_a_change_of_several_endpoints_is_one_version_and_an_equal_update_is_no_change() -> None:
+    merged = merged_list()
+    changed, _ = merged.update("z", {f"s-{k}": listed_endpoint(f"s-{k}") for k in range(5)}, 0, 0)
+    assert (len(changed), merged.version) == (5, 1)
+    assert merged.update("z", {"s-0": listed_endpoint("s-0")}, 0, 0) == ([], [])
+    assert merged.version == 1
+    changed, _ = merged.update("z", {f"s-{k}": None for k in range(5)}, 0, 0)
+    assert (len(changed), merged.version, merged.endpoints) == (5, 2, {})
 
 
 statuses = st.sampled_from([EndpointStatus.READY, EndpointStatus.DRAINING])
@@ -90,7 +91,7 @@
 
 @given(steps)
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_reported_changes_add_up_to_the_merged_list(
+def test_reported_changes_lead_to_the_merged_list(
     change_steps: list[tuple[str, str, EndpointStatus | None, int]],
 ) -> None:
     merged = merged_list("a", "b")
--- a/tests/test_zone_names.py
+++ b/tests/test_zone_names.py
@@ -1,4 +1,4 @@
-"""Domain names as keys."""
+"""Keys of domain names."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         ("a\\.games.example.org.", "a\\.games.example.org."),
     ],
 )
-def test_a_name_relative_to_an_origin(name: str, result: str) -> None:
+def test_a_name_is_made_relative_to_an_origin(name: str, result: str) -> None:
     assert relative(name, ORIGIN) == result
     assert is_under(name, ORIGIN) is (result == "@" or not result.endswith("."))
 
@@ -27,5 +27,5 @@
     assert labels("a\\.b.c.") == ("a\\.b", "c")
 
 
-def test_records_of_tests_have_lower_case_owners() -> None:
+def test_record_helper_converts_owners_to_lower_case() -> None:
     assert record("S-1", "A", "10.0.0.1").owner == "s-1." + ORIGIN
--- a/tests/test_zone_persistence.py
+++ b/tests/test_zone_persistence.py
@@ -1,4 +1,4 @@
-"""Zones as entries of the store."""
+"""Encoding and replay of stored zone entries."""
 
 from __future__ import annotations
 
@@ -26,28 +26,27 @@
 
 
 def test_stored_entries_replay_to_the_same_zones() -> None:
-    one = zone_state_of(zone_with(1, sample_endpoints()))
+    original = zone_state_of(zone_with(1, sample_endpoints()))
     payloads = []
-    first = difference_between(Zone(ORIGIN), one.zone, 5)
+    first = difference_between(Zone(ORIGIN), original.zone, 5)
     payloads.append(encode_entry(ZoneChanged(ORIGIN, first)))
-    step = pending_version_of(
-        one.zone, remove=endpoint_records("s-0", address="127.0.0.10")
+    second = pending_version_of(
+        original.zone, remove=endpoint_records("s-0", address="127.0.0.10")
     ).difference(9)
-    one.apply(step, 0)
-    payloads.append(encode_entry(ZoneChanged(ORIGIN, step)))
+    original.apply(second, 0)
+    payloads.append(encode_entry(ZoneChanged(ORIGIN, second)))
     replay = ZoneReplay([ORIGIN], SERVICE, LIMITS)
     replay.run(None, payloads)
-    again = replay.zones[ORIGIN]
-    assert sorted(again.zone.records()) == sorted(one.zone.records())
-    assert again.extractor.endpoints == one.extractor.endpoints
-    assert again.confirmed_ms == 9
+    restored = replay.zones[ORIGIN]
+    assert sorted(restored.zone.records()) == sorted(original.zone.records())
+    assert restored.extractor.endpoints == original.extractor.endpoints
+    assert restored.confirmed_ms == 9
     from_snapshot = ZoneReplay([], SERVICE, LIMITS)
-    from_snapshot.run(encode_snapshot([one], ()), [])
-    other = ZoneReplay(
-        [ORIGIN], SERVICE, LIMITS
-    )  # the settings had left the zone out, and name it again
-    other.run(encode_snapshot([], from_snapshot.unconfigured_zones()), [])
-    assert other.zones[ORIGIN].history.serials() == [1]
-    assert sorted(other.zones[ORIGIN].zone.records()) == sorted(one.zone.records())
+    from_snapshot.run(encode_snapshot([original], ()), [])
+    # The settings did not name the zone for a while and name it again.
+    later_replay = ZoneReplay([ORIGIN], SERVICE, LIMITS)
+    later_replay.run(encode_snapshot([], from_snapshot.unconfigured_zones()), [])
+    assert later_replay.zones[ORIGIN].history.serials() == [1]
+    assert sorted(later_replay.zones[ORIGIN].zone.records()) == sorted(original.zone.records())
     with pytest.raises(ZoneError):
         decode_entry(b"\xff\x00")
--- a/tests/test_zone_reconciliation.py
+++ b/tests/test_zone_reconciliation.py
@@ -24,7 +24,9 @@
         (version(100, b"other"), Verdict.DIFFERS),
     ],
 )
-def test_which_offered_version_is_accepted(offered: Version, verdict: Verdict) -> None:
+def test_an_offered_version_is_compared_by_serial_and_soa(
+    offered: Version, verdict: Verdict
+) -> None:
     assert compare_versions(version(100), offered) is verdict
     assert compare_versions(None, offered) is Verdict.NEWER
 
@@ -46,7 +48,7 @@
     assert reconciler.offer("p", version(40))[0] is Verdict.BEHIND
 
 
-def test_contradictions_are_kept_by_source_and_end_when_it_falls_silent() -> None:
+def test_contradictions_are_tracked_by_source_and_end_when_it_times_out() -> None:
     reconciler = VersionReconciler(version(100))
     assert reconciler.offer("a", version(100))[0] is Verdict.SAME
     assert reconciler.offer("b", version(100, b"another"))[0] is Verdict.DIFFERS
--- a/tests/test_zone_restore.py
+++ b/tests/test_zone_restore.py
@@ -21,24 +21,22 @@
 NOERROR, REFUSED = dns.rcode.NOERROR, dns.rcode.REFUSED
 
 
-def test_a_restored_room_counts_as_started_anew(world: World) -> None:
+def test_endpoints_restored_after_the_grace_count_as_restarted(world: World) -> None:
     node, client = start_primary(world, classes=(SUBMIT,))
     assert client.update(*room_a_removal()) == NOERROR
     assert set(node.statuses) == {"s-1", "s-3"}
-    assert node.list_changes[-1] == ({"s-0": "gone", "s-2": "gone"}, False)  # as one change
+    assert node.list_changes[-1] == ({"s-0": "gone", "s-2": "gone"}, False)  # in one change
     assert node.log.named("zone_classes_without_endpoints")[-1]["classes"] == ["move-submit"]
-    world.run_for_us(3 * SECOND)  # longer than the grace
+    world.run_for_us(3 * SECOND)  # longer than the grace period
     (node.path / "state" / "command-1.json").write_bytes(
         b'{"origin":"%s","serial":1}' % ORIGIN.encode()
     )
-    answer = node.path / "state" / "answer-1.json"
-    world.run_until(answer.exists)
-    assert msgspec.json.decode(answer.read_bytes(), type=RestoreResult) == RestoreResult(3, 4)
+    result_path = node.path / "state" / "answer-1.json"
+    world.run_until(result_path.exists)
+    assert msgspec.json.decode(result_path.read_bytes(), type=RestoreResult) == RestoreResult(3, 4)
     assert set(node.statuses) == {f"s-{k}" for k in range(4)}
     assert node.serial == 3
-    assert (
-        node.endpoints["s-0"].started_ms > 1e12
-    )  # it counts as started now: the rule on cold hosts covers it
+    assert node.endpoints["s-0"].started_ms > 1e12  # it counts as started now, so it is warming up
     assert node.endpoints["s-1"].started_ms == 0
     assert node.log.named("zone_classes_without_endpoints")[-1]["classes"] == []
 
@@ -51,7 +49,7 @@
         (3, b"{"),
     ):
         (node.path / "state" / f"command-{number}.json").write_bytes(body)
-        answer = node.path / "state" / f"answer-{number}.json"
-        world.run_until(answer.exists)
-        assert msgspec.json.decode(answer.read_bytes(), type=RestoreResult).error
+        result_path = node.path / "state" / f"answer-{number}.json"
+        world.run_until(result_path.exists)
+        assert msgspec.json.decode(result_path.read_bytes(), type=RestoreResult).error
     assert node.serial == 1
--- a/tests/test_zone_store.py
+++ b/tests/test_zone_store.py
@@ -1,4 +1,4 @@
-"""The store of the zones when a write is torn, the disk is full or a sync fails."""
+"""The store of the zones when a write is incomplete, the disk is full or a sync fails."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
 NOERROR, REFUSED = dns.rcode.NOERROR, dns.rcode.REFUSED
 
 
-def test_an_update_torn_at_any_byte_is_recovered_in_full_or_not_at_all(world: World) -> None:
+def test_an_update_truncated_at_any_byte_is_recovered_completely_or_not_at_all(
+    world: World,
+) -> None:
     node, client = start_primary(world)
     for k in range(3):
         assert client.update(*added_endpoint(f"n-{k}")) == NOERROR
@@ -38,62 +40,64 @@
     for cut in range(HEADER_BYTES, len(data) + 1):
         found = from_bytes({**files, journal: data[:cut]})
         if cut % 7 and cut < len(data) - 40 and len(found.records) in versions:
-            continue  # the store's own tests look at each byte; here each version and the last record's tail
+            # The tests of the store check each byte; this test checks each version and the end of the last record.
+            continue
         replay = ZoneReplay([ORIGIN], SERVICE, LIMITS)
         replay.run(found.snapshot, [r.payload for r in found.records])
-        known = replay.zones[ORIGIN]
-        serial = known.zone.serial if known.zone.exists else 0
+        zone_state = replay.zones[ORIGIN]
+        serial = zone_state.zone.serial if zone_state.zone.exists else 0
         versions[len(found.records)] = serial
         assert {f"n-{k}" for k in range(serial - 1)} == {
-            h for h in known.extractor.endpoints if h[0] == "n"
+            h for h in zone_state.extractor.endpoints if h[0] == "n"
         }
         assert replay.warnings == []
-    assert len(records) == 4  # the file, and three updates
+    assert len(records) == 4  # the zone file and three updates
     assert versions == {count: count for count in range(5)}
-    assert sorted(known.zone.records()) == final
+    assert sorted(zone_state.zone.records()) == final
 
 
 class FaultyFolder(Folder):
-    full = False
-    deaf = False
+    """A folder whose writes or syncs fail if the test sets the flag."""
+
+    disk_full = False
+    sync_fails = False
 
-    def write(self, fd: int, data: bytes, at: int) -> None:
-        if FaultyFolder.full:
+    def write(self, fd: int, data: bytes, offset: int) -> None:
+        if FaultyFolder.disk_full:
             raise OSError(28, "No space left on device")
-        super().write(fd, data, at)
+        super().write(fd, data, offset)
 
     def sync(self, fd: int) -> None:
-        if FaultyFolder.deaf:
+        if FaultyFolder.sync_fails:
             raise OSError(5, "Input/output error")
 
 
-def test_a_full_disk_rejects_updates_while_queries_are_answered(
+def test_updates_are_rejected_and_queries_answered_while_the_disk_is_full(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("kelpcourse.zones.zone_store.Folder", FaultyFolder)
     node, client = start_primary(world)
-    monkeypatch.setattr(FaultyFolder, "full", True)
+    monkeypatch.setattr(FaultyFolder, "disk_full", True)
     assert client.update(*added_endpoint("s-9")) == dns.rcode.SERVFAIL
     assert (node.serial, "s-9" in node.statuses) == (1, False)
     assert client.query(ORIGIN, "SOA").answer[0][0].serial == 1
     assert node.log.named("store_failed")
-    monkeypatch.setattr(FaultyFolder, "full", False)
+    monkeypatch.setattr(FaultyFolder, "disk_full", False)
     assert client.update(*added_endpoint("s-9")) == NOERROR
     assert node.serial == 2
 
 
-def test_a_failed_sync_undoes_all_updates_that_depend_on_it(
+def test_a_failed_sync_undoes_all_later_updates(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("kelpcourse.zones.zone_store.Folder", FaultyFolder)
     node, client = start_primary(world)
-    monkeypatch.setattr(FaultyFolder, "deaf", True)
+    monkeypatch.setattr(FaultyFolder, "sync_fails", True)
     codes = client.update_all([update_message(*added_endpoint(f"n-{k}")) for k in range(5)])
     assert codes == [dns.rcode.SERVFAIL] * 5
-    assert (
-        client.update(*added_endpoint("s-9")) == dns.rcode.SERVFAIL
-    )  # no new generation stands yet
-    monkeypatch.setattr(FaultyFolder, "deaf", False)
+    # No new generation exists yet.
+    assert client.update(*added_endpoint("s-9")) == dns.rcode.SERVFAIL
+    monkeypatch.setattr(FaultyFolder, "sync_fails", False)
     world.run_until(
         lambda: not node.zones.store.writer.broken if node.zones.store.writer else False
     )
--- a/tests/test_zone_versions.py
+++ b/tests/test_zone_versions.py
@@ -41,18 +41,18 @@
 )
 
 
-def play_steps(
+def apply_steps(
     steps: Sequence[Sequence[tuple[bool, Record]]],
 ) -> tuple[Zone, set[Record], EndpointExtractor, History, list[Zone]]:
-    """Plays steps on a zone through pending versions, and beside it on a plain set of records."""
-    one = zone_with(1)
-    plain_records = set(one.records())
+    """Applies steps to a zone through pending versions, and also to a plain set of records."""
+    zone = zone_with(1)
+    plain_records = set(zone.records())
     extractor = EndpointExtractor(ORIGIN, SERVICE)
     history = History(LIMITS.max_zone_history_records)
-    versions = [one.copy()]
-    extractor.start(one)
+    versions = [zone.copy()]
+    extractor.start(zone)
     for step in steps:
-        pending = PendingVersion(one)
+        pending = PendingVersion(zone)
         for add, changed in step:
             if add:
                 pending.add(changed)
@@ -69,62 +69,62 @@
             soa_record(pending.difference(0).new_serial)
         }
         difference = pending.difference(0)
-        one.apply(difference)
+        zone.apply(difference)
         history.add(difference)
-        extractor.apply(difference, one)
-        versions.append(one.copy())
-    return one, plain_records, extractor, history, versions
+        extractor.apply(difference, zone)
+        versions.append(zone.copy())
+    return zone, plain_records, extractor, history, versions
 
 
 @given(change_steps)
 @settings(max_examples=150, deadline=None, derandomize=True)
-def test_pending_versions_history_and_endpoints_agree_with_plain_copies(
+def test_pending_versions_history_and_endpoints_agree_with_a_plain_set_of_records(
     steps: list[list[tuple[bool, Record]]],
 ) -> None:
-    one, plain_records, extractor, history, versions = play_steps(steps)
-    assert set(one.records()) == plain_records
-    assert len(one) == len(plain_records)
+    zone, plain_records, extractor, history, versions = apply_steps(steps)
+    assert set(zone.records()) == plain_records
+    assert len(zone) == len(plain_records)
     fresh = EndpointExtractor(ORIGIN, SERVICE)
-    fresh.start(one)
+    fresh.start(zone)
     assert extractor.endpoints == fresh.endpoints
     assert extractor.problems() == fresh.problems()
     for version in versions[:-1]:
-        chain = history.differences_since(version.serial)
-        assert chain is not None
-        walked = version.copy()
-        for step in chain:
-            walked.apply(step)
-        assert set(walked.records()) == plain_records
-        back = restore_version(one, history, version.serial, 0)
-        assert back.new_serial == next_serial(one.serial)
-        former = one.copy()
-        former.apply(back)
+        differences = history.differences_since(version.serial)
+        assert differences is not None
+        followed = version.copy()
+        for step in differences:
+            followed.apply(step)
+        assert set(followed.records()) == plain_records
+        restoring = restore_version(zone, history, version.serial, 0)
+        assert restoring.new_serial == next_serial(zone.serial)
+        former = zone.copy()
+        former.apply(restoring)
         assert {r for r in former.records() if r.type != SOA} == {
             r for r in version.records() if r.type != SOA
         }
 
 
-def test_a_difference_that_does_not_fit_changes_nothing() -> None:
-    one = zone_with(1, endpoint_records("s-1"))
-    before = sorted(one.records())
-    step = pending_version_of(one, endpoint_records("s-2"), endpoint_records("s-1")).difference(0)
-    one.remove(endpoint_records("s-1")[0])
-    one.add(record("x", "A", "10.0.0.3"))
+def test_an_inapplicable_difference_changes_nothing() -> None:
+    zone = zone_with(1, endpoint_records("s-1"))
+    before = sorted(zone.records())
+    step = pending_version_of(zone, endpoint_records("s-2"), endpoint_records("s-1")).difference(0)
+    zone.remove(endpoint_records("s-1")[0])
+    zone.add(record("x", "A", "10.0.0.3"))
     with pytest.raises(ZoneError, match="no such SRV"):
-        one.apply(step)
-    assert sorted(one.records()) != before
-    assert one.has_records("x." + ORIGIN)
-    assert not one.has_records("s-2." + ORIGIN)
+        zone.apply(step)
+    assert sorted(zone.records()) != before
+    assert zone.has_records("x." + ORIGIN)
+    assert not zone.has_records("s-2." + ORIGIN)
 
 
 def test_a_new_ttl_replaces_the_whole_record_set() -> None:
-    one = zone_with(1, [record("x", "A", "10.0.0.1"), record("x", "A", "10.0.0.2")])
-    pending = PendingVersion(one)
+    zone = zone_with(1, [record("x", "A", "10.0.0.1"), record("x", "A", "10.0.0.2")])
+    pending = PendingVersion(zone)
     pending.add(record("x", "A", "10.0.0.3", ttl=5))
     pending.advance_serial()
     step = pending.difference(0)
-    one.apply(step)
-    held_set = one.record_set("x." + ORIGIN, A)
-    assert held_set is not None
-    assert (held_set.ttl, len(held_set.data)) == (5, 3)
+    zone.apply(step)
+    records = zone.record_set("x." + ORIGIN, A)
+    assert records is not None
+    assert (records.ttl, len(records.data)) == (5, 3)
     assert len([r for r in step.removed if r.type == A]) == 2
