--- a/kelpcourse/store/journal.py
+++ b/kelpcourse/store/journal.py
@@ -112,7 +112,7 @@
         data = header(Kind.SNAPSHOT, generation, number) + frame(Record(number, snapshot))
         fd = CLOSED
         try:
-            # The journal is created first: recovery takes a snapshot without its journal for a crash.
+            # The journal is created first, because recovery interprets a snapshot without its journal as a crash.
             fd = self._create_file(temporary_journal, header(Kind.JOURNAL, generation, number + 1))
             os.close(self._create_file(temporary_snapshot, data))
             self._folder.rename(temporary_journal, journal_name)
--- a/kelpcourse/store/recovery.py
+++ b/kelpcourse/store/recovery.py
@@ -71,9 +71,14 @@
 
 @dataclass(frozen=True)
 class Files:
-    """The generations that have a snapshot file and those that have a journal file."""
+    """The generations that have files in a folder.
 
-    snapshots: tuple[int, ...]  # newest first
+    Attributes:
+        snapshots: Generations that have a snapshot, newest first.
+        journals: Generations that have a journal.
+    """
+
+    snapshots: tuple[int, ...]
     journals: frozenset[int]
 
     @property
--- a/kelpcourse/zones/reconciliation.py
+++ b/kelpcourse/zones/reconciliation.py
@@ -88,7 +88,8 @@
         """Initializes the state without contradictions; `accepted` is None if there is no version yet."""
         self.accepted = accepted
         self.expired = False
-        self._contradictions: dict[str, tuple[Verdict, int]] = {}  # by source
+        # Result of the comparison and offered serial of each source that contradicts the accepted version.
+        self._contradictions: dict[str, tuple[Verdict, int]] = {}
 
     @property
     def contradicted(self) -> bool:
--- a/kelpcourse/zones/settings_blocks.py
+++ b/kelpcourse/zones/settings_blocks.py
@@ -36,7 +36,15 @@
 
 
 class UpdateBlock(Block, kw_only=True, frozen=True):
-    """The changes that one key may make to a zone."""
+    """The changes that one key may make to a zone.
+
+    Attributes:
+        key: Name of the key.
+        most: Maximum fraction of the ready endpoints that updates may remove.
+        within: Length of the window, in seconds, in which earlier removals count toward that fraction.
+        names: Names whose records the key may change; empty for all names.
+        types: Types of the records that the key may change; empty for all types.
+    """
 
     key: Name
     most: Fraction = 1.0
--- a/kelpcourse/zones/source.py
+++ b/kelpcourse/zones/source.py
@@ -79,7 +79,7 @@
         self._runtime.facade.report_list(endpoints, version, complete)
 
     def list_unavailable(self) -> None:
-        """Reports to the facade that every zone has expired."""
+        """Reports to the facade that no zone is available."""
         self._runtime.counters.add("discovery_lost")
         self._runtime.log.event(
             "discovery_unavailable",
--- a/kelpcourse/zones/zonefile.py
+++ b/kelpcourse/zones/zonefile.py
@@ -46,7 +46,7 @@
     except OSError as error:
         raise ZoneFileError(str(path), str(error.strerror)) from error
     except UnicodeDecodeError as error:
-        raise ZoneFileError(str(path), "not UTF-8") from error
+        raise ZoneFileError(str(path), "the file is not valid UTF-8") from error
     return parse_zone_text(text, origin, limits, str(path))
 
 
--- a/tests/test_zone_store.py
+++ b/tests/test_zone_store.py
@@ -87,7 +87,7 @@
     assert node.serial == 2
 
 
-def test_a_failed_sync_undoes_all_later_updates(
+def test_a_failed_sync_undoes_all_pending_updates(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("kelpcourse.zones.zone_store.Folder", FaultyFolder)
