--- a/kelpcourse/shared/storage.py
+++ b/kelpcourse/shared/storage.py
@@ -84,7 +84,7 @@
             raise
         self.member_id = _member_id(token_path, name)
         self._state = self._recover(recovered, bootstrap)
-        journal.begin(recovered, self._encoded_state())
+        journal.ensure_generation(recovered, self._encoded_state())
         self._on_written = on_written
         self._on_failed = on_failed
         self._halted = False
