--- a/tests/delivery_world.py
+++ b/tests/delivery_simulation.py
@@ -1,9 +1,10 @@
-"""A fleet as the channel of one controller reaches it, counted apart from the delivery tracker.
+"""Simulates a fleet and the delivery queue of one controller, independently of the delivery tracker.
 
-Messages leave the channel one after another at its pace, and each is applied a transit time later.
-What waits is what has not left; a message to a broken stream is gone, while its turn is not. Drain
-graces, the backlog and the limit of messages are checked after every step. Endpoints and tables go
-by any key: the policy's numbers, or the names on the wire.
+Messages leave the delivery queue in order and at its rate, and each is applied after the transit time. The backlog
+consists of the messages that have not left the queue. When a stream breaks, the messages to its proxy are removed from
+the queue, but the messages after them leave no earlier than before. Drain grace periods and the backlog are checked
+after every step, and the message limit with every message. Endpoints and tables are identified by any hashable key: the
+policy's numbers, or the names of the relay protocol.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 from kelpcourse.policy.settings import Settings
 from tests.fleet import SECOND, make_endpoint
 
-TIME_LIMIT_SLACK_US = 300_000  # of time limits on sockets, by the protocol
+TIME_LIMIT_SLACK_US = 300_000  # Tolerance that the protocol grants for time limits on sockets
 STEP_US = 10_000
 
 EndpointKey = Hashable
@@ -33,12 +34,12 @@
 
 
 class RuleBrokenError(AssertionError):
-    """A rule was broken."""
+    """Raised when the backlog, the message limit or a drain grace period is exceeded."""
 
 
 @dataclass(frozen=True)
 class SetEntry:
-    """An entry of a table for all its holders; a weight of 0 removes it."""
+    """An order that sets a table entry at every proxy bound to the table; a weight of 0 removes it."""
 
     table: TableKey
     endpoint: EndpointKey
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True)
 class Bind:
-    """A proxy uses a table; the order restates its entries and the withdrawn endpoints."""
+    """An order that binds a proxy to a table and restates its entries and the withdrawn endpoints."""
 
     proxy: int
     table: TableKey
@@ -57,28 +58,28 @@
 
 @dataclass(frozen=True)
 class LimitAdmission:
-    """An admission limit for the holders of a table."""
+    """An order that sets an admission limit at every proxy bound to a table."""
 
     table: TableKey
 
 
 @dataclass(frozen=True)
 class Withdraw:
-    """All proxies that may hold an endpoint stop sending to it."""
+    """An order to all proxies that may hold an endpoint to stop sending to it."""
 
     endpoint: EndpointKey
 
 
 @dataclass(frozen=True)
 class Restore:
-    """All proxies that may hold an endpoint may send to it again."""
+    """An order that lets all proxies that may hold an endpoint send to it again."""
 
     endpoint: EndpointKey
 
 
 @dataclass(frozen=True)
 class Synchronise:
-    """Every proxy with an order in the call is to answer."""
+    """A checkpoint that every proxy with an order in the same call acknowledges."""
 
     checkpoint_id: int
 
@@ -87,18 +88,27 @@
 
 
 @dataclass
-class PlayedProxy:
-    """A proxy: what was ordered of it, and what it has applied."""
+class SimulatedProxy:
+    """The state of a proxy: the orders sent to it, and their effect so far.
+
+    Attributes:
+        joined_us: Time at which the proxy joined, in microseconds.
+        initial_endpoints: Endpoints of the table that the proxy held when it joined.
+        bound_tables: Tables to which the proxy was ordered to be bound, whether or not it has applied the orders.
+        entries: Endpoints of each table, as the proxy has applied them.
+        withdrawn: Withdrawn endpoints, as the proxy has applied them.
+        messages_us: Times of the messages sent to the proxy within the message window, in microseconds.
+    """
 
     joined_us: int
     initial_endpoints: set[EndpointKey]
-    bound_tables: set[TableKey] = field(default_factory=set)  # as ordered
-    entries: dict[TableKey, set[EndpointKey]] = field(default_factory=dict)  # as applied
-    withdrawn: set[EndpointKey] = field(default_factory=set)  # as applied
+    bound_tables: set[TableKey] = field(default_factory=set)
+    entries: dict[TableKey, set[EndpointKey]] = field(default_factory=dict)
+    withdrawn: set[EndpointKey] = field(default_factory=set)
     messages_us: deque[int] = field(default_factory=deque)
 
     def apply(self, order: Order) -> None:
-        """Carries out an order that has arrived."""
+        """Applies an order that has arrived."""
         match order:
             case Bind(_, table, entries, withdrawn):
                 self.entries[table] = set(entries)
@@ -113,7 +123,7 @@
                 self.withdrawn.discard(endpoint)
 
     def reachable(self) -> set[EndpointKey]:
-        """The endpoints that it may send to: a table takes the place of what it held."""
+        """Returns the endpoints that the proxy may send to: bound tables replace the initial one."""
         if self.entries:
             return set().union(*self.entries.values()) - self.withdrawn
         return self.initial_endpoints - self.withdrawn
@@ -121,7 +131,7 @@
 
 @dataclass
 class Message:
-    """The orders of one call to one proxy."""
+    """The orders of one call that go to one proxy."""
 
     leaves_us: int
     proxy: int
@@ -130,7 +140,7 @@
 
 
 class _Call:
-    """Orders of one call, by the proxies that they concern."""
+    """The orders of one call, by recipient."""
 
     def __init__(self) -> None:
         self.entries: Counter[int] = Counter()
@@ -142,36 +152,36 @@
             self.orders.setdefault(proxy, []).append(order)
 
 
-class DeliveryWorld:
-    """The channel and the proxies behind it."""
+class DeliverySimulation:
+    """Simulates the delivery queue of one controller and the proxies that it reaches."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.proxies: dict[int, PlayedProxy] = {}
-        self.withdrawn: set[EndpointKey] = set()  # as ordered
-        self.max_backlog_entries = 0.0  # that waited at any time
-        self._entries: dict[TableKey, dict[EndpointKey, float]] = {}  # as ordered
+        self.proxies: dict[int, SimulatedProxy] = {}
+        self.withdrawn: set[EndpointKey] = set()  # Withdrawn by the orders sent so far
+        self.max_backlog_entries = 0.0  # Largest backlog found by a check
+        self._entries: dict[TableKey, dict[EndpointKey, float]] = {}  # By the orders sent so far
         self._holders: dict[TableKey, set[int]] = {}
         self._limited_tables: set[TableKey] = set()
-        self._channel: deque[Message] = deque()
+        self._queued: deque[Message] = deque()
         self._in_transit: deque[tuple[int, Message]] = deque()
-        self._drained_us: dict[EndpointKey, int] = {}  # when the controller was notified
-        self._free_us = 0  # when the channel has sent everything
+        self._draining_since_us: dict[EndpointKey, int] = {}  # When the controller was notified
+        self._queue_empty_us = 0  # When the last queued message leaves the delivery queue
 
-    # What happens
+    # Events
 
     def join(self, now_us: int, proxy: int, initial: Iterable[EndpointKey] = ()) -> None:
-        """A proxy joins with the endpoints of a table from elsewhere."""
+        """Adds a proxy that holds a table of another controller with these endpoints."""
         self.leave(proxy)
-        self.proxies[proxy] = PlayedProxy(now_us, set(initial))
+        self.proxies[proxy] = SimulatedProxy(now_us, set(initial))
 
     def leave(self, proxy: int) -> None:
-        """The stream of a proxy breaks."""
-        left = self.proxies.pop(proxy, None)
-        if left is not None:
-            for table in left.bound_tables:
+        """Removes a proxy whose stream breaks, and the messages that have not arrived there."""
+        departed = self.proxies.pop(proxy, None)
+        if departed is not None:
+            for table in departed.bound_tables:
                 self._holders[table].discard(proxy)
-        self._channel = deque(message for message in self._channel if message.proxy != proxy)
+        self._queued = deque(message for message in self._queued if message.proxy != proxy)
         self._in_transit = deque(
             (arrives_us, message)
             for arrives_us, message in self._in_transit
@@ -179,41 +189,41 @@
         )
 
     def stall(self, now_us: int, span_us: int) -> None:
-        """The channel sends nothing for a while, and all that waits leaves so much later."""
-        self._free_us = max(now_us, self._free_us) + span_us
-        for message in self._channel:
+        """Stops the delivery queue for a while: every queued message leaves later by this time."""
+        self._queue_empty_us = max(now_us, self._queue_empty_us) + span_us
+        for message in self._queued:
             message.leaves_us += span_us
 
     def drain(self, now_us: int, endpoints: Iterable[EndpointKey]) -> None:
-        """The controller is notified that endpoints drain or are gone."""
-        self._drained_us |= dict.fromkeys(endpoints, now_us)
+        """Records that the controller is notified of endpoints that drain or are gone."""
+        self._draining_since_us |= dict.fromkeys(endpoints, now_us)
 
     def order(self, now_us: int, orders: Iterable[Order]) -> None:
-        """One call: a message to each proxy that it concerns."""
+        """Sends the orders of one call, as one message to each recipient."""
         call = _Call()
         for order in orders:
             self._add_order(call, order)
-        for proxy, given in call.orders.items():
+        for proxy, proxy_orders in call.orders.items():
             cost = call.entries[proxy] + self.settings.message_overhead_entries
             span_us = int(cost * SECOND / self.settings.delivery_entries_per_s)
-            self._free_us = max(now_us, self._free_us) + span_us
-            self._channel.append(Message(self._free_us, proxy, cost, given))
+            self._queue_empty_us = max(now_us, self._queue_empty_us) + span_us
+            self._queued.append(Message(self._queue_empty_us, proxy, cost, proxy_orders))
             self._count_message(now_us, proxy)
 
     def advance(self, now_us: int) -> list[tuple[int, int]]:
-        """Delivers messages; returns proxies and the checkpoints that they acknowledge."""
-        while self._channel and self._channel[0].leaves_us <= now_us:
-            message = self._channel.popleft()
+        """Delivers messages until a time; returns pairs of a proxy and a checkpoint that it acknowledges."""
+        while self._queued and self._queued[0].leaves_us <= now_us:
+            message = self._queued.popleft()
             arrives_us = message.leaves_us + self.settings.mean_transit_us
             self._in_transit.append((arrives_us, message))
-        acknowledged = []
+        acknowledgements = []
         while self._in_transit and self._in_transit[0][0] <= now_us:
             _, message = self._in_transit.popleft()
             for order in message.orders:
                 self.proxies[message.proxy].apply(order)
                 if isinstance(order, Synchronise):
-                    acknowledged.append((message.proxy, order.checkpoint_id))
-        return acknowledged
+                    acknowledgements.append((message.proxy, order.checkpoint_id))
+        return acknowledgements
 
     def _add_order(self, call: _Call, order: Order) -> None:
         match order:
@@ -252,11 +262,11 @@
     def _possible_holders(self, endpoint: EndpointKey) -> list[int]:
         return [
             proxy
-            for proxy, played in sorted(self.proxies.items())
-            if self._may_hold(played, endpoint)
+            for proxy, state in sorted(self.proxies.items())
+            if self._may_hold(state, endpoint)
         ]
 
-    def _may_hold(self, proxy: PlayedProxy, endpoint: EndpointKey) -> bool:
+    def _may_hold(self, proxy: SimulatedProxy, endpoint: EndpointKey) -> bool:
         if proxy.bound_tables:
             return any(endpoint in self._entries.get(table, {}) for table in proxy.bound_tables)
         return endpoint in proxy.initial_endpoints
@@ -269,37 +279,41 @@
         if 0 < self.settings.max_messages_per_proxy < len(times_us):
             raise RuleBrokenError(f"{len(times_us)} messages to proxy {proxy}")
 
-    # What must hold
+    # Checks
 
     def check(self, now_us: int) -> None:
-        """Raises RuleBrokenError if too much waits, or a proxy may send to a drained endpoint."""
-        backlog = sum(message.entries for message in self._channel)
+        """Checks the backlog limit and the drain grace periods.
+
+        Raises:
+            RuleBrokenError: The backlog is over its limit, or a proxy may send to a drained endpoint.
+        """
+        backlog = sum(message.entries for message in self._queued)
         self.max_backlog_entries = max(self.max_backlog_entries, backlog)
         limit = self.settings.max_backlog_entries
         if backlog > limit:
-            raise RuleBrokenError(f"{backlog:.0f} entries wait where {limit:.0f} may")
+            raise RuleBrokenError(f"backlog of {backlog:.0f} entries is over {limit:.0f}")
         self._check_drains(now_us)
 
     def _check_drains(self, now_us: int) -> None:
         grace_us = self.settings.drain_grace_us + TIME_LIMIT_SLACK_US
         overdue = {
             endpoint
-            for endpoint, drained_us in self._drained_us.items()
-            if drained_us + grace_us < now_us
+            for endpoint, since_us in self._draining_since_us.items()
+            if since_us + grace_us < now_us
         }
         if not overdue:
             return
-        for proxy, played in self.proxies.items():
-            reachable = overdue & played.reachable()
-            if played.joined_us + grace_us < now_us and reachable:
+        for proxy, state in self.proxies.items():
+            reachable = overdue & state.reachable()
+            if state.joined_us + grace_us < now_us and reachable:
                 names = sorted(map(str, reachable))[:3]
                 raise RuleBrokenError(
-                    f"proxy {proxy}, joined at {played.joined_us}, may send to {names}"
+                    f"proxy {proxy}, joined at {state.joined_us}, may send to {names}"
                 )
 
 
 class DeliveryHarness:
-    """The policy alone on such a fleet, stepped each 10 ms."""
+    """Steps the policy every 10 ms against a delivery simulation."""
 
     def __init__(
         self,
@@ -307,25 +321,25 @@
         settings: Settings,
         endpoints: Sequence[Endpoint],
     ) -> None:
-        self.world = DeliveryWorld(settings)
+        self.simulation = DeliverySimulation(settings)
         self.now_us = 50 * SECOND
         self.policy = policy_factory(settings)
         self.endpoints = {endpoint.id: endpoint for endpoint in endpoints}
 
     def step(self, *events: Event) -> None:
-        """Ten milliseconds go by, and these events come."""
+        """Advances the clock by 10 ms and steps the policy with these events and with acknowledgements."""
         self.now_us += STEP_US
-        acknowledged = [
+        acknowledgements = [
             OrdersAcknowledged(proxy, checkpoint_id, 1)
-            for proxy, checkpoint_id in self.world.advance(self.now_us)
-            if proxy in self.world.proxies
+            for proxy, checkpoint_id in self.simulation.advance(self.now_us)
+            if proxy in self.simulation.proxies
         ]
-        ordered = self.policy.step(self.now_us, [*acknowledged, *events])
-        self.world.order(self.now_us, orders_of(ordered))
-        self.world.check(self.now_us)
+        policy_actions = self.policy.step(self.now_us, [*acknowledgements, *events])
+        self.simulation.order(self.now_us, orders_from_actions(policy_actions))
+        self.simulation.check(self.now_us)
 
     def run(self, seconds: float) -> None:
-        """Time goes by without events."""
+        """Runs for some seconds without other events than acknowledgements."""
         for _ in range(round(seconds * 100)):
             self.step()
 
@@ -336,15 +350,22 @@
         seconds: float,
         has_no_table: bool = False,
     ) -> None:
-        """Proxies join, spread over so many seconds."""
-        waiting = list(proxies)
-        count = max(1, round(len(waiting) / max(1, seconds * 100)))
-        zones = self.world.settings.zones
-        while waiting:
-            joining = waiting[:count]
-            waiting = waiting[count:]
+        """Lets proxies join, evenly spread over some seconds.
+
+        Args:
+            proxies: The proxies that join.
+            initial: Returns the endpoints of the table that a proxy holds when it joins.
+            seconds: Time over which the proxies join, in seconds.
+            has_no_table: Whether the proxies report that they hold no table.
+        """
+        remaining = list(proxies)
+        count = max(1, round(len(remaining) / max(1, seconds * 100)))
+        zones = self.simulation.settings.zones
+        while remaining:
+            joining = remaining[:count]
+            remaining = remaining[count:]
             for proxy in joining:
-                self.world.join(self.now_us, proxy, initial(proxy))
+                self.simulation.join(self.now_us, proxy, initial(proxy))
             self.step(
                 *(
                     ProxyJoined(proxy, zones[proxy % len(zones)], 2.0, has_no_table)
@@ -353,30 +374,30 @@
             )
 
     def leave(self, proxies: Iterable[int]) -> None:
-        """The streams of proxies break."""
-        left = list(proxies)
-        for proxy in left:
-            self.world.leave(proxy)
-        self.step(*(ProxyLeft(proxy) for proxy in left))
+        """Breaks the streams of proxies."""
+        departed = list(proxies)
+        for proxy in departed:
+            self.simulation.leave(proxy)
+        self.step(*(ProxyLeft(proxy) for proxy in departed))
 
     def drain(self, numbers: Iterable[int]) -> list[Endpoint]:
-        """Returns these endpoints as draining, from now on."""
+        """Returns these endpoints as draining; their drain grace period starts now."""
         draining = [
             make_endpoint(number, self.endpoints[number].zone, EndpointStatus.DRAINING)
             for number in numbers
         ]
-        self.world.drain(self.now_us, [endpoint.id for endpoint in draining])
+        self.simulation.drain(self.now_us, [endpoint.id for endpoint in draining])
         return draining
 
 
-def orders_of(ordered: Iterable[actions.Action]) -> list[Order]:
-    """The orders among the policy's actions."""
-    orders = [order_of(action) for action in ordered]
+def orders_from_actions(policy_actions: Iterable[actions.Action]) -> list[Order]:
+    """Returns the orders among the policy's actions."""
+    orders = [order_from_action(action) for action in policy_actions]
     return [order for order in orders if order is not None]
 
 
-def order_of(action: actions.Action) -> Order | None:
-    """The order that an action is; None for timers, logs and the like."""
+def order_from_action(action: actions.Action) -> Order | None:
+    """Returns the order of an action; None for timers, log messages and other actions without one."""
     match action:
         case actions.SetWeight(table, endpoint, weight):
             return SetEntry(table, endpoint, weight)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Building blocks for tests of the policy: settings, endpoints, reports and a simulated clock."""
+"""Settings, endpoints, reports and a harness with a simulated clock for tests of the policy."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     Settings,
 )
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # One second, in microseconds
 ActionT = TypeVar("ActionT")
 
 READ = RequestClass(
@@ -114,12 +114,12 @@
     kind: str = "std",
     weight: float = 1.0,
 ) -> Endpoint:
-    """An endpoint of the list."""
+    """Returns an endpoint as the endpoint list contains it."""
     return Endpoint(number, zone, kind, 0, weight, status, started_us)
 
 
 def make_endpoints(count: int, first: int = 100) -> list[Endpoint]:
-    """Endpoints with numbers from `first`, by turns in the zones east and west."""
+    """Returns endpoints with consecutive numbers from `first`, alternating between the zones east and west."""
     return [
         make_endpoint(first + position, "east" if position % 2 == 0 else "west")
         for position in range(count)
@@ -127,27 +127,27 @@
 
 
 def full_list(listed: Iterable[Endpoint], version: int = 1) -> EndpointList:
-    """A complete endpoint list."""
+    """Returns a complete endpoint list."""
     return EndpointList(EndpointListKind.FULL, version, tuple(listed))
 
 
 def list_changes(listed: Iterable[Endpoint], version: int = 2) -> EndpointList:
-    """A watch event with changed endpoints."""
+    """Returns a list of changed endpoints, as a watch delivers it."""
     return EndpointList(EndpointListKind.CHANGES, version, tuple(listed))
 
 
 def actions_of_type(actions: Iterable[Action], action_type: type[ActionT]) -> list[ActionT]:
-    """The actions of one type."""
+    """Returns the actions of one type."""
     return [action for action in actions if isinstance(action, action_type)]
 
 
 def endpoint_orders(actions: Iterable[Action]) -> list[WithdrawEndpoint | RestoreEndpoint]:
-    """The orders that withdraw and restore endpoints."""
+    """Returns the orders that withdraw or restore endpoints."""
     return [action for action in actions if isinstance(action, WithdrawEndpoint | RestoreEndpoint)]
 
 
 class UnboundedTables(RoutingPolicy):
-    """Tables as long as connections allow: bindings take most of a drain grace period."""
+    """A policy whose table size only connections limit, so that bindings take most of a drain grace period."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings)
@@ -155,7 +155,20 @@
 
 
 class PolicyHarness:
-    """Feeds a policy, keeps the tables as proxies would hold them, and fires its timers."""
+    """Sends events to a policy, fires its timers and keeps the tables and admission ratios that it orders.
+
+    Attributes:
+        settings: Settings of the policy.
+        policy: The policy under test.
+        now_us: The simulated clock, in microseconds.
+        acknowledges: Whether all proxies acknowledge every checkpoint.
+        timers: Pending timers of the policy.
+        proxies: Proxies that acknowledge checkpoints and that report their demand.
+        tables: Weights of each table's endpoints, as ordered.
+        admission_ratios: Admission limit of each request class, by its position, as ordered last.
+        log: All actions with the time of their step, in microseconds.
+        pending_events: Acknowledgements that go into the step of the next timer.
+    """
 
     def __init__(
         self,
@@ -185,7 +198,7 @@
         )
 
     def send(self, *events: Event) -> list[Action]:
-        """Steps the policy with these events, and applies its actions."""
+        """Steps the policy with these events, applies its actions and returns them."""
         actions = self.policy.step(self.now_us, events)
         for action in actions:
             self.log.append((self.now_us, action))
@@ -209,10 +222,10 @@
             ]
 
     def run_until(self, end_us: int) -> list[Action]:
-        """Lets the clock run to `end_us`, firing timers and acknowledging orders on the way."""
+        """Advances the clock to `end_us`, fires the timers due until then and acknowledges orders with them."""
         actions: list[Action] = []
         while self.timers and min(timer.due_us for timer in self.timers) <= end_us:
-            timer = min(self.timers, key=lambda waiting: waiting.due_us)
+            timer = min(self.timers, key=lambda pending_timer: pending_timer.due_us)
             self.timers.remove(timer)
             self.now_us = max(self.now_us, timer.due_us)
             pending = self.pending_events
@@ -232,17 +245,17 @@
         load_reports: Mapping[int, tuple[tuple[str, float], ...]] | None = None,
         unanswered: int = 0,
     ) -> list[Action]:
-        """Lets one second go by, then reports on it.
+        """Advances the clock by one second and sends the reports of that second.
 
         Args:
-            listed: The endpoints that are reported.
-            mean_time_us: Mean response time of each endpoint.
-            failed: The fraction of failed attempts, by endpoint.
-            mean_times_us: Mean response times of single endpoints, in place of `mean_time_us`.
-            demand: Requests of each proxy, by class.
-            attempts: Attempts at each endpoint.
+            listed: Endpoints with a report.
+            mean_time_us: Mean response time of each endpoint, in microseconds.
+            failed: Fraction of failed attempts, by endpoint; 0 for others.
+            mean_times_us: Mean response times that replace `mean_time_us`, in microseconds, by endpoint.
+            demand: Number of requests to each proxy, by position of the request class.
+            attempts: Number of attempts at each endpoint.
             load_reports: Load values, by endpoint.
-            unanswered: Requests of the first class that each proxy lost.
+            unanswered: Number of requests of the first class that each proxy reports as unanswered.
         """
         actions = self.run_until(self.now_us + SECOND)
         events: list[Event] = []
@@ -264,7 +277,7 @@
         return actions + self.send(*events)
 
     def weight_share(self, endpoint: int, table: int = 0) -> float:
-        """The part of a table's weight that an endpoint has."""
+        """Returns an endpoint's fraction of the total weight of a table."""
         entries = self.tables[table]
         return entries.get(endpoint, 0.0) / sum(entries.values())
 
@@ -272,7 +285,7 @@
 def run_steadily(
     harness: PolicyHarness, seconds: int = 6, demand: tuple[int, ...] = (40, 10)
 ) -> None:
-    """Lets some seconds without failures go by."""
+    """Runs for some seconds with reports of ten endpoints without failures."""
     for _ in range(seconds):
         harness.run_second(make_endpoints(10), demand=demand)
 
@@ -283,6 +296,6 @@
     failed: dict[int, float] | None = None,
     attempts: int = 20,
 ) -> None:
-    """Lets some seconds go by in which these fractions of the attempts fail, by endpoint."""
+    """Runs for some seconds with reports of ten endpoints in which these fractions of attempts fail, by endpoint."""
     for _ in range(seconds):
         harness.run_second(make_endpoints(10), failed=failed, attempts=attempts, demand=(40, 10))
--- a/tests/test_reconnect_storms.py
+++ b/tests/test_reconnect_storms.py
@@ -22,10 +22,10 @@
 from kelpcourse.policy.settings import Settings
 from kelpcourse.wire.loop import Coroutine, Signal
 from kelpcourse.wire.relay_calls import RelayCalls
-from tests.delivery_world import (
+from tests.delivery_simulation import (
     Bind,
     DeliveryHarness,
-    DeliveryWorld,
+    DeliverySimulation,
     LimitAdmission,
     Order,
     Restore,
@@ -96,7 +96,7 @@
     harness = takeover(seed, policy_factory)
     assert (
         RECONNECT_STORM.max_backlog_entries * 0.5
-        < harness.world.max_backlog_entries
+        < harness.simulation.max_backlog_entries
         <= RECONNECT_STORM.max_backlog_entries
     )
     assert len(harness.policy.bindings) == 1_600
@@ -157,7 +157,7 @@
         seed: int = 1,
     ) -> None:
         limits = Limits().for_fleet(RECONNECT_STORM.proxy_count)
-        self.world = DeliveryWorld(RECONNECT_STORM)
+        self.simulation = DeliverySimulation(RECONNECT_STORM)
         self.bench = Bench(limits, RECONNECT_STORM)
         self.facade = self.bench.facade = Facade(RECONNECT_STORM, 7, limits, policy_factory)
         runtime = replace(self.bench.runtime, facade=self.facade)
@@ -180,7 +180,7 @@
     def _serve(self, caller: Caller) -> Coroutine[None]:
         while (call := (yield from caller.request())) is not None:
             orders = orjson.loads(call[1])["orders"]
-            self.world.order(self.bench.clock.now, [order_from_wire(order) for order in orders])
+            self.simulation.order(self.bench.clock.now, [order_from_wire(order) for order in orders])
             if self.draw.random() < self.lost_fraction:
                 yield from caller.silence()
                 return
@@ -196,24 +196,24 @@
                 self.orders_queued.set()
             now = self.bench.clock.now
             if now % (10 * MS) == 0:
-                for proxy, checkpoint_id in self.world.advance(now):
+                for proxy, checkpoint_id in self.simulation.advance(now):
                     self.order_queue.acknowledge(checkpoint_id)
                     for superseded in self.order_queue.covered_checkpoints(checkpoint_id):
                         self.facade.report_acknowledged(proxy, superseded, 1.0)
-                self.world.check(now)
+                self.simulation.check(now)
 
     def join(self, proxies: range, fresh: bool, per_ms: int) -> None:
         """Proxies join, so many a millisecond."""
         draw = random.Random(proxies.start)
         for position, proxy in enumerate(proxies):
             names = sorted(self.members_by_name) if not fresh else sorted(self.members_by_name)[:5]
-            self.world.join(self.bench.clock.now, proxy, draw.sample(names, 5 if fresh else 28))
+            self.simulation.join(self.bench.clock.now, proxy, draw.sample(names, 5 if fresh else 28))
             self.facade.report_proxy_joined(proxy, ZONES[proxy % 8], 2.0, fresh)
             if position % per_ms == 0:
                 self.run(1)
 
     def drain(self, names: list[str], version: int) -> None:
-        self.world.drain(self.bench.clock.now, names)
+        self.simulation.drain(self.bench.clock.now, names)
         self.facade.report_list(
             [replace(self.members_by_name[n], status=EndpointStatus.DRAINING) for n in names],
             version,
@@ -265,7 +265,7 @@
     """
     harness = run_takeover(ControllerHarness(0.15, seed=seed))
     assert harness.bench.counters["relay_calls_failed"] >= 3
-    assert len(harness.world.withdrawn) == 60
+    assert len(harness.simulation.withdrawn) == 60
     harness.bench.close()
 
 
--- a/tests/test_recorded_actions.py
+++ b/tests/test_recorded_actions.py
@@ -1,13 +1,13 @@
-"""Fixed event sequences give the same actions as they always did, to the last digit.
+"""Compares the actions for fixed event sequences with recorded hashes, to the last digit.
 
-A change that is meant to change decisions replaces the figures here, and says so; a change of structure must not.
+A change that is meant to change decisions replaces the recorded values and says so; a change of structure must not.
 """
 
 from __future__ import annotations
 
 import pytest
 
-from tests.recording import SEQUENCES, Player, Sequence
+from tests.recording import SEQUENCES, Sequence, SequenceRunner
 
 RECORDED = {
     "calm": (
@@ -102,11 +102,11 @@
 
 
 @pytest.mark.parametrize("sequence", SEQUENCES, ids=lambda sequence: str(sequence.name))
-def test_recorded_events_give_the_recorded_actions(sequence: Sequence) -> None:
-    player = Player(sequence)
-    digest = player.play()
-    assert (player.actions, digest) == RECORDED[sequence.name]
+def test_event_sequences_give_the_recorded_actions(sequence: Sequence) -> None:
+    runner = SequenceRunner(sequence)
+    digest = runner.run()
+    assert (runner.actions, digest) == RECORDED[sequence.name]
 
 
-def test_every_recorded_sequence_is_played() -> None:
+def test_every_recorded_sequence_is_run() -> None:
     assert [sequence.name for sequence in SEQUENCES] == list(RECORDED)
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -1,4 +1,4 @@
-"""Withdrawals on a small fleet with a short channel, counted by tests/delivery_world.py."""
+"""Withdrawals on a small fleet with a short channel, counted by tests/delivery_simulation.py."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from kelpcourse.policy.draining import Withdrawals
 from kelpcourse.policy.events import EndpointStatus, ProxyJoined
 from kelpcourse.policy.settings import EndpointId, Settings
-from tests.delivery_world import DeliveryHarness, RuleBrokenError
+from tests.delivery_simulation import DeliveryHarness, RuleBrokenError
 from tests.fleet import (
     SECOND,
     SETTINGS,
@@ -159,7 +159,7 @@
     harness.run(20)
     assert not harness.policy.bindings.unbound_since_us
     assert not harness.policy.bindings.possibly_stale
-    assert 2_000 < harness.world.max_backlog_entries <= ROLLING_RESTART.max_backlog_entries
+    assert 2_000 < harness.simulation.max_backlog_entries <= ROLLING_RESTART.max_backlog_entries
 
 
 def test_a_proxy_whose_leaving_was_not_reported_is_bound_again() -> None:
@@ -221,7 +221,7 @@
     harness.run(8)
     harness.step(list_changes(harness.drain(numbers(0, 40)), 2))
     harness.run(1)
-    harness.world.stall(harness.now_us, 3_000_000)
+    harness.simulation.stall(harness.now_us, 3_000_000)
     harness.join(range(2, 33), lambda _: numbers(0, 200), 0.6)
     harness.step(list_changes(harness.drain(numbers(40, 20)), 3))
     harness.join(range(33, 60), lambda _: numbers(0, 200), 1.5)
