--- a/tests/test_reconnect_storms.py
+++ b/tests/test_reconnect_storms.py
@@ -180,7 +180,9 @@
     def _serve(self, caller: Caller) -> Coroutine[None]:
         while (call := (yield from caller.request())) is not None:
             orders = orjson.loads(call[1])["orders"]
-            self.simulation.order(self.bench.clock.now, [order_from_wire(order) for order in orders])
+            self.simulation.order(
+                self.bench.clock.now, [order_from_wire(order) for order in orders]
+            )
             if self.draw.random() < self.lost_fraction:
                 yield from caller.silence()
                 return
@@ -207,7 +209,9 @@
         draw = random.Random(proxies.start)
         for position, proxy in enumerate(proxies):
             names = sorted(self.members_by_name) if not fresh else sorted(self.members_by_name)[:5]
-            self.simulation.join(self.bench.clock.now, proxy, draw.sample(names, 5 if fresh else 28))
+            self.simulation.join(
+                self.bench.clock.now, proxy, draw.sample(names, 5 if fresh else 28)
+            )
             self.facade.report_proxy_joined(proxy, ZONES[proxy % 8], 2.0, fresh)
             if position % per_ms == 0:
                 self.run(1)
