--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -29,7 +29,10 @@
     harness = PolicyHarness(listed=listed)
     for _ in range(6):
         harness.run_second(listed, demand=(40, 10))
-    warming_up = [make_endpoint(h.id, h.zone, started_us=harness.now_us) for h in listed[:6]]
+    warming_up = [
+        make_endpoint(endpoint.id, endpoint.zone, started_us=harness.now_us)
+        for endpoint in listed[:6]
+    ]
     harness.send(list_changes(warming_up))
     now_listed = warming_up + listed[6:]
     for _ in range(3):
@@ -46,7 +49,9 @@
         harness.run_second(listed, demand=(40, 10))
     warming_up = make_endpoint(300, "east", started_us=harness.now_us)
     harness.send(list_changes([warming_up]))
-    actions = harness.send(full_list([warming_up, *(h for h in listed if h.zone == "west")]))
+    actions = harness.send(
+        full_list([warming_up, *(endpoint for endpoint in listed if endpoint.zone == "west")])
+    )
     assert set(harness.tables[1]) == {300}
     able = SETTINGS.warm_up_min_capacity * 200 / 10  # its least part of one endpoint's rate
     admitted_per_s = {a.classes: a.limit for a in actions_of_type(actions, SetAdmission)}[(1,)] * 40
@@ -59,7 +64,12 @@
     for _ in range(6):
         harness.run_second(listed, demand=(40, 10))
     harness.send(
-        full_list([make_endpoint(h.id, h.zone, started_us=harness.now_us) for h in listed])
+        full_list(
+            [
+                make_endpoint(endpoint.id, endpoint.zone, started_us=harness.now_us)
+                for endpoint in listed
+            ]
+        )
     )
     admitted_per_s = 160 * harness.admission_ratios[0] + 40 * harness.admission_ratios[1]
     assert admitted_per_s <= SETTINGS.overload_factor * SETTINGS.warm_up_min_capacity * 200
--- a/tests/test_binding_orders.py
+++ b/tests/test_binding_orders.py
@@ -82,7 +82,9 @@
     harness = PolicyHarness(
         settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70, acknowledges=False
     )
-    gone = [replace(h, status=type(h.status).GONE) for h in make_endpoints(80)[:10]]
+    gone = [
+        replace(endpoint, status=type(endpoint.status).GONE) for endpoint in make_endpoints(80)[:10]
+    ]
     new = [make_endpoint(500 + k, started_us=harness.now_us) for k in range(20)]
     harness.send(list_changes([*gone, *new]))
     bound = [b.proxy for _, b in harness.log if isinstance(b, BindProxy)]
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -105,7 +105,10 @@
     harness = PolicyHarness(listed=make_endpoints(3))
     harness.send(
         list_changes(
-            [make_endpoint(h.id, h.zone, EndpointStatus.DRAINING) for h in make_endpoints(3)]
+            [
+                make_endpoint(endpoint.id, endpoint.zone, EndpointStatus.DRAINING)
+                for endpoint in make_endpoints(3)
+            ]
         )
     )
     harness.run_until(harness.now_us + 5 * SECOND)
@@ -116,9 +119,14 @@
     harness = PolicyHarness(
         settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70, acknowledges=False
     )
-    gone = list_changes([replace(h, status=type(h.status).GONE) for h in make_endpoints(80)[:4]])
+    gone = list_changes(
+        [
+            replace(endpoint, status=type(endpoint.status).GONE)
+            for endpoint in make_endpoints(80)[:4]
+        ]
+    )
     assert [a.endpoint for a in actions_of_type(harness.send(gone), WithdrawEndpoint)] == [
-        h.id for h in make_endpoints(80)[:4]
+        endpoint.id for endpoint in make_endpoints(80)[:4]
     ]
 
 
@@ -127,13 +135,13 @@
     harness = PolicyHarness(
         settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70, acknowledges=False
     )
-    gone = [replace(h, status=type(h.status).GONE) for h in make_endpoints(80)]
+    gone = [replace(endpoint, status=type(endpoint.status).GONE) for endpoint in make_endpoints(80)]
     assert len(endpoint_orders(harness.send(list_changes(gone[:2])))) == 2
     assert endpoint_orders(harness.send(list_changes(gone[2:13]))) == []  # nine of them would fit
     number = max(a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint))
     out = harness.run_until(harness.now_us + SECOND)
     out += harness.send(*(OrdersAcknowledged(p, number, 300_000) for p in harness.proxies))
-    assert {a.endpoint for a in endpoint_orders(out)} == {h.id for h in gone[2:13]}
+    assert {a.endpoint for a in endpoint_orders(out)} == {endpoint.id for endpoint in gone[2:13]}
 
 
 def test_a_channel_too_small_for_several_withdrawals_takes_what_fits() -> None:
@@ -148,7 +156,12 @@
     number = max((a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint)), default=0)
     harness.send(*(OrdersAcknowledged(p, number, 1000) for p in range(70)))
     harness.send(
-        list_changes([replace(h, status=type(h.status).GONE) for h in make_endpoints(4)[:2]])
+        list_changes(
+            [
+                replace(endpoint, status=type(endpoint.status).GONE)
+                for endpoint in make_endpoints(4)[:2]
+            ]
+        )
     )
     for _ in range(4):
         harness.run_until(harness.now_us + SECOND)
--- a/tests/test_inherited_tables.py
+++ b/tests/test_inherited_tables.py
@@ -35,9 +35,15 @@
     return harness.send(
         *(
             EndpointReport(
-                h.id, "east", attempts * (3 if h.id == FAST_ENDPOINT else 1), 0, SECOND, 200_000, ()
+                endpoint.id,
+                "east",
+                attempts * (3 if endpoint.id == FAST_ENDPOINT else 1),
+                0,
+                SECOND,
+                200_000,
+                (),
             )
-            for h in make_endpoints(10)
+            for endpoint in make_endpoints(10)
         )
     )
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -46,7 +46,10 @@
         harness.send(ProxyJoined(proxy, "east", 10.0, False))
         harness.run_until(harness.now_us + SECOND)
         harness.send(
-            *(EndpointReport(h.id, "east", 20, 0, SECOND, 200_000, ()) for h in make_endpoints(10)),
+            *(
+                EndpointReport(endpoint.id, "east", 20, 0, SECOND, 200_000, ())
+                for endpoint in make_endpoints(10)
+            ),
             *(
                 DemandReport(p, k, n, 0, SECOND)
                 for p in harness.proxies
@@ -78,8 +81,8 @@
         turn = second % parts
         harness.send(
             *(
-                EndpointReport(h.id, "east", 5 * parts, 0, parts * SECOND, 200_000, ())
-                for h in listed[turn::parts]
+                EndpointReport(endpoint.id, "east", 5 * parts, 0, parts * SECOND, 200_000, ())
+                for endpoint in listed[turn::parts]
             ),
             *(DemandReport(p, 0, 10 * parts, 0, parts * SECOND) for p in range(turn, 40, parts)),
             TimerFired("none"),
@@ -96,8 +99,8 @@
         harness.run_until(harness.now_us + SECOND)
         harness.send(
             *(
-                EndpointReport(h.id, "east", 40, 20, SECOND, 200_000, ())
-                for h in make_endpoints(10)
+                EndpointReport(endpoint.id, "east", 40, 20, SECOND, 200_000, ())
+                for endpoint in make_endpoints(10)
             ),
             *(DemandReport(p, 0, 60, 5, SECOND) for p in range(4)),
         )
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -16,8 +16,8 @@
     listed = make_endpoints(6)
     harness = PolicyHarness(listed=listed)
     for _ in range(20):
-        harness.run_second(listed, failed={h.id: 1.0 for h in listed})
-    assert set(harness.tables[0]) == {h.id for h in listed}
+        harness.run_second(listed, failed={endpoint.id: 1.0 for endpoint in listed})
+    assert set(harness.tables[0]) == {endpoint.id for endpoint in listed}
     assert all(weight > 0 for weight in harness.tables[0].values())
 
 
@@ -31,8 +31,10 @@
 def test_errors_spread_over_all_endpoints_eject_none() -> None:
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 4)
-    run_with_failures(harness, 8, failed={h.id: 0.3 for h in make_endpoints(10)})
-    assert all(abs(harness.weight_share(h.id) - 0.1) < 0.01 for h in make_endpoints(10))
+    run_with_failures(harness, 8, failed={endpoint.id: 0.3 for endpoint in make_endpoints(10)})
+    assert all(
+        abs(harness.weight_share(endpoint.id) - 0.1) < 0.01 for endpoint in make_endpoints(10)
+    )
 
 
 def test_chance_failures_on_a_busy_fleet_eject_none() -> None:
@@ -43,15 +45,22 @@
         run_with_failures(
             harness,
             1,
-            failed={h.id: 0.15 if h.id % 3 == k % 3 else 0.05 for h in make_endpoints(10)},
+            failed={
+                endpoint.id: 0.15 if endpoint.id % 3 == k % 3 else 0.05
+                for endpoint in make_endpoints(10)
+            },
         )
-    assert all(abs(harness.weight_share(h.id) - 0.1) < 0.02 for h in make_endpoints(10))
+    assert all(
+        abs(harness.weight_share(endpoint.id) - 0.1) < 0.02 for endpoint in make_endpoints(10)
+    )
 
 
 def test_a_dead_endpoint_is_distinguished_from_loaded_ones() -> None:
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 4)
-    run_with_failures(harness, 4, failed={h.id: 0.3 for h in make_endpoints(10)} | {100: 1.0})
+    run_with_failures(
+        harness, 4, failed={endpoint.id: 0.3 for endpoint in make_endpoints(10)} | {100: 1.0}
+    )
     assert harness.weight_share(100) < 0.02
 
 
@@ -104,7 +113,9 @@
     run_with_failures(harness, 4)
     bad = {100 + k: 1.0 for k in range(7)}
     run_with_failures(harness, 10, failed=bad)
-    full_weight = [h.id for h in make_endpoints(10) if harness.tables[0][h.id] > 0.5]
+    full_weight = [
+        endpoint.id for endpoint in make_endpoints(10) if harness.tables[0][endpoint.id] > 0.5
+    ]
     assert len(full_weight) >= 6
 
 
@@ -113,7 +124,9 @@
     run_with_failures(harness, 8)
     harness.run_second(
         make_endpoints(10),
-        mean_times_us={h.id: 150_000 + 60_000 * (h.id % 4) for h in make_endpoints(10)},
+        mean_times_us={
+            endpoint.id: 150_000 + 60_000 * (endpoint.id % 4) for endpoint in make_endpoints(10)
+        },
         demand=(40, 10),
     )
     before = harness.weight_share(100)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -20,7 +20,7 @@
     for _ in range(10):
         harness.run_second(
             make_endpoints(10),
-            failed={h.id: 0.04 for h in make_endpoints(10)},
+            failed={endpoint.id: 0.04 for endpoint in make_endpoints(10)},
             attempts=25,
             demand=(50, 12),
         )
@@ -55,7 +55,7 @@
         )
         harness.run_second(
             make_endpoints(10),
-            failed={h.id: 0.12 for h in make_endpoints(10)},
+            failed={endpoint.id: 0.12 for endpoint in make_endpoints(10)},
             attempts=max(1, round(admitted_per_s)),
             demand=(40, 10),
         )
@@ -85,7 +85,7 @@
     # A controller that came back was notified of 9 requests a second of 200 that came, a sixth of them
     # failed, and shed for 15 s by a capacity estimate that had grown from nothing.
     harness = PolicyHarness(listed=make_endpoints(10))
-    failed = {h.id: 0.2 for h in make_endpoints(10)}
+    failed = {endpoint.id: 0.2 for endpoint in make_endpoints(10)}
     harness.run_second(make_endpoints(10), mean_time_us=450_000, failed=failed, demand=(40, 10))
     assert harness.admission_ratios == {0: 1.0, 1: 1.0}
     assert harness.policy.capacity.requests_per_s == pytest.approx(160)
@@ -98,7 +98,10 @@
     """A zone short of endpoints was full of its own class, and reads for the idle zone were rejected."""
     bound = replace(WRITE, allowed_zones=frozenset({"east"}))
     harness = PolicyHarness(replace(SETTINGS, classes=(READ, bound)), listed=make_endpoints(10))
-    slow = {h.id: 1_600_000 if h.zone == "east" else 120_000 for h in make_endpoints(10)}
+    slow = {
+        endpoint.id: 1_600_000 if endpoint.zone == "east" else 120_000
+        for endpoint in make_endpoints(10)
+    }
     low = 1.0
     for k in range(40):
         harness.run_second(make_endpoints(10), mean_times_us=slow, demand=(20, 30))
--- a/tests/test_partitions.py
+++ b/tests/test_partitions.py
@@ -41,7 +41,7 @@
     before = harness.policy.capacity.requests_per_s
     run_with_failures(harness, 6, failed=cut_of(5))
     run_with_failures(harness, 20)
-    assert min(harness.weight_share(h.id) for h in make_endpoints(10)) > 0.08
+    assert min(harness.weight_share(endpoint.id) for endpoint in make_endpoints(10)) > 0.08
     assert not any(state.partitioned for state in harness.policy.registry.endpoints.values())
     assert harness.policy.capacity.requests_per_s < 1.5 * before
 
@@ -50,13 +50,18 @@
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 6)
     run_with_failures(harness, 4, failed=cut_of(10))
-    assert all(abs(harness.weight_share(h.id) - 0.1) < 0.01 for h in make_endpoints(10))
+    assert all(
+        abs(harness.weight_share(endpoint.id) - 0.1) < 0.01 for endpoint in make_endpoints(10)
+    )
 
 
 def test_few_silent_endpoints_of_a_loaded_fleet_are_no_partition() -> None:
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 6)
     run_with_failures(
-        harness, 3, failed={h.id: 0.5 for h in make_endpoints(10)} | cut_of(2), attempts=6
+        harness,
+        3,
+        failed={endpoint.id: 0.5 for endpoint in make_endpoints(10)} | cut_of(2),
+        attempts=6,
     )
     assert not any(state.partitioned for state in harness.policy.registry.endpoints.values())
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -79,7 +79,7 @@
     harness = PolicyHarness(
         replace(SETTINGS, max_backlog_entries=300.0), listed=listed, acknowledges=False
     )
-    uneven = {h.id: 100_000 * (1 + k) for k, h in enumerate(listed)}
+    uneven = {endpoint.id: 100_000 * (1 + k) for k, endpoint in enumerate(listed)}
     entries = [
         len(actions_of_type(harness.run_second(listed, mean_times_us=uneven), SetWeight))
         for _ in range(12)
@@ -101,7 +101,7 @@
     listed = make_endpoints(10)
     harness = PolicyHarness(replace(SETTINGS, max_backlog_entries=300.0), listed=listed)
     harness.policy.publisher.checkpoint_id = 65530
-    uneven = {h.id: 100_000 * (1 + k) for k, h in enumerate(listed)}
+    uneven = {endpoint.id: 100_000 * (1 + k) for k, endpoint in enumerate(listed)}
     entries = [
         len(actions_of_type(harness.run_second(listed, mean_times_us=uneven), SetWeight))
         for _ in range(40)
@@ -142,12 +142,16 @@
     before = len(harness.log)
     for k in range(12):
         gone = make_endpoints(80)[3 * k : 3 * k + 3]
-        harness.send(list_changes([replace(h, status=type(h.status).GONE) for h in gone]))
+        harness.send(
+            list_changes(
+                [replace(endpoint, status=type(endpoint.status).GONE) for endpoint in gone]
+            )
+        )
         harness.send(
             list_changes(
                 [
-                    make_endpoint(h.id, h.zone, started_us=harness.now_us)
-                    for h in make_endpoints(80)[3 * k - 6 : 3 * k - 3]
+                    make_endpoint(endpoint.id, endpoint.zone, started_us=harness.now_us)
+                    for endpoint in make_endpoints(80)[3 * k - 6 : 3 * k - 3]
                 ]
             )
         )
--- a/tests/test_reconnect_storms.py
+++ b/tests/test_reconnect_storms.py
@@ -57,7 +57,7 @@
 def inherited_endpoints(seed: int) -> Callable[[int], list[int]]:
     """What proxies that come from another controller hold: about a seventh of the endpoints."""
     draw = random.Random(seed)
-    return lambda _: [h.id for h in draw.sample(ENDPOINTS, 28)]
+    return lambda _: [endpoint.id for endpoint in draw.sample(ENDPOINTS, 28)]
 
 
 def takeover(
@@ -69,9 +69,11 @@
     return. Raises RuleBrokenError.
     """
     harness = DeliveryHarness(policy_factory, RECONNECT_STORM, ENDPOINTS)
-    gone = random.Random(seed).sample([h.id for h in ENDPOINTS], 90)
+    gone = random.Random(seed).sample([endpoint.id for endpoint in ENDPOINTS], 90)
     harness.step(full_list(ENDPOINTS))
-    harness.join(range(320), lambda _: [h.id for h in ENDPOINTS[:5]], 0.5, has_no_table=True)
+    harness.join(
+        range(320), lambda _: [endpoint.id for endpoint in ENDPOINTS[:5]], 0.5, has_no_table=True
+    )
     harness.run(6)
     harness.step(list_changes(harness.drain(gone[:30]), 2))
     harness.run(0.5)
@@ -169,7 +171,9 @@
         self.bench.loop.start(
             "calls", RelayCalls(runtime, relay.address, self.order_queue, self.orders_queued).run()
         )
-        self.members_by_name = {f"s-{h.id}": member(f"s-{h.id}") for h in ENDPOINTS}
+        self.members_by_name = {
+            f"s-{endpoint.id}": member(f"s-{endpoint.id}") for endpoint in ENDPOINTS
+        }
         self.members_by_name = {
             n: replace(m, zone=ZONES[k % 8])
             for k, (n, m) in enumerate(self.members_by_name.items())
--- a/tests/test_relative_capacity.py
+++ b/tests/test_relative_capacity.py
@@ -23,7 +23,9 @@
 
 def test_weights_follow_response_times() -> None:
     harness = PolicyHarness(listed=make_endpoints(10))
-    times = {h.id: 400_000 if h.id < 105 else 200_000 for h in make_endpoints(10)}
+    times = {
+        endpoint.id: 400_000 if endpoint.id < 105 else 200_000 for endpoint in make_endpoints(10)
+    }
     for _ in range(20):
         harness.run_second(make_endpoints(10), mean_times_us=times, demand=(40, 10))
     assert harness.weight_share(109) > 1.3 * harness.weight_share(100)
@@ -43,7 +45,10 @@
         replace(SETTINGS, load_reports_inline=True, load_report_names=("util", "qps")),
         listed=make_endpoints(10),
     )
-    load = {h.id: (("util", 0.8 if h.id < 105 else 0.4), ("qps", 20.0)) for h in make_endpoints(10)}
+    load = {
+        endpoint.id: (("util", 0.8 if endpoint.id < 105 else 0.4), ("qps", 20.0))
+        for endpoint in make_endpoints(10)
+    }
     for _ in range(40):
         harness.run_second(make_endpoints(10), load_reports=load, demand=(40, 10))
     assert 1.7 < harness.weight_share(109) / harness.weight_share(100) < 2.2
@@ -67,9 +72,14 @@
             listed=make_endpoints(10),
         )
         load = {
-            h.id: tuple((name, 0.5) for name in names) for h in make_endpoints(10) if h.id != 104
+            endpoint.id: tuple((name, 0.5) for name in names)
+            for endpoint in make_endpoints(10)
+            if endpoint.id != 104
+        }
+        times = {
+            endpoint.id: 400_000 if endpoint.id < 105 else 200_000
+            for endpoint in make_endpoints(10)
         }
-        times = {h.id: 400_000 if h.id < 105 else 200_000 for h in make_endpoints(10)}
         for _ in range(12):
             harness.run_second(
                 make_endpoints(10), load_reports=load, mean_times_us=times, demand=(40, 10)
@@ -81,7 +91,7 @@
     """Of five controllers each hears few answers of an endpoint: by these a sound one lost 0.3 of its weight."""
     listed = [make_endpoint(100 + k, kind="large" if k < 5 else "small") for k in range(10)]
     harness = PolicyHarness(listed=listed)
-    times = {h.id: 100_000 if h.kind == "large" else 200_000 for h in listed}
+    times = {endpoint.id: 100_000 if endpoint.kind == "large" else 200_000 for endpoint in listed}
     harness.run_second(listed, mean_times_us=times | {100: 200_000}, attempts=4, demand=(8, 2))
     harness.run_until(harness.now_us + 4 * SECOND)
     assert harness.weight_share(101) > 1.3 * harness.weight_share(109)
@@ -123,7 +133,7 @@
     """An endpoint says that it is idle and quick, and its answers take five times the mean."""
     settings = replace(LARGE_FLEET, load_reports_inline=True, load_report_names=("util", "qps"))
     harness = PolicyHarness(settings=settings, listed=make_endpoints(20), proxies=4)
-    load = {h.id: (("util", 0.5), ("qps", 10.0)) for h in make_endpoints(20)} | {
+    load = {endpoint.id: (("util", 0.5), ("qps", 10.0)) for endpoint in make_endpoints(20)} | {
         100: (("util", 0.2), ("qps", 10.0))
     }
     for _ in range(8):
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -49,12 +49,12 @@
 
 def shares(harness: PolicyHarness, zone: str) -> dict[int, float]:
     """Of a zone's requests, over the tables that its proxies hold."""
-    out = dict.fromkeys((h.id for h in FLEET), 0.0)
+    out = dict.fromkeys((endpoint.id for endpoint in FLEET), 0.0)
     mine = [number for number in harness.policy.bindings if zone_of(harness, number) == zone]
     for number in mine:
         entries = harness.tables[next(iter(harness.policy.tables.tables_of(number, zone)))]
-        for h, w in entries.items():
-            out[h] += w / sum(entries.values()) / len(mine)
+        for endpoint, w in entries.items():
+            out[endpoint] += w / sum(entries.values()) / len(mine)
     return out
 
 
@@ -64,19 +64,22 @@
 ) -> None:
     harness = joined(east, west)
     total = {
-        h.id: (east * shares(harness, "east")[h.id] + west * shares(harness, "west")[h.id])
+        endpoint.id: (
+            east * shares(harness, "east")[endpoint.id]
+            + west * shares(harness, "west")[endpoint.id]
+        )
         / (east + west)
-        for h in FLEET
+        for endpoint in FLEET
     }
     assert max(total.values()) < 1.15 * min(total.values())
 
 
 def test_a_zone_forwards_to_others_only_what_exceeds_its_capacity() -> None:
     harness = joined(20, 100)  # a sixth of the traffic for three tenths of the endpoints
-    assert sum(shares(harness, "east")[h.id] for h in FLEET[:6]) > 0.98
+    assert sum(shares(harness, "east")[endpoint.id] for endpoint in FLEET[:6]) > 0.98
     harness = joined(100, 20)
-    assert sum(shares(harness, "west")[h.id] for h in FLEET[6:]) > 0.98
-    assert sum(shares(harness, "east")[h.id] for h in FLEET[:6]) == pytest.approx(
+    assert sum(shares(harness, "west")[endpoint.id] for endpoint in FLEET[6:]) > 0.98
+    assert sum(shares(harness, "east")[endpoint.id] for endpoint in FLEET[:6]) == pytest.approx(
         0.3 / (5 / 6), rel=0.1
     )
 
@@ -86,8 +89,8 @@
     out = dict.fromkeys(harness.policy.registry.endpoints, 0)
     for number in harness.policy.bindings:
         for table in harness.policy.tables.tables_of(number, zone_of(harness, number)):
-            for h in harness.tables[table]:
-                out[h] += 1
+            for endpoint in harness.tables[table]:
+                out[endpoint] += 1
     return out
 
 
@@ -162,7 +165,7 @@
     harness.run_until(harness.now_us + 5 * SECOND)
     assert not harness.tables
     harness.send(*(ProxyJoined(p, "east" if p < 20 else "west", 5.0, True) for p in range(120)))
-    assert sum(shares(harness, "east")[h.id] for h in FLEET[:6]) > 0.98
+    assert sum(shares(harness, "east")[endpoint.id] for endpoint in FLEET[:6]) > 0.98
 
 
 def test_changes_of_tables_in_use_fit_one_call() -> None:
@@ -181,7 +184,9 @@
     )
     assert sum(map(len, harness.tables.values())) > 1_000
     before = len(harness.log)
-    harness.send(list_changes([replace(h, weight=1.0 + k % 5) for k, h in enumerate(large)]))
+    harness.send(
+        list_changes([replace(endpoint, weight=1.0 + k % 5) for k, endpoint in enumerate(large)])
+    )
     harness.run_until(harness.now_us + 10 * SECOND)
     calls, entries = list[int](), 0
     for _, action in harness.log[before:]:
@@ -198,12 +203,16 @@
     harness = joined(60, 60, replace(CROWDED, classes=(SETTINGS.classes[0], bound)))
     harness.send(
         list_changes(
-            [make_endpoint(h.id, h.zone, EndpointStatus.GONE) for h in FLEET if h.zone == "west"]
+            [
+                make_endpoint(endpoint.id, endpoint.zone, EndpointStatus.GONE)
+                for endpoint in FLEET
+                if endpoint.zone == "west"
+            ]
         )
     )
     harness.run_until(harness.now_us + 5 * SECOND)
     assert any(
-        harness.tables[t].keys() == {h.id for h in FLEET if h.zone == "east"}
+        harness.tables[t].keys() == {endpoint.id for endpoint in FLEET if endpoint.zone == "east"}
         for t in harness.tables
     )
 
@@ -212,7 +221,7 @@
     harness = joined(
         60, 60, listed=[*FLEET[:6], *(make_endpoint(200 + k, "north") for k in range(14))]
     )
-    assert {h for entries in harness.tables.values() for h in entries} == {
+    assert {endpoint for entries in harness.tables.values() for endpoint in entries} == {
         *range(100, 106),
         *range(200, 214),
     }
@@ -230,11 +239,15 @@
     """Four in five streams broke: by who was left, tables sent requests abroad that their zone's endpoints could do."""
     harness = joined(60, 60)
     before = {
-        zone: sum(shares(harness, zone)[h.id] for h in FLEET[:6]) for zone in ("east", "west")
+        zone: sum(shares(harness, zone)[endpoint.id] for endpoint in FLEET[:6])
+        for zone in ("east", "west")
     }
     harness.send(*(ProxyLeft(p) for p in range(100) if p % 10))
     harness.run_until(harness.now_us + 10 * SECOND)
-    after = {zone: sum(shares(harness, zone)[h.id] for h in FLEET[:6]) for zone in ("east", "west")}
+    after = {
+        zone: sum(shares(harness, zone)[endpoint.id] for endpoint in FLEET[:6])
+        for zone in ("east", "west")
+    }
     assert after == pytest.approx(before, rel=0.15)
 
 
@@ -250,7 +263,9 @@
     harness = joined(40, 40, short, whole)
     sizes = [len(entries) for entries in harness.tables.values()]
     assert 12 <= max(sizes) <= 0.75 * 4 * 3_000 / 240
-    assert {h for entries in harness.tables.values() for h in entries} == {h.id for h in whole}
+    assert {endpoint for entries in harness.tables.values() for endpoint in entries} == {
+        endpoint.id for endpoint in whole
+    }
     patient = joined(40, 40, replace(short, drain_grace_us=40 * SECOND), whole)
     assert {len(entries) for entries in patient.tables.values()} == {200}
 
@@ -259,7 +274,7 @@
     """Only tables fitted to where traffic comes from wait for the first proxies; others are ready when these join."""
     harness = PolicyHarness(listed=FLEET, proxies=0)
     harness.run_until(harness.now_us + 2 * SECOND)
-    assert harness.tables[0].keys() == {h.id for h in FLEET}
+    assert harness.tables[0].keys() == {endpoint.id for endpoint in FLEET}
 
 
 def test_a_zones_proxies_are_spread_over_all_subsets_however_they_are_numbered() -> None:
@@ -282,7 +297,9 @@
     harness.send(full_list([], 2))
     harness.run_until(harness.now_us + 4 * SECOND)
     assert not any(harness.policy.tables.entries.values())
-    harness.send(full_list([make_endpoint(500 + k, h.zone) for k, h in enumerate(FLEET)], 3))
+    harness.send(
+        full_list([make_endpoint(500 + k, endpoint.zone) for k, endpoint in enumerate(FLEET)], 3)
+    )
     harness.run_until(harness.now_us + 4 * SECOND)
     for number in bound:
         assert any(
--- a/tests/test_table_updates.py
+++ b/tests/test_table_updates.py
@@ -55,7 +55,12 @@
     harness = PolicyHarness(settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70)
     harness.run_until(harness.now_us + 10 * SECOND)
     harness.send(
-        list_changes([replace(h, status=type(h.status).GONE) for h in make_endpoints(80)[:30]])
+        list_changes(
+            [
+                replace(endpoint, status=type(endpoint.status).GONE)
+                for endpoint in make_endpoints(80)[:30]
+            ]
+        )
     )
     harness.run_until(harness.now_us + 20 * SECOND)
     assert len(harness.tables[0]) == 50
@@ -67,7 +72,8 @@
     harness.run_until(harness.now_us + 10 * SECOND)
     harness.acknowledges = False
     restarted = [
-        make_endpoint(h.id, h.zone, started_us=harness.now_us) for h in make_endpoints(80)[:60]
+        make_endpoint(endpoint.id, endpoint.zone, started_us=harness.now_us)
+        for endpoint in make_endpoints(80)[:60]
     ]
     out = harness.send(list_changes(restarted)) + harness.run_until(harness.now_us + 5 * SECOND)
     assert (
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -23,9 +23,9 @@
 def test_a_class_for_some_zones_has_its_own_table_of_their_endpoints() -> None:
     bound = replace(WRITE, allowed_zones=frozenset({"east"}))
     harness = PolicyHarness(replace(SETTINGS, classes=(READ, bound)), listed=make_endpoints(6))
-    east = {h.id for h in make_endpoints(6) if h.zone == "east"}
+    east = {endpoint.id for endpoint in make_endpoints(6) if endpoint.zone == "east"}
     assert set(harness.tables[1]) == east
-    assert set(harness.tables[0]) == {h.id for h in make_endpoints(6)}
+    assert set(harness.tables[0]) == {endpoint.id for endpoint in make_endpoints(6)}
 
 
 def test_zone_bound_classes_have_a_table_for_each_zone() -> None:
@@ -35,7 +35,7 @@
     for bind in binds:
         zone = SETTINGS.zones[bind.proxy % 2]
         assert set(harness.tables[bind.table]) == {
-            h.id for h in make_endpoints(6) if h.zone == zone
+            endpoint.id for endpoint in make_endpoints(6) if endpoint.zone == zone
         }
 
 
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -50,11 +50,11 @@
     warming_up = [make_endpoint(200 + k, started_us=harness.now_us) for k in range(12)]
     harness.send(list_changes(warming_up))
     harness.run_until(harness.now_us + 3 * SECOND)
-    for h in warming_up:
+    for endpoint in warming_up:
         warm_up_capacity = (
             SETTINGS.warm_up_min_capacity + (1 - SETTINGS.warm_up_min_capacity) * 3 / 12
         )
-        assert harness.weight_share(h.id) <= warm_up_capacity / 16 * 1.05
+        assert harness.weight_share(endpoint.id) <= warm_up_capacity / 16 * 1.05
 
 
 def test_listed_weights_count_and_an_unlisted_one_is_the_mean() -> None:
@@ -76,9 +76,9 @@
         harness.run_second(make_endpoints(10), demand=(40, 10))
     reads, writes = harness.policy.tables.classes_by_zone["east"][0]
     total = {
-        h.id: 0.8 * harness.weight_share(h.id, reads)
-        + 0.2 * harness.tables[writes].get(h.id, 0.0) / sum(harness.tables[writes].values())
-        for h in make_endpoints(10)
+        endpoint.id: 0.8 * harness.weight_share(endpoint.id, reads)
+        + 0.2 * harness.tables[writes].get(endpoint.id, 0.0) / sum(harness.tables[writes].values())
+        for endpoint in make_endpoints(10)
     }
     assert max(total.values()) < 1.2 * min(total.values())
     assert harness.weight_share(100, reads) < 0.7 * harness.weight_share(101, reads)
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -45,7 +45,7 @@
 
 
 def numbers(first: int, count: int) -> list[EndpointId]:
-    return [h.id for h in HOSTS[first : first + count]]
+    return [endpoint.id for endpoint in HOSTS[first : first + count]]
 
 
 def release(policy_factory: Callable[[Settings], RoutingPolicy]) -> DeliveryHarness:
@@ -145,7 +145,9 @@
     harness.run(10)
     harness.step(*(ProxyJoined(p, "east", 2.0, False) for p in range(76)))
     harness.run(0.5)
-    harness.step(list_changes([replace(h, started_us=harness.now_us) for h in HOSTS[:60]], 2))
+    harness.step(
+        list_changes([replace(endpoint, started_us=harness.now_us) for endpoint in HOSTS[:60]], 2)
+    )
     return harness
 
 
