--- a/tests/test_binding_orders.py
+++ b/tests/test_binding_orders.py
@@ -1,4 +1,4 @@
-"""Joined proxies are bound as the channel has room."""
+"""Tests of binding joined proxies within the limits of the delivery queue."""
 
 from __future__ import annotations
 
@@ -50,20 +50,19 @@
     assert {b.proxy for b in actions_of_type(actions, BindProxy)} == {0, 1}
 
 
-def test_proxies_that_join_together_are_bound_in_waves_within_the_backlog() -> None:
+def test_proxies_that_join_together_are_bound_in_several_steps_within_the_backlog() -> None:
     harness = PolicyHarness(
         settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70, acknowledges=False
     )
     bound = {a.proxy for _, a in harness.log if isinstance(a, BindProxy)}
     assert 0 < len(bound) * 80 < LARGE_BACKLOG_ENTRIES
     harness.run_until(harness.now_us + 5 * SECOND)
-    assert {
-        a.proxy for _, a in harness.log if isinstance(a, BindProxy)
-    } == bound  # nothing is applied yet
+    # No acknowledgement has arrived yet.
+    assert {a.proxy for _, a in harness.log if isinstance(a, BindProxy)} == bound
     for _ in range(10):
         harness.run_until(harness.now_us + SECOND)
-        number = max(a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint))
-        harness.send(*(OrdersAcknowledged(p, number, 300_000) for p in sorted(bound)))
+        checkpoint_id = max(a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint))
+        harness.send(*(OrdersAcknowledged(p, checkpoint_id, 300_000) for p in sorted(bound)))
         bound = {a.proxy for _, a in harness.log if isinstance(a, BindProxy)}
     assert bound == set(range(70))
 
@@ -78,7 +77,7 @@
 
 
 def test_bindings_come_before_table_updates_while_endpoints_are_withdrawn() -> None:
-    """A proxy on its inherited table was left without an endpoint when those it held were withdrawn."""
+    """Otherwise a proxy with an inherited table has no endpoint left when those in its table are withdrawn."""
     harness = PolicyHarness(
         settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70, acknowledges=False
     )
@@ -88,14 +87,14 @@
     new = [make_endpoint(500 + k, started_us=harness.now_us) for k in range(20)]
     harness.send(list_changes([*gone, *new]))
     bound = [b.proxy for _, b in harness.log if isinstance(b, BindProxy)]
-    number = max(a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint))
+    checkpoint_id = max(a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint))
     harness.run_until(harness.now_us + 3 * SECOND)
-    out = harness.send(*(OrdersAcknowledged(p, number, 300_000) for p in bound))
+    out = harness.send(*(OrdersAcknowledged(p, checkpoint_id, 300_000) for p in bound))
     assert actions_of_type(out, BindProxy)
     assert not actions_of_type(out, SetWeight)
 
 
-def test_a_table_larger_than_bindings_may_fill_is_bound_one_proxy_at_a_time() -> None:
+def test_a_table_over_the_limit_for_bindings_is_bound_to_one_proxy_at_a_time() -> None:
     harness = PolicyHarness(
         settings=replace(LARGE_FLEET, max_backlog_entries=100.0),
         listed=make_endpoints(80),
@@ -105,23 +104,24 @@
     assert {b.proxy for _, b in harness.log if isinstance(b, BindProxy)} == {0, 1, 2}
 
 
-def test_what_waits_for_proxies_that_rejoined_unseen_still_counts_as_backlog() -> None:
-    """After an outage of the relay the orders that had piled up went out beside the bindings of all proxies again.
+def test_entries_for_proxies_with_an_unreported_departure_still_count_as_backlog() -> None:
+    """A proxy that joins again without a reported departure may receive both the queued and the new orders.
 
-    4,042 entries waited where 3,600 may. Whoever is not heard to leave may be reached by both.
+    After an outage of the relay the accumulated orders went out together with new bindings of all proxies, and 4,042
+    entries were queued, where the limit is 3,600.
     """
     settings = replace(
         SETTINGS, proxy_count=40, max_backlog_entries=1200.0, delivery_entries_per_s=1000.0
     )
     harness = PolicyHarness(settings, listed=make_endpoints(10), proxies=40, acknowledges=False)
-    waits = harness.policy.delivery.backlog_entries(harness.now_us)
-    assert waits > 400
+    queued_entries = harness.policy.delivery.backlog_entries(harness.now_us)
+    assert queued_entries > 400
     bound = len(
         actions_of_type(
             harness.send(*(ProxyJoined(p, "east", 10.0, True) for p in harness.proxies)), BindProxy
         )
     )
-    assert waits + bound * 11 < 1200
+    assert queued_entries + bound * 11 < 1200
     assert bound < 40
     later = harness.run_until(harness.now_us + 4 * SECOND)
     assert len(actions_of_type(later, BindProxy)) >= 20
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""Endpoints are withdrawn and restored."""
+"""Tests of withdrawing and restoring endpoints."""
 
 from __future__ import annotations
 
@@ -67,28 +67,31 @@
     assert 100 in harness.tables[0]
 
 
-def served(harness: PolicyHarness, seconds: int, listed: list[Endpoint]) -> None:
-    """So long, with a weight that changes now and then, so that entries go out."""
+def run_with_changing_weight(harness: PolicyHarness, seconds: int, listed: list[Endpoint]) -> None:
+    """Runs for some seconds with a weight that changes every five seconds, so that table entries are ordered."""
     for k in range(seconds):
         harness.run_second(listed, failed={103: 0.5 * (k // 5 % 2)})
 
 
-def test_a_long_gone_endpoint_is_restored_and_a_late_drain_of_it_still_applies() -> None:
-    """Bindings would restate it for good. Listed again, draining or anew, it meets the rules as before."""
+def test_a_long_gone_endpoint_is_restored_and_treated_as_any_other_when_listed_again() -> None:
+    """Without a restore order every binding would restate the withdrawal forever.
+
+    When the endpoint is listed as draining afterwards, it is withdrawn again; listed as restarted, it warms up.
+    """
     harness = PolicyHarness(listed=make_endpoints(6))
     left = make_endpoints(6)[1:]
     harness.send(list_changes([make_endpoint(100, status=EndpointStatus.GONE)]))
-    served(harness, FORGET_AFTER_US // SECOND - 1, left)
+    run_with_changing_weight(harness, FORGET_AFTER_US // SECOND - 1, left)
     assert RestoreEndpoint(100) not in [action for _, action in harness.log]
-    served(harness, 12, left)
+    run_with_changing_weight(harness, 12, left)
     assert [action for _, action in harness.log].count(RestoreEndpoint(100)) == 1
     assert 100 not in harness.tables[0]
     drains = harness.send(list_changes([make_endpoint(100, status=EndpointStatus.DRAINING)], 3))
     assert endpoint_orders(drains) == [WithdrawEndpoint(100)]
-    served(harness, FORGET_AFTER_US // SECOND + 12, left)
+    run_with_changing_weight(harness, FORGET_AFTER_US // SECOND + 12, left)
     harness.send(list_changes([make_endpoint(100, started_us=harness.now_us)], 4))
-    served(harness, 3, left)
-    assert 0 < harness.weight_share(100) < 0.5 / 6  # it is warming up
+    run_with_changing_weight(harness, 3, left)
+    assert 0 < harness.weight_share(100) < 0.5 / 6  # It is warming up
 
 
 def test_no_endpoint_is_restored_while_a_proxy_may_still_hold_it() -> None:
@@ -97,7 +100,7 @@
     )
     harness.send(list_changes([make_endpoint(100, status=EndpointStatus.GONE)]))
     assert harness.policy.bindings.unbound_since_us
-    served(harness, FORGET_AFTER_US // SECOND + 12, make_endpoints(6)[1:])
+    run_with_changing_weight(harness, FORGET_AFTER_US // SECOND + 12, make_endpoints(6)[1:])
     assert RestoreEndpoint(100) not in [action for _, action in harness.log]
 
 
@@ -115,7 +118,7 @@
     assert harness.tables[0] == {}
 
 
-def test_withdrawals_are_ordered_though_bindings_fill_the_channel() -> None:
+def test_withdrawals_are_ordered_while_bindings_fill_the_delivery_queue() -> None:
     harness = PolicyHarness(
         settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70, acknowledges=False
     )
@@ -130,31 +133,32 @@
     ]
 
 
-def test_successive_drains_are_withdrawn_together_when_the_channel_is_full() -> None:
-    """Each alone costs a head for every proxy, and the last of thirty went 3 s late."""
+def test_successive_drains_are_withdrawn_together_when_the_delivery_queue_is_full() -> None:
+    """Each withdrawal alone costs the overhead of a message to every proxy: the last of thirty was 3 s late."""
     harness = PolicyHarness(
         settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70, acknowledges=False
     )
     gone = [replace(endpoint, status=type(endpoint.status).GONE) for endpoint in make_endpoints(80)]
     assert len(endpoint_orders(harness.send(list_changes(gone[:2])))) == 2
-    assert endpoint_orders(harness.send(list_changes(gone[2:13]))) == []  # nine of them would fit
-    number = max(a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint))
+    assert endpoint_orders(harness.send(list_changes(gone[2:13]))) == []  # Nine of them would fit
+    checkpoint_id = max(a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint))
     out = harness.run_until(harness.now_us + SECOND)
-    out += harness.send(*(OrdersAcknowledged(p, number, 300_000) for p in harness.proxies))
+    out += harness.send(*(OrdersAcknowledged(p, checkpoint_id, 300_000) for p in harness.proxies))
     assert {a.endpoint for a in endpoint_orders(out)} == {endpoint.id for endpoint in gone[2:13]}
 
 
-def test_a_channel_too_small_for_several_withdrawals_takes_what_fits() -> None:
-    small = replace(
-        LARGE_FLEET, max_backlog_entries=9.0 * 70
-    )  # a head, a checkpoint and one endpoint for each proxy
-    harness = PolicyHarness(settings=small, listed=make_endpoints(4), proxies=0)
+def test_a_delivery_queue_too_small_for_several_withdrawals_receives_those_that_fit() -> None:
+    # The backlog holds a message's overhead, a checkpoint and one endpoint for each proxy.
+    small_backlog = replace(LARGE_FLEET, max_backlog_entries=9.0 * 70)
+    harness = PolicyHarness(settings=small_backlog, listed=make_endpoints(4), proxies=0)
     harness.run_until(harness.now_us + SECOND)
     harness.send(*(ProxyJoined(p, "east", 10.0, True) for p in range(70)))
     harness.run_until(harness.now_us + 30 * SECOND)
     harness.proxies = list(range(70))
-    number = max((a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint)), default=0)
-    harness.send(*(OrdersAcknowledged(p, number, 1000) for p in range(70)))
+    checkpoint_id = max(
+        (a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint)), default=0
+    )
+    harness.send(*(OrdersAcknowledged(p, checkpoint_id, 1000) for p in range(70)))
     harness.send(
         list_changes(
             [
@@ -165,8 +169,8 @@
     )
     for _ in range(4):
         harness.run_until(harness.now_us + SECOND)
-        number = max(
+        checkpoint_id = max(
             (a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint)), default=0
         )
-        harness.send(*(OrdersAcknowledged(p, number, 1000) for p in range(70)))
+        harness.send(*(OrdersAcknowledged(p, checkpoint_id, 1000) for p in range(70)))
     assert {a.endpoint for _, a in harness.log if isinstance(a, WithdrawEndpoint)} == {100, 101}
--- a/tests/test_late_joiners.py
+++ b/tests/test_late_joiners.py
@@ -1,4 +1,4 @@
-"""Proxies that join after a withdrawal are bound first or notified again."""
+"""Tests of proxies that join after a withdrawal: they are bound first, or the withdrawal is repeated."""
 
 from __future__ import annotations
 
@@ -26,14 +26,22 @@
 )
 
 
-def takeover(before: int, after: int) -> tuple[PolicyHarness, list[Action]]:
-    """An endpoint is withdrawn while so many proxies are joined and not all bound; then others join."""
+def join_after_withdrawal(before: int, after: int) -> tuple[PolicyHarness, list[Action]]:
+    """Lets proxies join after an endpoint was withdrawn.
+
+    Args:
+        before: Number of proxies that are joined, not all of them bound, when the endpoint is withdrawn.
+        after: Number of proxies that join after the withdrawal.
+
+    Returns:
+        The harness, and the actions of the step in which the later proxies join.
+    """
     settings = replace(LARGE_FLEET, drain_grace_us=12 * SECOND, proxy_count=before + after)
     harness = PolicyHarness(
         settings=settings, listed=make_endpoints(80), proxies=before, acknowledges=False
     )
-    first = make_endpoint(100, status=EndpointStatus.GONE)
-    assert endpoint_orders(harness.send(list_changes([first]))) == [WithdrawEndpoint(100)]
+    gone = make_endpoint(100, status=EndpointStatus.GONE)
+    assert endpoint_orders(harness.send(list_changes([gone]))) == [WithdrawEndpoint(100)]
     harness.run_until(harness.now_us + 3 * SECOND // 2)
     return harness, harness.send(
         *(ProxyJoined(p, "east", 10.0, False) for p in range(before, before + after))
@@ -41,23 +49,23 @@
 
 
 def test_few_late_joiners_are_bound_before_other_unbound_proxies() -> None:
-    """Four in five controllers failed.
+    """Proxies that joined after a withdrawal may send to the withdrawn endpoint until they are bound.
 
-    Of those that came 0.3 s after a withdrawal one waited 14 s behind the rest to be bound, and
-    sent to the endpoint all along.
+    After four in five controllers had failed, one of the proxies that joined 0.3 s after a withdrawal was bound 14 s
+    later, after all others, and sent to the endpoint until then.
     """
-    harness, out = takeover(66, 2)
+    harness, out = join_after_withdrawal(66, 2)
     assert {b.proxy for b in actions_of_type(out, BindProxy)} == {66, 67}
     assert 0 < len(harness.policy.bindings.unbound_since_us) < 66
 
 
 def test_no_proxy_is_bound_while_a_withdrawal_is_pending_or_in_its_step() -> None:
-    """Bound in one step with it, 213 proxies held it up for 2 s: messages leave one after another."""
-    harness, _ = takeover(66, 2)
+    """Messages leave the delivery queue in order: 213 bindings in the same step delayed a withdrawal by 2 s."""
+    harness, _ = join_after_withdrawal(66, 2)
     harness.send(
         list_changes([make_endpoint(k, status=EndpointStatus.GONE) for k in range(101, 140)])
     )
-    assert harness.policy.withdrawals.draining  # the channel has to have room
+    assert harness.policy.withdrawals.draining  # Waits for capacity in the delivery queue
     assert not actions_of_type(harness.send(ProxyJoined(66, "east", 10.0, False)), BindProxy)
     steps = [
         harness.send(
@@ -69,37 +77,41 @@
         )
     ]
     steps += [harness.run_until(harness.now_us + SECOND // 4) for _ in range(20)]
-    first = next(step for step in steps if endpoint_orders(step))
-    assert len(endpoint_orders(first)) == 39
-    assert not actions_of_type(first, BindProxy)
+    withdrawing_step = next(step for step in steps if endpoint_orders(step))
+    assert len(endpoint_orders(withdrawing_step)) == 39
+    assert not actions_of_type(withdrawing_step, BindProxy)
     assert any(actions_of_type(step, BindProxy) for step in steps)
 
 
-def test_many_late_joiners_are_notified_with_the_next_withdrawal() -> None:
-    """1,250 proxies that came from failed controllers had 13.4 s to leave 30 endpoints withdrawn before.
+def test_earlier_withdrawals_are_repeated_with_the_next_one_for_many_late_joiners() -> None:
+    """Binding many late joiners takes longer than the drain grace period.
 
-    At 40 entries a binding the channel takes 15 s for them, and 105 attempts reached these endpoints.
+    1,250 proxies of failed controllers had 13.4 s to stop sending to 30 endpoints that had been withdrawn before. At 40
+    entries a binding the delivery queue takes 15 s for them, and 105 attempts reached these endpoints.
     """
-    harness, out = takeover(10, 60)
+    harness, out = join_after_withdrawal(10, 60)
     assert not endpoint_orders(out)
-    told = endpoint_orders(
+    repeated_and_new = endpoint_orders(
         harness.send(list_changes([make_endpoint(101, status=EndpointStatus.GONE)]))
     )
-    assert sorted(told, key=lambda w: w.endpoint) == [WithdrawEndpoint(100), WithdrawEndpoint(101)]
+    assert sorted(repeated_and_new, key=lambda w: w.endpoint) == [
+        WithdrawEndpoint(100),
+        WithdrawEndpoint(101),
+    ]
     assert not endpoint_orders(
         harness.send(list_changes([make_endpoint(102, status=EndpointStatus.GONE)]))
-    )[1:]  # they know it now
+    )[1:]  # Withdrawals before it are not repeated once more
 
 
-def test_many_late_joiners_are_notified_in_time_if_no_withdrawal_follows() -> None:
-    harness, _ = takeover(10, 60)
+def test_a_withdrawal_is_repeated_in_time_for_many_late_joiners_if_no_other_follows() -> None:
+    harness, _ = join_after_withdrawal(10, 60)
     out = harness.run_until(harness.now_us + 2 * SECOND)
     assert not endpoint_orders(out)
     assert WithdrawEndpoint(100) in harness.run_until(harness.now_us + 3 * SECOND)
     assert not endpoint_orders(harness.run_until(harness.now_us + 5 * SECOND))
 
 
-def test_a_restored_endpoint_is_not_withdrawn_again() -> None:
-    harness, _ = takeover(10, 60)
+def test_a_withdrawal_is_not_repeated_after_the_endpoint_is_ready_again() -> None:
+    harness, _ = join_after_withdrawal(10, 60)
     harness.send(list_changes([make_endpoint(100, started_us=harness.now_us)]))
     assert WithdrawEndpoint(100) not in harness.run_until(harness.now_us + 6 * SECOND)
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -1,4 +1,4 @@
-"""Orders stay within the limits of messages and backlog."""
+"""Tests of the limits on messages and backlog."""
 
 from __future__ import annotations
 
@@ -42,52 +42,54 @@
         harness.send(
             list_changes([make_endpoint(100 + k % 10, status=state, started_us=harness.now_us)])
         )
-    sent = [t for t, a in harness.log if isinstance(a, Checkpoint)][1:]  # the first went to nobody
-    assert len(sent) > 12
-    assert all(len([t for t in sent if now - 10 * SECOND < t <= now]) <= 12 for now in sent)
+    # The first checkpoint had no recipient.
+    sent_us = [t for t, a in harness.log if isinstance(a, Checkpoint)][1:]
+    assert len(sent_us) > 12
+    assert all(len([t for t in sent_us if now - 10 * SECOND < t <= now]) <= 12 for now in sent_us)
 
 
 def test_messages_that_waited_for_the_relay_count_from_when_it_accepted_them() -> None:
     listed = make_endpoints(10)
     harness = PolicyHarness(replace(SETTINGS, max_messages_per_proxy=12), listed=listed)
-    written: list[int] = []
-    waits: list[tuple[int, int]] = []  # when the relay takes it, checkpoint
+    accepted_us: list[int] = []
+    pending: list[tuple[int, int]] = []  # When the relay accepts it, and the checkpoint
     for k in range(150):
         out = harness.run_until(harness.now_us + SECOND // 5)
-        due = [(at, number) for at, number in waits if at <= harness.now_us]
-        waits = [w for w in waits if w not in due]
-        written += [harness.now_us for _ in due]
+        due = [(at, checkpoint_id) for at, checkpoint_id in pending if at <= harness.now_us]
+        pending = [w for w in pending if w not in due]
+        accepted_us += [harness.now_us for _ in due]
         state = EndpointStatus.DRAINING if k % 2 else EndpointStatus.READY
         out += harness.send(
-            *(OrdersAccepted(number) for _, number in due),
+            *(OrdersAccepted(checkpoint_id) for _, checkpoint_id in due),
             list_changes([make_endpoint(100 + k % 10, status=state, started_us=harness.now_us)]),
         )
-        back_us = (
-            harness.now_us + SECOND - k % 60 * SECOND // 5
-        )  # now and then the relay is out of reach for a second
-        waits += [
-            (max(harness.now_us, back_us), a.checkpoint_id)
+        # The relay is unreachable for one second in twelve.
+        reachable_us = harness.now_us + SECOND - k % 60 * SECOND // 5
+        pending += [
+            (max(harness.now_us, reachable_us), a.checkpoint_id)
             for a in actions_of_type(out, Checkpoint)
         ]
-    assert len(written) > 24
-    written = written[1:]  # the first went to nobody
-    assert all(len([t for t in written if now - 10 * SECOND < t <= now]) <= 12 for now in written)
+    assert len(accepted_us) > 24
+    accepted_us = accepted_us[1:]  # The first checkpoint had no recipient
+    assert all(
+        len([t for t in accepted_us if now - 10 * SECOND < t <= now]) <= 12 for now in accepted_us
+    )
 
 
-def test_ordinary_orders_wait_while_the_channel_is_slow() -> None:
+def test_ordinary_orders_wait_while_the_delivery_queue_is_slow() -> None:
     listed = make_endpoints(10)
     harness = PolicyHarness(
         replace(SETTINGS, max_backlog_entries=300.0), listed=listed, acknowledges=False
     )
-    uneven = {endpoint.id: 100_000 * (1 + k) for k, endpoint in enumerate(listed)}
+    uneven_times_us = {endpoint.id: 100_000 * (1 + k) for k, endpoint in enumerate(listed)}
     entries = [
-        len(actions_of_type(harness.run_second(listed, mean_times_us=uneven), SetWeight))
+        len(actions_of_type(harness.run_second(listed, mean_times_us=uneven_times_us), SetWeight))
         for _ in range(12)
     ]
     assert sum(entries[4:]) == 0
 
 
-def test_a_drain_is_ordered_even_where_ordinary_orders_wait() -> None:
+def test_a_withdrawal_is_ordered_while_ordinary_orders_wait() -> None:
     harness = PolicyHarness(
         replace(SETTINGS, max_backlog_entries=300.0), listed=make_endpoints(10), acknowledges=False
     )
@@ -97,21 +99,21 @@
     ) == [WithdrawEndpoint(100)]
 
 
-def test_acknowledgements_free_the_channel_when_checkpoint_numbers_start_over() -> None:
+def test_acknowledgements_reduce_the_backlog_after_checkpoint_numbers_wrap_around() -> None:
     listed = make_endpoints(10)
     harness = PolicyHarness(replace(SETTINGS, max_backlog_entries=300.0), listed=listed)
     harness.policy.publisher.checkpoint_id = 65530
-    uneven = {endpoint.id: 100_000 * (1 + k) for k, endpoint in enumerate(listed)}
+    uneven_times_us = {endpoint.id: 100_000 * (1 + k) for k, endpoint in enumerate(listed)}
     entries = [
-        len(actions_of_type(harness.run_second(listed, mean_times_us=uneven), SetWeight))
+        len(actions_of_type(harness.run_second(listed, mean_times_us=uneven_times_us), SetWeight))
         for _ in range(40)
     ]
-    numbers = [a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint)]
-    assert min(numbers) == 0
-    assert sum(entries[numbers.index(0) :]) > 0
+    checkpoint_ids = [a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint)]
+    assert min(checkpoint_ids) == 0
+    assert sum(entries[checkpoint_ids.index(0) :]) > 0
 
 
-def test_an_acknowledgement_of_an_earlier_stream_is_disregarded() -> None:
+def test_an_acknowledgement_from_an_earlier_stream_is_ignored() -> None:
     harness = PolicyHarness(listed=make_endpoints(4), proxies=1)
     harness.run_until(harness.now_us + 2 * SECOND)
     harness.send(ProxyLeft(0))
@@ -120,21 +122,29 @@
     assert harness.policy.delivery.backlog_entries(harness.now_us) > 0
 
 
-def entries_at_a_holder(before: list[tuple[int, Action]], log: list[tuple[int, Action]]) -> int:
-    """Entries at a proxy bound to the one table; a withdrawal is one only if the table holds the endpoint."""
-    held, entries = set[int](), 0
+def count_holder_entries(before: list[tuple[int, Action]], log: list[tuple[int, Action]]) -> int:
+    """Returns the entries that a log sends to a proxy bound to the only table.
+
+    A withdrawal or its end counts only if the table contains the endpoint.
+
+    Args:
+        before: The log up to then, which determines what the table contains.
+        log: The log whose entries are counted.
+    """
+    table_endpoints, entries = set[int](), 0
     for at, (_, action) in enumerate([*before, *log]):
         if isinstance(action, SetWeight):
-            (held.add if action.weight > 0 else held.discard)(action.endpoint)
+            (table_endpoints.add if action.weight > 0 else table_endpoints.discard)(action.endpoint)
         if at >= len(before):
             entries += isinstance(action, SetWeight | SetAdmission) or (
-                isinstance(action, WithdrawEndpoint | RestoreEndpoint) and action.endpoint in held
+                isinstance(action, WithdrawEndpoint | RestoreEndpoint)
+                and action.endpoint in table_endpoints
             )
     return entries
 
 
-def test_admission_orders_and_restored_endpoints_wait_while_the_channel_is_stalled() -> None:
-    """Nothing is applied any more while endpoints go and come back warming up and admission ratios fall each second."""
+def test_admission_orders_and_restored_endpoints_wait_while_the_delivery_queue_is_stalled() -> None:
+    """No order is acknowledged while endpoints restart and warm up and admission ratios fall each second."""
     harness = PolicyHarness(settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70)
     for _ in range(4):
         harness.run_second(make_endpoints(80), demand=(20, 5))
@@ -157,7 +167,7 @@
         )
         harness.run_second(make_endpoints(80), mean_time_us=900_000, demand=(20 + 20 * k, 5))
     messages = sum(isinstance(a, Checkpoint) for _, a in harness.log[before:])
-    ordered = entries_at_a_holder(harness.log[:before], harness.log[before:])
+    ordered = count_holder_entries(harness.log[:before], harness.log[before:])
     assert (
         0
         < 70 * (ordered + messages * (SETTINGS.message_overhead_entries + 1))
--- a/tests/test_reconnect_storms.py
+++ b/tests/test_reconnect_storms.py
@@ -1,4 +1,4 @@
-"""One controller that takes over a fleet of 1,600 proxies, 200 endpoints and 8 zones, against a count of its own."""
+"""Tests of one controller that takes over 1,600 proxies, 200 endpoints and 8 zones, by an independent simulation."""
 
 from __future__ import annotations
 
@@ -55,18 +55,21 @@
 
 
 def inherited_endpoints(seed: int) -> Callable[[int], list[int]]:
-    """What proxies that come from another controller hold: about a seventh of the endpoints."""
-    draw = random.Random(seed)
-    return lambda _: [endpoint.id for endpoint in draw.sample(ENDPOINTS, 28)]
+    """Returns a function that draws the table of a proxy of another controller: a seventh of the endpoints."""
+    rng = random.Random(seed)
+    return lambda _: [endpoint.id for endpoint in rng.sample(ENDPOINTS, 28)]
 
 
-def takeover(
+def run_policy_takeover(
     seed: int, policy_factory: Callable[[Settings], RoutingPolicy] = RoutingPolicy
 ) -> DeliveryHarness:
-    """Four in five controllers fail right after endpoints were announced as draining.
+    """Lets four in five controllers fail right after endpoints start to drain.
 
-    A second and a third announcement follow while their proxies come, and streams break and
-    return. Raises RuleBrokenError.
+    More endpoints drain while the proxies of the failed controllers join, and again after that; then some streams break
+    and are opened again.
+
+    Raises:
+        RuleBrokenError: The backlog is over its limit, or a proxy may send to a drained endpoint.
     """
     harness = DeliveryHarness(policy_factory, RECONNECT_STORM, ENDPOINTS)
     gone = random.Random(seed).sample([endpoint.id for endpoint in ENDPOINTS], 90)
@@ -92,10 +95,10 @@
 
 @pytest.mark.parametrize("policy_factory", [RoutingPolicy, UnboundedTables])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_controller_that_takes_over_the_fleet_keeps_backlog_and_drains(
+def test_a_controller_that_takes_over_the_fleet_keeps_backlog_limit_and_drain_grace_periods(
     seed: int, policy_factory: Callable[[Settings], RoutingPolicy]
 ) -> None:
-    harness = takeover(seed, policy_factory)
+    harness = run_policy_takeover(seed, policy_factory)
     assert (
         RECONNECT_STORM.max_backlog_entries * 0.5
         < harness.simulation.max_backlog_entries
@@ -104,17 +107,17 @@
     assert len(harness.policy.bindings) == 1_600
 
 
-def no_late_joiners(withdrawals: Withdrawals, now_us: int) -> dict[int, int]:
-    """What was ordered before a proxy joined is its former controller's business."""
+def return_no_late_joiners(withdrawals: Withdrawals, now_us: int) -> dict[int, int]:
+    """Disregards withdrawals that were ordered before a proxy joined, to disable that safeguard."""
     return {}
 
 
-def forget_late_joiners(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Withdrawals, "late_joiners", no_late_joiners)
+def ignore_late_joiners(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(Withdrawals, "late_joiners", return_no_late_joiners)
 
 
-def bind_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A withdrawal may wait for proxies to be bound."""
+def delay_withdrawals_until_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Delays withdrawals until all proxies are bound, to disable the rule that withdrawals are ordered first."""
     withdraw_pending = Withdrawals.withdraw_pending
 
     def withdraw_if_all_are_bound(withdrawals: Withdrawals, now_us: int, batch: OrderBatch) -> None:
@@ -124,8 +127,8 @@
     monkeypatch.setattr(Withdrawals, "withdraw_pending", withdraw_if_all_are_bound)
 
 
-class IgnoringQueueOrder(DeliveryTracker):
-    """Tracks only unacknowledged messages."""
+class OrderIgnoringTracker(DeliveryTracker):
+    """A tracker that counts only unacknowledged messages and disregards the order of the queue."""
 
     def backlog_entries(self, now_us: int) -> float:
         return super().backlog_entries(now_us) - sum(
@@ -134,23 +137,36 @@
 
 
 def ignore_queue_order(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(controller, "DeliveryTracker", IgnoringQueueOrder)
+    monkeypatch.setattr(controller, "DeliveryTracker", OrderIgnoringTracker)
 
 
-@pytest.mark.parametrize("weaken", [forget_late_joiners, bind_first, ignore_queue_order])
-def test_the_independent_count_finds_a_disabled_safeguard(
-    weaken: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(
+    "disable_safeguard", [ignore_late_joiners, delay_withdrawals_until_bound, ignore_queue_order]
+)
+def test_the_simulation_detects_a_disabled_safeguard(
+    disable_safeguard: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    weaken(monkeypatch)
+    disable_safeguard(monkeypatch)
     with pytest.raises(RuleBrokenError):
-        takeover(1, UnboundedTables)
+        run_policy_takeover(1, UnboundedTables)
 
 
-# Facade, order queue and relay calls, over a socket to a relay that may not respond
+# Facade, order queue and relay calls, over a socket to a relay that loses some responses
 
 
 class ControllerHarness:
-    """The policy behind the facade, with a relay that loses some of its responses."""
+    """Runs facade, order queue and relay calls against a relay that loses some of its responses.
+
+    Attributes:
+        simulation: Simulation of the delivery queue and of the proxies.
+        bench: Event loop, clock and counters of the test.
+        facade: The facade with the policy under test.
+        order_queue: Orders that wait for a call to the relay.
+        orders_queued: Signal that the order queue has new orders.
+        lost_fraction: Fraction of calls that the relay executes without a response.
+        rng: Random numbers that decide which responses are lost.
+        members_by_name: Endpoints as discovery lists them, by name.
+    """
 
     def __init__(
         self,
@@ -165,8 +181,8 @@
         runtime = replace(self.bench.runtime, facade=self.facade)
         self.order_queue = OrderQueue(limits.max_queued_orders, limits.max_superseded_checkpoints)
         self.orders_queued = Signal()
-        self.lost_fraction = lost_fraction  # of the calls that are executed and not answered
-        self.draw = random.Random(seed)
+        self.lost_fraction = lost_fraction
+        self.rng = random.Random(seed)
         relay = StandIn(self.bench.loop, self._serve)
         self.bench.loop.start(
             "calls", RelayCalls(runtime, relay.address, self.order_queue, self.orders_queued).run()
@@ -184,10 +200,8 @@
     def _serve(self, caller: Caller) -> Coroutine[None]:
         while (call := (yield from caller.request())) is not None:
             orders = orjson.loads(call[1])["orders"]
-            self.simulation.order(
-                self.bench.clock.now, [order_from_wire(order) for order in orders]
-            )
-            if self.draw.random() < self.lost_fraction:
+            self.simulation.order(self.bench.clock.now, [decode_order(order) for order in orders])
+            if self.rng.random() < self.lost_fraction:
                 yield from caller.silence()
                 return
             yield from caller.answer(200, b'{"ok_count":%d}' % len(orders))
@@ -208,15 +222,19 @@
                         self.facade.report_acknowledged(proxy, superseded, 1.0)
                 self.simulation.check(now)
 
-    def join(self, proxies: range, fresh: bool, per_ms: int) -> None:
-        """Proxies join, so many a millisecond."""
-        draw = random.Random(proxies.start)
+    def join(self, proxies: range, has_no_table: bool, per_ms: int) -> None:
+        """Lets proxies join, `per_ms` of them in each millisecond."""
+        rng = random.Random(proxies.start)
         for position, proxy in enumerate(proxies):
-            names = sorted(self.members_by_name) if not fresh else sorted(self.members_by_name)[:5]
+            names = (
+                sorted(self.members_by_name)
+                if not has_no_table
+                else sorted(self.members_by_name)[:5]
+            )
             self.simulation.join(
-                self.bench.clock.now, proxy, draw.sample(names, 5 if fresh else 28)
+                self.bench.clock.now, proxy, rng.sample(names, 5 if has_no_table else 28)
             )
-            self.facade.report_proxy_joined(proxy, ZONES[proxy % 8], 2.0, fresh)
+            self.facade.report_proxy_joined(proxy, ZONES[proxy % 8], 2.0, has_no_table)
             if position % per_ms == 0:
                 self.run(1)
 
@@ -229,7 +247,7 @@
         )
 
 
-def order_from_wire(order: dict[str, Any]) -> Order:
+def decode_order(order: dict[str, Any]) -> Order:
     match order["verb"]:
         case "SET":
             return SetEntry(order["cluster"], order["host"], order["share"])
@@ -244,11 +262,11 @@
     return Restore(order["host"])
 
 
-def run_takeover(harness: ControllerHarness) -> ControllerHarness:
+def run_controller_takeover(harness: ControllerHarness) -> ControllerHarness:
     """Lets most proxies move to this controller while endpoints drain.
 
     Raises:
-        RuleBrokenError: Too much waits, or a proxy may send to a drained endpoint.
+        RuleBrokenError: The backlog is over its limit, or a proxy may send to a drained endpoint.
     """
     harness.join(range(320), True, 1)
     harness.run(3_000)
@@ -263,25 +281,25 @@
 
 
 @pytest.mark.parametrize("seed", [1, 4])
-def test_facade_and_relay_calls_keep_backlog_and_drains_when_responses_are_lost(
+def test_facade_and_relay_calls_keep_the_limits_when_responses_are_lost(
     seed: int,
 ) -> None:
-    """Calls are executed and would be resent.
+    """A call that was executed without a response must not be resent while both copies exceed the backlog limit.
 
-    The channel would hold them twice. On seed 4 a withdrawal of 23,285 entries stood there at
-    46,570, where 37,700 may.
+    With seed 4 a withdrawal of 23,285 entries was in the delivery queue twice: 46,570 entries, where the limit is
+    37,700.
     """
-    harness = run_takeover(ControllerHarness(0.15, seed=seed))
+    harness = run_controller_takeover(ControllerHarness(0.15, seed=seed))
     assert harness.bench.counters["relay_calls_failed"] >= 3
     assert len(harness.simulation.withdrawn) == 60
     harness.bench.close()
 
 
-def test_the_independent_count_finds_a_disabled_safeguard_behind_facade_and_relay_calls(
+def test_the_simulation_detects_a_disabled_safeguard_through_facade_and_relay_calls(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    forget_late_joiners(monkeypatch)
+    ignore_late_joiners(monkeypatch)
     harness = ControllerHarness(0, UnboundedTables)
     with pytest.raises(RuleBrokenError):
-        run_takeover(harness)
+        run_controller_takeover(harness)
     harness.bench.close()
