--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission ratios by priority weight and capacity."""
+"""Tests of admission ratios by priority weight and capacity."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 )
 
 
-def test_admission_ratios_follow_a_fleet_that_warms_up() -> None:
+def test_admission_ratios_fall_when_most_endpoints_warm_up() -> None:
     listed = make_endpoints(8)
     harness = PolicyHarness(listed=listed)
     for _ in range(6):
@@ -34,14 +34,14 @@
         for endpoint in listed[:6]
     ]
     harness.send(list_changes(warming_up))
-    now_listed = warming_up + listed[6:]
+    endpoints = warming_up + listed[6:]
     for _ in range(3):
-        harness.run_second(now_listed, mean_time_us=900_000, attempts=10, demand=(40, 10))
+        harness.run_second(endpoints, mean_time_us=900_000, attempts=10, demand=(40, 10))
     assert harness.admission_ratios[0] < 0.7
 
 
-def test_a_class_left_with_a_warming_up_endpoint_is_admitted_by_its_capacity() -> None:
-    """A lost zone left one warming-up endpoint to a class, which brought it five times its work."""
+def test_a_class_with_one_warming_up_endpoint_left_is_admitted_by_its_capacity() -> None:
+    """After the loss of a zone only one warming-up endpoint served a class, and got five times its capacity."""
     bound = replace(WRITE, allowed_zones=frozenset({"east"}))
     listed = make_endpoints(10)
     harness = PolicyHarness(replace(SETTINGS, classes=(READ, bound)), listed=listed)
@@ -53,9 +53,10 @@
         full_list([warming_up, *(endpoint for endpoint in listed if endpoint.zone == "west")])
     )
     assert set(harness.tables[1]) == {300}
-    able = SETTINGS.warm_up_min_capacity * 200 / 10  # its least part of one endpoint's rate
+    # The smallest fraction, during warm-up, of the rate that one of ten endpoints served.
+    endpoint_capacity_per_s = SETTINGS.warm_up_min_capacity * 200 / 10
     admitted_per_s = {a.classes: a.limit for a in actions_of_type(actions, SetAdmission)}[(1,)] * 40
-    assert admitted_per_s <= SETTINGS.overload_factor * able
+    assert admitted_per_s <= SETTINGS.overload_factor * endpoint_capacity_per_s
 
 
 def test_a_fleet_that_restarts_together_is_admitted_by_its_capacity() -> None:
@@ -96,7 +97,7 @@
     assert harness.admission_ratios[1] == pytest.approx(harness.admission_ratios[0], abs=1e-3)
 
 
-def test_no_admission_ratios_where_proxies_disregard_them() -> None:
+def test_no_admission_ratio_is_ordered_where_proxies_ignore_them() -> None:
     harness = PolicyHarness(
         replace(SETTINGS, admission_mode=AdmissionMode.NONE), listed=make_endpoints(10)
     )
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""The real program on loopback: it publishes tables, follows a drain, restarts and refuses bad settings."""
+"""Tests of the whole program over loopback: it publishes tables, withdraws, restarts and rejects bad settings."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.standins import listed
 
 
-def test_a_controller_publishes_tables_follows_a_drain_and_ends_cleanly(
+def test_a_controller_publishes_tables_withdraws_an_endpoint_and_stops_cleanly(
     deployment: Deployment,
 ) -> None:
     process = deployment.start()
@@ -67,20 +67,20 @@
     assert deployment.ping()
 
 
-def test_it_restarts_at_the_same_address_right_after_a_kill(
+def test_a_controller_restarts_at_the_same_address_right_after_it_was_killed(
     deployment: Deployment,
 ) -> None:
     process = deployment.start()
     deployment.until(deployment.ping)
-    held = socket.create_connection(deployment.listen)
+    open_connections = socket.create_connection(deployment.listen)
     process.kill()
     process.communicate()
     deployment.start()
     deployment.until(deployment.ping)
-    held.close()
+    open_connections.close()
 
 
-def test_it_answers_while_discovery_and_relay_are_down(tmp_path: Path) -> None:
+def test_a_controller_answers_while_discovery_and_relay_are_down(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path)
     deployment.config(discovery=text(free_address()), registry={"address": text(free_address())})
     deployment.start()
@@ -88,22 +88,22 @@
     deployment.close()
 
 
-def test_more_unauthenticated_clients_than_descriptors_do_not_stop_it(
+def test_a_controller_serves_with_more_unauthenticated_clients_than_descriptors(
     deployment: Deployment,
 ) -> None:
-    """More connections than it has descriptors for: it answers and sends orders all the same."""
+    """A controller that runs out of descriptors for connections still answers pings and sends orders."""
     deployment.start(descriptors=48)
     deployment.until(deployment.ping)
-    crowd = [socket.create_connection(deployment.listen) for _ in range(100)]
+    clients = [socket.create_connection(deployment.listen) for _ in range(100)]
     deployment.until(deployment.ping)
     deployment.events += [joined(0).replace(b"east", b"room-a")]
     deployment.until(lambda: deployment.ordered(verb="USE", sidecar=0))
     deployment.until(deployment.ping)
-    for client in crowd:
+    for client in clients:
         client.close()
 
 
-def test_a_bad_configuration_is_one_plain_message(deployment: Deployment) -> None:
+def test_an_invalid_configuration_is_reported_as_one_line(deployment: Deployment) -> None:
     for changes, message in [
         ({"seed": "xyz"}, b"kelpcourse: field 'seed' is not hex digits: 'xyz'\n"),
         (
@@ -120,7 +120,7 @@
         assert errors.count(b"\n") == 1
 
 
-def test_an_address_of_another_machine_is_a_configuration_error(
+def test_a_listen_address_of_another_host_is_a_configuration_error(
     deployment: Deployment,
 ) -> None:
     deployment.listen = ("192.0.2.1", 5000)
@@ -131,17 +131,17 @@
     assert errors.startswith(b"kelpcourse: field 'listen': 192.0.2.1:5000: ")
 
 
-def test_a_successor_starts_while_connections_of_its_predecessor_end(
+def test_a_controller_starts_while_connections_of_its_stopped_predecessor_are_open(
     deployment: Deployment,
 ) -> None:
     deployment.start()
     deployment.until(deployment.ping)
-    held = [socket.create_connection(deployment.listen) for _ in range(20)]
-    for peer in held[:10]:
-        peer.sendall(b"collector az=room-a\r\nheard az=room")  # half a line
+    open_connections = [socket.create_connection(deployment.listen) for _ in range(20)]
+    for peer in open_connections[:10]:
+        peer.sendall(b"collector az=room-a\r\nheard az=room")  # An incomplete line
     deployment.signal(signal.SIGTERM)
     assert deployment.ended()
     deployment.start()
     deployment.until(deployment.ping)
-    for peer in held:
+    for peer in open_connections:
         peer.close()
--- a/tests/test_end_result.py
+++ b/tests/test_end_result.py
@@ -1,4 +1,4 @@
-"""Whatever faults calls to the relay meet, its final state is what the steps ordered."""
+"""Tests that the relay's final state is what the steps ordered, whichever faults occur in calls to it."""
 
 from __future__ import annotations
 
@@ -25,49 +25,61 @@
 from tests.standins import MS, QUICK, Bench, Caller, StandIn
 
 Orders = list[dict[str, Any]]
-HOSTS = [f"h{k}" for k in range(5)]
+ENDPOINTS = [f"h{k}" for k in range(5)]
 STEPS = 60
 
 
 class RelayState:
-    """The effect of orders: weights, admission limits, bindings and withdrawals."""
+    """The effect of orders at the relay.
+
+    Attributes:
+        weights: Weight by table and endpoint.
+        admission_limits: Admission limit by table and request classes.
+        bindings: Table by proxy and request classes.
+        withdrawn: Withdrawn endpoints.
+        checkpoint_id: The last checkpoint.
+    """
 
     def __init__(self) -> None:
-        self.lines: dict[tuple[int, str], float] = {}
-        self.levels: dict[tuple[int, str], float] = {}
-        self.bound: dict[tuple[int, str], int] = {}
-        self.out: set[str] = set()
-        self.stamp = -1
+        self.weights: dict[tuple[int, str], float] = {}
+        self.admission_limits: dict[tuple[int, str], float] = {}
+        self.bindings: dict[tuple[int, str], int] = {}
+        self.withdrawn: set[str] = set()
+        self.checkpoint_id = -1
 
     def apply(self, order: dict[str, Any]) -> None:
         table, classes = order.get("cluster", 0), ",".join(order.get("for", ()))
         match order["verb"]:
             case "SET":
-                self.lines[table, order["host"]] = order["share"]
+                self.weights[table, order["host"]] = order["share"]
             case "DEL":
-                self.lines = {key: share for key, share in self.lines.items() if key[0] != table}
-                self.levels = {key: gate for key, gate in self.levels.items() if key[0] != table}
+                self.weights = {
+                    key: weight for key, weight in self.weights.items() if key[0] != table
+                }
+                self.admission_limits = {
+                    key: limit for key, limit in self.admission_limits.items() if key[0] != table
+                }
             case "USE":
-                self.bound[order["sidecar"], classes] = table
+                self.bindings[order["sidecar"], classes] = table
             case "OUT":
-                self.out.add(order["host"])
+                self.withdrawn.add(order["host"])
             case "IN":
-                self.out.discard(order["host"])
+                self.withdrawn.discard(order["host"])
             case "LIMIT":
-                self.levels[table, classes] = order["gate"]
+                self.admission_limits[table, classes] = order["gate"]
             case "SYNC":
-                self.stamp = order["stamp"]
+                self.checkpoint_id = order["stamp"]
 
     def __eq__(self, other: object) -> bool:
         return isinstance(other, RelayState) and vars(self) == vars(other)
 
 
 def step(number: int) -> list[Order]:
-    """A step's orders: some of each kind, so that later ones override earlier ones in many ways."""
-    host, table = HOSTS[number * 3 % 5], number % 2
+    """Returns the orders of a step, of several kinds, so that later steps override earlier ones in many ways."""
+    endpoint, table = ENDPOINTS[number * 3 % 5], number % 2
     orders: list[Order] = [
-        SetWeight(table, host, float(number)),
-        (RestoreEndpoint if number % 3 else WithdrawEndpoint)(HOSTS[number % 5]),
+        SetWeight(table, endpoint, float(number)),
+        (RestoreEndpoint if number % 3 else WithdrawEndpoint)(ENDPOINTS[number % 5]),
     ]
     if number % 4 == 0:
         orders.append(SetAdmission(table, ("read",) if number % 8 else ("write",), number / 100, 1))
@@ -87,27 +99,27 @@
 
 
 class Relay:
-    """Carries out calls, with the next fault of a cycle for each."""
+    """A relay that handles each call with the next fault of a cycle."""
 
     def __init__(self, bench: Bench, faults: list[Fault]) -> None:
         self.state = RelayState()
         self.faults = faults
-        self.calls = 0
+        self.call_count = 0
         self.stand_in = StandIn(bench.loop, self._serve)
 
     def _serve(self, caller: Caller) -> Coroutine[None]:
         while (call := (yield from caller.request())) is not None:
-            fault = self.faults[self.calls % len(self.faults)]
-            self.calls += 1
+            fault = self.faults[self.call_count % len(self.faults)]
+            self.call_count += 1
             yield from fault(self, caller, orjson.loads(call[1])["orders"])
 
-    def carry_out(self, orders: Orders) -> None:
+    def apply_orders(self, orders: Orders) -> None:
         for order in orders:
             self.state.apply(order)
 
 
-def carried_out(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
-    relay.carry_out(orders)
+def executed(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
+    relay.apply_orders(orders)
     yield from caller.answer(200, b'{"ok_count":%d}' % len(orders))
 
 
@@ -117,18 +129,18 @@
 
 
 def answer_lost(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
-    relay.carry_out(orders)
+    relay.apply_orders(orders)
     caller.reset()
     yield from ()
 
 
 def answer_unreadable(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
-    relay.carry_out(orders)
+    relay.apply_orders(orders)
     yield from caller.answer(200, b"\xff\x00")
 
 
-def silent(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
-    relay.carry_out(orders)
+def no_answer(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
+    relay.apply_orders(orders)
     yield from caller.silence()
 
 
@@ -142,32 +154,32 @@
 @pytest.mark.parametrize(
     "faults",
     [
-        [carried_out],
-        [request_lost, carried_out],
-        [answer_lost, carried_out],
-        [answer_unreadable, carried_out],
-        [silent, carried_out],
-        [throttled, carried_out],
-        [carried_out, request_lost, answer_lost, throttled, silent, carried_out, answer_unreadable],
-        [request_lost, request_lost, request_lost, answer_lost, answer_lost, carried_out],
+        [executed],
+        [request_lost, executed],
+        [answer_lost, executed],
+        [answer_unreadable, executed],
+        [no_answer, executed],
+        [throttled, executed],
+        [executed, request_lost, answer_lost, throttled, no_answer, executed, answer_unreadable],
+        [request_lost, request_lost, request_lost, answer_lost, answer_lost, executed],
     ],
 )
-@pytest.mark.parametrize("pace_ms", [0, 3, 25])
-def test_the_end_result_is_what_the_steps_ordered(
-    bench: Bench, faults: list[Fault], pace_ms: int
+@pytest.mark.parametrize("step_interval_ms", [0, 3, 25])
+def test_the_final_relay_state_is_what_the_steps_ordered(
+    bench: Bench, faults: list[Fault], step_interval_ms: int
 ) -> None:
-    relay, order_queue, orders_waiting = (
+    relay, order_queue, orders_queued = (
         Relay(bench, faults),
         OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints),
         Signal(),
     )
     bench.loop.start(
         "calls",
-        RelayCalls(bench.runtime, relay.stand_in.address, order_queue, orders_waiting).run(),
+        RelayCalls(bench.runtime, relay.stand_in.address, order_queue, orders_queued).run(),
     )
     for number in range(STEPS):
         order_queue.add(step(number))
-        orders_waiting.set()
-        bench.pass_us(pace_ms * MS)
+        orders_queued.set()
+        bench.pass_us(step_interval_ms * MS)
     bench.until(lambda: not order_queue.batch_count)
     assert relay.state == expected_state()
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -1,4 +1,4 @@
-"""EndpointRegistry: numbers of endpoints outlive them, within a limit."""
+"""Tests of EndpointRegistry: endpoints keep their numbers after they are gone, up to a limit."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.standins import member
 
 
-def test_endpoints_keep_their_number_while_gone_and_are_forgotten_beyond_the_limit() -> None:
+def test_gone_endpoints_keep_their_number_until_the_limit_is_exceeded() -> None:
     endpoints = EndpointRegistry(3)
     endpoints.update([member("a"), member("b"), member("c")], True)
     number = endpoints.number_of("a")
@@ -22,7 +22,7 @@
     assert len(endpoints) == 3
 
 
-def test_names_do_not_grow_with_endpoints_that_come_and_go() -> None:
+def test_the_number_of_names_is_bounded_while_endpoints_are_replaced() -> None:
     endpoints = EndpointRegistry(50)
     for version in range(1000):
         endpoints.update(
@@ -32,7 +32,7 @@
     assert endpoints.number_of("h999") is not None
 
 
-def test_endpoints_that_a_full_list_does_not_have_are_gone() -> None:
+def test_endpoints_missing_from_a_full_list_are_gone() -> None:
     endpoints = EndpointRegistry(10)
     endpoints.update([member("a"), member("b")], True)
     endpoints.update([member("b")], True)
--- a/tests/test_fill.py
+++ b/tests/test_fill.py
@@ -1,4 +1,4 @@
-"""Water filling: the greatest equal fraction under capacity, bounds and demand."""
+"""Tests of water filling: the greatest equal fraction under capacity, bounds and demand."""
 
 from __future__ import annotations
 
@@ -23,21 +23,24 @@
 ) -> None:
     admitted = equal_fraction_fill(demand, capacity, lower, upper)
     assert sum(admitted) <= capacity + 1e-6
-    for x, n, up in zip(admitted, demand, upper, strict=True):
-        assert 0 <= x <= n + 1e-9
-        assert x <= up * capacity + 1e-6
+    for rate, offered, upper_bound in zip(admitted, demand, upper, strict=True):
+        assert 0 <= rate <= offered + 1e-9
+        assert rate <= upper_bound * capacity + 1e-6
 
 
 @pytest.mark.parametrize(("demand", "capacity", "lower", "upper"), CASES)
-def test_lower_bounds_hold_where_they_are_feasible(
+def test_lower_bounds_are_met_if_they_are_feasible(
     demand: list[float], capacity: float, lower: list[float], upper: list[float]
 ) -> None:
-    owed = [
-        min(n, lo * capacity, up * capacity) for n, lo, up in zip(demand, lower, upper, strict=True)
+    guaranteed = [
+        min(offered, lower_bound * capacity, upper_bound * capacity)
+        for offered, lower_bound, upper_bound in zip(demand, lower, upper, strict=True)
     ]
     admitted = equal_fraction_fill(demand, capacity, lower, upper)
-    if sum(owed) <= capacity:
-        assert all(x >= o - 1e-6 for x, o in zip(admitted, owed, strict=True))
+    if sum(guaranteed) <= capacity:
+        assert all(
+            rate >= minimum - 1e-6 for rate, minimum in zip(admitted, guaranteed, strict=True)
+        )
     else:
         assert sum(admitted) == pytest.approx(capacity)
 
@@ -50,12 +53,12 @@
 def test_the_admitted_fraction_is_the_greatest_feasible() -> None:
     demand, lower, upper = [10.0, 30.0, 60.0], [0.2, 0.0, 0.0], [1.0, 0.3, 1.0]
     admitted = equal_fraction_fill(demand, 50.0, lower, upper)
-    theta = min(x / n for x, n in zip(admitted, demand, strict=True))
-    better = [
-        min(n, up * 50.0, max(lo * 50.0, (theta + 0.01) * n))
-        for n, lo, up in zip(demand, lower, upper, strict=True)
+    fraction = min(rate / offered for rate, offered in zip(admitted, demand, strict=True))
+    larger = [
+        min(offered, upper_bound * 50.0, max(lower_bound * 50.0, (fraction + 0.01) * offered))
+        for offered, lower_bound, upper_bound in zip(demand, lower, upper, strict=True)
     ]
-    assert sum(better) > 50.0
+    assert sum(larger) > 50.0
 
 
 def test_ample_capacity_admits_all_and_zero_capacity_admits_nothing() -> None:
@@ -73,6 +76,6 @@
         assert admitted[1] == pytest.approx(min(20.0, capacity), abs=1e-3)
 
 
-def test_equal_priority_weights_leave_the_equal_fraction() -> None:
+def test_equal_priority_weights_add_no_lower_bounds() -> None:
     for demand, capacity in itertools.product(([8.0, 2.0], [5.0, 5.0]), (0.0, 4.0, 20.0)):
         assert priority_lower_bounds(demand, [2.0, 2.0], capacity) == [0.0, 0.0]
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,4 +1,4 @@
-"""Time served costs nothing: the work of a second and what is kept are the same early and late. Counted."""
+"""Tests that work per second and memory do not grow with running time, by counts of instructions and objects."""
 
 from __future__ import annotations
 
@@ -18,28 +18,40 @@
 from tests.standins import QUICK, member
 from tests.test_work import steps
 
-HOSTS = 10
-PROXIES = 8
+ENDPOINT_COUNT = 10
+PROXY_COUNT = 8
 
 
 class Service:
-    """A controller without sockets: lines come in by its buffer, orders are taken every third second."""
+    """A controller without sockets that reads report lines from a buffer and sends orders every third second.
+
+    Attributes:
+        facade: The facade with the policy.
+        order_queue: Orders that wait for a call to the relay.
+        proxies: Registry of the proxies.
+        buffer: Read buffer of a report collector's connection.
+        now_us: The simulated clock, in microseconds.
+        second: Number of seconds served.
+        version: Version of the endpoint list.
+        ordered: Final state at the relay: the orders in effect, by their keys.
+        names: Names of the listed endpoints.
+    """
 
     def __init__(self) -> None:
-        settings = replace(SETTINGS, proxy_count=PROXIES)
+        settings = replace(SETTINGS, proxy_count=PROXY_COUNT)
         self.facade = Facade(settings, 7, QUICK)
-        self.outbox = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
+        self.order_queue = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
         self.proxies = ProxyRegistry(QUICK.max_buffered_events, QUICK.event_stream_overlap_us)
         self.buffer = ReadBuffer(QUICK.initial_read_buffer_bytes, QUICK.max_line_bytes)
-        self.now = 50 * SECOND
+        self.now_us = 50 * SECOND
         self.second = 0
         self.version = 1
-        self.ordered: dict[tuple[object, ...], Order] = {}  # the end result at the relay
-        self.names = [f"h{k}" for k in range(HOSTS)]
+        self.ordered: dict[tuple[object, ...], Order] = {}
+        self.names = [f"h{k}" for k in range(ENDPOINT_COUNT)]
         self.facade.report_cached_list(self.members(), 1)
-        self.facade.start(self.now)
+        self.facade.start(self.now_us)
         self.proxies.stream_opened(0, 0, 0)
-        for proxy in range(PROXIES):
+        for proxy in range(PROXY_COUNT):
             self.receive(Joined(proxy, "east", 10.0, True))
 
     def members(self) -> list[ListedEndpoint]:
@@ -49,41 +61,41 @@
         ]
 
     def receive(self, event: ProxyEvent) -> None:
-        for reported in self.proxies.receive(0, event, self.now):
+        for reported in self.proxies.receive(0, event, self.now_us):
             match reported:
-                case Joined(proxy, zone, share, standing):
-                    self.facade.report_proxy_joined(proxy, zone, share, standing)
+                case Joined(proxy, zone, request_rate_per_s, has_no_table):
+                    self.facade.report_proxy_joined(proxy, zone, request_rate_per_s, has_no_table)
                 case Left(proxy):
-                    self.outbox.forget_proxy(proxy)
+                    self.order_queue.forget_proxy(proxy)
                     self.facade.report_proxy_left(proxy)
-                case Applied(proxy, stamp, lag_ms):
-                    for answered in self.outbox.covered_checkpoints(stamp):
-                        self.facade.report_acknowledged(proxy, answered, lag_ms)
+                case Applied(proxy, checkpoint_id, lag_ms):
+                    for covered in self.order_queue.covered_checkpoints(checkpoint_id):
+                        self.facade.report_acknowledged(proxy, covered, lag_ms)
 
     def report_lines(self) -> bytes:
-        heard = (
+        endpoint_lines = (
             f"heard az=east host={name} n=20 bad={self.second % 3} avg=150.5 window=1000.0\r\n"
             for name in self.names
         )
-        usage = (
+        demand_lines = (
             f"usage sidecar={proxy} kind=read n=20 bad=0 window=1000.0\r\n"
-            for proxy in range(PROXIES)
+            for proxy in range(PROXY_COUNT)
         )
-        return "".join((*heard, *usage)).encode()
+        return "".join((*endpoint_lines, *demand_lines)).encode()
 
     def serve(self) -> None:
-        """One second: reports come in, orders go out and are answered; in every third a proxy comes back."""
+        """Serves one second of reports; every third second, a proxy rejoins and orders are acknowledged."""
         self.second += 1
-        self.now += SECOND
-        again = self.second % PROXIES
+        self.now_us += SECOND
+        rejoining = self.second % PROXY_COUNT
         if self.second % 3 == 0:
-            self.receive(Left(again))
-            self.receive(Joined(again, "east", 10.0, False))
+            self.receive(Left(rejoining))
+            self.receive(Joined(rejoining, "east", 10.0, False))
         self.buffer.append(self.report_lines())
         for line in self.buffer.lines():
-            self.take(line)
-        self.facade.tick(self.now - QUICK.step_batching_us)
-        self.facade.tick(self.now)
+            self.report(line)
+        self.facade.tick(self.now_us - QUICK.step_batching_us)
+        self.facade.tick(self.now_us)
         orders = self.facade.pick().orders
         for order in orders:
             match order:
@@ -91,67 +103,71 @@
                     self.ordered.pop(order.key, None)
                 case SetWeight() | WithdrawEndpoint() | RestoreEndpoint():
                     self.ordered[order.key] = order
-        self.outbox.add(orders)
-        while self.second % 3 == 0 and (orders := self.outbox.begin_call()):
-            stamps = [order.checkpoint_id for order in orders if isinstance(order, Checkpoint)]
-            self.outbox.accept(len(orders))
-            for stamp in stamps:
-                for proxy in range(PROXIES):
-                    self.receive(Applied(proxy, stamp, 100.0))
-
-    def take(self, line: memoryview) -> None:
+        self.order_queue.add(orders)
+        while self.second % 3 == 0 and (orders := self.order_queue.begin_call()):
+            checkpoint_ids = [
+                order.checkpoint_id for order in orders if isinstance(order, Checkpoint)
+            ]
+            self.order_queue.accept(len(orders))
+            for checkpoint_id in checkpoint_ids:
+                for proxy in range(PROXY_COUNT):
+                    self.receive(Applied(proxy, checkpoint_id, 100.0))
+
+    def report(self, line: memoryview) -> None:
         match decode_line(line):
-            case EndpointReportMessage(zone, host, attempts, failed, mean_ms, window_ms, load):
-                self.facade.report_attempts(host, zone, attempts, failed, window_ms, mean_ms, load)
+            case EndpointReportMessage(zone, endpoint, attempts, failed, mean_ms, window_ms, load):
+                self.facade.report_attempts(
+                    endpoint, zone, attempts, failed, window_ms, mean_ms, load
+                )
             case DemandReportMessage(proxy, kind, arrived, unanswered, window_ms):
                 self.facade.report_demand(proxy, kind, arrived, unanswered, window_ms)
 
-    def spell(self, seconds: int) -> tuple[int, int]:
-        """Serves so long; the interpreter's steps that it took and the objects that are kept after it."""
-        work = 0
+    def measure(self, seconds: int) -> tuple[int, int]:
+        """Serves for some seconds and returns the number of instructions and of objects in memory afterwards."""
+        instructions = 0
         for _ in range(seconds):
-            work += steps(self.serve)
+            instructions += steps(self.serve)
         gc.collect()
-        return work, len(gc.get_objects())
+        return instructions, len(gc.get_objects())
 
-    def replace_host(self) -> None:
-        """An endpoint drains and goes, and another under a new name takes its place."""
+    def replace_endpoint(self) -> None:
+        """Replaces an endpoint that is gone by one with a new name."""
         self.version += 1
         old = self.names.pop(0)
         gone = replace(
             member(old, EndpointStatus.GONE), zone="east" if int(old[1:]) % 2 == 0 else "west"
         )
-        self.names.append(f"h{HOSTS + self.version}")
+        self.names.append(f"h{ENDPOINT_COUNT + self.version}")
         self.facade.report_list([gone, *self.members()[-1:]], self.version, False)
 
-    def entries_of_a_binding(self) -> int:
-        """What the relay restates to a proxy that is bound: table entries, and withdrawn endpoints."""
+    def binding_entries(self) -> int:
+        """Returns the number of entries that a binding restates: table entries and withdrawn endpoints."""
         return len(self.ordered)
 
 
 def test_memory_does_not_grow_with_replaced_endpoints() -> None:
-    """Two thousand endpoints come and go: what a binding restates and what is kept stay as they were early on."""
+    """After 2,000 replaced endpoints, entries of a binding and objects in memory are as few as at the start."""
     service = Service()
     entries = []
-    kept = []
+    object_counts = []
     for _ in range(5):
         for _ in range(400):
-            service.replace_host()
+            service.replace_endpoint()
             for _ in range(2):
                 service.serve()
         gc.collect()
-        entries.append(service.entries_of_a_binding())
-        kept.append(len(gc.get_objects()))
-    assert max(entries) < 2 * HOSTS + FORGET_AFTER_US // SECOND
-    assert max(kept[1:]) < kept[0] + 200
+        entries.append(service.binding_entries())
+        object_counts.append(len(gc.get_objects()))
+    assert max(entries) < 2 * ENDPOINT_COUNT + FORGET_AFTER_US // SECOND
+    assert max(object_counts[1:]) < object_counts[0] + 200
 
 
 def test_work_and_memory_do_not_grow_with_time_served() -> None:
     service = Service()
-    service.spell(48)
-    early_work, early_kept = service.spell(48)
+    service.measure(48)
+    early_instructions, early_objects = service.measure(48)
     for _ in range(480):
         service.serve()
-    late_work, late_kept = service.spell(48)
-    assert late_work < 1.1 * early_work
-    assert late_kept < early_kept + 200
+    late_instructions, late_objects = service.measure(48)
+    assert late_instructions < 1.1 * early_instructions
+    assert late_objects < early_objects + 200
