--- a/tests/test_list_watch.py
+++ b/tests/test_list_watch.py
@@ -1,4 +1,4 @@
-"""Both ways of discovery, and starting over."""
+"""Tests of pushed and polled discovery, and of a start with a restored endpoint list."""
 
 from __future__ import annotations
 
@@ -23,8 +23,10 @@
     make_endpoints,
 )
 
-ASK = replace(SETTINGS, discovery_is_polled=True, discovery_poll_deadline_us=8 * SECOND)
-FAILED = EndpointList(EndpointListKind.UNAVAILABLE, 0, ())
+POLLED_DISCOVERY = replace(
+    SETTINGS, discovery_is_polled=True, discovery_poll_deadline_us=8 * SECOND
+)
+LIST_UNAVAILABLE = EndpointList(EndpointListKind.UNAVAILABLE, 0, ())
 
 
 def test_a_pushed_list_is_never_fetched() -> None:
@@ -34,77 +36,78 @@
 
 
 def test_a_polled_list_is_watched_from_the_start_and_once() -> None:
-    harness = PolicyHarness(ASK, listed=make_endpoints(4))
+    harness = PolicyHarness(POLLED_DISCOVERY, listed=make_endpoints(4))
     harness.send(full_list(make_endpoints(4)))
     harness.run_until(harness.now_us + 30 * SECOND)
     assert [a for _, a in harness.log if isinstance(a, WatchEndpoints)] == [WatchEndpoints(True)]
 
 
 def test_a_failed_watch_is_restarted_with_backoff_within_its_deadline() -> None:
-    harness = PolicyHarness(ASK, listed=make_endpoints(4))
-    asked = [harness.now_us]
+    harness = PolicyHarness(POLLED_DISCOVERY, listed=make_endpoints(4))
+    watched_us = [harness.now_us]
     for _ in range(6):
-        harness.send(FAILED)
-        while not any(isinstance(a, WatchEndpoints) and t > asked[-1] for t, a in harness.log):
+        harness.send(LIST_UNAVAILABLE)
+        while not any(isinstance(a, WatchEndpoints) and t > watched_us[-1] for t, a in harness.log):
             harness.run_until(harness.now_us + SECOND)
-            assert harness.now_us - asked[-1] < ASK.discovery_poll_deadline_us
-        asked.append(harness.now_us)
-    gaps = [b - a for a, b in pairwise(asked)]
-    assert gaps[0] <= SECOND
-    assert gaps[-1] >= gaps[0]
-    assert max(gaps) <= ASK.discovery_poll_deadline_us // 2
+            assert harness.now_us - watched_us[-1] < POLLED_DISCOVERY.discovery_poll_deadline_us
+        watched_us.append(harness.now_us)
+    delays_us = [b - a for a, b in pairwise(watched_us)]
+    assert delays_us[0] <= SECOND
+    assert delays_us[-1] >= delays_us[0]
+    assert max(delays_us) <= POLLED_DISCOVERY.discovery_poll_deadline_us // 2
 
 
-def asks_again_after(director: int) -> int:
-    """Of a controller that is stepped each 10 ms, as reports come."""
+def steps_until_watch_retry(controller_index: int) -> int:
+    """Returns the number of 10 ms steps after which a controller retries its failed watch."""
     harness = PolicyHarness(
-        replace(ASK, controller_index=director, controller_count=230), listed=make_endpoints(4)
+        replace(POLLED_DISCOVERY, controller_index=controller_index, controller_count=230),
+        listed=make_endpoints(4),
     )
-    harness.send(FAILED)
+    harness.send(LIST_UNAVAILABLE)
     for k in range(300):
         harness.now_us += SECOND // 100
         if actions_of_type(harness.send(), WatchEndpoints):
             return k
-    raise AssertionError("it never asked")
+    raise AssertionError("the watch was not retried")
 
 
 def test_controllers_that_fail_together_do_not_retry_together() -> None:
-    """A release ended the watches of all: discovery that has too many callers would have them all again."""
-    asked = [asks_again_after(k) for k in range(230)]
-    assert max(asked.count(at) for at in asked) <= 230 // 25
-    assert max(asked) <= 2 * min(asked) + 1
+    """When a release ends all watches at once, simultaneous retries would overload discovery again."""
+    steps = [steps_until_watch_retry(k) for k in range(230)]
+    assert max(steps.count(step) for step in steps) <= 230 // 25
+    assert max(steps) <= 2 * min(steps) + 1
 
 
 def test_a_dropped_watch_is_restarted() -> None:
-    harness = PolicyHarness(ASK, listed=make_endpoints(4))
+    harness = PolicyHarness(POLLED_DISCOVERY, listed=make_endpoints(4))
     harness.send(full_list(make_endpoints(4)))
     harness.run_until(harness.now_us + 10 * SECOND)
-    harness.send(FAILED)
+    harness.send(LIST_UNAVAILABLE)
     harness.run_until(harness.now_us + 2 * SECOND)
     assert len([a for _, a in harness.log if isinstance(a, WatchEndpoints)]) == 2
 
 
-def test_after_a_crash_the_stale_list_serves_until_the_fresh_one_corrects_it() -> None:
-    policy = RoutingPolicy(ASK)
+def test_after_a_crash_the_restored_list_is_used_until_a_full_list_replaces_it() -> None:
+    policy = RoutingPolicy(POLLED_DISCOVERY)
     now = 90 * SECOND
     first = policy.step(
         now, [Started(3), EndpointList(EndpointListKind.RESTORED, 4, tuple(make_endpoints(5)))]
     )
     assert actions_of_type(first, WatchEndpoints) == [WatchEndpoints(True)]
-    joined = policy.step(now + SECOND, [ProxyJoined(0, "east", 10.0, False)])
-    assert actions_of_type(joined, BindProxy) != []
-    fresh = policy.step(now + 2 * SECOND, [full_list(make_endpoints(4), 9)])
-    assert endpoint_orders(fresh) == [WithdrawEndpoint(104)]
+    join_actions = policy.step(now + SECOND, [ProxyJoined(0, "east", 10.0, False)])
+    assert actions_of_type(join_actions, BindProxy) != []
+    full_list_actions = policy.step(now + 2 * SECOND, [full_list(make_endpoints(4), 9)])
+    assert endpoint_orders(full_list_actions) == [WithdrawEndpoint(104)]
 
 
-def test_withdrawals_are_restated_to_a_late_joiner_by_its_binding() -> None:
+def test_a_late_joiner_is_bound_to_a_table_without_the_withdrawn_endpoint() -> None:
     harness = PolicyHarness(listed=make_endpoints(5), proxies=1)
     harness.send(full_list(make_endpoints(4)))
     harness.send(ProxyJoined(3, "east", 10.0, False))
     assert 104 not in harness.tables[0]
 
 
-def test_a_timer_is_always_running() -> None:
+def test_a_timer_is_always_pending() -> None:
     harness = PolicyHarness(listed=make_endpoints(2))
     for _ in range(5):
         harness.run_until(harness.now_us + SECOND)
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -1,4 +1,4 @@
-"""Outliers are ejected and recover in steps."""
+"""Tests of ejecting outliers and of their recovery in steps."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     assert all(weight > 0 for weight in harness.tables[0].values())
 
 
-def test_a_failing_endpoint_loses_half_of_its_weight_or_more() -> None:
+def test_a_failing_endpoint_loses_at_least_half_of_its_weight() -> None:
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 4)
     run_with_failures(harness, 4, failed={100: 0.5})
@@ -38,7 +38,7 @@
 
 
 def test_chance_failures_on_a_busy_fleet_eject_none() -> None:
-    """Halving endpoints for chance time-outs drowns the rest in turn."""
+    """Halving the weights of endpoints with random timeouts would overload the others."""
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 4)
     for k in range(10):
@@ -64,7 +64,7 @@
     assert harness.weight_share(100) < 0.02
 
 
-def test_an_endpoint_is_ejected_once_for_what_was_in_flight() -> None:
+def test_attempts_in_flight_do_not_eject_an_endpoint_twice() -> None:
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 4)
     run_with_failures(harness, 1, failed={100: 0.4})
@@ -76,30 +76,29 @@
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 4)
     run_with_failures(harness, 6, failed={100: 1.0})
-    low = harness.weight_share(100)
-    seen = []
+    ejected_share = harness.weight_share(100)
+    shares = []
     for _ in range(14):
         run_with_failures(harness, 1)
-        seen.append(harness.weight_share(100))
-    assert low < min(x for x in seen if x > low) < 0.08
-    assert seen[-1] > 0.09
+        shares.append(harness.weight_share(100))
+    assert ejected_share < min(share for share in shares if share > ejected_share) < 0.08
+    assert shares[-1] > 0.09
 
 
-def test_an_endpoint_that_gets_too_few_attempts_recovers_all_the_same() -> None:
+def test_an_ejected_endpoint_recovers_even_without_reports() -> None:
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 4)
     run_with_failures(harness, 6, failed={100: 1.0})
     others = make_endpoints(10)[1:]
-    seen = []
-    for _ in range(
-        30
-    ):  # once its share is whole again it is missed, so the most it gets is what counts
+    shares = []
+    # The ejected endpoint gets no attempt, so that no report mentions it.
+    for _ in range(30):
         harness.run_second(others, demand=(1, 0), attempts=1)
-        seen.append(harness.weight_share(100))
-    assert max(seen) > 0.05
+        shares.append(harness.weight_share(100))
+    assert max(shares) > 0.05
 
 
-def test_an_endpoint_that_has_just_joined_is_not_taken_for_silent() -> None:
+def test_a_new_endpoint_without_reports_is_not_considered_silent() -> None:
     harness = PolicyHarness(listed=make_endpoints(9))
     run_with_failures(harness, 8)
     harness.send(list_changes([make_endpoint(300)]))
@@ -111,8 +110,8 @@
 def test_most_of_the_fleet_is_never_ejected() -> None:
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 4)
-    bad = {100 + k: 1.0 for k in range(7)}
-    run_with_failures(harness, 10, failed=bad)
+    failed = {100 + k: 1.0 for k in range(7)}
+    run_with_failures(harness, 10, failed=failed)
     full_weight = [
         endpoint.id for endpoint in make_endpoints(10) if harness.tables[0][endpoint.id] > 0.5
     ]
