--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -23,7 +23,7 @@
 
 def test_requests_in_flight_at_proxies_that_left_are_not_backlog() -> None:
     """Reports of their requests have arrived, but reports of how these ended never will."""
-    harness = PolicyHarness(endpoints=make_endpoints(10))
+    harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 6)
     harness.policy.load.backlog = 40.0
     harness.send(ProxyLeft(0), ProxyLeft(1), ProxyLeft(99))
@@ -31,7 +31,7 @@
 
 
 def test_zero_demand_and_empty_reports_are_accepted() -> None:
-    harness = PolicyHarness(endpoints=make_endpoints(10))
+    harness = PolicyHarness(listed=make_endpoints(10))
     for _ in range(5):
         harness.run_second(make_endpoints(10), attempts=0, demand=(0, 0))
     harness.run_until(harness.now_us + 5 * SECOND)
@@ -40,7 +40,7 @@
 
 def test_a_recently_joined_proxy_adds_no_backlog() -> None:
     """Its first report covers a part of the period; counted for a whole period it would look like an overload."""
-    harness = PolicyHarness(endpoints=make_endpoints(10))
+    harness = PolicyHarness(listed=make_endpoints(10))
     run_steadily(harness)
     for proxy in range(10, 14):
         harness.send(ProxyJoined(proxy, "east", 10.0, False))
@@ -65,7 +65,7 @@
 
     Counted as backlog, they raised it to 190 requests where there were 26, and admission ratios fell to a third.
     """
-    harness = PolicyHarness(endpoints=make_endpoints(10))
+    harness = PolicyHarness(listed=make_endpoints(10))
     run_steadily(harness)
     for _ in range(3):
         harness.run_second(make_endpoints(10), mean_time_us=500_000, demand=(80, 20))
@@ -77,15 +77,15 @@
 @pytest.mark.parametrize("parts", [1, 4])
 def test_rates_do_not_depend_on_whether_reports_arrive_together_or_staggered(parts: int) -> None:
     """With four parts, a quarter of the endpoints and proxies reports each second, about four seconds each."""
-    endpoints = make_endpoints(80)
-    harness = PolicyHarness(settings=LARGE_FLEET, endpoints=endpoints, proxies=40)
+    listed = make_endpoints(80)
+    harness = PolicyHarness(settings=LARGE_FLEET, listed=listed, proxies=40)
     for second in range(24):
         harness.run_until(harness.now_us + SECOND)
         part = second % parts
         harness.send(
             *(
                 EndpointReport(endpoint.id, "east", 5 * parts, 0, parts * SECOND, 200_000, ())
-                for endpoint in endpoints[part::parts]
+                for endpoint in listed[part::parts]
             ),
             *(DemandReport(p, 0, 10 * parts, 0, parts * SECOND) for p in range(part, 40, parts)),
             TimerFired("none"),
@@ -97,7 +97,7 @@
 
 def test_retries_are_not_counted_as_completed_requests() -> None:
     """Retries add to the attempts that endpoints report, while the backlog counts requests."""
-    harness = PolicyHarness(endpoints=make_endpoints(10))
+    harness = PolicyHarness(listed=make_endpoints(10))
     for _ in range(5):
         harness.run_until(harness.now_us + SECOND)
         harness.send(
@@ -113,7 +113,7 @@
 
 def test_client_retries_of_rejected_requests_are_not_offered_load() -> None:
     """Two thirds of the requests are retries of rejected ones, which must not reduce the capacity estimate."""
-    harness = PolicyHarness(endpoints=make_endpoints(10))
+    harness = PolicyHarness(listed=make_endpoints(10))
     for _ in range(4):
         harness.run_second(make_endpoints(10), attempts=20, mean_time_us=200_000, demand=(40, 10))
     for _ in range(3):
