--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -42,9 +42,9 @@
 
 def test_a_class_with_one_warming_up_endpoint_left_is_admitted_by_its_capacity() -> None:
     """After the loss of a zone only one warming-up endpoint served a class, and got five times its capacity."""
-    bound = replace(WRITE, allowed_zones=frozenset({"east"}))
+    restricted = replace(WRITE, allowed_zones=frozenset({"east"}))
     listed = make_endpoints(10)
-    harness = PolicyHarness(replace(SETTINGS, classes=(READ, bound)), listed=listed)
+    harness = PolicyHarness(replace(SETTINGS, classes=(READ, restricted)), listed=listed)
     for _ in range(6):
         harness.run_second(listed, demand=(40, 10))
     warming_up = make_endpoint(300, "east", started_us=harness.now_us)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -96,8 +96,10 @@
 
 def test_endpoints_saturated_by_a_zone_bound_class_do_not_shed_other_classes() -> None:
     """A zone with too few endpoints was saturated by its own class, and reads for the idle zone were rejected."""
-    bound = replace(WRITE, allowed_zones=frozenset({"east"}))
-    harness = PolicyHarness(replace(SETTINGS, classes=(READ, bound)), listed=make_endpoints(10))
+    restricted = replace(WRITE, allowed_zones=frozenset({"east"}))
+    harness = PolicyHarness(
+        replace(SETTINGS, classes=(READ, restricted)), listed=make_endpoints(10)
+    )
     mean_times_us = {
         endpoint.id: 1_600_000 if endpoint.zone == "east" else 120_000
         for endpoint in make_endpoints(10)
--- a/tests/test_relative_capacity.py
+++ b/tests/test_relative_capacity.py
@@ -1,4 +1,4 @@
-"""Relative capacities are learned from response times and load reports."""
+"""Tests of learning relative capacities from response times and load reports."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 def test_weights_follow_response_times() -> None:
     harness = PolicyHarness(listed=make_endpoints(10))
-    times = {
+    mean_times_us = {
         endpoint.id: 400_000 if endpoint.id < 105 else 200_000 for endpoint in make_endpoints(10)
     }
     for _ in range(20):
-        harness.run_second(make_endpoints(10), mean_times_us=times, demand=(40, 10))
+        harness.run_second(make_endpoints(10), mean_times_us=mean_times_us, demand=(40, 10))
     assert harness.weight_share(109) > 1.3 * harness.weight_share(100)
     assert harness.weight_share(100) > 0.02
 
 
-def test_an_endpoint_with_few_reports_is_measured_all_the_same() -> None:
-    """A controller of few proxies hears two or three answers of a slow endpoint in a report: it stayed overfull."""
+def test_an_endpoint_with_few_reported_answers_is_measured() -> None:
+    """A controller of few proxies gets reports of two or three answers of a slow endpoint, which stayed overloaded."""
     harness = PolicyHarness(listed=make_endpoints(10))
     for _ in range(6):
         harness.run_second(make_endpoints(10), mean_times_us={100: 800_000}, attempts=2)
@@ -65,7 +65,7 @@
 
 
 def test_any_set_of_load_values_is_accepted() -> None:
-    """A site may report the busy share without the served rate, or neither, or either for some endpoints only."""
+    """A site may report utilization without throughput, or neither, or either for some endpoints only."""
     for names in (("util",), ("qps",), ("inflight", "queue"), ()):
         harness = PolicyHarness(
             replace(SETTINGS, load_reports_inline=True, load_report_names=names),
@@ -76,30 +76,38 @@
             for endpoint in make_endpoints(10)
             if endpoint.id != 104
         }
-        times = {
+        mean_times_us = {
             endpoint.id: 400_000 if endpoint.id < 105 else 200_000
             for endpoint in make_endpoints(10)
         }
         for _ in range(12):
             harness.run_second(
-                make_endpoints(10), load_reports=load, mean_times_us=times, demand=(40, 10)
+                make_endpoints(10), load_reports=load, mean_times_us=mean_times_us, demand=(40, 10)
             )
         assert harness.weight_share(109) > harness.weight_share(100)
 
 
 def test_few_answers_of_an_endpoint_are_averaged_with_the_mean_time_of_its_kind() -> None:
-    """Of five controllers each hears few answers of an endpoint: by these a sound one lost 0.3 of its weight."""
+    """Each of five controllers gets reports of few answers of an endpoint: a healthy one lost 0.3 of its weight."""
     listed = [make_endpoint(100 + k, kind="large" if k < 5 else "small") for k in range(10)]
     harness = PolicyHarness(listed=listed)
-    times = {endpoint.id: 100_000 if endpoint.kind == "large" else 200_000 for endpoint in listed}
-    harness.run_second(listed, mean_times_us=times | {100: 200_000}, attempts=4, demand=(8, 2))
+    mean_times_us = {
+        endpoint.id: 100_000 if endpoint.kind == "large" else 200_000 for endpoint in listed
+    }
+    harness.run_second(
+        listed, mean_times_us=mean_times_us | {100: 200_000}, attempts=4, demand=(8, 2)
+    )
     harness.run_until(harness.now_us + 4 * SECOND)
     assert harness.weight_share(101) > 1.3 * harness.weight_share(109)
     assert harness.weight_share(100) > 0.78 * harness.weight_share(101)
 
 
-def weight_change_after_odd_report(attempts: int) -> float:
-    """How far one odd report moves an endpoint's share after a calm minute, of its share before."""
+def capacity_change_after_deviating_report(attempts: int) -> float:
+    """Returns by which fraction one deviating report lowers a relative capacity after a minute of steady load.
+
+    Args:
+        attempts: Number of attempts in each report of an endpoint.
+    """
     harness = PolicyHarness(listed=make_endpoints(20), settings=LARGE_FLEET, proxies=4)
     for _ in range(60):
         harness.run_second(make_endpoints(20), attempts=attempts, demand=(5 * attempts, 0))
@@ -113,24 +121,28 @@
     return 1 - harness.policy.registry.endpoints[100].relative_capacity / before
 
 
-def test_the_fewer_answers_are_reported_the_longer_capacities_average_them() -> None:
-    assert 0 < weight_change_after_odd_report(6) < weight_change_after_odd_report(40) / 2
+def test_capacities_are_averaged_over_more_reports_if_reports_have_fewer_answers() -> None:
+    assert (
+        0
+        < capacity_change_after_deviating_report(6)
+        < capacity_change_after_deviating_report(40) / 2
+    )
 
 
-def test_the_first_reports_move_a_relative_capacity_most() -> None:
+def test_the_first_reports_change_a_relative_capacity_most() -> None:
     harness = PolicyHarness(listed=make_endpoints(20), settings=LARGE_FLEET, proxies=4)
-    steps = []
+    changes = []
     for _ in range(4):
         before = harness.policy.registry.endpoints[100].relative_capacity
         harness.run_second(
             make_endpoints(20), attempts=6, demand=(30, 0), mean_times_us={100: 300_000}
         )
-        steps.append(before / harness.policy.registry.endpoints[100].relative_capacity)
-    assert steps[1] > steps[3] > 1
+        changes.append(before / harness.policy.registry.endpoints[100].relative_capacity)
+    assert changes[1] > changes[3] > 1
 
 
-def test_a_load_report_that_contradicts_response_times_is_not_believed() -> None:
-    """An endpoint says that it is idle and quick, and its answers take five times the mean."""
+def test_a_load_report_that_contradicts_response_times_is_ignored() -> None:
+    """The endpoint reports low utilization, while its answers take five times the mean."""
     settings = replace(LARGE_FLEET, load_reports_inline=True, load_report_names=("util", "qps"))
     harness = PolicyHarness(settings=settings, listed=make_endpoints(20), proxies=4)
     load = {endpoint.id: (("util", 0.5), ("qps", 10.0)) for endpoint in make_endpoints(20)} | {
@@ -141,6 +153,6 @@
             make_endpoints(20), load_reports=load, demand=(80, 20), mean_times_us={100: 1_000_000}
         )
     assert harness.weight_share(100) < 0.6 * harness.weight_share(101)
-    for _ in range(20):  # its answers are sound again: the report counts
+    for _ in range(20):  # Its response times are normal again, so that the report is used
         harness.run_second(make_endpoints(20), load_reports=load, demand=(80, 20))
     assert harness.weight_share(100) > 1.2 * harness.weight_share(101)
--- a/tests/test_table_updates.py
+++ b/tests/test_table_updates.py
@@ -1,4 +1,4 @@
-"""Changes of entries: what is sent, in which order, within the backlog."""
+"""Tests of table updates: which entries are ordered, in which order and within the backlog."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 )
 
 
-def test_small_changes_of_a_weight_are_not_sent() -> None:
+def test_small_weight_changes_are_not_ordered() -> None:
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 4)
     before = len([a for _, a in harness.log if isinstance(a, SetWeight)])
@@ -32,21 +32,23 @@
     assert len([a for _, a in harness.log if isinstance(a, SetWeight)]) == before
 
 
-def entries_of(actions: list[Action], table_size: int, proxies: int) -> float:
-    """Entries that a reply puts into the channel: bindings, and changes to every bound proxy."""
+def count_entries(actions: list[Action], table_size: int, proxies: int) -> float:
+    """Returns the entries that actions put into the delivery queue: bindings, and changes to every bound proxy."""
     binds = actions_of_type(actions, BindProxy)
     changed = len(actions_of_type(actions, SetWeight)) + len(endpoint_orders(actions))
     return sum(1 + table_size + len(b.classes) for b in binds) + changed * proxies
 
 
-def test_changes_that_do_not_fit_wait_and_the_larger_ones_go_first() -> None:
+def test_table_changes_over_the_backlog_limit_are_ordered_later() -> None:
     harness = PolicyHarness(settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70)
     harness.run_until(harness.now_us + 10 * SECOND)
-    grown = [make_endpoint(500 + k) for k in range(60)]
-    first = harness.send(list_changes(grown)) + harness.run_until(harness.now_us + 2 * SECOND)
-    sent = [a for a in actions_of_type(first, SetWeight) if a.endpoint >= 500]
-    assert 0 < len(sent) < 60
-    assert entries_of(first, 80, 70) < LARGE_BACKLOG_ENTRIES
+    new_endpoints = [make_endpoint(500 + k) for k in range(60)]
+    early_actions = harness.send(list_changes(new_endpoints)) + harness.run_until(
+        harness.now_us + 2 * SECOND
+    )
+    ordered = [a for a in actions_of_type(early_actions, SetWeight) if a.endpoint >= 500]
+    assert 0 < len(ordered) < 60
+    assert count_entries(early_actions, 80, 70) < LARGE_BACKLOG_ENTRIES
     harness.run_until(harness.now_us + 20 * SECOND)
     assert all(harness.tables[0].get(500 + k, 0.0) > 0 for k in range(60))
 
@@ -67,7 +69,7 @@
 
 
 def test_endpoints_that_restart_together_stay_within_the_backlog() -> None:
-    """A third of a large fleet comes back warming up in one list while earlier orders wait unapplied."""
+    """Three quarters of a large fleet are listed as warming up while earlier orders are not acknowledged."""
     harness = PolicyHarness(settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70)
     harness.run_until(harness.now_us + 10 * SECOND)
     harness.acknowledges = False
@@ -77,5 +79,7 @@
     ]
     out = harness.send(list_changes(restarted)) + harness.run_until(harness.now_us + 5 * SECOND)
     assert (
-        0 < entries_of(out, 80, 70) + 70 * SETTINGS.message_overhead_entries < LARGE_BACKLOG_ENTRIES
+        0
+        < count_entries(out, 80, 70) + 70 * SETTINGS.message_overhead_entries
+        < LARGE_BACKLOG_ENTRIES
     )
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -1,4 +1,4 @@
-"""Request classes and zones have the tables that they need."""
+"""Tests of which request classes and zones share a table."""
 
 from __future__ import annotations
 
@@ -20,17 +20,19 @@
 )
 
 
-def test_a_class_for_some_zones_has_its_own_table_of_their_endpoints() -> None:
-    bound = replace(WRITE, allowed_zones=frozenset({"east"}))
-    harness = PolicyHarness(replace(SETTINGS, classes=(READ, bound)), listed=make_endpoints(6))
+def test_a_class_of_some_zones_has_its_own_table_of_their_endpoints() -> None:
+    restricted = replace(WRITE, allowed_zones=frozenset({"east"}))
+    harness = PolicyHarness(replace(SETTINGS, classes=(READ, restricted)), listed=make_endpoints(6))
     east = {endpoint.id for endpoint in make_endpoints(6) if endpoint.zone == "east"}
     assert set(harness.tables[1]) == east
     assert set(harness.tables[0]) == {endpoint.id for endpoint in make_endpoints(6)}
 
 
 def test_zone_bound_classes_have_a_table_for_each_zone() -> None:
-    own = replace(READ, same_zone_only=True)
-    harness = PolicyHarness(replace(SETTINGS, classes=(own,)), listed=make_endpoints(6), proxies=2)
+    zone_bound = replace(READ, same_zone_only=True)
+    harness = PolicyHarness(
+        replace(SETTINGS, classes=(zone_bound,)), listed=make_endpoints(6), proxies=2
+    )
     binds = [a for _, a in harness.log if isinstance(a, BindProxy)]
     for bind in binds:
         zone = SETTINGS.zones[bind.proxy % 2]
@@ -39,10 +41,10 @@
         }
 
 
-def test_a_class_whose_endpoints_appear_later_is_bound_then() -> None:
-    bound = replace(WRITE, allowed_zones=frozenset({"west"}))
+def test_a_class_without_endpoints_is_bound_when_its_first_one_is_listed() -> None:
+    restricted = replace(WRITE, allowed_zones=frozenset({"west"}))
     harness = PolicyHarness(
-        replace(SETTINGS, classes=(READ, bound)),
+        replace(SETTINGS, classes=(READ, restricted)),
         listed=[make_endpoint(1), make_endpoint(2)],
         proxies=1,
     )
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -1,4 +1,4 @@
-"""Weights of warming-up endpoints, of listed weights, and beside classes with tables of their own."""
+"""Tests of the weights of warming-up endpoints, of listed weights and of classes with their own tables."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     listed = make_endpoints(9)
     harness = PolicyHarness(listed=listed)
     harness.run_until(harness.now_us + 5 * SECOND)
-    fresh = make_endpoint(200, started_us=harness.now_us)
-    harness.send(list_changes([fresh]))
+    new_endpoint = make_endpoint(200, started_us=harness.now_us)
+    harness.send(list_changes([new_endpoint]))
     for _ in range(14):
         harness.run_until(harness.now_us + SECOND)
-        age = (harness.now_us - fresh.started_us) / SETTINGS.warm_up_us
+        age_fraction = (harness.now_us - new_endpoint.started_us) / SETTINGS.warm_up_us
         warm_up_capacity = min(
-            1.0, SETTINGS.warm_up_min_capacity + (1 - SETTINGS.warm_up_min_capacity) * age
+            1.0, SETTINGS.warm_up_min_capacity + (1 - SETTINGS.warm_up_min_capacity) * age_fraction
         )
         if 200 in harness.tables[0]:
             assert harness.weight_share(200) <= 0.1 * warm_up_capacity * 1.1
@@ -43,7 +43,7 @@
     assert harness.weight_share(100) < before * 0.3
 
 
-def test_a_warming_up_endpoint_stays_small_where_most_are_ejected_or_warming_up() -> None:
+def test_a_warming_up_endpoint_keeps_a_small_weight_while_most_endpoints_warm_up() -> None:
     listed = make_endpoints(4)
     harness = PolicyHarness(listed=listed)
     harness.run_until(harness.now_us + 5 * SECOND)
@@ -57,7 +57,7 @@
         assert harness.weight_share(endpoint.id) <= warm_up_capacity / 16 * 1.05
 
 
-def test_listed_weights_count_and_an_unlisted_one_is_the_mean() -> None:
+def test_weights_follow_listed_weights_and_a_missing_one_is_the_mean() -> None:
     listed = [
         make_endpoint(1, weight=1.0),
         make_endpoint(2, weight=3.0),
@@ -69,9 +69,11 @@
 
 
 def test_the_shared_table_has_residual_weights_beside_a_class_with_its_own_table() -> None:
-    """A fifth of the requests may only go to half of the endpoints: in all, every endpoint gets the same."""
-    bound = replace(WRITE, allowed_zones=frozenset({"east"}))
-    harness = PolicyHarness(replace(SETTINGS, classes=(READ, bound)), listed=make_endpoints(10))
+    """A fifth of the requests may only go to half of the endpoints, but every endpoint gets the same total."""
+    restricted = replace(WRITE, allowed_zones=frozenset({"east"}))
+    harness = PolicyHarness(
+        replace(SETTINGS, classes=(READ, restricted)), listed=make_endpoints(10)
+    )
     for _ in range(6):
         harness.run_second(make_endpoints(10), demand=(40, 10))
     reads, writes = harness.policy.tables.classes_by_zone["east"][0]
@@ -84,9 +86,11 @@
     assert harness.weight_share(100, reads) < 0.7 * harness.weight_share(101, reads)
 
 
-def test_a_class_that_fills_its_endpoints_leaves_them_a_part_of_the_shared_table() -> None:
-    bound = replace(WRITE, allowed_zones=frozenset({"east"}))
-    harness = PolicyHarness(replace(SETTINGS, classes=(READ, bound)), listed=make_endpoints(10))
+def test_endpoints_saturated_by_their_own_class_keep_a_small_weight_in_the_shared_table() -> None:
+    restricted = replace(WRITE, allowed_zones=frozenset({"east"}))
+    harness = PolicyHarness(
+        replace(SETTINGS, classes=(READ, restricted)), listed=make_endpoints(10)
+    )
     for _ in range(6):
         harness.run_second(make_endpoints(10), demand=(5, 45))
     assert 0 < harness.weight_share(100, 0) < 0.05
