--- a/tests/delivery_simulation.py
+++ b/tests/delivery_simulation.py
@@ -33,7 +33,7 @@
 TableKey = Hashable
 
 
-class RuleBrokenError(AssertionError):
+class LimitExceededError(AssertionError):
     """Raised when the backlog, the message limit or a drain grace period is exceeded."""
 
 
@@ -277,7 +277,7 @@
         while times_us[0] <= now_us - self.settings.message_window_us:
             times_us.popleft()
         if 0 < self.settings.max_messages_per_proxy < len(times_us):
-            raise RuleBrokenError(f"{len(times_us)} messages to proxy {proxy}")
+            raise LimitExceededError(f"{len(times_us)} messages to proxy {proxy}")
 
     # Checks
 
@@ -285,13 +285,13 @@
         """Checks the backlog limit and the drain grace periods.
 
         Raises:
-            RuleBrokenError: The backlog is over its limit, or a proxy may send to a drained endpoint.
+            LimitExceededError: The backlog is over its limit, or a proxy may send to a drained endpoint.
         """
         backlog = sum(message.entries for message in self._queued)
         self.max_backlog_entries = max(self.max_backlog_entries, backlog)
         limit = self.settings.max_backlog_entries
         if backlog > limit:
-            raise RuleBrokenError(f"backlog of {backlog:.0f} entries is over {limit:.0f}")
+            raise LimitExceededError(f"backlog of {backlog:.0f} entries is over {limit:.0f}")
         self._check_drains(now_us)
 
     def _check_drains(self, now_us: int) -> None:
@@ -307,7 +307,7 @@
             reachable = overdue & state.reachable()
             if state.joined_us + grace_us < now_us and reachable:
                 names = sorted(map(str, reachable))[:3]
-                raise RuleBrokenError(
+                raise LimitExceededError(
                     f"proxy {proxy}, joined at {state.joined_us}, may send to {names}"
                 )
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""Tests of the whole program over loopback: it publishes tables, withdraws, restarts and rejects bad settings."""
+"""Tests of the program over loopback: it publishes tables, withdraws endpoints, restarts and rejects bad settings."""
 
 from __future__ import annotations
 
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -324,7 +324,7 @@
 
 
 def test_unconfirmed_entries_leave_with_the_others_of_their_step_or_at_the_delivery_rate() -> None:
-    """Entries that may not be acknowledged must not count until the whole step has left.
+    """Entries without a certain acknowledgement count no longer than the other entries of their step.
 
     18,000 entries to unbound proxies counted until the last of them had left, 9 s later. For 7 s the next withdrawals
     waited for capacity that was free.
@@ -415,7 +415,7 @@
 
 
 def test_late_acknowledgements_do_not_delay_the_backlog_estimate() -> None:
-    """Entries that have left the queue but are not acknowledged yet must not count before later entries."""
+    """Entries that left the queue but are not acknowledged yet must not delay the estimated departure of later ones."""
     tracker = DeliveryTracker(MAX_DELIVERY_US, ENTRIES_PER_US)
     for checkpoint_id in range(10):
         tracker.record_sent(checkpoint_id, checkpoint_id * SECOND, {1: 30.0}, 30.0)
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -140,7 +140,8 @@
     )
     gone = [replace(endpoint, status=type(endpoint.status).GONE) for endpoint in make_endpoints(80)]
     assert len(endpoint_orders(harness.send(list_changes(gone[:2])))) == 2
-    assert endpoint_orders(harness.send(list_changes(gone[2:13]))) == []  # Nine of them would fit
+    # Only nine of them would fit.
+    assert endpoint_orders(harness.send(list_changes(gone[2:13]))) == []
     checkpoint_id = max(a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint))
     out = harness.run_until(harness.now_us + SECOND)
     out += harness.send(*(OrdersAcknowledged(p, checkpoint_id, 300_000) for p in harness.proxies))
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -162,7 +162,7 @@
     assert max(object_counts[1:]) < object_counts[0] + 200
 
 
-def test_work_and_memory_do_not_grow_with_time_served() -> None:
+def test_work_and_memory_do_not_grow_with_running_time() -> None:
     service = Service()
     service.measure(48)
     early_instructions, early_objects = service.measure(48)
--- a/tests/test_inherited_tables.py
+++ b/tests/test_inherited_tables.py
@@ -16,9 +16,8 @@
     make_endpoints,
 )
 
-FAST_ENDPOINT = (
-    100  # Gets three times as many attempts from inherited tables as each other endpoint
-)
+# The endpoint that gets three times as many attempts from inherited tables as each other one.
+FAST_ENDPOINT = 100
 
 
 def join_restarted_controller(
--- a/tests/test_late_joiners.py
+++ b/tests/test_late_joiners.py
@@ -65,7 +65,7 @@
     harness.send(
         list_changes([make_endpoint(k, status=EndpointStatus.GONE) for k in range(101, 140)])
     )
-    assert harness.policy.withdrawals.draining  # Waits for capacity in the delivery queue
+    assert harness.policy.withdrawals.draining  # It waits for capacity in the delivery queue
     assert not actions_of_type(harness.send(ProxyJoined(66, "east", 10.0, False)), BindProxy)
     steps = [
         harness.send(
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -110,6 +110,5 @@
         if k >= 25:
             min_admission_ratio = min(min_admission_ratio, harness.admission_ratios[0])
     assert harness.weight_share(100) < harness.weight_share(101)
-    assert (
-        min_admission_ratio > 0.8
-    )  # Response times here do not depend on how many reads the saturated zone gets
+    # Response times here do not depend on how many reads the saturated zone gets.
+    assert min_admission_ratio > 0.8
--- a/tests/test_reconnect_storms.py
+++ b/tests/test_reconnect_storms.py
@@ -27,9 +27,9 @@
     DeliveryHarness,
     DeliverySimulation,
     LimitAdmission,
+    LimitExceededError,
     Order,
     Restore,
-    RuleBrokenError,
     SetEntry,
     Synchronise,
     Withdraw,
@@ -69,7 +69,7 @@
     and are opened again.
 
     Raises:
-        RuleBrokenError: The backlog is over its limit, or a proxy may send to a drained endpoint.
+        LimitExceededError: A limit is exceeded, or a proxy may send to a drained endpoint.
     """
     harness = DeliveryHarness(policy_factory, RECONNECT_STORM, ENDPOINTS)
     gone = random.Random(seed).sample([endpoint.id for endpoint in ENDPOINTS], 90)
@@ -147,7 +147,7 @@
     disable_safeguard: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     disable_safeguard(monkeypatch)
-    with pytest.raises(RuleBrokenError):
+    with pytest.raises(LimitExceededError):
         run_policy_takeover(1, UnboundedTables)
 
 
@@ -266,7 +266,7 @@
     """Lets most proxies move to this controller while endpoints drain.
 
     Raises:
-        RuleBrokenError: The backlog is over its limit, or a proxy may send to a drained endpoint.
+        LimitExceededError: A limit is exceeded, or a proxy may send to a drained endpoint.
     """
     harness.join(range(320), True, 1)
     harness.run(3_000)
@@ -300,6 +300,6 @@
 ) -> None:
     ignore_late_joiners(monkeypatch)
     harness = ControllerHarness(0, UnboundedTables)
-    with pytest.raises(RuleBrokenError):
+    with pytest.raises(LimitExceededError):
         run_controller_takeover(harness)
     harness.bench.close()
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -247,7 +247,7 @@
 
 
 def test_traffic_of_zones_is_estimated_from_all_proxies_that_ever_joined() -> None:
-    """After four in five streams broke, tables by the proxies left sent requests to other zones without need."""
+    """After four in five streams broke, tables for the remaining proxies sent requests to other zones without need."""
     harness = harness_with_proxies(60, 60)
     before = {
         zone: sum(request_shares(harness, zone)[endpoint.id] for endpoint in ENDPOINTS[:6])
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -13,7 +13,7 @@
 from kelpcourse.policy.draining import Withdrawals
 from kelpcourse.policy.events import EndpointStatus, ProxyJoined
 from kelpcourse.policy.settings import EndpointId, Settings
-from tests.delivery_simulation import DeliveryHarness, RuleBrokenError
+from tests.delivery_simulation import DeliveryHarness, LimitExceededError
 from tests.fleet import (
     SECOND,
     SETTINGS,
@@ -51,7 +51,7 @@
     """Replaces six in ten endpoints within 7 s while proxies of other controllers join.
 
     Raises:
-        RuleBrokenError: The backlog is over its limit, or a proxy may send to a drained endpoint.
+        LimitExceededError: A limit is exceeded, or a proxy may send to a drained endpoint.
     """
     harness = DeliveryHarness(policy_factory, ROLLING_RESTART, ENDPOINTS)
     harness.step(full_list(ENDPOINTS))
@@ -93,7 +93,7 @@
     Their proxies, which have all endpoints in their tables and were not notified, join this controller within a second.
 
     Raises:
-        RuleBrokenError: The backlog is over its limit, or a proxy may send to a drained endpoint.
+        LimitExceededError: A limit is exceeded, or a proxy may send to a drained endpoint.
     """
     harness = DeliveryHarness(policy_factory, ROLLING_RESTART, ENDPOINTS)
     harness.step(full_list(ENDPOINTS))
@@ -115,7 +115,7 @@
     the drain grace period of 4 s was exceeded 1,482 times.
     """
     assert not run_takeover(RoutingPolicy).policy.bindings.unbound_since_us
-    with pytest.raises(RuleBrokenError):
+    with pytest.raises(LimitExceededError):
         run_takeover(UnboundedTables)
 
 
@@ -142,7 +142,7 @@
     ]
 
 
-def restarts_after_a_gap() -> DeliveryHarness:
+def restart_after_event_stream_gap() -> DeliveryHarness:
     """Returns a harness in which 60 endpoints have restarted at once after a gap of the event stream.
 
     After the gap all proxies are reported as joined again.
@@ -167,7 +167,7 @@
     After a gap of 6 s, 167 entries of the next table update went to 40 such proxies without being counted, and 6,939
     entries were queued, where the limit is 5,800.
     """
-    harness = restarts_after_a_gap()
+    harness = restart_after_event_stream_gap()
     harness.run(20)
     assert not harness.policy.bindings.unbound_since_us
     assert not harness.policy.bindings.possibly_stale
@@ -195,11 +195,11 @@
     batch.order_endpoint(WithdrawEndpoint(endpoint))
 
 
-def test_the_independent_count_finds_entries_left_in_tables(
+def test_the_simulation_detects_entries_left_in_tables(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Withdrawals, "withdraw", withdraw_without_entries)
-    with pytest.raises(RuleBrokenError):
+    with pytest.raises(LimitExceededError):
         run_release(UnboundedTables)
 
 
@@ -209,7 +209,7 @@
     They were ordered whenever one more entry fitted, each in a message of its own. All twelve messages that a proxy may
     be sent within 10 s were used within 1 s, and endpoints that drained then were not withdrawn for 8 s.
     """
-    harness = restarts_after_a_gap()
+    harness = restart_after_event_stream_gap()
     for version, first in enumerate((60, 70), 3):
         harness.run(1.5)
         harness.step(list_changes(harness.drain(endpoint_ids(first, 10)), version))
