--- a/tests/recording.py
+++ b/tests/recording.py
@@ -468,18 +468,18 @@
 THREE_CLASSES = (READ, WRITE, BATCH)
 
 CHURN = {"join": 0.03, "leave": 0.03, "rejoin_unseen": 0.01}
-ROLLING = {"drain": 0.03, "restart": 0.04}
+ROLLING_RESTART = {"drain": 0.03, "restart": 0.04}
 FAULTS = {"outlier": 0.02, "heal": 0.01}
 
 SEQUENCES = (
     Sequence("calm", 1, FLEET, 24, {**CHURN, "reweigh": 0.02}),
-    Sequence("rolling_restart", 2, FLEET, 30, {**ROLLING, "grow": 0.01}),
+    Sequence("rolling_restart", 2, FLEET, 30, {**ROLLING_RESTART, "grow": 0.01}),
     Sequence(
         "reconnect_storms",
         3,
         replace(FLEET, proxy_count=90),
         40,
-        {**ROLLING, "reconnect_storm": 0.02, "join": 0.05, "leave": 0.02},
+        {**ROLLING_RESTART, "reconnect_storm": 0.02, "join": 0.05, "leave": 0.02},
         no_table_probability=0.2,
         initial_proxy_fraction=0.7,
     ),
@@ -524,7 +524,7 @@
             FLEET, proxy_count=80, min_endpoint_connections=30.0, zones=ZONES, classes=THREE_CLASSES
         ),
         60,
-        {**CHURN, **ROLLING, "reconnect_storm": 0.003, "relist": 0.005, "overload": 0.005},
+        {**CHURN, **ROLLING_RESTART, "reconnect_storm": 0.003, "relist": 0.005, "overload": 0.005},
         request_rate_per_proxy=6.0,
     ),
     Sequence(
@@ -538,7 +538,7 @@
             classes=(READ, ZONE_BOUND, WRITE),
         ),
         60,
-        {**CHURN, **ROLLING, **FAULTS},
+        {**CHURN, **ROLLING_RESTART, **FAULTS},
         report_parts=4,
     ),
     Sequence(
@@ -546,7 +546,7 @@
         11,
         replace(FLEET, zones=ZONES, classes=(READ, EAST_ONLY, BIG_ONLY, ZONE_BOUND)),
         36,
-        {**ROLLING, "grow": 0.02, "overload": 0.01},
+        {**ROLLING_RESTART, "grow": 0.02, "overload": 0.01},
         request_rate_per_proxy=8.0,
     ),
     Sequence(
@@ -560,7 +560,7 @@
             controller_count=5,
         ),
         24,
-        {"list_unavailable": 0.03, "relist": 0.02, **ROLLING},
+        {"list_unavailable": 0.03, "relist": 0.02, **ROLLING_RESTART},
         first_list_kind="restored",
         no_table_probability=0.3,
     ),
@@ -569,7 +569,7 @@
         13,
         replace(FLEET, proxy_count=50),
         30,
-        {"call_lost": 0.2, **ROLLING, **CHURN},
+        {"call_lost": 0.2, **ROLLING_RESTART, **CHURN},
         acknowledgement_probability=0.8,
     ),
     Sequence(
@@ -577,7 +577,7 @@
         14,
         SMALL_DELIVERY_QUEUE,
         30,
-        {**ROLLING, **CHURN, "silence": 0.01, "call_lost": 0.1, "reconnect_storm": 0.004},
+        {**ROLLING_RESTART, **CHURN, "silence": 0.01, "call_lost": 0.1, "reconnect_storm": 0.004},
         acknowledgement_probability=0.9,
         steps=600,
     ),
@@ -586,7 +586,7 @@
         15,
         replace(FLEET, max_messages_per_proxy=12),
         30,
-        {**ROLLING, **CHURN, "outlier": 0.02, "overload": 0.01},
+        {**ROLLING_RESTART, **CHURN, "outlier": 0.02, "overload": 0.01},
     ),
     Sequence(
         "drains_at_once",
@@ -648,7 +648,9 @@
         report_parts=4,
         request_rate_per_proxy=2.0,
     ),
-    Sequence("slices", 19, replace(FLEET, slice_count=4), 20, {**ROLLING, **CHURN}, steps=120),
+    Sequence(
+        "slices", 19, replace(FLEET, slice_count=4), 20, {**ROLLING_RESTART, **CHURN}, steps=120
+    ),
     Sequence(
         "empty_start",
         20,
--- a/tests/test_binding_orders.py
+++ b/tests/test_binding_orders.py
@@ -89,9 +89,9 @@
     bound = [b.proxy for _, b in harness.log if isinstance(b, BindProxy)]
     checkpoint_id = max(a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint))
     harness.run_until(harness.now_us + 3 * SECOND)
-    out = harness.send(*(OrdersAcknowledged(p, checkpoint_id, 300_000) for p in bound))
-    assert actions_of_type(out, BindProxy)
-    assert not actions_of_type(out, SetWeight)
+    actions = harness.send(*(OrdersAcknowledged(p, checkpoint_id, 300_000) for p in bound))
+    assert actions_of_type(actions, BindProxy)
+    assert not actions_of_type(actions, SetWeight)
 
 
 def test_a_table_over_the_limit_for_bindings_is_bound_to_one_proxy_at_a_time() -> None:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -28,12 +28,12 @@
     run_steadily(harness)
     for _ in range(3):
         harness.run_second(make_endpoints(10), mean_time_us=700_000, demand=(80, 20))
-    low = harness.admission_ratios[0]
+    low_ratio = harness.admission_ratios[0]
     more = make_endpoints(20)
     harness.send(list_changes(more))
     harness.run_second(more, mean_time_us=300_000, demand=(80, 20))
     harness.run_second(more, mean_time_us=300_000, demand=(80, 20))
-    assert harness.admission_ratios[0] > low + 0.2
+    assert harness.admission_ratios[0] > low_ratio + 0.2
 
 
 def test_the_estimate_grows_only_when_completed_requests_are_close_to_it() -> None:
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -226,8 +226,8 @@
         harness.send(list_changes([make_endpoint(100, status=EndpointStatus.GONE)]))
     )
     bound = [a.proxy for _, a in harness.log if isinstance(a, BindProxy)]
-    out = harness.send(*(OrdersAcknowledged(p, checkpoint_id, 1) for p in bound))
-    assert len(actions_of_type(out, ResendOrders)) == 1
+    actions = harness.send(*(OrdersAcknowledged(p, checkpoint_id, 1) for p in bound))
+    assert len(actions_of_type(actions, ResendOrders)) == 1
     assert harness.policy.delivery.backlog_entries(harness.now_us) <= 4000
 
 
@@ -240,20 +240,23 @@
     harness = PolicyHarness(
         settings=settings, listed=make_endpoints(80), proxies=70, acknowledges=False
     )
-    gone = [make_endpoint(h.id, h.zone, EndpointStatus.GONE) for h in make_endpoints(80)[:30]]
+    gone = [
+        make_endpoint(endpoint.id, endpoint.zone, EndpointStatus.GONE)
+        for endpoint in make_endpoints(80)[:30]
+    ]
     harness.send(list_changes(gone))
     for k in range(20):
         checkpoint_id = max(a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint))
         bound_proxies = sorted({b.proxy for _, b in harness.log if isinstance(b, BindProxy)})
-        out = harness.run_until(harness.now_us + SECOND // 2)
-        out += harness.send(
+        actions = harness.run_until(harness.now_us + SECOND // 2)
+        actions += harness.send(
             *(
                 OrdersAcknowledged(p, checkpoint_id, 300_000)
                 for p in bound_proxies[4 * k : 4 * k + 4]
             )
         )
         if sum(isinstance(a, WithdrawEndpoint | RestoreEndpoint) for _, a in harness.log) < 30:
-            assert not actions_of_type(out, BindProxy)
+            assert not actions_of_type(actions, BindProxy)
     assert sum(isinstance(a, WithdrawEndpoint | RestoreEndpoint) for _, a in harness.log) == 30
 
 
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -86,8 +86,10 @@
     run_with_changing_weight(harness, 12, left)
     assert [action for _, action in harness.log].count(RestoreEndpoint(100)) == 1
     assert 100 not in harness.tables[0]
-    drains = harness.send(list_changes([make_endpoint(100, status=EndpointStatus.DRAINING)], 3))
-    assert endpoint_orders(drains) == [WithdrawEndpoint(100)]
+    drain_actions = harness.send(
+        list_changes([make_endpoint(100, status=EndpointStatus.DRAINING)], 3)
+    )
+    assert endpoint_orders(drain_actions) == [WithdrawEndpoint(100)]
     run_with_changing_weight(harness, FORGET_AFTER_US // SECOND + 12, left)
     harness.send(list_changes([make_endpoint(100, started_us=harness.now_us)], 4))
     run_with_changing_weight(harness, 3, left)
@@ -143,9 +145,13 @@
     # Only nine of them would fit.
     assert endpoint_orders(harness.send(list_changes(gone[2:13]))) == []
     checkpoint_id = max(a.checkpoint_id for _, a in harness.log if isinstance(a, Checkpoint))
-    out = harness.run_until(harness.now_us + SECOND)
-    out += harness.send(*(OrdersAcknowledged(p, checkpoint_id, 300_000) for p in harness.proxies))
-    assert {a.endpoint for a in endpoint_orders(out)} == {endpoint.id for endpoint in gone[2:13]}
+    actions = harness.run_until(harness.now_us + SECOND)
+    actions += harness.send(
+        *(OrdersAcknowledged(p, checkpoint_id, 300_000) for p in harness.proxies)
+    )
+    assert {a.endpoint for a in endpoint_orders(actions)} == {
+        endpoint.id for endpoint in gone[2:13]
+    }
 
 
 def test_a_delivery_queue_too_small_for_several_withdrawals_receives_those_that_fit() -> None:
--- a/tests/test_late_joiners.py
+++ b/tests/test_late_joiners.py
@@ -54,8 +54,8 @@
     After four in five controllers had failed, one of the proxies that joined 0.3 s after a withdrawal was bound 14 s
     later, after all others, and sent to the endpoint until then.
     """
-    harness, out = join_after_withdrawal(66, 2)
-    assert {b.proxy for b in actions_of_type(out, BindProxy)} == {66, 67}
+    harness, actions = join_after_withdrawal(66, 2)
+    assert {b.proxy for b in actions_of_type(actions, BindProxy)} == {66, 67}
     assert 0 < len(harness.policy.bindings.unbound_since_us) < 66
 
 
@@ -89,8 +89,8 @@
     1,250 proxies of failed controllers had 13.4 s to stop sending to 30 endpoints that had been withdrawn before. At 40
     entries a binding the delivery queue takes 15 s for them, and 105 attempts reached these endpoints.
     """
-    harness, out = join_after_withdrawal(10, 60)
-    assert not endpoint_orders(out)
+    harness, actions = join_after_withdrawal(10, 60)
+    assert not endpoint_orders(actions)
     repeated_and_new = endpoint_orders(
         harness.send(list_changes([make_endpoint(101, status=EndpointStatus.GONE)]))
     )
@@ -105,8 +105,8 @@
 
 def test_a_withdrawal_is_repeated_in_time_for_many_late_joiners_if_no_other_follows() -> None:
     harness, _ = join_after_withdrawal(10, 60)
-    out = harness.run_until(harness.now_us + 2 * SECOND)
-    assert not endpoint_orders(out)
+    actions = harness.run_until(harness.now_us + 2 * SECOND)
+    assert not endpoint_orders(actions)
     assert WithdrawEndpoint(100) in harness.run_until(harness.now_us + 3 * SECOND)
     assert not endpoint_orders(harness.run_until(harness.now_us + 5 * SECOND))
 
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -45,7 +45,9 @@
     # The first checkpoint had no recipient.
     sent_us = [t for t, a in harness.log if isinstance(a, Checkpoint)][1:]
     assert len(sent_us) > 12
-    assert all(len([t for t in sent_us if now - 10 * SECOND < t <= now]) <= 12 for now in sent_us)
+    assert all(
+        len([t for t in sent_us if now_us - 10 * SECOND < t <= now_us]) <= 12 for now_us in sent_us
+    )
 
 
 def test_messages_that_waited_for_the_relay_count_from_when_it_accepted_them() -> None:
@@ -54,12 +56,12 @@
     accepted_us: list[int] = []
     pending: list[tuple[int, int]] = []  # When the relay accepts it, and the checkpoint
     for k in range(150):
-        out = harness.run_until(harness.now_us + SECOND // 5)
+        actions = harness.run_until(harness.now_us + SECOND // 5)
         due = [(at, checkpoint_id) for at, checkpoint_id in pending if at <= harness.now_us]
         pending = [w for w in pending if w not in due]
         accepted_us += [harness.now_us for _ in due]
         state = EndpointStatus.DRAINING if k % 2 else EndpointStatus.READY
-        out += harness.send(
+        actions += harness.send(
             *(OrdersAccepted(checkpoint_id) for _, checkpoint_id in due),
             list_changes([make_endpoint(100 + k % 10, status=state, started_us=harness.now_us)]),
         )
@@ -67,12 +69,13 @@
         reachable_us = harness.now_us + SECOND - k % 60 * SECOND // 5
         pending += [
             (max(harness.now_us, reachable_us), a.checkpoint_id)
-            for a in actions_of_type(out, Checkpoint)
+            for a in actions_of_type(actions, Checkpoint)
         ]
     assert len(accepted_us) > 24
     accepted_us = accepted_us[1:]  # The first checkpoint had no recipient
     assert all(
-        len([t for t in accepted_us if now - 10 * SECOND < t <= now]) <= 12 for now in accepted_us
+        len([t for t in accepted_us if now_us - 10 * SECOND < t <= now_us]) <= 12
+        for now_us in accepted_us
     )
 
 
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -143,9 +143,9 @@
             holders[table] += 1
     holding_tables = {table for table, at in harness.tables.items() if 103 in at}
     entries = dict.fromkeys(harness.tables, 0)
-    out = harness.send(list_changes([make_endpoint(103, "east", EndpointStatus.GONE)]))
-    assert WithdrawEndpoint(103) in out
-    for action in out:
+    actions = harness.send(list_changes([make_endpoint(103, "east", EndpointStatus.GONE)]))
+    assert WithdrawEndpoint(103) in actions
+    for action in actions:
         if isinstance(action, SetWeight):
             entries[action.table] += 1
             holding_tables -= {action.table} if action.endpoint == 103 else set()
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -123,13 +123,15 @@
     """A repeated withdrawal of an endpoint that is still in a table costs an entry at each proxy bound to the table."""
     harness = PolicyHarness(ROLLING_RESTART, ENDPOINTS, proxies=20, policy_factory=UnboundedTables)
     harness.run_until(harness.now_us + 8 * SECOND)
-    out = harness.send(
+    actions = harness.send(
         list_changes([make_endpoint(n, status=EndpointStatus.GONE) for n in endpoint_ids(0, 10)])
     )
-    assert {a.endpoint for a in actions_of_type(out, SetWeight) if a.weight == 0} == set(
+    assert {a.endpoint for a in actions_of_type(actions, SetWeight) if a.weight == 0} == set(
+        endpoint_ids(0, 10)
+    )
+    assert {a.endpoint for a in actions_of_type(actions, WithdrawEndpoint)} == set(
         endpoint_ids(0, 10)
     )
-    assert {a.endpoint for a in actions_of_type(out, WithdrawEndpoint)} == set(endpoint_ids(0, 10))
     assert not harness.tables[0].keys() & set(endpoint_ids(0, 10))
     queued_entries = harness.policy.delivery.backlog_entries(harness.now_us)
     assert queued_entries == 20 * (10 + ROLLING_RESTART.message_overhead_entries + 1)
@@ -178,12 +180,12 @@
     harness = PolicyHarness(ROLLING_RESTART, ENDPOINTS, proxies=3, policy_factory=UnboundedTables)
     harness.run_until(harness.now_us + 8 * SECOND)
     harness.send(ProxyJoined(1, "east", 10.0, False))
-    out = [a for _, a in harness.log] + harness.run_until(harness.now_us + 2 * SECOND)
-    assert [type(a).__name__ for a in out].count("BindProxy") == 4
+    actions = [a for _, a in harness.log] + harness.run_until(harness.now_us + 2 * SECOND)
+    assert [type(a).__name__ for a in actions].count("BindProxy") == 4
     assert not harness.policy.bindings.unbound_since_us
     assert not harness.policy.bindings.possibly_stale
     assert list(harness.policy.tables.holders[0]) == [0, 2, 1]
-    assert actions_of_type(out, Checkpoint)
+    assert actions_of_type(actions, Checkpoint)
 
 
 def withdraw_without_entries(
