--- a/tests/relay_service.py
+++ b/tests/relay_service.py
@@ -1,4 +1,4 @@
-"""A scripted relay on the test's loop that accepts, refuses, breaks off or stays silent."""
+"""A scripted relay on the test's loop that accepts or rejects calls, closes connections or does not respond."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class Relay:
-    """Answers calls by a script; after that it accepts everything."""
+    """Responds to calls according to a script, and accepts all calls after its end."""
 
     def __init__(self, bench: Bench, *script: Callable[[Caller, int], Coroutine[None]]) -> None:
         self.calls: list[list[dict[str, object]]] = []
         self.script = list(script)
-        self.closed_count = 0  # connections that the client closed
+        self.closed_count = 0  # number of connections that the client closed
         self.stand_in = StandIn(bench.loop, self._serve)
 
     def _serve(self, caller: Caller) -> Coroutine[None]:
@@ -60,16 +60,16 @@
     yield from caller.answer(400, b'{"error":"ValidationError"}')
 
 
-def say_nothing(caller: Caller, _: int) -> Coroutine[None]:
+def never_respond(caller: Caller, _: int) -> Coroutine[None]:
     yield from caller.silence()
 
 
-def break_off(caller: Caller, _: int) -> Coroutine[None]:
+def reset_connection(caller: Caller, _: int) -> Coroutine[None]:
     caller.reset()
     yield from ()
 
 
-def half_an_answer(caller: Caller, _: int) -> Coroutine[None]:
+def truncated_response(caller: Caller, _: int) -> Coroutine[None]:
     yield from caller.stream.send(b'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{"ok_c', 1 << 60)
     caller.stream.close()
 
@@ -89,9 +89,9 @@
 
 
 def start_calls(bench: Bench, relay: Relay, order_queue: OrderQueue) -> Signal:
-    orders_waiting = Signal()
+    orders_queued = Signal()
     bench.loop.start(
         "calls",
-        RelayCalls(bench.runtime, relay.stand_in.address, order_queue, orders_waiting).run(),
+        RelayCalls(bench.runtime, relay.stand_in.address, order_queue, orders_queued).run(),
     )
-    return orders_waiting
+    return orders_queued
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the outside systems, written from the protocol page, on the test's own loop."""
+"""A controller's runtime on a fake clock, with a scripted policy, and messages as the protocol page specifies them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.fleet import SETTINGS
 
 MS = 1000
-QUICK = replace(
+FAST_LIMITS = replace(
     Limits(),
     step_batching_us=2 * MS,
     connect_timeout_us=60 * MS,
@@ -40,9 +40,12 @@
     accept_retry_us=5 * MS,
     bind_retry_us=5 * MS,
 )
-HASTY = replace(
-    QUICK, handshake_timeout_us=40 * MS, ping_client_idle_us=80 * MS, collector_idle_us=160 * MS
-)  # to test silence
+SHORT_IDLE_LIMITS = replace(
+    FAST_LIMITS,
+    handshake_timeout_us=40 * MS,
+    ping_client_idle_us=80 * MS,
+    collector_idle_us=160 * MS,
+)  # for tests of idle timeouts
 
 
 class FakeClock:
@@ -54,7 +57,7 @@
 
 
 class RecordingLog:
-    """A log that keeps its lines."""
+    """A log that records its events."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, object]]] = []
@@ -69,17 +72,17 @@
 
 
 class ScriptedPolicy:
-    """A policy that keeps the events of each step and answers with the actions laid ready."""
+    """A policy that records the events of each step and returns prepared actions."""
 
     def __init__(self, _: Settings) -> None:
         self.steps: list[list[Event]] = []
-        self.ready: list[list[Action]] = []
-        self.resends = True  # orders of unknown outcome may be resent immediately
+        self.scripted_actions: list[list[Action]] = []
+        self.allows_resend = True  # whether orders of unknown outcome may be resent immediately
 
     def step(self, _now_us: int, events: Sequence[Event]) -> list[Action]:
         self.steps.append(list(events))
-        actions = self.ready.pop(0) if self.ready else []
-        if not self.resends:
+        actions = self.scripted_actions.pop(0) if self.scripted_actions else []
+        if not self.allows_resend:
             return list(actions)
         unknown = [event for event in events if isinstance(event, OrdersOutcomeUnknown)]
         return [*actions, *(ResendOrders() for _ in unknown)]
@@ -90,9 +93,9 @@
 
 
 class Bench:
-    """The runtime of a controller on a fake clock: time passes only while no byte is in transit."""
+    """The runtime of a controller on a fake clock, which advances only in rounds that wake no task."""
 
-    def __init__(self, limits: Limits = QUICK, settings: Settings = SETTINGS) -> None:
+    def __init__(self, limits: Limits = FAST_LIMITS, settings: Settings = SETTINGS) -> None:
         self.clock = FakeClock()
         self.log = RecordingLog()
         self.unexpected_errors: list[Exception] = []
@@ -108,7 +111,7 @@
                 return
             self.turn()
         raise AssertionError(
-            f"did not come about; log: {self.log.lines[-5:]}, unexpected errors: {self.unexpected_errors}"
+            f"condition not met; log: {self.log.lines[-5:]}, unexpected errors: {self.unexpected_errors}"
         )
 
     def turn(self) -> None:
@@ -121,8 +124,8 @@
         self.until(lambda: self.clock.now >= until_us)
 
     def order_checkpoints(self, *checkpoint_ids: int) -> None:
-        """Lets the policy order these checkpoints."""
-        self.policy.ready.append([Checkpoint(each, False) for each in checkpoint_ids])
+        """Makes the policy order these checkpoints."""
+        self.policy.scripted_actions.append([Checkpoint(each, False) for each in checkpoint_ids])
         self.facade.start(self.clock.now)
         self.facade.pick()
 
@@ -139,7 +142,7 @@
 
 
 def entry(
-    name: str, phase: str = "ready", address: Address = ("127.0.0.1", 9), since: float = 0
+    name: str, phase: str = "ready", address: Address = ("127.0.0.1", 9), up_since_ms: float = 0
 ) -> dict[str, object]:
     return {
         "id": name,
@@ -149,18 +152,18 @@
         "cell": 0,
         "phase": phase,
         "size": 1.0,
-        "up_since_ms": since,
+        "up_since_ms": up_since_ms,
     }
 
 
-def listed(version: int, *members: dict[str, object], whole: bool = True) -> bytes:
-    return orjson.dumps({"revision": version, "complete": whole, "members": list(members)})
+def listed(version: int, *members: dict[str, object], complete: bool = True) -> bytes:
+    return orjson.dumps({"revision": version, "complete": complete, "members": list(members)})
 
 
 __all__ = [
-    "HASTY",
+    "FAST_LIMITS",
     "MS",
-    "QUICK",
+    "SHORT_IDLE_LIMITS",
     "Bench",
     "Caller",
     "FakeClock",
--- a/tests/test_discovery_reconnect.py
+++ b/tests/test_discovery_reconnect.py
@@ -1,4 +1,4 @@
-"""The discovery client when the configuration names a new address."""
+"""The discovery client after a change of discovery's address in the configuration."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from kelpcourse.wire.runtime import Backoff
 from tests.discovery_service import (
     DiscoveryService,
-    client_of,
+    discovery_client_for,
     reported_lists,
     reset,
     silent,
     unavailable,
     watch_stream,
 )
-from tests.standins import MS, QUICK, Bench, Caller, entry, listed
+from tests.standins import FAST_LIMITS, MS, Bench, Caller, entry, listed
 
 
 def reconnected(
     bench: Bench, old: DiscoveryService, *new: Callable[[Caller], Coroutine[None]]
 ) -> tuple[DiscoveryClient, DiscoveryService]:
-    discovery = client_of(bench, old)
+    discovery = discovery_client_for(bench, old)
     discovery.watch(True)
     bench.until(lambda: reported_lists(bench))
     other = DiscoveryService(bench, *new)
@@ -35,10 +35,10 @@
 def test_a_watch_reconnects_without_a_gap(bench: Bench) -> None:
     old = DiscoveryService(bench, watch_stream(bench, listed(42, entry("h1")), then_silent=False))
     _, new = reconnected(
-        bench, old, watch_stream(bench, listed(43, entry("h1"), whole=False), then_silent=False)
+        bench, old, watch_stream(bench, listed(43, entry("h1"), complete=False), then_silent=False)
     )
     bench.until(lambda: len(reported_lists(bench)) == 2)
-    bench.pass_us(2 * QUICK.watch_silence_us)
+    bench.pass_us(2 * FAST_LIMITS.watch_silence_us)
     assert [reported.kind for reported in reported_lists(bench)] == [
         EndpointListKind.FULL,
         EndpointListKind.CHANGES,
@@ -47,15 +47,15 @@
     assert bench.counters["discovery_lost"] == 0
 
 
-def test_the_previous_watch_serves_until_the_new_one_answers(bench: Bench) -> None:
-    """Nothing is reported lost while the new address fails at first."""
+def test_previous_watch_is_kept_until_the_new_one_receives_data(bench: Bench) -> None:
+    """No loss is reported while the first connections to the new address fail."""
     old = DiscoveryService(bench, watch_stream(bench, listed(42, entry("h1")), then_silent=False))
     _, new = reconnected(
         bench,
         old,
         unavailable,
         reset,
-        watch_stream(bench, listed(43, entry("h2"), whole=False), then_silent=False),
+        watch_stream(bench, listed(43, entry("h2"), complete=False), then_silent=False),
     )
     bench.until(lambda: len(reported_lists(bench)) == 2)
     assert len(new.targets) == 3
@@ -77,8 +77,8 @@
 
 
 def test_retries_at_a_new_address_that_is_down_back_off_and_spread() -> None:
-    """A new configuration moves all controllers together: 230 of them at ten attempts a second made 2,300."""
-    limits = replace(QUICK, watch_retry_us=800 * MS)
+    """A new configuration reconnects all controllers at once: 230 with ten attempts a second each made 2,300."""
+    limits = replace(FAST_LIMITS, watch_retry_us=800 * MS)
     one, other = Backoff(limits, limits.watch_retry_us), Backoff(limits, limits.watch_retry_us, 0.5)
     waits = [(one.next_us(), other.next_us()) for _ in range(12)]
     assert waits[-1] == (800 * MS, 1_200 * MS)
@@ -94,26 +94,26 @@
     bench.close()
 
 
-def test_reconnects_close_together_end_at_the_newest_address(bench: Bench) -> None:
+def test_rapid_reconnects_end_at_the_newest_address(bench: Bench) -> None:
     old = DiscoveryService(bench, watch_stream(bench, listed(42, entry("h1")), then_silent=False))
     discovery, between = reconnected(bench, old, silent)
     bench.until(lambda: between.targets)
     last = DiscoveryService(
-        bench, watch_stream(bench, listed(43, entry("h1"), whole=False), then_silent=False)
+        bench, watch_stream(bench, listed(43, entry("h1"), complete=False), then_silent=False)
     )
     discovery.reconnect_to(last.stand_in.address)
     bench.until(lambda: len(reported_lists(bench)) == 2)
-    bench.pass_us(2 * QUICK.watch_silence_us)
+    bench.pass_us(2 * FAST_LIMITS.watch_silence_us)
     assert [reported.version for reported in reported_lists(bench)] == [42, 43]
 
 
-def test_previous_and_new_watch_each_keep_their_own_order(bench: Bench) -> None:
-    """With one version for both, what the previous watch sent made the new one's first line look like a gap."""
+def test_previous_and_new_watch_track_separate_versions(bench: Bench) -> None:
+    """With one version for both, a line of the previous watch made the new one's first line look like a gap."""
     pending_lines: list[bytes] = []
 
     def previous(caller: Caller) -> Coroutine[None]:
         yield from caller.open_body()
-        yield from caller.line(listed(42, entry("a"), whole=False))
+        yield from caller.line(listed(42, entry("a"), complete=False))
         while not pending_lines:
             yield Wait(bench.clock() + MS)
         yield from caller.line(pending_lines.pop(0))
@@ -121,15 +121,15 @@
 
     def reconnected(caller: Caller) -> Coroutine[None]:
         yield from caller.open_body()
-        pending_lines.append(listed(43, entry("a", "draining"), whole=False))
+        pending_lines.append(listed(43, entry("a", "draining"), complete=False))
         while len(reported_lists(bench)) < 2:
             yield Wait(bench.clock() + MS)
-        yield from caller.line(listed(43, entry("a", "draining"), whole=False))
-        yield from caller.line(listed(44, entry("b"), whole=False))
+        yield from caller.line(listed(43, entry("a", "draining"), complete=False))
+        yield from caller.line(listed(44, entry("b"), complete=False))
         yield from caller.silence()
 
     old, new = DiscoveryService(bench, previous), DiscoveryService(bench, reconnected)
-    discovery = client_of(bench, old)
+    discovery = discovery_client_for(bench, old)
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 1)
     discovery.reconnect_to(new.stand_in.address)
@@ -138,22 +138,25 @@
     assert len(new.targets) == 1
 
 
-def test_reconnecting_there_and_back_leaves_one_watch(bench: Bench) -> None:
+def test_reconnecting_to_another_address_and_back_leaves_one_watch(bench: Bench) -> None:
     first = DiscoveryService(
         bench,
-        watch_stream(bench, listed(42, entry("a"), whole=False)),
+        watch_stream(bench, listed(42, entry("a"), complete=False)),
         watch_stream(
-            bench, listed(42, whole=False), listed(43, entry("b"), whole=False), then_silent=False
+            bench,
+            listed(42, complete=False),
+            listed(43, entry("b"), complete=False),
+            then_silent=False,
         ),
     )
     other = DiscoveryService(bench, silent)
-    discovery = client_of(bench, first)
+    discovery = discovery_client_for(bench, first)
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 1)
     discovery.reconnect_to(other.stand_in.address)
     bench.until(lambda: other.targets)
     discovery.reconnect_to(first.stand_in.address)
     bench.until(lambda: any(reported.version == 43 for reported in reported_lists(bench)))
-    bench.pass_us(3 * QUICK.list_timeout_us)
+    bench.pass_us(3 * FAST_LIMITS.list_timeout_us)
     assert EndpointListKind.UNAVAILABLE not in {reported.kind for reported in reported_lists(bench)}
     assert (len(first.targets), len(other.targets)) == (2, 1)
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -12,7 +12,7 @@
     SetWeight,
     WithdrawEndpoint,
 )
-from kelpcourse.policy.draining import FORGET_AFTER_US
+from kelpcourse.policy.draining import WITHDRAWAL_RETENTION_US
 from kelpcourse.policy.events import (
     Endpoint,
     EndpointList,
@@ -81,7 +81,7 @@
     harness = PolicyHarness(listed=make_endpoints(6))
     left = make_endpoints(6)[1:]
     harness.send(list_changes([make_endpoint(100, status=EndpointStatus.GONE)]))
-    run_with_changing_weight(harness, FORGET_AFTER_US // SECOND - 1, left)
+    run_with_changing_weight(harness, WITHDRAWAL_RETENTION_US // SECOND - 1, left)
     assert RestoreEndpoint(100) not in [action for _, action in harness.log]
     run_with_changing_weight(harness, 12, left)
     assert [action for _, action in harness.log].count(RestoreEndpoint(100)) == 1
@@ -90,7 +90,7 @@
         list_changes([make_endpoint(100, status=EndpointStatus.DRAINING)], 3)
     )
     assert endpoint_orders(drain_actions) == [WithdrawEndpoint(100)]
-    run_with_changing_weight(harness, FORGET_AFTER_US // SECOND + 12, left)
+    run_with_changing_weight(harness, WITHDRAWAL_RETENTION_US // SECOND + 12, left)
     harness.send(list_changes([make_endpoint(100, started_us=harness.now_us)], 4))
     run_with_changing_weight(harness, 3, left)
     assert 0 < harness.weight_share(100) < 0.5 / 6  # It is warming up
@@ -102,7 +102,7 @@
     )
     harness.send(list_changes([make_endpoint(100, status=EndpointStatus.GONE)]))
     assert harness.policy.bindings.unbound_since_us
-    run_with_changing_weight(harness, FORGET_AFTER_US // SECOND + 12, make_endpoints(6)[1:])
+    run_with_changing_weight(harness, WITHDRAWAL_RETENTION_US // SECOND + 12, make_endpoints(6)[1:])
     assert RestoreEndpoint(100) not in [action for _, action in harness.log]
 
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -10,13 +10,13 @@
 from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.orders import Checkpoint, Order, RestoreEndpoint, SetWeight, WithdrawEndpoint
 from kelpcourse.memory.proxies import Applied, Joined, Left, ProxyEvent, ProxyRegistry
-from kelpcourse.policy.draining import FORGET_AFTER_US
+from kelpcourse.policy.draining import WITHDRAWAL_RETENTION_US
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.wire.buffers import ReadBuffer
 from kelpcourse.wire.report_codec import DemandReportMessage, EndpointReportMessage, decode_line
 from tests.fleet import SECOND, SETTINGS
-from tests.standins import QUICK, member
-from tests.test_work import steps
+from tests.standins import FAST_LIMITS, member
+from tests.test_work import executed_instructions
 
 ENDPOINT_COUNT = 10
 PROXY_COUNT = 8
@@ -39,10 +39,14 @@
 
     def __init__(self) -> None:
         settings = replace(SETTINGS, proxy_count=PROXY_COUNT)
-        self.facade = Facade(settings, 7, QUICK)
-        self.order_queue = OrderQueue(QUICK.max_queued_orders, QUICK.max_superseded_checkpoints)
-        self.proxies = ProxyRegistry(QUICK.max_buffered_events, QUICK.event_stream_overlap_us)
-        self.buffer = ReadBuffer(QUICK.initial_read_buffer_bytes, QUICK.max_line_bytes)
+        self.facade = Facade(settings, 7, FAST_LIMITS)
+        self.order_queue = OrderQueue(
+            FAST_LIMITS.max_queued_orders, FAST_LIMITS.max_superseded_checkpoints
+        )
+        self.proxies = ProxyRegistry(
+            FAST_LIMITS.max_buffered_events, FAST_LIMITS.event_stream_overlap_us
+        )
+        self.buffer = ReadBuffer(FAST_LIMITS.initial_read_buffer_bytes, FAST_LIMITS.max_line_bytes)
         self.now_us = 50 * SECOND
         self.second = 0
         self.version = 1
@@ -66,7 +70,7 @@
                 case Joined(proxy, zone, request_rate_per_s, has_no_table):
                     self.facade.report_proxy_joined(proxy, zone, request_rate_per_s, has_no_table)
                 case Left(proxy):
-                    self.order_queue.forget_proxy(proxy)
+                    self.order_queue.drop_bindings(proxy)
                     self.facade.report_proxy_left(proxy)
                 case Applied(proxy, checkpoint_id, lag_ms):
                     for covered in self.order_queue.covered_checkpoints(checkpoint_id):
@@ -94,7 +98,7 @@
         self.buffer.append(self.report_lines())
         for line in self.buffer.lines():
             self.report(line)
-        self.facade.tick(self.now_us - QUICK.step_batching_us)
+        self.facade.tick(self.now_us - FAST_LIMITS.step_batching_us)
         self.facade.tick(self.now_us)
         orders = self.facade.pick().orders
         for order in orders:
@@ -126,7 +130,7 @@
         """Serves for some seconds and returns the number of instructions and of objects in memory afterwards."""
         instructions = 0
         for _ in range(seconds):
-            instructions += steps(self.serve)
+            instructions += executed_instructions(self.serve)
         gc.collect()
         return instructions, len(gc.get_objects())
 
@@ -158,7 +162,7 @@
         gc.collect()
         entries.append(service.binding_entries())
         object_counts.append(len(gc.get_objects()))
-    assert max(entries) < 2 * ENDPOINT_COUNT + FORGET_AFTER_US // SECOND
+    assert max(entries) < 2 * ENDPOINT_COUNT + WITHDRAWAL_RETENTION_US // SECOND
     assert max(object_counts[1:]) < object_counts[0] + 200
 
 
--- a/tests/test_relay_codec.py
+++ b/tests/test_relay_codec.py
@@ -1,4 +1,4 @@
-"""The relay's codec: orders as the protocol shows them, answers and events."""
+"""The relay's codec: orders, responses and events as the protocol specifies them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     NotJsonError,
     ThrottledError,
 )
-from kelpcourse.wire.relay_codec import decode_answer, decode_event, encode_call, encode_order
+from kelpcourse.wire.relay_codec import decode_event, decode_response, encode_call, encode_order
 from tests.relays import CHECKPOINT, SET_WEIGHT
 
 
@@ -47,7 +47,7 @@
         (Checkpoint(905, True), '{"verb":"SYNC","stamp":905,"yes":1}'),
     ],
 )
-def test_orders_are_encoded_as_the_protocol_shows_them(order: Order, text: str) -> None:
+def test_orders_are_encoded_as_the_protocol_specifies(order: Order, text: str) -> None:
     assert encode_order(order).decode() == text
 
 
@@ -67,12 +67,12 @@
     assert encode_call([SetWeight(0, "h" * 300, 1.0), SET_WEIGHT], 100).order_count == 1
 
 
-def test_answers_are_decoded() -> None:
-    assert decode_answer(view(b'{"ok_count":2}'), 2) == 2
+def test_responses_are_decoded() -> None:
+    assert decode_response(view(b'{"ok_count":2}'), 2) == 2
     with pytest.raises(ThrottledError):
-        decode_answer(view(b'{"error":"Throttling"}'), 2)
+        decode_response(view(b'{"error":"Throttling"}'), 2)
     with pytest.raises(InvalidCallError):
-        decode_answer(view(b'{"error":{"type":"ValidationError"}}'), 2)
+        decode_response(view(b'{"error":{"type":"ValidationError"}}'), 2)
     for text in (
         b'{"ok_count":3}',
         b'{"ok_count":-1}',
@@ -83,7 +83,7 @@
         b"",
     ):
         with pytest.raises(InvalidMessageError):
-            decode_answer(view(text), 2)
+            decode_response(view(text), 2)
 
 
 def test_events_are_decoded() -> None:
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -8,7 +8,7 @@
 from kelpcourse.wire.loop import Signal
 from kelpcourse.wire.relay_events import RelayEventStreams
 from tests.relays import BIND, SET_WEIGHT, EventBroadcaster, applied, joined, left, order_queue_of
-from tests.standins import MS, QUICK, Bench
+from tests.standins import FAST_LIMITS, MS, Bench
 
 
 def start_streams(
@@ -39,7 +39,7 @@
 
 
 def test_after_a_gap_the_snapshot_is_reconciled(bench: Bench) -> None:
-    """A proxy in both snapshots may have left and come back; one that is missing has left."""
+    """A proxy in both snapshots may have left and rejoined; one that is missing in the second has left."""
     source = EventBroadcaster(bench, [joined(0), joined(1), b"{}"], [joined(1), joined(2), b"{}"])
     start_streams(bench, source)
     bench.until(lambda: len(bench.policy.events) == 3)
@@ -53,7 +53,7 @@
     assert len(bench.log.named("event_stream_lost")) == 1
 
 
-def test_a_stream_that_breaks_beside_another_leaves_no_gap(bench: Bench) -> None:
+def test_loss_of_one_of_two_streams_causes_no_gap(bench: Bench) -> None:
     source = EventBroadcaster(bench, *([joined(0), joined(1), b"{}"] for _ in range(3)))
     start_streams(bench, source, streams=2)
     bench.until(lambda: source.stand_in.connections == 2 and len(bench.policy.events) == 3)
@@ -74,21 +74,23 @@
     source = EventBroadcaster(bench, [joined(0), b"{}"], [joined(0), b"{}"])
     start_streams(bench, source)
     bench.until(lambda: source.stand_in.connections == 2)
-    assert bench.log.named("event_stream_lost")[0]["reason"] == "nothing came in time"
+    assert (
+        bench.log.named("event_stream_lost")[0]["reason"] == "no data received before the deadline"
+    )
 
 
-def test_heartbeats_keep_a_stream(bench: Bench) -> None:
+def test_heartbeats_keep_a_stream_open(bench: Bench) -> None:
     source = EventBroadcaster(bench, [b"{}"])
     start_streams(bench, source)
     for _ in range(6):
-        bench.pass_us(QUICK.event_stream_silence_us // 2)
+        bench.pass_us(FAST_LIMITS.event_stream_silence_us // 2)
         source.lines.append(b"{}")
-    bench.pass_us(QUICK.event_stream_silence_us // 2)
+    bench.pass_us(FAST_LIMITS.event_stream_silence_us // 2)
     assert source.stand_in.connections == 1
 
 
 def test_a_line_that_is_not_json_leads_to_a_new_snapshot(bench: Bench) -> None:
-    """What the line was to say is lost, so its stream can't be continued."""
+    """The event in the line is lost, so the stream can't be continued."""
     source = EventBroadcaster(bench, [joined(0), b"{}", b'{"type":"jo'], [joined(1), b"{}"])
     start_streams(bench, source)
     bench.until(lambda: ProxyLeft(0) in bench.policy.events)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,14 +1,11 @@
-"""SIGHUP: the running program follows its configuration file, and lives on with one that it can't read."""
+"""SIGHUP: the running controller applies its configuration file, and continues if the file cannot be used."""
 
 from __future__ import annotations
 
 import signal
 from functools import partial
 
-from tests.deployment import (
-    ENDPOINTS,
-    Deployment,
-)
+from tests.deployment import ENDPOINTS, Deployment
 from tests.relays import joined
 from tests.standins import StandIn, listed
 
@@ -19,20 +16,20 @@
     deployment.start()
     deployment.until(deployment.ping)
     deployment.events += [joined(0).replace(b"east", b"room-a")]
-    deployment.until(lambda: deployment.ordered(verb="USE", sidecar=0))
+    deployment.until(lambda: deployment.has_order(verb="USE", sidecar=0))
     for version in (42, 43):
         old = (deployment.relay, deployment.discovery)
-        deployment.move()
+        deployment.move_relay_and_discovery()
         deployment.until(
             lambda: deployment.relay.connections >= 2 and deployment.discovery.connections
         )
         for stand_in in old:
             stand_in.close()
         drains = ENDPOINTS[version - 41]
-        deployment.lists.append(listed(version, {**drains, "phase": "draining"}, whole=False))
-        deployment.until(partial(deployment.ordered, verb="OUT", host=drains["id"]))
+        deployment.lists.append(listed(version, {**drains, "phase": "draining"}, complete=False))
+        deployment.until(partial(deployment.has_order, verb="OUT", host=drains["id"]))
     deployment.events += [joined(1).replace(b"east", b"room-b")]
-    deployment.until(lambda: deployment.ordered(verb="USE", sidecar=1))
+    deployment.until(lambda: deployment.has_order(verb="USE", sidecar=1))
     bound = [o["cluster"] for o in deployment.orders if o["verb"] == "USE" and o["sidecar"] == 0]
     assert len(bound) == len(set(bound))
     assert deployment.ping()
@@ -43,35 +40,37 @@
     deployment.until(deployment.ping)
     unusable: list[tuple[dict[str, object], str]] = [
         ({"seed": "xyz"}, "field 'seed' is not hex digits: 'xyz'"),
-        ({"registry": {}}, "field 'registry.address' is missing or not a text"),
+        ({"registry": {}}, "field 'registry.address' is missing, empty or not a string"),
     ]
     for changes, reason in unusable:
         deployment.config(**changes)
         deployment.reload()
-        while (
-            deployment.logged("configuration_reload_failed")["reason"] != reason
-        ):  # the one before is still being retried
+        # The reload before this one may still log its last retry.
+        while deployment.wait_for_log_event("configuration_reload_failed")["reason"] != reason:
             pass
     deployment.path.write_bytes(b'{"name": ')
     deployment.reload()
-    while "not JSON" not in deployment.logged("configuration_reload_failed")["reason"]:
+    while "not JSON" not in deployment.wait_for_log_event("configuration_reload_failed")["reason"]:
         pass
     deployment.events += [joined(0).replace(b"east", b"room-a")]
-    deployment.until(lambda: deployment.ordered(verb="USE", sidecar=0))
+    deployment.until(lambda: deployment.has_order(verb="USE", sidecar=0))
 
 
-def test_a_reload_names_what_requires_a_restart(deployment: Deployment) -> None:
+def test_a_reload_logs_the_fields_that_require_a_restart(deployment: Deployment) -> None:
     deployment.start()
     deployment.until(deployment.ping)
     deployment.config(limits={"memory_mb": 33, "sockets": 512})
     deployment.reload()
-    line = deployment.logged("configuration_reloaded")
+    line = deployment.wait_for_log_event("configuration_reloaded")
     assert (line["changed"], line["requires_restart"]) == ([], ["sockets", "memory_mb"])
-    deployment.move()
-    assert deployment.logged("configuration_reloaded")["changed"] == ["discovery", "relay"]
+    deployment.move_relay_and_discovery()
+    assert deployment.wait_for_log_event("configuration_reloaded")["changed"] == [
+        "discovery",
+        "relay",
+    ]
 
 
-FAILING = """
+FAILING_SOURCE = """
 import os, sys
 from kelpcourse.service.controller import main
 class Source:
@@ -80,35 +79,35 @@
     def reread(self): raise KeyError("unforeseen")
     def watch(self, on): pass
     def fetch(self): pass
-    def move(self, address): pass
-sys.exit(main(os.environ, lambda parts, settings, keep: Source()))
+    def reconnect_to(self, address): pass
+sys.exit(main(os.environ, lambda runtime, settings, supervise: Source()))
 """
 
 
 def test_an_unexpected_error_in_a_reload_does_not_stop_signal_handling(
     deployment: Deployment,
 ) -> None:
-    """It ended the coroutine that handles signals: no later SIGTERM was handled."""
-    deployment.start(program=FAILING)
+    """The error ended the coroutine that handles signals, so that a later SIGTERM was not handled."""
+    deployment.start(program=FAILING_SOURCE)
     deployment.until(deployment.ping)
     deployment.reload()
-    assert "unforeseen" in deployment.logged("unexpected_error")["error"]
+    assert "unforeseen" in deployment.wait_for_log_event("unexpected_error")["error"]
     deployment.reload()
-    assert "unforeseen" in deployment.logged("unexpected_error")["error"]
+    assert "unforeseen" in deployment.wait_for_log_event("unexpected_error")["error"]
     deployment.signal(signal.SIGTERM)
-    assert deployment.ended()[-1]["event"] == "stopped"
+    assert deployment.wait_for_exit()[-1]["event"] == "stopped"
 
 
 def test_a_configuration_that_is_being_replaced_is_read_once_it_is_complete(
     deployment: Deployment,
 ) -> None:
-    """A controller that read half of it stayed at addresses that were about to close."""
+    """A controller that read an incomplete file stayed connected to addresses that were about to be closed."""
     deployment.start()
     deployment.until(deployment.ping)
     deployment.path.write_bytes(deployment.path.read_bytes()[:200])
     deployment.reload()
-    assert deployment.logged("configuration_reload_failed")["will_retry"] is True
+    assert deployment.wait_for_log_event("configuration_reload_failed")["will_retry"] is True
     deployment.discovery = StandIn(deployment.loop, deployment._serve_discovery)
     deployment.config()
-    assert deployment.logged("configuration_reloaded")["changed"] == ["discovery"]
+    assert deployment.wait_for_log_event("configuration_reloaded")["changed"] == ["discovery"]
     deployment.until(lambda: deployment.discovery.connections)
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -137,10 +137,10 @@
     harness = harness_with_proxies(60, 60)
     harness.acknowledges = False
     queued_entries = harness.policy.delivery.backlog_entries(harness.now_us)
-    holders = dict.fromkeys(harness.tables, 0)
+    bound_proxies = dict.fromkeys(harness.tables, 0)
     for proxy in harness.policy.bindings:
         for table in harness.policy.tables.tables_of(proxy, zone_of(harness, proxy)):
-            holders[table] += 1
+            bound_proxies[table] += 1
     holding_tables = {table for table, at in harness.tables.items() if 103 in at}
     entries = dict.fromkeys(harness.tables, 0)
     actions = harness.send(list_changes([make_endpoint(103, "east", EndpointStatus.GONE)]))
@@ -151,7 +151,7 @@
             holding_tables -= {action.table} if action.endpoint == 103 else set()
         elif action == WithdrawEndpoint(103):
             entries.update((table, entries[table] + 1) for table in holding_tables)
-    cost = sum(holders[table] * (count + 7) for table, count in entries.items() if count)
+    cost = sum(bound_proxies[table] * (count + 7) for table, count in entries.items() if count)
     assert 0 < cost < 120 * 8
     assert harness.policy.delivery.backlog_entries(harness.now_us) - queued_entries == cost
 
@@ -306,7 +306,11 @@
 def test_proxies_stay_bound_when_all_endpoints_are_replaced_by_a_full_list() -> None:
     """Tables without entries were laid out again, so that proxies bound to the previous tables had none."""
     harness = harness_with_proxies(60, 60)
-    bound = {proxy for holders in harness.policy.tables.holders.values() for proxy in holders}
+    bound = {
+        proxy
+        for bound_proxies in harness.policy.tables.bound_proxies.values()
+        for proxy in bound_proxies
+    }
     harness.send(full_list([], 2))
     harness.run_until(harness.now_us + 4 * SECOND)
     assert not any(harness.policy.tables.entries.values())
@@ -318,6 +322,6 @@
     harness.run_until(harness.now_us + 4 * SECOND)
     for proxy in bound:
         assert any(
-            proxy in holders and harness.tables[t]
-            for t, holders in harness.policy.tables.holders.items()
+            proxy in bound_proxies and harness.tables[t]
+            for t, bound_proxies in harness.policy.tables.bound_proxies.items()
         )
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -184,7 +184,7 @@
     assert [type(a).__name__ for a in actions].count("BindProxy") == 4
     assert not harness.policy.bindings.unbound_since_us
     assert not harness.policy.bindings.possibly_stale
-    assert list(harness.policy.tables.holders[0]) == [0, 2, 1]
+    assert list(harness.policy.tables.bound_proxies[0]) == [0, 2, 1]
     assert actions_of_type(actions, Checkpoint)
 
 
@@ -194,7 +194,7 @@
     """Orders a withdrawal without removing the endpoint's table entries, to disable that safeguard."""
     for table in withdrawals._tables.containing(endpoint):
         batch.reserve_change(table)
-    batch.order_endpoint(WithdrawEndpoint(endpoint))
+    batch.add_endpoint_order(WithdrawEndpoint(endpoint))
 
 
 def test_the_simulation_detects_entries_left_in_tables(
