--- a/tests/delivery_simulation.py
+++ b/tests/delivery_simulation.py
@@ -161,7 +161,7 @@
         self.withdrawn: set[EndpointKey] = set()  # Withdrawn by the orders sent so far
         self.max_backlog_entries = 0.0  # Largest backlog found by a check
         self._entries: dict[TableKey, dict[EndpointKey, float]] = {}  # By the orders sent so far
-        self._holders: dict[TableKey, set[int]] = {}
+        self._bound_proxies: dict[TableKey, set[int]] = {}
         self._limited_tables: set[TableKey] = set()
         self._queued: deque[Message] = deque()
         self._in_transit: deque[tuple[int, Message]] = deque()
@@ -180,7 +180,7 @@
         departed = self.proxies.pop(proxy, None)
         if departed is not None:
             for table in departed.bound_tables:
-                self._holders[table].discard(proxy)
+                self._bound_proxies[table].discard(proxy)
         self._queued = deque(message for message in self._queued if message.proxy != proxy)
         self._in_transit = deque(
             (arrives_us, message)
@@ -229,12 +229,12 @@
         match order:
             case SetEntry(table, endpoint, weight):
                 self._set_entry(table, endpoint, weight)
-                call.add(sorted(self._holders.get(table, ())), order)
+                call.add(sorted(self._bound_proxies.get(table, ())), order)
             case Bind(proxy, table) if proxy in self.proxies:
                 self._bind(call, proxy, table)
             case LimitAdmission(table):
                 self._limited_tables.add(table)
-                call.add(sorted(self._holders.get(table, ())), order)
+                call.add(sorted(self._bound_proxies.get(table, ())), order)
             case Withdraw(endpoint):
                 self.withdrawn.add(endpoint)
                 call.add(self._possible_holders(endpoint), order)
@@ -251,7 +251,7 @@
             entries[endpoint] = weight
 
     def _bind(self, call: _Call, proxy: int, table: TableKey) -> None:
-        self._holders.setdefault(table, set()).add(proxy)
+        self._bound_proxies.setdefault(table, set()).add(proxy)
         self.proxies[proxy].bound_tables.add(table)
         entries = self._entries.get(table, {})
         limits = 1 if table in self._limited_tables else 0
--- a/tests/recording.py
+++ b/tests/recording.py
@@ -217,25 +217,25 @@
         elif isinstance(action, WatchEndpoints):
             self.watched = action.enabled
         elif isinstance(action, Checkpoint):
-            self._answer(action.checkpoint_id)
+            self._schedule_responses(action.checkpoint_id)
 
-    def _answer(self, number: int) -> None:
-        self.checkpoints = [*self.checkpoints[-3:], number]
+    def _schedule_responses(self, checkpoint_id: int) -> None:
+        self.checkpoints = [*self.checkpoints[-3:], checkpoint_id]
         outcome = self.rng.random()
         loss_probability = self.sequence.incidents.get("call_lost", 0.0)
         if outcome < loss_probability:
-            numbers = tuple(self.checkpoints[-self.rng.randint(1, 2) :])
-            self.pending.append((self.now_us + 50_000, OrdersOutcomeUnknown(numbers)))
+            checkpoint_ids = tuple(self.checkpoints[-self.rng.randint(1, 2) :])
+            self.pending.append((self.now_us + 50_000, OrdersOutcomeUnknown(checkpoint_ids)))
             if outcome < loss_probability / 2:
                 return
         if outcome > 0.7:
-            self.pending.append((self.now_us + 80_000, OrdersAccepted(number)))
+            self.pending.append((self.now_us + 80_000, OrdersAccepted(checkpoint_id)))
         if self.acknowledgements_stopped:
             return
         for proxy in self.joined:
             if self.rng.random() < self.sequence.acknowledgement_probability:
                 due_us = self.now_us + 1000 * self.rng.randint(100, 900)
-                self.pending.append((due_us, OrdersAcknowledged(proxy, number, 200_000)))
+                self.pending.append((due_us, OrdersAcknowledged(proxy, checkpoint_id, 200_000)))
 
     def _due(self) -> list[Event]:
         events = [event for due_us, event in self.pending if due_us <= self.now_us]
--- a/tests/test_end_result.py
+++ b/tests/test_end_result.py
@@ -128,18 +128,18 @@
     yield from ()
 
 
-def answer_lost(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
+def response_lost(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
     relay.apply_orders(orders)
     caller.reset()
     yield from ()
 
 
-def answer_unreadable(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
+def response_unreadable(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
     relay.apply_orders(orders)
     yield from caller.answer(200, b"\xff\x00")
 
 
-def no_answer(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
+def no_response(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
     relay.apply_orders(orders)
     yield from caller.silence()
 
@@ -156,12 +156,20 @@
     [
         [executed],
         [request_lost, executed],
-        [answer_lost, executed],
-        [answer_unreadable, executed],
-        [no_answer, executed],
+        [response_lost, executed],
+        [response_unreadable, executed],
+        [no_response, executed],
         [throttled, executed],
-        [executed, request_lost, answer_lost, throttled, no_answer, executed, answer_unreadable],
-        [request_lost, request_lost, request_lost, answer_lost, answer_lost, executed],
+        [
+            executed,
+            request_lost,
+            response_lost,
+            throttled,
+            no_response,
+            executed,
+            response_unreadable,
+        ],
+        [request_lost, request_lost, request_lost, response_lost, response_lost, executed],
     ],
 )
 @pytest.mark.parametrize("step_interval_ms", [0, 3, 25])
--- a/tests/test_partitions.py
+++ b/tests/test_partitions.py
@@ -29,7 +29,7 @@
 
 
 def test_the_capacity_estimate_does_not_fall_with_a_partition() -> None:
-    """The estimate follows the endpoints that answer and is not reduced for those that do not."""
+    """The estimate follows the endpoints that respond and is not reduced for those that do not."""
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 6)
     before = harness.policy.capacity.requests_per_s
@@ -48,7 +48,7 @@
     assert harness.policy.capacity.requests_per_s < 1.5 * before
 
 
-def test_a_fleet_without_any_answer_is_not_considered_partitioned() -> None:
+def test_a_fleet_without_any_response_is_not_considered_partitioned() -> None:
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 6)
     run_with_failures(harness, 4, failed=all_attempts_failed(10))
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -125,7 +125,9 @@
     assert harness.policy.delivery.backlog_entries(harness.now_us) > 0
 
 
-def count_holder_entries(before: list[tuple[int, Action]], log: list[tuple[int, Action]]) -> int:
+def count_entries_for_bound_proxy(
+    before: list[tuple[int, Action]], log: list[tuple[int, Action]]
+) -> int:
     """Returns the entries that a log sends to a proxy bound to the only table.
 
     A withdrawal or its end counts only if the table contains the endpoint.
@@ -170,7 +172,7 @@
         )
         harness.run_second(make_endpoints(80), mean_time_us=900_000, demand=(20 + 20 * k, 5))
     messages = sum(isinstance(a, Checkpoint) for _, a in harness.log[before:])
-    ordered = count_holder_entries(harness.log[:before], harness.log[before:])
+    ordered = count_entries_for_bound_proxy(harness.log[:before], harness.log[before:])
     assert (
         0
         < 70 * (ordered + messages * (SETTINGS.message_overhead_entries + 1))
--- a/tests/test_relative_capacity.py
+++ b/tests/test_relative_capacity.py
@@ -32,8 +32,8 @@
     assert harness.weight_share(100) > 0.02
 
 
-def test_an_endpoint_with_few_reported_answers_is_measured() -> None:
-    """A controller of few proxies gets reports of two or three answers of a slow endpoint, which stayed overloaded."""
+def test_an_endpoint_with_few_reported_responses_is_measured() -> None:
+    """A controller of few proxies gets reports of two or three responses of a slow endpoint, which stayed overloaded."""
     harness = PolicyHarness(listed=make_endpoints(10))
     for _ in range(6):
         harness.run_second(make_endpoints(10), mean_times_us={100: 800_000}, attempts=2)
@@ -87,8 +87,8 @@
         assert harness.weight_share(109) > harness.weight_share(100)
 
 
-def test_few_answers_of_an_endpoint_are_averaged_with_the_mean_time_of_its_kind() -> None:
-    """Each of five controllers gets reports of few answers of an endpoint: a healthy one lost 0.3 of its weight."""
+def test_few_responses_of_an_endpoint_are_averaged_with_the_mean_time_of_its_kind() -> None:
+    """Each of five controllers gets reports of few responses of an endpoint: a healthy one lost 0.3 of its weight."""
     listed = [make_endpoint(100 + k, kind="large" if k < 5 else "small") for k in range(10)]
     harness = PolicyHarness(listed=listed)
     mean_times_us = {
@@ -121,7 +121,7 @@
     return 1 - harness.policy.registry.endpoints[100].relative_capacity / before
 
 
-def test_capacities_are_averaged_over_more_reports_if_reports_have_fewer_answers() -> None:
+def test_capacities_are_averaged_over_more_reports_if_reports_have_fewer_responses() -> None:
     assert (
         0
         < capacity_change_after_deviating_report(6)
@@ -142,7 +142,7 @@
 
 
 def test_a_load_report_that_contradicts_response_times_is_ignored() -> None:
-    """The endpoint reports low utilization, while its answers take five times the mean."""
+    """The endpoint reports low utilization, while its responses take five times the mean."""
     settings = replace(LARGE_FLEET, load_reports_inline=True, load_report_names=("util", "qps"))
     harness = PolicyHarness(settings=settings, listed=make_endpoints(20), proxies=4)
     load = {endpoint.id: (("util", 0.5), ("qps", 10.0)) for endpoint in make_endpoints(20)} | {
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -87,7 +87,7 @@
     ) == pytest.approx(0.3 / (5 / 6), rel=0.1)
 
 
-def count_holders(harness: PolicyHarness) -> dict[int, int]:
+def count_proxies_by_endpoint(harness: PolicyHarness) -> dict[int, int]:
     """Returns the number of proxies with an entry of each endpoint, the most connections that it may get."""
     counts = dict.fromkeys(harness.policy.registry.endpoints, 0)
     for proxy in harness.policy.bindings:
@@ -103,13 +103,13 @@
 ) -> None:
     """With tables of all endpoints, 1,600 proxies opened 1,600 connections to endpoints that accept 357."""
     large = [make_endpoint(100 + k, "east" if k % 2 else "west") for k in range(80)]
-    holder_counts = count_holders(
+    proxy_counts = count_proxies_by_endpoint(
         harness_with_proxies(
             east, west, replace(FEW_CONNECTIONS, min_endpoint_connections=60.0), large
         )
     )
-    assert min(holder_counts.values()) > 0
-    assert max(holder_counts.values()) <= 60
+    assert min(proxy_counts.values()) > 0
+    assert max(proxy_counts.values()) <= 60
 
 
 def test_subset_tables_are_small_and_bound_to_all_proxies() -> None:
