--- a/tests/test_relative_capacity.py
+++ b/tests/test_relative_capacity.py
@@ -33,7 +33,7 @@
 
 
 def test_an_endpoint_with_few_reported_responses_is_measured() -> None:
-    """A controller of few proxies gets reports of two or three responses of a slow endpoint, which stayed overloaded."""
+    """A controller of few proxies gets two or three responses per report of a slow endpoint, which stays overloaded."""
     harness = PolicyHarness(listed=make_endpoints(10))
     for _ in range(6):
         harness.run_second(make_endpoints(10), mean_times_us={100: 800_000}, attempts=2)
