--- a/kelpcourse/lab/discovery.py
+++ b/kelpcourse/lab/discovery.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from kelpcourse.lab.http import Caller, StandIn
+from kelpcourse.lab.http import HttpConnection, HttpServer
 from kelpcourse.lab.loopback import now_us
 from kelpcourse.wire.loop import Coroutine, Loop, Wait
 
@@ -19,7 +19,7 @@
     def __init__(self, loop: Loop) -> None:
         """Listens at once, with nothing published."""
         self._lists: list[bytes] = []
-        self._server = StandIn(loop, self._serve)
+        self._server = HttpServer(loop, self._serve)
         self.address = self._server.address
 
     def publish(self, entries: Sequence[Mapping[str, object]], complete: bool = True) -> None:
@@ -28,13 +28,13 @@
         fields = {"revision": revision, "complete": complete, "members": list(entries)}
         self._lists.append(orjson.dumps(fields))
 
-    def _serve(self, caller: Caller) -> Coroutine[None]:
-        yield from caller.request()
-        yield from caller.open_body()
+    def _serve(self, connection: HttpConnection) -> Coroutine[None]:
+        yield from connection.read_request()
+        yield from connection.start_chunked_response()
         sent_count = 0
         while True:
             for line in self._lists[sent_count:]:
-                yield from caller.line(line)
+                yield from connection.send_line(line)
             sent_count = len(self._lists)
-            yield from caller.line(b"")
+            yield from connection.send_line(b"")
             yield Wait(now_us() + POLL_US)
--- a/kelpcourse/lab/http.py
+++ b/kelpcourse/lab/http.py
@@ -18,7 +18,7 @@
 RESET_ON_CLOSE = b"\x01\0\0\0\0\0\0\0"
 
 
-class Caller:
+class HttpConnection:
     """The stand-in's side of one HTTP connection."""
 
     def __init__(self, stream: Stream, loop: Loop) -> None:
@@ -30,7 +30,7 @@
     def _deadline_us(self) -> int:
         return self._loop.clock() + NEVER_US
 
-    def event(self) -> Coroutine[object]:
+    def next_event(self) -> Coroutine[object]:
         """The next event of the parser."""
         event = self._parser.next_event()
         while event is h11.NEED_DATA:
@@ -40,41 +40,41 @@
             event = self._parser.next_event()
         return event
 
-    def request(self) -> Coroutine[tuple[str, bytes] | None]:
+    def read_request(self) -> Coroutine[tuple[str, bytes] | None]:
         """The target and body of the next call; None: the connection has ended."""
         if self._parser.our_state is h11.DONE:
             self._parser.start_next_cycle()
-        head = yield from self.event()
+        head = yield from self.next_event()
         if not isinstance(head, h11.Request):
             return None
         body = b""
-        event = yield from self.event()
+        event = yield from self.next_event()
         while isinstance(event, h11.Data):
             body += event.data
-            event = yield from self.event()
+            event = yield from self.next_event()
         return head.target.decode(), body
 
-    def say(self, *events: h11.Event) -> Coroutine[None]:
+    def send_events(self, *events: h11.Event) -> Coroutine[None]:
         """Sends events."""
         data = b"".join(self._parser.send(event) or b"" for event in events)
         yield from self.stream.send(data, self._deadline_us())
 
-    def answer(self, status: int, body: bytes) -> Coroutine[None]:
+    def respond(self, status: int, body: bytes) -> Coroutine[None]:
         """Sends a complete answer."""
         head = h11.Response(status_code=status, headers=[("Content-Length", str(len(body)))])
-        yield from self.say(head, h11.Data(data=body), h11.EndOfMessage())
+        yield from self.send_events(head, h11.Data(data=body), h11.EndOfMessage())
 
-    def open_body(self) -> Coroutine[None]:
+    def start_chunked_response(self) -> Coroutine[None]:
         """Begins an answer whose body goes on."""
-        yield from self.say(
+        yield from self.send_events(
             h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")])
         )
 
-    def line(self, text: bytes) -> Coroutine[None]:
+    def send_line(self, text: bytes) -> Coroutine[None]:
         """Sends a line of the body."""
-        yield from self.say(h11.Data(data=text + b"\n"))
+        yield from self.send_events(h11.Data(data=text + b"\n"))
 
-    def silence(self) -> Coroutine[None]:
+    def wait_for_close(self) -> Coroutine[None]:
         """Sends nothing until the other side closes."""
         buffer = memoryview(bytearray(SILENT_READ_BYTES))
         while (yield from self.stream.recv_into(buffer, self._deadline_us())):
@@ -86,10 +86,10 @@
         self.stream.close()
 
 
-Serve = Callable[[Caller], Coroutine[None]]
+Serve = Callable[[HttpConnection], Coroutine[None]]
 
 
-class StandIn:
+class HttpServer:
     """A server on an ephemeral loopback port."""
 
     def __init__(self, loop: Loop, serve: Serve) -> None:
@@ -105,19 +105,19 @@
     def _accept(self) -> Coroutine[None]:
         while True:
             yield Wait(fd=self._sock.fileno(), event_mask=READ)
-            connection, _ = self._sock.accept()
+            sock, _ = self._sock.accept()
             self.connections += 1
             self._loop.start(
-                "stand-in caller", self._guarded(Caller(Stream(connection), self._loop))
+                "stand-in caller", self._guarded(HttpConnection(Stream(sock), self._loop))
             )
 
-    def _guarded(self, caller: Caller) -> Coroutine[None]:
+    def _guarded(self, connection: HttpConnection) -> Coroutine[None]:
         try:
-            yield from self._serve(caller)
+            yield from self._serve(connection)
         except (StreamError, h11.RemoteProtocolError):
             pass
         finally:
-            caller.stream.close()
+            connection.stream.close()
 
     def close(self) -> None:
         """Accepts no more connections."""
--- a/kelpcourse/lab/relay.py
+++ b/kelpcourse/lab/relay.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from kelpcourse.lab.http import Caller, StandIn
+from kelpcourse.lab.http import HttpConnection, HttpServer
 from kelpcourse.lab.loopback import now_us
 from kelpcourse.lab.proxy import Proxy
 from kelpcourse.lab.relay_protocol import (
@@ -69,26 +69,26 @@
         self._requests_per_s = requests_per_s
         self._fence = EpochFence()
         self._streams: list[_EventStream] = []
-        self._server = StandIn(loop, self._serve)
+        self._server = HttpServer(loop, self._serve)
         self.address = self._server.address
 
-    def _serve(self, caller: Caller) -> Coroutine[None]:
+    def _serve(self, connection: HttpConnection) -> Coroutine[None]:
         while True:
-            call = yield from caller.request()
+            call = yield from connection.read_request()
             if call is None:
                 return
             path, body = call
             target = _target_of(path)
             proxies = self._proxies_of(target.group)
             if target.is_event_stream:
-                yield from self._stream_events(caller, proxies)
+                yield from self._stream_events(connection, proxies)
                 return
             if target.group is not None and not self._fence.admits(target.group, target.epoch):
                 self.fenced_count += 1
-                yield from caller.answer(409, FENCED)
+                yield from connection.respond(409, FENCED)
                 continue
             orders = decode_orders(body)
-            yield from caller.answer(200, encode_answer(len(orders)))
+            yield from connection.respond(200, encode_answer(len(orders)))
             self.calls.append((target.group, target.epoch))
             self._hand_on(orders, proxies)
 
@@ -124,20 +124,22 @@
             if proxy in stream.proxies:
                 stream.lines.append(line)
 
-    def _stream_events(self, caller: Caller, proxies: Sequence[Proxy]) -> Coroutine[None]:
+    def _stream_events(
+        self, connection: HttpConnection, proxies: Sequence[Proxy]
+    ) -> Coroutine[None]:
         joined = [encode_joined(proxy, self._requests_per_s) for proxy in proxies]
         stream = _EventStream(frozenset(proxy.number for proxy in proxies), joined)
         self._streams.append(stream)
         heartbeat_due_us = now_us()
         try:
-            yield from caller.open_body()
+            yield from connection.start_chunked_response()
             while True:
                 for line in stream.lines:
-                    yield from caller.line(line)
+                    yield from connection.send_line(line)
                 stream.lines.clear()
                 if now_us() >= heartbeat_due_us:
                     heartbeat_due_us = now_us() + HEARTBEAT_US
-                    yield from caller.line(HEARTBEAT)
+                    yield from connection.send_line(HEARTBEAT)
                 yield Wait(now_us() + STREAM_POLL_US)
         finally:
             self._streams.remove(stream)
--- a/kelpcourse/lab/world.py
+++ b/kelpcourse/lab/world.py
@@ -19,7 +19,7 @@
 )
 from kelpcourse.lab.controller_process import ControllerProcess
 from kelpcourse.lab.discovery import Discovery
-from kelpcourse.lab.http import Caller, StandIn
+from kelpcourse.lab.http import HttpConnection, HttpServer
 from kelpcourse.lab.loopback import free_address, now_us
 from kelpcourse.lab.proxy import Proxy
 from kelpcourse.lab.relay import Relay
@@ -71,7 +71,7 @@
 
     def add_endpoint(self, name: str, room: str) -> Address:
         """An endpoint that answers health checks at an address of its own."""
-        server = StandIn(self.loop, _answer_health_checks)
+        server = HttpServer(self.loop, _answer_health_checks)
         self.endpoints[name] = server.address
         self.rooms[name] = room
         return server.address
@@ -129,6 +129,6 @@
             self.controller.close()
 
 
-def _answer_health_checks(caller: Caller) -> Coroutine[None]:
-    while (yield from caller.request()) is not None:
-        yield from caller.answer(200, b"")
+def _answer_health_checks(connection: HttpConnection) -> Coroutine[None]:
+    while (yield from connection.read_request()) is not None:
+        yield from connection.respond(200, b"")
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -16,7 +16,7 @@
 import orjson
 
 from kelpcourse.wire.loop import Coroutine, Loop, Wait
-from tests.standins import Caller, StandIn, entry, listed
+from tests.standins import HttpConnection, HttpServer, entry, listed
 from tests.test_config import ROOT
 
 TIMEOUT_S = 60.0  # far longer than any test needs, so that only a hung controller exceeds it
@@ -32,8 +32,8 @@
         self.orders: list[dict[str, Any]] = []
         self.events: list[bytes] = []
         self.lists: list[bytes] = [listed(41, *ENDPOINTS)]
-        self.relay = StandIn(self.loop, self._serve_relay)
-        self.discovery = StandIn(self.loop, self._serve_discovery)
+        self.relay = HttpServer(self.loop, self._serve_relay)
+        self.discovery = HttpServer(self.loop, self._serve_discovery)
         self.relay_is_silent = False  # whether the relay leaves calls unanswered
         self.listen = free_address()
         self.path = folder / "config.json"
@@ -90,31 +90,31 @@
         except OSError:
             return False
 
-    def _serve_relay(self, caller: Caller) -> Coroutine[None]:
-        while (call := (yield from caller.request())) is not None:
+    def _serve_relay(self, connection: HttpConnection) -> Coroutine[None]:
+        while (call := (yield from connection.read_request())) is not None:
             if call[0] == "/v3/kv/events":
-                yield from self._stream(caller, self.events)
+                yield from self._stream(connection, self.events)
                 return
             orders = orjson.loads(call[1])["orders"]
             self.orders += orders
             if self.relay_is_silent:
-                yield from caller.silence()
+                yield from connection.wait_for_close()
                 return
-            yield from caller.answer(200, b'{"ok_count":%d}' % len(orders))
+            yield from connection.respond(200, b'{"ok_count":%d}' % len(orders))
 
-    def _serve_discovery(self, caller: Caller) -> Coroutine[None]:
-        yield from caller.request()
-        yield from self._stream(caller, self.lists)
+    def _serve_discovery(self, connection: HttpConnection) -> Coroutine[None]:
+        yield from connection.read_request()
+        yield from self._stream(connection, self.lists)
 
-    def _stream(self, caller: Caller, source: list[bytes]) -> Coroutine[None]:
+    def _stream(self, connection: HttpConnection, source: list[bytes]) -> Coroutine[None]:
         """Sends the lines that exist, then lines that the test adds, with heartbeats between."""
-        yield from caller.open_body()
+        yield from connection.start_chunked_response()
         sent_count = 0
         while True:
             for line in source[sent_count:]:
-                yield from caller.line(line)
+                yield from connection.send_line(line)
             sent_count = len(source)
-            yield from caller.line(b"{}" if source is self.events else b"")
+            yield from connection.send_line(b"{}" if source is self.events else b"")
             yield Wait(now_us() + 20_000)
 
     def has_order(self, **fields: object) -> bool:
@@ -123,8 +123,8 @@
 
     def move_relay_and_discovery(self, **changes: object) -> None:
         """Starts relay and discovery at new addresses, writes these to the file and reloads the configuration."""
-        self.relay = StandIn(self.loop, self._serve_relay)
-        self.discovery = StandIn(self.loop, self._serve_discovery)
+        self.relay = HttpServer(self.loop, self._serve_relay)
+        self.discovery = HttpServer(self.loop, self._serve_discovery)
         self.config(**changes)
         self.reload()
 
--- a/tests/discovery_service.py
+++ b/tests/discovery_service.py
@@ -7,62 +7,62 @@
 from kelpcourse.policy.events import EndpointList
 from kelpcourse.wire.discovery import DiscoveryClient
 from kelpcourse.wire.loop import Coroutine, Wait
-from tests.standins import FAST_LIMITS, Bench, Caller, StandIn
+from tests.standins import FAST_LIMITS, Bench, HttpConnection, HttpServer
 
 
 class DiscoveryService:
     """Handles each connection with the next function of a script."""
 
-    def __init__(self, bench: Bench, *script: Callable[[Caller], Coroutine[None]]) -> None:
+    def __init__(self, bench: Bench, *script: Callable[[HttpConnection], Coroutine[None]]) -> None:
         self.targets: list[str] = []
         self._script = list(script)
-        self.stand_in = StandIn(bench.loop, self._serve)
+        self.stand_in = HttpServer(bench.loop, self._serve)
 
-    def _serve(self, caller: Caller) -> Coroutine[None]:
-        call = yield from caller.request()
+    def _serve(self, http_connection: HttpConnection) -> Coroutine[None]:
+        call = yield from http_connection.read_request()
         assert call is not None
         self.targets.append(call[0])
-        yield from self._script.pop(0)(caller)
+        yield from self._script.pop(0)(http_connection)
 
 
 def watch_stream(
     bench: Bench, *lines: bytes, then_silent: bool = True
-) -> Callable[[Caller], Coroutine[None]]:
-    def serve(caller: Caller) -> Coroutine[None]:
-        yield from caller.open_body()
+) -> Callable[[HttpConnection], Coroutine[None]]:
+    def serve(http_connection: HttpConnection) -> Coroutine[None]:
+        yield from http_connection.start_chunked_response()
         for line in lines:
-            yield from caller.line(line)
+            yield from http_connection.send_line(line)
         while not then_silent:
             yield Wait(bench.clock() + FAST_LIMITS.watch_silence_us // 2)
-            yield from caller.line(b"")
-        yield from caller.silence()
+            yield from http_connection.send_line(b"")
+        yield from http_connection.wait_for_close()
 
     return serve
 
 
-def response_body(text: bytes) -> Callable[[Caller], Coroutine[None]]:
-    def serve(caller: Caller) -> Coroutine[None]:
-        yield from caller.answer(200, text)
+def response_body(text: bytes) -> Callable[[HttpConnection], Coroutine[None]]:
+    def serve(http_connection: HttpConnection) -> Coroutine[None]:
+        yield from http_connection.respond(200, text)
 
     return serve
 
 
-def unavailable(caller: Caller) -> Coroutine[None]:
-    yield from caller.answer(503, b"")
+def unavailable(http_connection: HttpConnection) -> Coroutine[None]:
+    yield from http_connection.respond(503, b"")
 
 
-def reset(caller: Caller) -> Coroutine[None]:
-    caller.reset()
+def reset(http_connection: HttpConnection) -> Coroutine[None]:
+    http_connection.reset()
     yield from ()
 
 
-def silent(caller: Caller) -> Coroutine[None]:
-    yield from caller.silence()
+def silent(http_connection: HttpConnection) -> Coroutine[None]:
+    yield from http_connection.wait_for_close()
 
 
-def incomplete_line(caller: Caller) -> Coroutine[None]:
-    yield from caller.open_body()
-    yield from caller.line(b'{"revision":4')
+def incomplete_line(http_connection: HttpConnection) -> Coroutine[None]:
+    yield from http_connection.start_chunked_response()
+    yield from http_connection.send_line(b'{"revision":4')
 
 
 def reported_lists(bench: Bench) -> list[EndpointList]:
--- a/tests/relays.py
+++ b/tests/relays.py
@@ -7,7 +7,7 @@
 from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.memory.orders import BindProxy, Checkpoint, Order, SetWeight
 from kelpcourse.wire.loop import Coroutine, Wait
-from tests.standins import FAST_LIMITS, MS, Bench, Caller, StandIn
+from tests.standins import FAST_LIMITS, MS, Bench, HttpConnection, HttpServer
 
 SET_WEIGHT = SetWeight(0, "h1", 1.5)
 BIND = BindProxy(3, 0, ("read",))
@@ -29,18 +29,18 @@
         self.lines: list[bytes] = []  # lines to send on every connection
         # Closes the first connection that checks the flag, which is reset then.
         self.disconnect_next = False
-        self.stand_in = StandIn(bench.loop, self._serve)
+        self.stand_in = HttpServer(bench.loop, self._serve)
 
-    def _serve(self, caller: Caller) -> Coroutine[None]:
-        call = yield from caller.request()
+    def _serve(self, http_connection: HttpConnection) -> Coroutine[None]:
+        call = yield from http_connection.read_request()
         assert call == ("/v3/kv/events", b"")
-        yield from caller.open_body()
+        yield from http_connection.start_chunked_response()
         for line in self._openings.pop(0):
-            yield from caller.line(line)
+            yield from http_connection.send_line(line)
         sent_count = 0 if self.stand_in.connections == 1 else len(self.lines)
         while not self.disconnect_next:
             for line in self.lines[sent_count:]:
-                yield from caller.line(line)
+                yield from http_connection.send_line(line)
             sent_count = len(self.lines)
             yield Wait(self._bench.clock() + MS)
         self.disconnect_next = False
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -8,7 +8,7 @@
 import orjson
 
 from kelpcourse.facade import Facade
-from kelpcourse.lab.http import Caller, StandIn
+from kelpcourse.lab.http import HttpConnection, HttpServer
 from kelpcourse.limits import Limits
 from kelpcourse.memory.counters import Counters
 from kelpcourse.memory.endpoints import ListedEndpoint
@@ -165,11 +165,11 @@
     "MS",
     "SHORT_IDLE_LIMITS",
     "Bench",
-    "Caller",
     "FakeClock",
+    "HttpConnection",
+    "HttpServer",
     "RecordingLog",
     "ScriptedPolicy",
-    "StandIn",
     "entry",
     "listed",
     "member",
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -22,7 +22,7 @@
     unavailable,
     watch_stream,
 )
-from tests.standins import FAST_LIMITS, MS, Bench, Caller, entry, listed
+from tests.standins import FAST_LIMITS, MS, Bench, HttpConnection, entry, listed
 
 
 def test_a_watch_requests_changes_and_reports_each_object(bench: Bench) -> None:
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("fault", [unavailable, reset, silent, incomplete_line])
 def test_a_failed_watch_or_fetch_is_reported_unavailable_once(
-    bench: Bench, fault: Callable[[Caller], Coroutine[None]]
+    bench: Bench, fault: Callable[[HttpConnection], Coroutine[None]]
 ) -> None:
     service = DiscoveryService(bench, fault, fault)
     discovery = discovery_client_for(bench, service)
@@ -100,10 +100,10 @@
 
 
 def test_heartbeats_alone_do_not_count_as_a_response_to_a_watch(bench: Bench) -> None:
-    def only_heartbeats(caller: Caller) -> Coroutine[None]:
-        yield from caller.open_body()
+    def only_heartbeats(connection: HttpConnection) -> Coroutine[None]:
+        yield from connection.start_chunked_response()
         while True:
-            yield from caller.line(b"")
+            yield from connection.send_line(b"")
             yield Wait(bench.clock() + 10 * MS)
 
     service = DiscoveryService(bench, only_heartbeats)
--- a/tests/test_discovery_reconnect.py
+++ b/tests/test_discovery_reconnect.py
@@ -18,11 +18,11 @@
     unavailable,
     watch_stream,
 )
-from tests.standins import FAST_LIMITS, MS, Bench, Caller, entry, listed
+from tests.standins import FAST_LIMITS, MS, Bench, HttpConnection, entry, listed
 
 
 def reconnected(
-    bench: Bench, old: DiscoveryService, *new: Callable[[Caller], Coroutine[None]]
+    bench: Bench, old: DiscoveryService, *new: Callable[[HttpConnection], Coroutine[None]]
 ) -> tuple[DiscoveryClient, DiscoveryService]:
     discovery = discovery_client_for(bench, old)
     discovery.watch(True)
@@ -111,22 +111,22 @@
     """With one version for both, a line of the previous watch made the new one's first line look like a gap."""
     pending_lines: list[bytes] = []
 
-    def previous(caller: Caller) -> Coroutine[None]:
-        yield from caller.open_body()
-        yield from caller.line(listed(42, entry("a"), complete=False))
+    def previous(connection: HttpConnection) -> Coroutine[None]:
+        yield from connection.start_chunked_response()
+        yield from connection.send_line(listed(42, entry("a"), complete=False))
         while not pending_lines:
             yield Wait(bench.clock() + MS)
-        yield from caller.line(pending_lines.pop(0))
-        yield from caller.silence()
+        yield from connection.send_line(pending_lines.pop(0))
+        yield from connection.wait_for_close()
 
-    def reconnected(caller: Caller) -> Coroutine[None]:
-        yield from caller.open_body()
+    def reconnected(connection: HttpConnection) -> Coroutine[None]:
+        yield from connection.start_chunked_response()
         pending_lines.append(listed(43, entry("a", "draining"), complete=False))
         while len(reported_lists(bench)) < 2:
             yield Wait(bench.clock() + MS)
-        yield from caller.line(listed(43, entry("a", "draining"), complete=False))
-        yield from caller.line(listed(44, entry("b"), complete=False))
-        yield from caller.silence()
+        yield from connection.send_line(listed(43, entry("a", "draining"), complete=False))
+        yield from connection.send_line(listed(44, entry("b"), complete=False))
+        yield from connection.wait_for_close()
 
     old, new = DiscoveryService(bench, previous), DiscoveryService(bench, reconnected)
     discovery = discovery_client_for(bench, old)
--- a/tests/test_discovery_versions.py
+++ b/tests/test_discovery_versions.py
@@ -11,7 +11,7 @@
     response_body,
     watch_stream,
 )
-from tests.standins import FAST_LIMITS, MS, Bench, Caller, entry, listed
+from tests.standins import FAST_LIMITS, MS, Bench, HttpConnection, entry, listed
 
 
 def test_changes_older_than_the_known_version_end_the_watch(bench: Bench) -> None:
@@ -96,13 +96,13 @@
     """The fetch advanced the version, so the next line of the watch was mistaken for a gap."""
     pending_lines: list[bytes] = []
 
-    def watched(caller: Caller) -> Coroutine[None]:
-        yield from caller.open_body()
-        yield from caller.line(listed(42, entry("a"), complete=False))
+    def watched(connection: HttpConnection) -> Coroutine[None]:
+        yield from connection.start_chunked_response()
+        yield from connection.send_line(listed(42, entry("a"), complete=False))
         while True:
             while not pending_lines:
                 yield Wait(bench.clock() + MS)
-            yield from caller.line(pending_lines.pop(0))
+            yield from connection.send_line(pending_lines.pop(0))
 
     service = DiscoveryService(bench, watched, response_body(listed(45, entry("a", "draining"))))
     discovery = discovery_client_for(bench, service)
--- a/tests/test_end_result.py
+++ b/tests/test_end_result.py
@@ -22,7 +22,7 @@
 from kelpcourse.wire.loop import Coroutine, Signal
 from kelpcourse.wire.relay_calls import RelayCalls
 from kelpcourse.wire.relay_codec import encode_order
-from tests.standins import FAST_LIMITS, MS, Bench, Caller, StandIn
+from tests.standins import FAST_LIMITS, MS, Bench, HttpConnection, HttpServer
 
 Orders = list[dict[str, Any]]
 HOSTS = [f"h{k}" for k in range(5)]
@@ -93,50 +93,50 @@
         self.state = RelayState()
         self.faults = faults
         self.calls = 0
-        self.stand_in = StandIn(bench.loop, self._serve)
+        self.stand_in = HttpServer(bench.loop, self._serve)
 
-    def _serve(self, caller: Caller) -> Coroutine[None]:
-        while (call := (yield from caller.request())) is not None:
+    def _serve(self, connection: HttpConnection) -> Coroutine[None]:
+        while (call := (yield from connection.read_request())) is not None:
             fault = self.faults[self.calls % len(self.faults)]
             self.calls += 1
-            yield from fault(self, caller, orjson.loads(call[1])["orders"])
+            yield from fault(self, connection, orjson.loads(call[1])["orders"])
 
     def carry_out(self, orders: Orders) -> None:
         for order in orders:
             self.state.apply(order)
 
 
-def carried_out(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
+def carried_out(relay: Relay, connection: HttpConnection, orders: Orders) -> Coroutine[None]:
     relay.carry_out(orders)
-    yield from caller.answer(200, b'{"ok_count":%d}' % len(orders))
+    yield from connection.respond(200, b'{"ok_count":%d}' % len(orders))
 
 
-def request_lost(_relay: Relay, caller: Caller, _orders: Orders) -> Coroutine[None]:
-    caller.reset()
+def request_lost(_relay: Relay, connection: HttpConnection, _orders: Orders) -> Coroutine[None]:
+    connection.reset()
     yield from ()
 
 
-def answer_lost(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
+def answer_lost(relay: Relay, connection: HttpConnection, orders: Orders) -> Coroutine[None]:
     relay.carry_out(orders)
-    caller.reset()
+    connection.reset()
     yield from ()
 
 
-def answer_unreadable(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
+def answer_unreadable(relay: Relay, connection: HttpConnection, orders: Orders) -> Coroutine[None]:
     relay.carry_out(orders)
-    yield from caller.answer(200, b"\xff\x00")
+    yield from connection.respond(200, b"\xff\x00")
 
 
-def silent(relay: Relay, caller: Caller, orders: Orders) -> Coroutine[None]:
+def silent(relay: Relay, connection: HttpConnection, orders: Orders) -> Coroutine[None]:
     relay.carry_out(orders)
-    yield from caller.silence()
+    yield from connection.wait_for_close()
 
 
-def throttled(_relay: Relay, caller: Caller, _orders: Orders) -> Coroutine[None]:
-    yield from caller.answer(429, b'{"error":"Throttling"}')
+def throttled(_relay: Relay, connection: HttpConnection, _orders: Orders) -> Coroutine[None]:
+    yield from connection.respond(429, b'{"error":"Throttling"}')
 
 
-Fault = Callable[[Relay, Caller, Orders], Coroutine[None]]
+Fault = Callable[[Relay, HttpConnection, Orders], Coroutine[None]]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -10,7 +10,7 @@
 from kelpcourse.policy.events import HealthCheckCompleted, HealthCheckStatus
 from kelpcourse.wire.health_checks import HealthChecker, decode_load_report
 from kelpcourse.wire.loop import Coroutine
-from tests.standins import FAST_LIMITS, Bench, Caller, StandIn, member
+from tests.standins import FAST_LIMITS, Bench, HttpConnection, HttpServer, member
 
 
 @pytest.fixture
@@ -21,22 +21,22 @@
     created.close()
 
 
-def responding(status: int, body: bytes) -> Callable[[Caller], Coroutine[None]]:
-    def serve(caller: Caller) -> Coroutine[None]:
-        call = yield from caller.request()
+def responding(status: int, body: bytes) -> Callable[[HttpConnection], Coroutine[None]]:
+    def serve(connection: HttpConnection) -> Coroutine[None]:
+        call = yield from connection.read_request()
         assert call == ("/metrics/load", b"")
-        yield from caller.answer(status, body)
+        yield from connection.respond(status, body)
 
     return serve
 
 
-def silent(caller: Caller) -> Coroutine[None]:
-    yield from caller.silence()
+def silent(connection: HttpConnection) -> Coroutine[None]:
+    yield from connection.wait_for_close()
 
 
-def reset(caller: Caller) -> Coroutine[None]:
-    yield from caller.request()
-    caller.reset()
+def reset(connection: HttpConnection) -> Coroutine[None]:
+    yield from connection.read_request()
+    connection.reset()
 
 
 def completed_checks(bench: Bench) -> list[HealthCheckCompleted]:
@@ -66,18 +66,18 @@
 )
 def test_outcome_of_a_health_check(
     bench: Bench,
-    serve: Callable[[Caller], Coroutine[None]],
+    serve: Callable[[HttpConnection], Coroutine[None]],
     status: HealthCheckStatus,
     load: tuple[tuple[str, float], ...],
 ) -> None:
-    endpoint = StandIn(bench.loop, serve)
+    endpoint = HttpServer(bench.loop, serve)
     HealthChecker(bench.runtime).check("h1", endpoint.address)
     bench.until(lambda: completed_checks(bench))
     assert [(a.endpoint, a.status, a.load) for a in completed_checks(bench)] == [(1, status, load)]
 
 
 def test_an_endpoint_that_is_down_fails_to_connect(bench: Bench) -> None:
-    endpoint = StandIn(bench.loop, silent)
+    endpoint = HttpServer(bench.loop, silent)
     endpoint.close()
     HealthChecker(bench.runtime).check("h1", endpoint.address)
     bench.until(lambda: completed_checks(bench))
@@ -89,7 +89,7 @@
         bench.runtime,
         limits=replace(FAST_LIMITS, max_concurrent_health_checks=2, max_queued_health_checks=3),
     )
-    endpoint = StandIn(bench.loop, responding(200, b""))
+    endpoint = HttpServer(bench.loop, responding(200, b""))
     checker = HealthChecker(bench.runtime)
     for _ in range(8):
         checker.check("h1", endpoint.address)
@@ -103,7 +103,7 @@
     bench.runtime = replace(
         bench.runtime, limits=replace(FAST_LIMITS, max_concurrent_health_checks=1)
     )
-    endpoint = StandIn(bench.loop, responding(200, b""))
+    endpoint = HttpServer(bench.loop, responding(200, b""))
     checker = HealthChecker(bench.runtime)
     checker.check("h1", ("127.0.0.1", 99_999))
     checker.check("h1", endpoint.address)
--- a/tests/test_reconnect_storms.py
+++ b/tests/test_reconnect_storms.py
@@ -35,7 +35,7 @@
     Withdraw,
 )
 from tests.fleet import SECOND, SETTINGS, UnboundedTables, full_list, list_changes, make_endpoint
-from tests.standins import MS, Bench, Caller, StandIn, member
+from tests.standins import MS, Bench, HttpConnection, HttpServer, member
 
 ZONES = tuple(f"z{k}" for k in range(8))
 ENDPOINTS = [make_endpoint(1_000 + k, ZONES[k % 8]) for k in range(200)]
@@ -165,7 +165,7 @@
         self.orders_queued = Signal()
         self.lost_fraction = lost_fraction  # of the calls that are executed and not answered
         self.draw = random.Random(seed)
-        relay = StandIn(self.bench.loop, self._serve)
+        relay = HttpServer(self.bench.loop, self._serve)
         self.bench.loop.start(
             "calls", RelayCalls(runtime, relay.address, self.order_queue, self.orders_queued).run()
         )
@@ -177,14 +177,14 @@
         self.facade.report_cached_list(list(self.members_by_name.values()), 1)
         self.facade.start(self.bench.clock.now)
 
-    def _serve(self, caller: Caller) -> Coroutine[None]:
-        while (call := (yield from caller.request())) is not None:
+    def _serve(self, connection: HttpConnection) -> Coroutine[None]:
+        while (call := (yield from connection.read_request())) is not None:
             orders = orjson.loads(call[1])["orders"]
             self.world.order(self.bench.clock.now, [order_from_wire(order) for order in orders])
             if self.draw.random() < self.lost_fraction:
-                yield from caller.silence()
+                yield from connection.wait_for_close()
                 return
-            yield from caller.answer(200, b'{"ok_count":%d}' % len(orders))
+            yield from connection.respond(200, b'{"ok_count":%d}' % len(orders))
 
     def run(self, ms: int) -> None:
         until_us = self.bench.clock.now + ms * MS
--- a/tests/test_relay_outcome_unknown.py
+++ b/tests/test_relay_outcome_unknown.py
@@ -22,7 +22,7 @@
     truncated_response,
 )
 from tests.relays import BIND, CHECKPOINT, SET_WEIGHT, order_queue_of
-from tests.standins import FAST_LIMITS, MS, Bench, Caller, StandIn
+from tests.standins import FAST_LIMITS, MS, Bench, HttpConnection, HttpServer
 
 CORRUPTED_RESPONSES = [
     b"{}",
@@ -40,8 +40,8 @@
 
 @pytest.mark.parametrize("answer", CORRUPTED_RESPONSES, ids=repr)
 def test_call_with_a_corrupted_response_is_resent(bench: Bench, answer: bytes) -> None:
-    def corrupt(caller: Caller, _: int) -> Coroutine[None]:
-        yield from caller.answer(200, answer)
+    def corrupt(connection: HttpConnection, _: int) -> Coroutine[None]:
+        yield from connection.respond(200, answer)
 
     relay, order_queue = Relay(bench, corrupt), order_queue_of(SET_WEIGHT, CHECKPOINT)
     start_calls(bench, relay, order_queue)
@@ -54,7 +54,7 @@
     "fault", [never_respond, reset_connection, truncated_response, not_http, not_json]
 )
 def test_a_call_of_unknown_outcome_is_resent_in_order(
-    bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
+    bench: Bench, fault: Callable[[HttpConnection, int], Coroutine[None]]
 ) -> None:
     relay, order_queue = Relay(bench, fault), order_queue_of(SET_WEIGHT, CHECKPOINT)
     start_calls(bench, relay, order_queue)
@@ -74,7 +74,7 @@
 
 
 def start_calls_that_must_not_be_resent(
-    bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
+    bench: Bench, fault: Callable[[HttpConnection, int], Coroutine[None]]
 ) -> tuple[Relay, OrderQueue]:
     """Starts calls of which the first fails, while the policy does not allow it to be resent yet."""
     bench.policy.allows_resend = False
@@ -87,7 +87,7 @@
     "fault", [never_respond, reset_connection, truncated_response, not_http, not_json]
 )
 def test_a_call_of_unknown_outcome_waits_until_the_policy_allows_to_resend(
-    bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
+    bench: Bench, fault: Callable[[HttpConnection, int], Coroutine[None]]
 ) -> None:
     """A call whose response was lost was resent while its first copy was pending.
 
@@ -109,7 +109,7 @@
     "fault", [never_respond, reset_connection, truncated_response, not_http, not_json]
 )
 def test_a_call_whose_checkpoint_is_acknowledged_is_not_resent(
-    bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
+    bench: Bench, fault: Callable[[HttpConnection, int], Coroutine[None]]
 ) -> None:
     relay, order_queue = start_calls_that_must_not_be_resent(bench, fault)
     bench.until(lambda: any(isinstance(e, OrdersOutcomeUnknown) for e in bench.policy.events))
@@ -131,12 +131,12 @@
     long = "h" * 2_000
     orders: list[Order] = [SetWeight(0, f"{long}{k}", 1.0) for k in range(10_000)]
 
-    def read_nothing(_: Caller) -> Coroutine[None]:
+    def read_nothing(_: HttpConnection) -> Coroutine[None]:
         while True:
             yield Wait(bench.clock() + MS)
 
     bench.policy.allows_resend = False
-    stalled, order_queue = StandIn(bench.loop, read_nothing), order_queue_of(*orders, CHECKPOINT)
+    stalled, order_queue = HttpServer(bench.loop, read_nothing), order_queue_of(*orders, CHECKPOINT)
     bench.loop.start(
         "calls", RelayCalls(bench.runtime, stalled.address, order_queue, Signal()).run()
     )
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -7,7 +7,7 @@
 
 from tests.deployment import ENDPOINTS, Deployment
 from tests.relays import joined
-from tests.standins import StandIn, listed
+from tests.standins import HttpServer, listed
 
 
 def test_a_reload_reconnects_to_new_addresses_and_rebinds_no_proxy(
@@ -107,7 +107,7 @@
     deployment.path.write_bytes(deployment.path.read_bytes()[:200])
     deployment.reload()
     assert deployment.wait_for_log_event("configuration_reload_failed")["will_retry"] is True
-    deployment.discovery = StandIn(deployment.loop, deployment._serve_discovery)
+    deployment.discovery = HttpServer(deployment.loop, deployment._serve_discovery)
     deployment.config()
     assert deployment.wait_for_log_event("configuration_reloaded")["changed"] == ["discovery"]
     deployment.until(lambda: deployment.discovery.connections)
