--- a/kelpcourse/simhost/__main__.py
+++ b/kelpcourse/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point: `python -m kelpcourse.simhost` speaks the simulator's wire on stdin and stdout."""
+"""Entry point: `python -m kelpcourse.simhost` runs the adapter on stdin and stdout."""
 
 import sys
 
--- a/kelpcourse/simhost/actions.py
+++ b/kelpcourse/simhost/actions.py
@@ -1,4 +1,4 @@
-"""Actions of the policy as reply lines of the simulator.
+"""Encodes actions of the policy as reply lines of the simulator's protocol.
 
 | action | line |
 | --- | --- |
@@ -12,9 +12,9 @@
 | `CheckHealth` | `ask_load` |
 | `SendToPeer` | `notify` |
 | `LogMessage` | `emit` |
-| an error of the policy | `bail_out` |
+| exception raised by the policy | `bail_out` |
 
-Classes are a bit mask of their positions, weights and admission limits have six significant digits.
+Request classes are encoded as a bit mask of their indexes. Weights and admission ratios have six significant digits.
 """
 
 from __future__ import annotations
@@ -36,20 +36,24 @@
     WithdrawEndpoint,
 )
 
-EVERY_TABLE = 65535
+# Value of `route_table` that addresses all tables.
+ALL_TABLES = 65535
 
 
 class UnsupportedActionError(ValueError):
-    """The simulator's wire has no line for an action."""
+    """Raised for an action that the simulator's protocol has no line for."""
 
     def __init__(self, action: Action) -> None:
-        """Names the action's type."""
-        super().__init__(f"the simulator's wire has no line for {type(action).__name__}")
+        """Initializes the error with the action; the message names its type."""
+        super().__init__(f"the simulator's protocol has no line for {type(action).__name__}")
         self.action = action
 
 
 def one_line(text: str) -> str:
-    """Text that fits a line: breaks and control characters become spaces."""
+    """Returns the text on one line, with line breaks and control characters replaced by spaces.
+
+    An empty text becomes `-`.
+    """
     return "".join(ch if ch.isprintable() else " " for ch in text) or "-"
 
 
@@ -57,8 +61,8 @@
     return sum(1 << index for index in classes)
 
 
-def _order(action: Action) -> tuple[str, str]:
-    """The verb of an order and its fields."""
+def _order_verb_and_fields(action: Action) -> tuple[str, str]:
+    """Returns the verb and the fields of an order."""
     match action:
         case SetWeight(table, endpoint, weight):
             return "upsert", f"route_table={table} host={endpoint} heft={weight:.6g}"
@@ -67,7 +71,7 @@
         case BindProxy(proxy, table, classes):
             return "point", f"client_lb={proxy} route_table={table} classes={_class_mask(classes)}"
         case SetAdmission(table, classes, limit, retry_policy):
-            number = EVERY_TABLE if table is None else table
+            number = ALL_TABLES if table is None else table
             return (
                 "throttle",
                 f"classes={_class_mask(classes)} on_failure={retry_policy.value}"
@@ -84,7 +88,7 @@
 
 
 def _verb_and_fields(action: Action) -> tuple[str, str]:
-    """The verb of an action and its fields."""
+    """Returns the verb and the fields of an action."""
     match action:
         case SetTimer(name, due_us):
             return "notify_me", f"name={name} instant_us={due_us}"
@@ -100,14 +104,14 @@
         case LogMessage(text):
             return "emit", f"words={one_line(text)}"
         case _:
-            return _order(action)
+            return _order_verb_and_fields(action)
 
 
 def write_action(instance: int, action: Action) -> str:
-    """The reply line of an action.
+    """Returns the reply line of an action.
 
     Raises:
-        UnsupportedActionError: the simulator's wire has no line for it.
+        UnsupportedActionError: The simulator's protocol has no line for the action.
     """
     verb, fields = _verb_and_fields(action)
     head = f"{verb} director_id={instance}"
@@ -115,5 +119,5 @@
 
 
 def write_failure(instance: int, text: str) -> str:
-    """The reply line that ends the simulation with a reason."""
+    """Returns the reply line that ends the simulation and gives the reason."""
     return f"bail_out director_id={instance} words={one_line(text)}"
--- a/kelpcourse/simhost/events.py
+++ b/kelpcourse/simhost/events.py
@@ -1,4 +1,4 @@
-"""Event lines of the simulator as events of the policy.
+"""Decodes event lines of the simulator into events of the policy.
 
 | line | event |
 | --- | --- |
@@ -10,19 +10,20 @@
 | `echo` | `HealthCheckCompleted` |
 | `datagram` | `PeerMessage` |
 | `leased`, `in_store` | `SliceLeased`, `SliceWeight` |
-| `members` | `EndpointList`, of entries sent before as `sheet` and `item` |
+| `members` | `EndpointList`, whose entries were sent earlier as `sheet` and `item` lines |
 
 | field | meaning |
 | --- | --- |
-| `client_lb`, `host`, `route_table`, `who` | number of a proxy, an endpoint, a table or slice, a peer |
+| `client_lb`, `host`, `who` | number of a proxy, an endpoint, a peer |
+| `route_table` | number of a table or of a slice |
 | `az`, `sku`, `unit_group` | zone, kind, cell |
 | `cls` | request class, by name |
-| `heft` | weight, of a proxy its request rate |
+| `heft` | weight; for a proxy, its request rate |
 | `mode`, `state_code` | status of an endpoint, of a health check |
-| `number`, `failed` | a count and the part of it that failed, or the number of a checkpoint |
-| `elapsed_us`, `wait_time_us` | window of a report, a duration |
+| `number`, `failed` | a count and how many of it failed; for `acked`, `number` is the number of a checkpoint |
+| `elapsed_us`, `wait_time_us` | window of a report and latency, in microseconds |
 | `usage` | load report |
-| `set` | a flag |
+| `set` | boolean |
 """
 
 from __future__ import annotations
@@ -75,7 +76,7 @@
 
 
 def read_endpoint(fields: Fields) -> Endpoint:
-    """An entry of an endpoint list. Raises FieldError."""
+    """Decodes an entry of an endpoint list. Raises FieldError."""
     return Endpoint(
         id=fields.count("host"),
         zone=fields.text("az"),
@@ -92,7 +93,7 @@
     for index, request_class in enumerate(settings.classes):
         if request_class.name == name:
             return index
-    raise FieldError("cls", f"names no class: '{name}'")
+    raise FieldError("cls", f"is not a request class: '{name}'")
 
 
 def _timer_fired(fields: Fields, _: Settings) -> Event:
@@ -166,7 +167,7 @@
     try:
         data = b"" if payload == EMPTY_PAYLOAD else bytes.fromhex(payload)
     except ValueError as error:
-        raise FieldError("payload", f"is not hex: '{payload}'") from error
+        raise FieldError("payload", f"is not hexadecimal: '{payload}'") from error
     return PeerMessage(sender=fields.count("who"), payload=data)
 
 
@@ -182,7 +183,7 @@
     )
 
 
-READERS: dict[str, Callable[[Fields, Settings], Event]] = {
+EVENT_DECODERS: dict[str, Callable[[Fields, Settings], Event]] = {
     "timeout_fired": _timer_fired,
     "subscribed": _proxy_joined,
     "detached": _proxy_left,
--- a/kelpcourse/simhost/server.py
+++ b/kelpcourse/simhost/server.py
@@ -1,4 +1,7 @@
-"""The batch loop: one reply for each batch, any number of policies, nothing shared between them."""
+"""The batch loop of the simulator's protocol.
+
+The adapter hosts any number of independent policy instances and writes one reply for each batch.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 from kelpcourse.policy.settings import Settings
 from kelpcourse.settings import read_settings
 from kelpcourse.simhost.actions import write_action, write_failure
-from kelpcourse.simhost.events import LIST_KINDS, READERS, read_endpoint
+from kelpcourse.simhost.events import EVENT_DECODERS, LIST_KINDS, read_endpoint
 
 BATCH_BEGIN = "mark"
 BATCH_END = "your_turn"
@@ -23,69 +26,78 @@
 
 
 class UnexpectedLineError(InputError):
-    """A line that may not come where it does."""
+    """Raised for a line that is unknown or not allowed at its position."""
 
 
 class Instance:
-    """One hosted policy and the events that it has yet to see in this batch."""
+    """A hosted policy and its events of the current batch that have not been passed to it yet."""
 
     def __init__(self, settings: Settings, seed: int, policy: Policy) -> None:
-        """The first event is the start."""
+        """Initializes the instance with `Started` as its first event."""
         self.settings = settings
         self.policy = policy
         self.events: list[Event] = [Started(seed)]
 
 
-class Lines:
-    """Numbered input lines."""
+class LineReader:
+    """Reads input lines and counts them.
+
+    Attributes:
+        number: Number of the line that was read last, from 1; 0 before the first.
+    """
 
     def __init__(self, source: TextIO) -> None:
-        """Reads nothing yet."""
+        """Initializes the reader without reading from the source."""
         self._source = source
         self.number = 0
 
-    def next(self) -> str | None:
-        """The next line, or None at the end of the input."""
+    def next_line(self) -> str | None:
+        """Returns the next line without its line break, or None at the end of the input."""
         line = self._source.readline()
         if not line:
             return None
         self.number += 1
         return line.rstrip("\r\n")
 
-    def within_batch(self) -> str:
-        """The next line of a batch. Raises UnexpectedLineError if the input ends."""
-        line = self.next()
+    def next_batch_line(self) -> str:
+        """Returns the next line inside a batch. Raises UnexpectedLineError if the input ends."""
+        line = self.next_line()
         if line is None:
             raise UnexpectedLineError("input ends inside a batch")
         return line
 
 
 class Adapter:
-    """Hosts policies by the simulator's lines."""
+    """Hosts policies on the simulator's line protocol."""
 
     def __init__(self, source: TextIO, policy_factory: Callable[[Settings], Policy]) -> None:
-        """Reads nothing yet."""
-        self.lines = Lines(source)
+        """Initializes the adapter without reading from the source.
+
+        Args:
+            source: Input lines of the simulator.
+            policy_factory: Creates the policy of a new instance from its settings.
+        """
+        self.lines = LineReader(source)
         self._policy_factory = policy_factory
         self._instances: dict[int, Instance] = {}
         self._lists: dict[int, tuple[Endpoint, ...]] = {}
 
     def replies(self) -> Iterator[str]:
-        """The reply to each batch. Raises InputError for a line that can't be understood."""
+        """Yields the reply to each batch. Raises InputError for a line that can't be parsed."""
         while True:
-            line = self.lines.next()
+            line = self.lines.next_line()
             if line is None:
                 return
             name, *parts = line.split(" ")
             if name != BATCH_BEGIN:
-                raise UnexpectedLineError(f"'{name}' where a batch should begin")
+                raise UnexpectedLineError(f"'{name}' instead of the start of a batch")
             now_us = Fields.parse(parts).integer("t_us")
             self._read_batch()
             yield self._reply(now_us)
 
     def _read_batch(self) -> None:
         while True:
-            line = self.lines.within_batch()
+            line = self.lines.next_batch_line()
             if line == BATCH_END:
                 return
             name, *parts = line.split(" ")
@@ -100,9 +112,9 @@
             self._instances.pop(fields.count("director_id"), None)
         elif name == "members":
             self._instance(fields).events.append(self._endpoint_list(fields))
-        elif name in READERS:
+        elif name in EVENT_DECODERS:
             instance = self._instance(fields)
-            instance.events.append(READERS[name](fields, instance.settings))
+            instance.events.append(EVENT_DECODERS[name](fields, instance.settings))
         else:
             raise UnexpectedLineError(f"unknown event '{name}'")
 
@@ -111,9 +123,9 @@
         size = fields.count("members")
         endpoints = []
         for _ in range(size):
-            name, *parts = self.lines.within_batch().split(" ")
+            name, *parts = self.lines.next_batch_line().split(" ")
             if name != "item":
-                raise UnexpectedLineError(f"'{name}' where an entry of a list should be")
+                raise UnexpectedLineError(f"'{name}' instead of a list entry")
             endpoints.append(read_endpoint(Fields.parse(parts)))
         self._lists[number] = tuple(endpoints)
 
@@ -126,7 +138,7 @@
     def _instance(self, fields: Fields) -> Instance:
         number = fields.count("director_id")
         if number not in self._instances:
-            raise FieldError("director_id", f"names no running instance: '{number}'")
+            raise FieldError("director_id", f"is not a running instance: '{number}'")
         return self._instances[number]
 
     def _endpoint_list(self, fields: Fields) -> EndpointList:
@@ -135,7 +147,7 @@
             return EndpointList(kind, 0, ())
         number = fields.count("roster_id")
         if number not in self._lists:
-            raise FieldError("roster_id", f"names no list: '{number}'")
+            raise FieldError("roster_id", f"is not a known list: '{number}'")
         return EndpointList(kind, fields.integer("number"), self._lists[number])
 
     def _reply(self, now_us: int) -> str:
@@ -151,14 +163,14 @@
         instance.events = []
         try:
             actions = instance.policy.step(now_us, events)
-        except Exception as error:  # the run must end with the reason, whatever it is
+        except Exception as error:  # Any exception must end the simulation with its reason.
             traceback.print_exc(file=sys.stderr)
             return [write_failure(number, f"{type(error).__name__}: {error}")]
         return [write_action(number, action) for action in actions]
 
 
 def main() -> int:
-    """Serves standard input and output until the input ends; returns the exit status."""
+    """Runs the adapter on standard input and output until the input ends; returns the exit code."""
     adapter = Adapter(sys.stdin, RoutingPolicy)
     try:
         for reply in adapter.replies():
--- a/tests/simulator_input.py
+++ b/tests/simulator_input.py
@@ -1,4 +1,4 @@
-"""The simulator's lines for tests of the adapter, and a harness that records what they become."""
+"""Input lines of the simulator for tests of the adapter, and a harness that records the decoded events."""
 
 from __future__ import annotations
 
@@ -42,12 +42,12 @@
 
 
 def batch(now_us: int, *lines: str) -> str:
-    """A batch of the simulator's lines at a time."""
+    """Returns a batch of event lines at a given time."""
     return "\n".join([f"mark t_us={now_us}", *lines, "your_turn"]) + "\n"
 
 
 class RecordingPolicy:
-    """Stands in for the policy: keeps the events, and orders nothing."""
+    """A policy that records its events and returns no actions."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -60,26 +60,26 @@
 
 
 class AdapterHarness:
-    """An adapter on given input, and the policies that it started."""
+    """Runs adapters on given input and records the policies that they create."""
 
     def __init__(self) -> None:
         self.policies: list[RecordingPolicy] = []
 
     def create_policy(self, settings: Settings) -> RecordingPolicy:
-        """The factory of policies for the adapter."""
+        """Creates and records a policy, as the adapter's policy factory."""
         policy = RecordingPolicy(settings)
         self.policies.append(policy)
         return policy
 
     def adapter(self, text: str) -> Adapter:
-        """An adapter that reads this input."""
+        """Returns an adapter that reads the given input."""
         return Adapter(io.StringIO(text), self.create_policy)
 
-    def play(self, *batches: str) -> list[str]:
-        """The replies to these batches."""
+    def run_batches(self, *batches: str) -> list[str]:
+        """Returns the replies to the given batches."""
         return list(self.adapter("".join(batches)).replies())
 
     def events_of(self, *lines: str) -> list[Event]:
-        """The events that lines after the start become."""
-        self.play(batch(1, *START), batch(2, *lines))
+        """Returns the events that are decoded from lines sent in the batch after the start."""
+        self.run_batches(batch(1, *START), batch(2, *lines))
         return self.policies[0].steps[1][1]
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""Adapter: batches, replies, restarts and errors of the simulator's protocol."""
+"""Tests of the adapter: batches, replies, restarts and errors of the simulator's protocol."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         ("detached director_id=3 client_lb=1 client_lb=2", "client_lb"),
     ],
 )
-def test_bad_input_names_line_and_field_and_ends_the_adapter(
+def test_invalid_input_is_reported_with_line_and_field_and_ends_the_adapter(
     adapter_harness: AdapterHarness, line: str, field: str
 ) -> None:
     source = batch(1, *START) + batch(2, line)
@@ -57,7 +57,7 @@
     assert adapter.lines.number == len(START) + 2 + 2
 
 
-def test_bad_input_is_one_message_and_exit_code_2() -> None:
+def test_invalid_input_is_reported_in_one_line_with_exit_code_2() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "kelpcourse.simhost"],
         input="mark t_us=1\nwhat\n",
@@ -72,21 +72,27 @@
 
 def test_input_that_ends_inside_a_batch_is_an_error(adapter_harness: AdapterHarness) -> None:
     with pytest.raises(InputError, match="inside a batch"):
-        adapter_harness.play("mark t_us=1\n")
+        adapter_harness.run_batches("mark t_us=1\n")
 
 
 def test_an_empty_batch_gets_an_empty_reply(adapter_harness: AdapterHarness) -> None:
-    assert adapter_harness.play("mark t_us=1\nyour_turn\n") == ["eor\n"]
+    assert adapter_harness.run_batches("mark t_us=1\nyour_turn\n") == ["eor\n"]
 
 
-def test_an_instance_without_an_event_does_not_act(adapter_harness: AdapterHarness) -> None:
-    adapter_harness.play(batch(1, *START), batch(2), batch(3, "timeout_fired director_id=3 name=x"))
+def test_an_instance_without_events_is_not_stepped(adapter_harness: AdapterHarness) -> None:
+    adapter_harness.run_batches(
+        batch(1, *START), batch(2), batch(3, "timeout_fired director_id=3 name=x")
+    )
     assert [now for now, _ in adapter_harness.policies[0].steps] == [1, 3]
 
 
-def test_a_restart_in_the_same_batch_starts_over(adapter_harness: AdapterHarness) -> None:
-    old = "timeout_fired director_id=3 name=old"
-    adapter_harness.play(batch(1, *START), batch(2, old, "crash_now director_id=3", *START))
+def test_a_restart_within_a_batch_creates_a_new_policy_and_discards_earlier_events(
+    adapter_harness: AdapterHarness,
+) -> None:
+    discarded = "timeout_fired director_id=3 name=old"
+    adapter_harness.run_batches(
+        batch(1, *START), batch(2, discarded, "crash_now director_id=3", *START)
+    )
     assert len(adapter_harness.policies) == 2
     assert len(adapter_harness.policies[0].steps) == 1
     assert isinstance(adapter_harness.policies[1].steps[0][1][0], Started)
@@ -94,10 +100,10 @@
 
 
 def test_an_exception_in_the_policy_becomes_bail_out(capsys: pytest.CaptureFixture[str]) -> None:
-    class Broken:
+    class FailingPolicy:
         def step(self, now_us: int, events: Sequence[Event]) -> list[Action]:
             raise KeyError("no such thing")
 
-    reply = list(Adapter(io.StringIO(batch(1, *START)), lambda _: Broken()).replies())
+    reply = list(Adapter(io.StringIO(batch(1, *START)), lambda _: FailingPolicy()).replies())
     assert reply == ["bail_out director_id=3 words=KeyError: 'no such thing'\neor\n"]
     assert "Traceback" in capsys.readouterr().err
--- a/tests/test_adapter_actions.py
+++ b/tests/test_adapter_actions.py
@@ -1,4 +1,4 @@
-"""Adapter: actions of the policy become lines of the simulator."""
+"""Tests of the adapter: actions of the policy are encoded as lines of the simulator's protocol."""
 
 from __future__ import annotations
 
@@ -64,14 +64,14 @@
         (LogMessage("two\nlines {x}"), "emit director_id=3 words=two lines {x}"),
     ],
 )
-def test_every_action_is_translated(action: Action, line: str) -> None:
+def test_every_action_is_encoded(action: Action, line: str) -> None:
     assert write_action(3, action) == line
 
 
-def day_lines(instances: Sequence[int]) -> str:
-    """A short day for some instances: starts, joins, reports with failures, a drain and a return."""
+def sample_batches(instances: Sequence[int]) -> str:
+    """Returns input of 29 s for some instances: starts, joins, reports with failures and a drain."""
 
-    def each(text: str) -> list[str]:
+    def for_each_instance(text: str) -> list[str]:
         return [text.replace("director_id=3", f"director_id={i}") for i in instances]
 
     out = batch(
@@ -88,26 +88,26 @@
     )
     out += batch(
         1_000_002,
-        *each("subscribed director_id=3 client_lb=1 az=room-a heft=6 set=1"),
-        *each("subscribed director_id=3 client_lb=2 az=room-b heft=6 set=0"),
+        *for_each_instance("subscribed director_id=3 client_lb=1 az=room-a heft=6 set=1"),
+        *for_each_instance("subscribed director_id=3 client_lb=2 az=room-b heft=6 set=0"),
     )
     for k in range(2, 30):
         lines = []
         for number in (51530247, 747639282):
-            lines += each(
+            lines += for_each_instance(
                 f"stats director_id=3 az=room-a number={20 + k} failed={k % 7} elapsed_us=2000000"
                 f" wait_time_us={200000 + 40000 * k} host={number}"
             )
-        lines += each(
+        lines += for_each_instance(
             f"traffic director_id=3 failed=0 cls=board-read client_lb=1 elapsed_us=2000000"
             f" number={30 * k}"
         )
-        lines += each("timeout_fired director_id=3 name=tick")
+        lines += for_each_instance("timeout_fired director_id=3 name=tick")
         if k == 12:
             lines += [
                 "sheet roster_id=1 members=1",
                 "item heft=1 unit_group=0 sku=large mode=DRAINING az=room-a host=51530247",
-                *each("members director_id=3 scope=update number=2 roster_id=1"),
+                *for_each_instance("members director_id=3 scope=update number=2 roster_id=1"),
             ]
         out += batch(1_000_000 * k, *lines)
     return out
@@ -116,7 +116,7 @@
 def actions_of(instances: Sequence[int], hash_seed: str) -> dict[int, list[str]]:
     done = subprocess.run(
         [sys.executable, "-m", "kelpcourse.simhost"],
-        input=day_lines(instances),
+        input=sample_batches(instances),
         capture_output=True,
         text=True,
         cwd=ROOT,
@@ -131,7 +131,7 @@
     return found
 
 
-def test_the_same_events_give_the_same_actions_under_any_hash_seed_and_spread() -> None:
+def test_actions_do_not_depend_on_the_hash_seed_or_on_other_hosted_instances() -> None:
     together = actions_of((1, 2, 3), "0")
     assert min(len(lines) for lines in together.values()) > 40
     assert actions_of((1, 2, 3), "12345") == together
@@ -140,7 +140,7 @@
 
 
 def test_the_adapter_hosts_the_routing_policy() -> None:
-    replies = list(Adapter(io.StringIO(day_lines((3,))), RoutingPolicy).replies())
+    replies = list(Adapter(io.StringIO(sample_batches((3,))), RoutingPolicy).replies())
     text = "".join(replies)
     for word in ("point", "upsert", "throttle", "bench", "checkpoint", "listen", "notify_me"):
         assert f"{word} director_id=3" in text
--- a/tests/test_adapter_events.py
+++ b/tests/test_adapter_events.py
@@ -1,4 +1,4 @@
-"""Adapter: lines of the simulator become events of the policy."""
+"""Tests of the adapter: lines of the simulator are decoded into events of the policy."""
 
 from __future__ import annotations
 
@@ -27,8 +27,10 @@
 from tests.simulator_input import LIST, START, AdapterHarness, batch
 
 
-def test_start_and_list_reach_the_policy_in_order(adapter_harness: AdapterHarness) -> None:
-    adapter_harness.play(batch(1, *START))
+def test_start_and_endpoint_list_are_passed_to_the_policy_in_order(
+    adapter_harness: AdapterHarness,
+) -> None:
+    adapter_harness.run_batches(batch(1, *START))
     started, listed = adapter_harness.policies[0].steps[0][1]
     assert started == Started(1167071214265485)
     assert isinstance(listed, EndpointList)
@@ -88,19 +90,17 @@
         ),
     ],
 )
-def test_every_event_is_translated(
-    adapter_harness: AdapterHarness, line: str, event: Event
-) -> None:
+def test_every_event_is_decoded(adapter_harness: AdapterHarness, line: str, event: Event) -> None:
     assert adapter_harness.events_of(line) == [event]
 
 
-def test_a_list_number_used_again_in_one_batch_is_resolved_in_order(
+def test_a_list_number_reused_within_a_batch_is_resolved_in_order(
     adapter_harness: AdapterHarness,
 ) -> None:
-    seen = adapter_harness.events_of(
+    events = adapter_harness.events_of(
         *LIST,
         "members director_id=3 scope=replace number=42 roster_id=0",
         "sheet roster_id=0 members=0",
         "members director_id=3 scope=replace number=43 roster_id=0",
     )
-    assert [len(e.endpoints) for e in seen if isinstance(e, EndpointList)] == [2, 0]
+    assert [len(e.endpoints) for e in events if isinstance(e, EndpointList)] == [2, 0]
--- a/tests/test_adapter_settings.py
+++ b/tests/test_adapter_settings.py
@@ -1,4 +1,4 @@
-"""Adapter: settings of the simulator's configuration, and what is deployed."""
+"""Tests of the adapter's settings, of the deploy file and of pinned dependencies."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_settings_are_translated_and_unknown_keys_disregarded(
+def test_settings_are_decoded_and_unknown_keys_are_ignored(
     adapter_harness: AdapterHarness,
 ) -> None:
-    adapter_harness.play(batch(8412250, *START))
+    adapter_harness.run_batches(batch(8412250, *START))
     settings = adapter_harness.policies[0].settings
     assert settings.zones == ("room-a", "room-b")
     assert settings.discovery_is_polled
@@ -30,7 +30,7 @@
     assert adapter_harness.policies[0].steps[0][0] == 8412250
 
 
-def test_the_deploy_file_names_what_is_there() -> None:
+def test_the_deploy_file_names_files_that_exist() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
     assert all((ROOT / path).is_file() for path in deploy["policy"])
     assert all((ROOT / path).exists() for path in deploy["node"])
@@ -38,7 +38,7 @@
     assert deploy["run"].endswith("-m kelpcourse")
 
 
-def test_what_runs_is_pinned_alike_for_operators_and_developers() -> None:
+def test_runtime_dependencies_are_pinned_to_the_same_versions_in_both_files() -> None:
     project = tomllib.loads((ROOT / "pyproject.toml").read_text(encoding="utf-8"))["project"]
     lines = (ROOT / "requirements.txt").read_text(encoding="utf-8").splitlines()
     pinned = [line for line in lines if line and not line.startswith("#")]
