--- a/kelpcourse/kdl/__init__.py
+++ b/kelpcourse/kdl/__init__.py
@@ -1,4 +1,4 @@
-"""Settings written in KDL 2, read into typed and checked values."""
+"""Reads settings files in KDL 2 into typed and validated values."""
 
 from kelpcourse.kdl.errors import SettingProblem, SettingsError
 from kelpcourse.kdl.reader import Block, load, parse
--- a/kelpcourse/kdl/errors.py
+++ b/kelpcourse/kdl/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a settings file."""
+"""Problems of a settings file."""
 
 from __future__ import annotations
 
@@ -8,22 +8,29 @@
 
 @dataclass(frozen=True)
 class SettingProblem:
-    """One problem, with its place."""
+    """A problem and its position in a settings file.
+
+    Attributes:
+        file: Path of the file.
+        line: Line number, from 1; 0 if the problem has no line.
+        field: Names of the enclosing nodes and of the field, joined by dots.
+        text: Description of the problem.
+    """
 
     file: str
-    line: int  # 0: none
-    field: str  # names joined by dots
+    line: int
+    field: str
     text: str
 
     def __str__(self) -> str:
-        """Returns it as a compiler would print it."""
+        """Returns the problem in the format of compiler messages."""
         return f"{self.file}:{self.line}: {self.field}: {self.text}"
 
 
 class SettingsError(ValueError):
-    """All problems of a settings file."""
+    """Raised for an invalid settings file, with all its problems."""
 
     def __init__(self, problems: Sequence[SettingProblem]) -> None:
-        """Keeps the problems, in the order of the file."""
+        """Initializes the error with problems in the order in which they were found."""
         super().__init__("\n".join(map(str, problems)))
         self.problems = tuple(problems)
--- a/kelpcourse/kdl/lines.py
+++ b/kelpcourse/kdl/lines.py
@@ -1,4 +1,4 @@
-"""The lines on which the nodes of a KDL document begin, which ckdl does not tell."""
+"""Finds the lines on which the nodes of a KDL document begin, as ckdl does not report them."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class TokenKind(Enum):
-    """Tokens by what they mean for the place of nodes."""
+    """Kinds of tokens, as far as they matter for finding where nodes begin."""
 
-    WORD = "word"  # a name, a value or a string
+    WORD = "word"  # A name, a value or a string.
     NODE_END = "end"
     OPEN = "open"
     CLOSE = "close"
-    SLASHDASH = "off"  # comments out the next node, entry or block
+    SLASHDASH = "off"  # Comments out the next node, entry or block of children.
 
 
 @dataclass(frozen=True)
 class Token:
-    """A token and the line that it begins on."""
+    """A token and the line on which it begins."""
 
     kind: TokenKind
     line: int
@@ -49,14 +49,15 @@
 }
 
 
-def tokens(text: str) -> Iterator[Token]:
-    """The tokens of a document; comments, white space and continued lines are left out."""
+def tokenize(text: str) -> Iterator[Token]:
+    """Yields the tokens of a document, without comments, white space and line continuations."""
     position = 0
     line = 1
     while position < len(text):
         match = _PATTERN.match(text, position)
         if match is None:
-            raise ValueError(f"no token at {position}")  # the pattern matches any character
+            # Unreachable, because the pattern matches any character.
+            raise ValueError(f"no token at {position}")
         group = next(name for name in (*_KINDS, "open_note", "") if not name or match[name])
         end = _comment_end(text, position) if group == "open_note" else match.end()
         if group in _KINDS:
@@ -66,7 +67,7 @@
 
 
 def _comment_end(text: str, position: int) -> int:
-    """Where a multi-line comment ends; it may hold others."""
+    """Returns the position after a multi-line comment, which may contain nested comments."""
     depth = 0
     for match in _COMMENT_MARK.finditer(text, position):
         depth += 1 if match[0] == "/*" else -1
@@ -76,17 +77,18 @@
 
 
 class _NodeScanner:
-    """Follows the tokens of a sound document and tells which of them begin a node that counts."""
+    """Finds the tokens of a valid document that begin a node, except for nodes that are commented out."""
 
     def __init__(self) -> None:
         self._at_node_start = True
         self._depth = 0
-        self._disabled_depth: int | None = None  # of the commented-out block that tokens are in
+        # Depth of the outermost commented-out block that encloses the current token.
+        self._disabled_depth: int | None = None
         self._node_disabled = False
         self._entry_disabled = False
 
     def begins_node(self, kind: TokenKind) -> bool:
-        """Whether this token is the first of a node that is not commented out."""
+        """Processes the next token; returns whether it begins a node that is not commented out."""
         match kind:
             case TokenKind.WORD:
                 return self._read_word()
@@ -101,8 +103,8 @@
         return False
 
     def _read_word(self) -> bool:
-        in_force = self._disabled_depth is None and not self._node_disabled
-        begins = self._at_node_start and in_force
+        is_enabled = self._disabled_depth is None and not self._node_disabled
+        begins = self._at_node_start and is_enabled
         self._at_node_start = False
         self._entry_disabled = False
         return begins
@@ -134,22 +136,23 @@
 
 
 def node_lines(text: str) -> Iterator[int]:
-    """The lines on which the nodes of a sound document begin, in order, without those commented out."""
+    """Yields the lines on which the nodes of a valid document begin, except for nodes that are commented out."""
     scanner = _NodeScanner()
-    for token in tokens(text):
+    for token in tokenize(text):
         if scanner.begins_node(token.kind):
             yield token.line
 
 
 def error_line(text: str) -> int:
-    """The first line after which no continuation would make the text sound.
+    """Returns the first line after which no continuation can make the text valid KDL.
 
-    Open blocks are closed to try it. A text that only ends too early is wrong in its last line.
+    Each leading part of the text is parsed with its open blocks closed. If the text merely ends too early, the
+    result is its last line.
     """
     lines = text.rstrip().split("\n")
     for count in range(1, len(lines) + 1):
         part = "\n".join(lines[:count])
-        if _is_sound(part):
+        if _is_valid(part):
             continue
         rest = "\n".join(lines[count:])
         may_continue = '"""' in part or "/*" in part
@@ -158,8 +161,8 @@
     return len(lines)
 
 
-def _is_sound(part: str) -> bool:
-    kinds = [token.kind for token in tokens(part)]
+def _is_valid(part: str) -> bool:
+    kinds = [token.kind for token in tokenize(part)]
     open_blocks = kinds.count(TokenKind.OPEN) - kinds.count(TokenKind.CLOSE)
     try:
         ckdl.parse(part + "\n" + "}" * max(0, open_blocks), version=KDL_VERSION)
--- a/kelpcourse/kdl/reader.py
+++ b/kelpcourse/kdl/reader.py
@@ -1,8 +1,8 @@
-"""Reads a KDL 2 document into typed values; every problem is named with file, line and field.
+"""Reads a KDL 2 document into typed values and reports every problem with file, line and field.
 
-ckdl parses the document and msgspec checks each value against its type. A `Block` is a msgspec Struct for one node:
+ckdl parses the document and msgspec validates each value against its type. A `Block` is a msgspec Struct for one node:
 its fields are filled from the node's arguments (`args`, in order), its properties, and its children by name. A field
-that is a tuple of blocks takes a child node for each. Hyphens in names stand for underscores of the fields.
+that is a tuple of blocks is filled from repeated child nodes. Hyphens in names correspond to underscores in fields.
 """
 
 from __future__ import annotations
@@ -21,26 +21,27 @@
 from kelpcourse.kdl.lines import KDL_VERSION, error_line, node_lines
 
 BlockType = TypeVar("BlockType", bound="Block")
-INVALID = object()  # stands for a value that was given and can't be used
-RESERVED = ("line", "args")  # fields of every block, which no setting can be named
+INVALID = object()  # Placeholder for a value that is present and invalid.
+RESERVED = ("line", "args")  # Names that no setting may have, because every block uses them.
 
 
 class Block(msgspec.Struct, kw_only=True, frozen=True):
-    """A node with its place, so that later checks can name it, too."""
+    """A node with its line number, so that later checks can report it as well."""
 
-    args: ClassVar[tuple[str, ...]] = ()  # fields that a node's arguments fill, in order
+    # Names of the fields that are filled from the node's arguments, in order.
+    args: ClassVar[tuple[str, ...]] = ()
     line: int = 0
 
     def problems(self) -> Iterator[tuple[str, str]]:
-        """Field and text of what is wrong beyond the types."""
+        """Yields the field and the text of each problem that validation by type does not find."""
         yield from ()
 
 
 def load(path: Path, block_type: type[BlockType]) -> tuple[BlockType | None, list[SettingProblem]]:
-    """Reads a file into what is valid of it and every problem, so that a caller can add its own.
+    """Reads a file and returns the valid settings and all problems, so that callers can add their own.
 
     Raises:
-        SettingsError: nothing can be read at all.
+        SettingsError: The file can't be read, or is not UTF-8 or not KDL.
     """
     file = str(path)
     try:
@@ -49,15 +50,15 @@
         problem = SettingProblem(file, 0, "file", error.strerror or str(error))
         raise SettingsError([problem]) from error
     except UnicodeDecodeError as error:
-        raise SettingsError([SettingProblem(file, 0, "file", "not UTF-8")]) from error
+        raise SettingsError([SettingProblem(file, 0, "file", "is not UTF-8")]) from error
     return read(text, file, block_type)
 
 
 def parse(text: str, file: str, block_type: type[BlockType]) -> BlockType:
-    """Reads a text that must be valid.
+    """Reads a text that must be valid as a whole.
 
     Raises:
-        SettingsError: with every problem of the text.
+        SettingsError: The text is invalid; the error contains all problems.
     """
     block, problems = read(text, file, block_type)
     if problems or block is None:
@@ -68,10 +69,12 @@
 def read(
     text: str, file: str, block_type: type[BlockType]
 ) -> tuple[BlockType | None, list[SettingProblem]]:
-    """Reads a text into what is valid of it and every problem.
+    """Reads a text and returns the valid settings and all problems.
+
+    The settings are None if a required one is missing or invalid.
 
     Raises:
-        SettingsError: the text is not KDL.
+        SettingsError: The text is not KDL.
     """
     try:
         document = ckdl.parse(text, version=KDL_VERSION)
@@ -85,37 +88,43 @@
 
 @dataclass(frozen=True)
 class _Node:
-    """What a node holds; the document itself counts as one."""
+    """The contents of a node; the document is also represented as a node."""
 
     values: Sequence[object] = ()
     properties: dict[str, object] = field(default_factory=dict)
     children: list[ckdl.Node] = field(default_factory=list)
 
     @classmethod
-    def of(cls, node: ckdl.Node) -> _Node:
+    def from_ckdl(cls, node: ckdl.Node) -> _Node:
         return cls(list(node.args), dict(node.properties), list(node.children))
 
 
 @dataclass
 class _BlockFields:
-    """The fields of a block while its node is read."""
+    """The fields of a block while its node is read.
+
+    Attributes:
+        path: Names of the enclosing nodes, joined by dots.
+        hints: Type annotations by field.
+        values: Values that were read, by field; INVALID for invalid ones.
+    """
 
     path: str
-    hints: dict[str, Any]  # annotations by field
+    hints: dict[str, Any]
     values: dict[str, Any] = field(default_factory=dict)
 
     def is_setting(self, name: str) -> bool:
-        """Whether a field of this name takes values."""
+        """Returns whether this is the name of a field that holds values, not blocks."""
         if name not in self.hints or name in RESERVED:
             return False
         return _block_type_in(self.hints[name]) is None
 
     def block_type(self, name: str) -> type[Block] | None:
-        """The type of the blocks that a field takes."""
+        """Returns the type of the blocks that a field holds, or None if it holds none."""
         return None if name in RESERVED else _block_type_in(self.hints.get(name))
 
     def repeats(self, name: str) -> bool:
-        """Whether a field takes several values or blocks."""
+        """Returns whether a field can hold several values or blocks."""
         return name in self.hints and _is_tuple(self.hints[name])
 
 
@@ -124,13 +133,16 @@
 
     def __init__(self, file: str, lines: Iterator[int]) -> None:
         self._file = file
-        self._lines = lines  # of the nodes, in the order of the document
+        self._lines = lines  # Line numbers of the nodes, in document order.
         self.problems: list[SettingProblem] = []
 
     def read_block(
         self, block_type: type[BlockType], node: _Node, line: int, path: str
     ) -> BlockType | None:
-        """Fills a block. An invalid setting is left at its default; without a default there is no block."""
+        """Returns the block of a node, or None if a required setting is missing or invalid.
+
+        Other invalid settings keep their defaults. Problems are added to `problems`.
+        """
         fields = _BlockFields(path, typing.get_type_hints(block_type, include_extras=True))
         self._read_arguments(fields, block_type.args, node.values, line)
         for name, value in node.properties.items():
@@ -146,7 +158,9 @@
             return None
         block = block_type(**{**valid, "line": line})
         for name, text in block.problems():
-            if fields.values.get(name) is not INVALID:  # otherwise it is reported already
+            if (
+                fields.values.get(name) is not INVALID
+            ):  # Invalid values were reported when they were read.
                 self._add(line, _join(path, name), text)
         return block
 
@@ -156,7 +170,7 @@
         for name, value in zip(names, values, strict=False):
             self._read_value(fields, name, value, line)
         for value in values[len(names) :]:
-            self._add(line, fields.path or "file", f"one argument too many: {value!r:.60}")
+            self._add(line, fields.path or "file", f"unexpected argument: {value!r:.60}")
 
     def _read_child(self, fields: _BlockFields, child: ckdl.Node) -> None:
         line = next(self._lines)
@@ -174,12 +188,12 @@
     ) -> None:
         name = child.name.replace("-", "_")
         path = _join(fields.path, child.name)
-        block = self.read_block(block_type, _Node.of(child), line, path)
+        block = self.read_block(block_type, _Node.from_ckdl(child), line, path)
         if fields.repeats(name):
             found = (block,) if block is not None else ()
             fields.values[name] = (*fields.values.get(name, ()), *found)
         elif name in fields.values:
-            self._add(line, path, "stands twice")
+            self._add(line, path, "appears twice")
         else:
             fields.values[name] = block if block is not None else INVALID
 
@@ -188,13 +202,13 @@
         path = _join(fields.path, child.name)
         if child.properties or child.children:
             is_known = name in fields.hints
-            self._add(line, path, "holds a value alone" if is_known else "is not a setting")
+            self._add(line, path, "accepts values only" if is_known else "is not a setting")
         elif fields.repeats(name):
             before = fields.values.get(name, ())
             earlier = () if before is INVALID else before
             self._read_value(fields, name, [*earlier, *child.args], line, extends=True)
         elif len(child.args) != 1 and name in fields.hints:
-            self._add(line, path, f"takes one value, has {len(child.args)}")
+            self._add(line, path, f"expected one value, not {len(child.args)}")
             fields.values[name] = INVALID
         else:
             self._read_value(fields, name, child.args[0] if child.args else None, line)
@@ -207,7 +221,7 @@
             self._add(line, path, "is not a setting")
             return
         if name in fields.values and not extends:
-            self._add(line, path, "stands twice")
+            self._add(line, path, "appears twice")
             return
         try:
             fields.values[name] = msgspec.convert(value, fields.hints[name], strict=True)
@@ -220,7 +234,7 @@
 
 
 def _reason(error: msgspec.ValidationError) -> str:
-    """What msgspec expected, without the path and the value that it adds."""
+    """Returns what msgspec expected, without the path and the value in its message."""
     return str(error).split(" - at ")[0].split(", got ")[0].replace("`", "").lower()
 
 
@@ -229,7 +243,7 @@
 
 
 def _block_type_in(hint: object) -> type[Block] | None:
-    """The block that a field takes, once or repeatedly."""
+    """Returns the type of the block or blocks that a field holds, or None if it holds none."""
     for candidate in (hint, *typing.get_args(hint)):
         if isinstance(candidate, type) and issubclass(candidate, Block):
             return candidate
--- a/tests/test_kdl.py
+++ b/tests/test_kdl.py
@@ -1,4 +1,4 @@
-"""Settings in KDL: each mistake has its line, and lines are right whatever stands round the nodes."""
+"""Tests of the KDL reader: values, and the line number of each problem and node."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
     only: Inner | None = None
 
 
-def test_a_document_as_it_is_meant() -> None:
-    made = parse(
+def test_a_valid_document_is_read_into_blocks() -> None:
+    block = parse(
         'size 5\nwords "a" "b"\nwords "c"\ninner "x" share=0.5\ninner "y" { share 0 }\nonly z',
         "f",
         Outer,
     )
-    assert (made.size, made.words) == (5, ("a", "b", "c"))
-    assert [(i.name, i.share, i.line) for i in made.inner] == [("x", 0.5, 4), ("y", 0.0, 5)]
-    assert made.only is not None
-    assert made.only.name == "z"
+    assert (block.size, block.words) == (5, ("a", "b", "c"))
+    assert [(i.name, i.share, i.line) for i in block.inner] == [("x", 0.5, 4), ("y", 0.0, 5)]
+    assert block.only is not None
+    assert block.only.name == "z"
 
 
-def test_all_mistakes_are_named_at_once_with_file_line_and_field() -> None:
+def test_all_problems_are_reported_together_with_file_line_and_field() -> None:
     text = (
         'size "x"\nsize 1 2\nfoo 1\ninner "a" share=2 bar=1\ninner {\n  share 0.1\n  share 0.2\n}\n'
         'only "a" "b"\nonly "c"\nwords 1\nsize 1 { x; }\n'
@@ -49,16 +49,16 @@
     assert sorted(str(error.value).splitlines()) == sorted(
         [
             "f.kdl:1: size: expected int, not 'x'",
-            "f.kdl:2: size: takes one value, has 2",
+            "f.kdl:2: size: expected one value, not 2",
             "f.kdl:3: foo: is not a setting",
             "f.kdl:4: inner.share: expected float <= 1.0, not 2",
             "f.kdl:4: inner.bar: is not a setting",
-            "f.kdl:7: inner.share: stands twice",
+            "f.kdl:7: inner.share: appears twice",
             "f.kdl:5: inner.name: is missing",
-            "f.kdl:9: only: one argument too many: 'b'",
-            "f.kdl:10: only: stands twice",
+            "f.kdl:9: only: unexpected argument: 'b'",
+            "f.kdl:10: only: appears twice",
             "f.kdl:11: words: expected str, not [1]",
-            "f.kdl:12: size: holds a value alone",
+            "f.kdl:12: size: accepts values only",
         ]
     )
 
@@ -73,7 +73,7 @@
         ('a 1\n\nb "\\q"\nc 1', 3),
     ],
 )
-def test_invalid_kdl_is_reported_with_its_line(text: str, line: int) -> None:
+def test_a_syntax_error_is_reported_with_its_line(text: str, line: int) -> None:
     with pytest.raises(SettingsError) as error:
         parse(text, "f", Outer)
     assert [m.line for m in error.value.problems] == [line]
@@ -118,7 +118,7 @@
 
 @given(documents())
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_every_node_that_counts_is_found_where_it_stands(text: str) -> None:
+def test_the_line_of_every_node_that_is_not_commented_out_is_found(text: str) -> None:
     names = all_nodes(list(ckdl.parse(text, version=2).nodes))
     lines = list(node_lines(text))
     assert len(lines) == len(names)
