--- a/kelpcourse/cli/__init__.py
+++ b/kelpcourse/cli/__init__.py
@@ -1,1 +1,4 @@
-"""The command line. `python -m kelpcourse` without arguments is the platform's controller and does not come here."""
+"""The command line.
+
+`python -m kelpcourse` without arguments runs the platform's controller and does not import this package.
+"""
--- a/kelpcourse/cli/__main__.py
+++ b/kelpcourse/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point: `python -m kelpcourse.cli` is the command line where no `kelpcourse` is on the path."""
+"""Entry point: `python -m kelpcourse.cli` runs the command line where no `kelpcourse` script is on the path."""
 
 from kelpcourse.cli.main import cli
 
--- a/kelpcourse/cli/errors.py
+++ b/kelpcourse/cli/errors.py
@@ -1,4 +1,4 @@
-"""How commands end: exit codes, and the operators' mistakes as lines on standard error."""
+"""Exit codes of commands, and errors reported as lines on standard error."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 import click
 
-EXIT_PROBLEMS = 1  # the command ran, and something that it checked can't be used
-EXIT_MISTAKE = 2  # a mistake in settings, state or command
+EXIT_PROBLEMS = 1  # The command completed and found problems in what it checked.
+EXIT_ERROR = 2  # The command failed because of its arguments, settings or state.
 
 Parameters = ParamSpec("Parameters")
 Result = TypeVar("Result")
 
 
 def fail(message: str) -> NoReturn:
-    """Ends the command by a mistake: each line of the message goes to standard error."""
+    """Exits with EXIT_ERROR after writing each line of the message to standard error."""
     click.echo("\n".join(f"kelpcourse: {line}" for line in message.splitlines()), err=True)
-    sys.exit(EXIT_MISTAKE)
+    sys.exit(EXIT_ERROR)
 
 
 def exit_with_problems(problems: Iterable[str]) -> NoReturn:
-    """Ends the command: problems go to standard error, and decide the exit code."""
+    """Exits after writing problems to standard error, with exit code 0 if there are none."""
     exit_code = 0
     for problem in problems:
         click.echo(problem, err=True)
@@ -31,8 +31,8 @@
     sys.exit(exit_code)
 
 
-def reports_mistakes(command: Callable[Parameters, Result]) -> Callable[Parameters, Result]:
-    """Decorates a command so that an operator's mistake ends in a message and never in a traceback."""
+def reports_errors(command: Callable[Parameters, Result]) -> Callable[Parameters, Result]:
+    """Decorates a command so that errors an operator can correct end in a message, not in a traceback."""
 
     @wraps(command)
     def run(*args: Parameters.args, **options: Parameters.kwargs) -> Result:
--- a/kelpcourse/cli/main.py
+++ b/kelpcourse/cli/main.py
@@ -1,6 +1,6 @@
-"""`kelpcourse …`: the command line.
+"""The command `kelpcourse`.
 
-What a command needs is imported where it runs, as a machine may lack an extra.
+Commands import their dependencies when they run, because an optional extra may not be installed.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 import click
 
-from kelpcourse.cli.errors import exit_with_problems, reports_mistakes
+from kelpcourse.cli.errors import exit_with_problems, reports_errors
 from kelpcourse.cli.parameters import FILE
 from kelpcourse.cli.shared_commands import shared
 from kelpcourse.cli.zone_commands import zones
@@ -20,7 +20,7 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="kelpcourse")
 def cli() -> None:
-    """A controller: publishes routing tables to a fleet of proxies."""
+    """Run a controller that publishes routing tables to a fleet of proxies."""
 
 
 cli.add_command(zones)
@@ -29,9 +29,12 @@
 
 @cli.command("run")
 @click.argument("file", type=FILE)
-@reports_mistakes
+@reports_errors
 def run_controller(file: Path) -> None:
-    """Run a controller with the zones of FILE in place of discovery; NODE_CONFIG has the rest."""
+    """Run a controller with the zones of FILE in place of discovery.
+
+    NODE_CONFIG names the file with the rest of the configuration.
+    """
     from kelpcourse.service.controller import main
     from kelpcourse.zones.settings import read_settings
     from kelpcourse.zones.source import ZoneSource
@@ -46,7 +49,7 @@
 
 @cli.command("check")
 @click.argument("file", type=FILE)
-@reports_mistakes
+@reports_errors
 def check_settings(file: Path) -> None:
     """Check the settings in FILE and the zone files that it names."""
     from kelpcourse.limits import Limits
@@ -64,11 +67,11 @@
 
 
 @cli.command("demo")
-@reports_mistakes
+@reports_errors
 def run_demo() -> None:
-    """Play a controller on a zone on loopback.
+    """Demonstrate a controller with a DNS zone on loopback.
 
-    A room is removed by an update and put back. Under a minute.
+    All endpoints of a room are removed by an update and then restored. Takes under a minute.
     """
     from kelpcourse.lab.terminal_view import demo
 
--- a/kelpcourse/cli/parameters.py
+++ b/kelpcourse/cli/parameters.py
@@ -1,4 +1,4 @@
-"""Types of parameters that several commands take."""
+"""Types of parameters that several commands use."""
 
 from __future__ import annotations
 
--- a/kelpcourse/cli/shared_commands.py
+++ b/kelpcourse/cli/shared_commands.py
@@ -1,4 +1,4 @@
-"""`kelpcourse shared …`: controllers that share a fleet."""
+"""The commands `kelpcourse shared`, for controllers that share a fleet."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 import click
 
-from kelpcourse.cli.errors import exit_with_problems, fail, reports_mistakes
+from kelpcourse.cli.errors import exit_with_problems, fail, reports_errors
 from kelpcourse.cli.parameters import EXISTING_FOLDER, FILE
 
 DEFAULT_CERTIFICATE_DAYS = 365
 MAX_CERTIFICATE_DAYS = 3650
 
 MEMBER_COMMANDS = {
-    "add": "Add MEMBER: it learns first; repeated, once it has caught up, it votes. At the leader.",
-    "remove": "Remove MEMBER from the fleet. At the leader.",
-    "transfer": "Transfer leadership to MEMBER. At the leader.",
-    "drain": "Give MEMBER no groups any more; those it has migrate to others. At the leader.",
-    "undrain": "Let MEMBER hold groups again. At the leader.",
+    "add": "Add MEMBER as a learner; repeat once it has caught up to make it a voter. Run at the leader.",
+    "remove": "Remove MEMBER from the fleet. Run at the leader.",
+    "transfer": "Transfer leadership to MEMBER. Run at the leader.",
+    "drain": "Assign no more groups to MEMBER and move its groups to others. Run at the leader.",
+    "undrain": "Allow MEMBER to hold groups again. Run at the leader.",
 }
 
 
 @click.group()
 def shared() -> None:
-    """Controllers that share a fleet."""
+    """Manage controllers that share a fleet."""
 
 
 @shared.command("keys")
@@ -35,11 +35,11 @@
     type=click.IntRange(1, MAX_CERTIFICATE_DAYS),
     default=DEFAULT_CERTIFICATE_DAYS,
     show_default=True,
-    help="Until they end.",
+    help="Days until the certificates expire.",
 )
-@reports_mistakes
+@reports_errors
 def keys(folder: Path, names: tuple[str, ...], days: int) -> None:
-    """Create an authority in FOLDER, if there is none, and a certificate with its key for each of NAMES."""
+    """Create a certificate and its key for each of NAMES in FOLDER, and an authority if there is none."""
     from kelpcourse.shared import certificates
     from kelpcourse.shared.errors import CertificateError
 
@@ -48,18 +48,18 @@
         if not authority.exists():
             certificates.create_authority(folder)
             click.echo(
-                f"{authority}: a new authority; keep {folder / 'ca.key'} where no controller runs"
+                f"{authority}: created the authority; store {folder / 'ca.key'} where no controller runs"
             )
         for name in names:
             certificates.create_member_certificate(folder, name, days)
-            click.echo(f"{folder / name}.pem: for {name}, {days} days")
+            click.echo(f"{folder / name}.pem: certificate of {name}, valid for {days} days")
     except CertificateError as error:
         fail(str(error))
 
 
 @shared.command("check")
 @click.argument("file", type=FILE)
-@reports_mistakes
+@reports_errors
 def check(file: Path) -> None:
     """Check the settings in FILE and the keys that they name."""
     from kelpcourse.shared.settings import EXPIRY_WARNING_DAYS, read_settings
@@ -70,14 +70,17 @@
     click.echo(f"{settings.name} of {controller_count} controllers, {group_count} groups")
     days_left = settings.certificate_days_left
     if days_left is not None and days_left < EXPIRY_WARNING_DAYS:
-        exit_with_problems([f"the certificate ends in {days_left:.0f} days"])
+        exit_with_problems([f"the certificate expires in {days_left:.0f} days"])
 
 
 @shared.command("run")
 @click.argument("file", type=FILE)
-@reports_mistakes
+@reports_errors
 def run(file: Path) -> None:
-    """Run a controller of the fleet in FILE; it publishes nothing so far."""
+    """Run a controller of the fleet in FILE.
+
+    It does not publish anything yet.
+    """
     from kelpcourse.shared.errors import StateLostError
     from kelpcourse.shared.settings import read_settings
     from kelpcourse.shared.standalone import serve
@@ -91,11 +94,11 @@
 @shared.command("status")
 @click.argument("file", type=FILE)
 @click.option("--json", "as_json", is_flag=True)
-@reports_mistakes
+@reports_errors
 def status(file: Path, as_json: bool) -> None:
-    """Show what the controller of FILE knows.
+    """Show the status of the running controller of FILE.
 
-    Leader, members and their lag, groups, lease holders, epochs, leases.
+    The status has the leader, members and their lag, groups, lease holders, epochs and leases.
     """
     import orjson
 
@@ -103,25 +106,25 @@
     from kelpcourse.shared.standalone import run_command
     from kelpcourse.shared.status import status_lines
 
-    answer = run_command(read_settings(file).state_folder, "status", "")
-    click.echo(orjson.dumps(answer).decode() if as_json else "\n".join(status_lines(answer)))
+    result = run_command(read_settings(file).state_folder, "status", "")
+    click.echo(orjson.dumps(result).decode() if as_json else "\n".join(status_lines(result)))
 
 
 def _add_member_command(name: str, help_text: str) -> None:
-    """Adds a command to the group that is carried out by the running controller of FILE."""
+    """Adds a command that the running controller of FILE carries out to the command group `shared`."""
 
     @shared.command(name, help=help_text)
     @click.argument("file", type=FILE)
     @click.argument("member")
-    @reports_mistakes
+    @reports_errors
     def run_member_command(file: Path, member: str) -> None:
         from kelpcourse.shared.settings import read_settings
         from kelpcourse.shared.standalone import run_command
 
-        answer = run_command(read_settings(file).state_folder, name, member)
-        if answer.get("error"):
-            fail(answer["error"])
-        click.echo(answer["done"])
+        result = run_command(read_settings(file).state_folder, name, member)
+        if result.get("error"):
+            fail(result["error"])
+        click.echo(result["done"])
 
 
 for command_name, command_help in MEMBER_COMMANDS.items():
--- a/kelpcourse/cli/zone_commands.py
+++ b/kelpcourse/cli/zone_commands.py
@@ -1,4 +1,4 @@
-"""`kelpcourse zones …`: DNS zones as a source of the endpoint list."""
+"""The commands `kelpcourse zones`, for DNS zones as a source of the endpoint list."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import click
 
-from kelpcourse.cli.errors import exit_with_problems, reports_mistakes
+from kelpcourse.cli.errors import exit_with_problems, reports_errors
 from kelpcourse.cli.parameters import FILE, FOLDER
 
 if TYPE_CHECKING:
@@ -20,24 +20,24 @@
 
 @click.group()
 def zones() -> None:
-    """DNS zones as a source of the endpoint list."""
+    """Manage DNS zones as a source of the endpoint list."""
 
 
 @zones.command("check")
 @click.argument("zonefile", type=FILE)
-@click.option("--origin", required=True, help="The zone's name.")
+@click.option("--origin", required=True, help="Name of the zone.")
 @click.option(
     "--service",
     default="_game._tcp",
     show_default=True,
-    help="The labels before a zone of endpoints.",
+    help="Labels in front of the zone of endpoints.",
 )
-@click.option("--json", "as_json", is_flag=True, help="An array as discovery has it.")
-@reports_mistakes
+@click.option("--json", "as_json", is_flag=True, help="Print a JSON array in discovery's format.")
+@reports_errors
 def check(zonefile: Path, origin: str, service: str, as_json: bool) -> None:
     """List the endpoints that ZONEFILE announces.
 
-    Exit code 1 and a line for each record that can't be used.
+    Records that can't be used are reported one a line, with exit code 1.
     """
     from kelpcourse.limits import Limits
     from kelpcourse.zones.errors import ZoneError
@@ -53,11 +53,11 @@
 
 @zones.command("serve")
 @click.argument("file", type=FILE)
-@click.option("--listen", default="", help="In place of the address in FILE.")
-@click.option("--state", type=FOLDER, help="In place of the folder in FILE.")
-@reports_mistakes
+@click.option("--listen", default="", help="Address to use instead of the one in FILE.")
+@click.option("--state", type=FOLDER, help="State folder to use instead of the one in FILE.")
+@reports_errors
 def serve(file: Path, listen: str, state: Path | None) -> None:
-    """Run a primary or secondary on its own, without a controller."""
+    """Run a primary or secondary server without a controller."""
     from kelpcourse.zones.settings import read_settings
     from kelpcourse.zones.standalone import serve as run_server
 
@@ -66,11 +66,11 @@
 
 @zones.command("hosts")
 @click.argument("file", type=FILE)
-@click.option("--state", type=FOLDER, help="In place of the folder in FILE.")
-@click.option("--json", "as_json", is_flag=True, help="An array as discovery has it.")
-@reports_mistakes
+@click.option("--state", type=FOLDER, help="State folder to use instead of the one in FILE.")
+@click.option("--json", "as_json", is_flag=True, help="Print a JSON array in discovery's format.")
+@reports_errors
 def hosts(file: Path, state: Path | None, as_json: bool) -> None:
-    """List what the policy would be given, from the state alone."""
+    """List the endpoints that the policy would receive, from the stored state alone."""
     from kelpcourse.limits import Limits
     from kelpcourse.zones.errors import ZoneError
     from kelpcourse.zones.offline import merged_endpoints, read_state
@@ -78,7 +78,7 @@
 
     settings = read_settings(file, "", state)
     if settings.state is None:
-        raise ZoneError(f"{file}: no state is named, there or by --state")
+        raise ZoneError(f"{file}: no state folder is set in the file or by --state")
     replay = read_state(settings, settings.state, Limits())
     _show(merged_endpoints(replay.zones.values()), as_json)
     exit_with_problems(replay.warnings)
@@ -91,12 +91,12 @@
     "--serial",
     type=click.IntRange(0, MAX_SERIAL),
     required=True,
-    help="As the zone was at this one.",
+    help="Serial of the version to restore.",
 )
 @click.option("--json", "as_json", is_flag=True)
-@reports_mistakes
+@reports_errors
 def restore(file: Path, origin: str, serial: int, as_json: bool) -> None:
-    """Restore the zone ORIGIN as it was at a serial, under a new one."""
+    """Restore the zone ORIGIN as it was at a serial, under a new serial."""
     import orjson
 
     from kelpcourse.zones.errors import ZoneError
@@ -108,20 +108,20 @@
         raise ZoneError(restored.error)
     if not as_json:
         click.echo(
-            f"{origin} is as it was at {serial}, now serial {restored.serial}, {restored.endpoint_count} hosts"
+            f"{origin} restored from serial {serial}, new serial {restored.serial}, {restored.endpoint_count} hosts"
         )
         return
-    answer = {
+    result = {
         "origin": origin,
         "as_at": serial,
         "serial": restored.serial,
         "hosts": restored.endpoint_count,
     }
-    click.echo(orjson.dumps(answer).decode())
+    click.echo(orjson.dumps(result).decode())
 
 
 def _show(endpoints: Iterable[ListedEndpoint], as_json: bool) -> None:
-    """Prints endpoints, as discovery's JSON or one a line."""
+    """Prints endpoints as JSON in discovery's format, or one a line."""
     import orjson
 
     from kelpcourse.zones.offline import discovery_entry
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: its forms, its output for scripts, and plain words for what is wrong."""
+"""Tests of the command line: its output, exit codes and error messages."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.zonerig import KEY, PRIMARY, SECRET, added_endpoint, update_message
 from tests.zoning import ORIGIN, record, sample_endpoints, zone_with
 
-PATIENCE_S = 60.0
+TIMEOUT_S = 60.0
 
 
 @pytest.fixture
@@ -38,11 +38,11 @@
     return tmp_path
 
 
-def run(*words: object) -> Result:
-    return CliRunner().invoke(cli, [str(word) for word in words])
+def run(*arguments: object) -> Result:
+    return CliRunner().invoke(cli, [str(argument) for argument in arguments])
 
 
-def test_the_hosts_of_a_zone_file_as_discovery_has_them(folder: Path) -> None:
+def test_endpoints_of_a_zone_file_are_listed_in_the_format_of_discovery(folder: Path) -> None:
     done = run("zones", "check", folder / "games.zone", "--origin", "games.example.org", "--json")
     assert done.exit_code == 0
     assert orjson.loads(done.stdout)[0] == {
@@ -61,8 +61,8 @@
     )
 
 
-def test_a_record_that_can_not_be_used_is_a_line_and_exit_1(folder: Path) -> None:
-    bad = zone_with(
+def test_unusable_records_are_reported_one_a_line_with_exit_code_1(folder: Path) -> None:
+    zone = zone_with(
         1,
         sample_endpoints(),
         [
@@ -70,7 +70,7 @@
             record("_game._tcp.room-a", "SRV", f"0 1 5 s-9.{ORIGIN}"),
         ],
     )
-    (folder / "games.zone").write_text(format_zone(bad))
+    (folder / "games.zone").write_text(format_zone(zone))
     done = run("zones", "check", folder / "games.zone", "--origin", ORIGIN)
     assert (done.exit_code, len(done.stdout.splitlines())) == (1, 4)
     assert done.stderr == (
@@ -83,7 +83,7 @@
     assert done.stderr.startswith(f"{folder}/games.zone:1: ")
 
 
-def test_settings_are_validated_and_all_mistakes_are_reported_together(folder: Path) -> None:
+def test_settings_are_validated_and_all_problems_are_reported_together(folder: Path) -> None:
     assert run("check", folder / "z.kdl").exit_code == 0
     (folder / "staff.key").chmod(0o644)
     text = (
@@ -95,8 +95,8 @@
     (folder / "bad.kdl").write_text(text)
     done = run("check", folder / "bad.kdl")
     assert done.exit_code == 2
-    told = done.stderr.splitlines()
-    assert [line.split("bad.kdl")[1].split(": ")[:2] for line in told] == [
+    messages = done.stderr.splitlines()
+    assert [line.split("bad.kdl")[1].split(": ")[:2] for line in messages] == [
         [":2", "zones.listen"],
         [":5", "zones.key.secret-file"],
         [":8", "zones.zone.updaet"],
@@ -106,15 +106,15 @@
 
 
 @pytest.mark.parametrize(
-    ("secret", "said"), [(b"%%", "not the base64"), (b"c2hvcnQ=", "5 bytes, 16 at least")]
+    ("secret", "message"), [(b"%%", "not the base64"), (b"c2hvcnQ=", "5 bytes, 16 at least")]
 )
-def test_an_invalid_secret_is_reported(folder: Path, secret: bytes, said: str) -> None:
+def test_an_invalid_secret_is_reported(folder: Path, secret: bytes, message: str) -> None:
     (folder / "staff.key").write_bytes(secret)
-    assert said in run("check", folder / "z.kdl").stderr
+    assert message in run("check", folder / "z.kdl").stderr
 
 
-class Served:
-    """`zones serve` as a process of its own."""
+class ServerProcess:
+    """A process that runs `zones serve`."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -124,65 +124,69 @@
         )
         assert self.process.stdout is not None
         for line in self.process.stdout:
-            told = orjson.loads(line)
-            if told["event"] == "dns_ready":
-                host, _, port = told["listen"].rpartition(":")
+            event = orjson.loads(line)
+            if event["event"] == "dns_ready":
+                host, _, port = event["listen"].rpartition(":")
                 self.address = host, int(port)
                 break
         while self.update(("delete", "nobody")) != dns.rcode.NOERROR:
-            pass  # the first generation is being made
+            pass  # Updates are rejected until the first generation of the state is written.
 
     def update(self, *prepare: tuple[str, ...]) -> dns.rcode.Rcode | None:
-        """None: it ended before it answered."""
+        """Returns the response code of an update, or None if the server ended before it responded."""
         message = update_message(*prepare)
         wire = message.to_wire()
         try:
-            with socket.create_connection(self.address, PATIENCE_S) as sock:
+            with socket.create_connection(self.address, TIMEOUT_S) as sock:
                 sock.sendall(len(wire).to_bytes(2, "big") + wire)
                 head = sock.recv(2, socket.MSG_WAITALL)
-                answer = sock.recv(int.from_bytes(head, "big"), socket.MSG_WAITALL)
+                response = sock.recv(int.from_bytes(head, "big"), socket.MSG_WAITALL)
             return dns.message.from_wire(
-                answer, keyring={KEY.name: KEY}, request_mac=message.mac or b""
+                response, keyring={KEY.name: KEY}, request_mac=message.mac or b""
             ).rcode()
         except (OSError, dns.exception.DNSException):
             return None
 
-    def end(self, number: int) -> int:
-        self.process.send_signal(number)
+    def stop(self, signal_number: int) -> int:
+        self.process.send_signal(signal_number)
         assert self.process.stdout is not None
         self.process.stdout.close()
-        return self.process.wait(PATIENCE_S)
+        return self.process.wait(TIMEOUT_S)
 
 
 @pytest.fixture
-def served(folder: Path) -> Iterator[Served]:
-    made = Served(folder)
-    yield made
-    if made.process.poll() is None:
-        made.end(signal.SIGKILL)
+def server_process(folder: Path) -> Iterator[ServerProcess]:
+    server = ServerProcess(folder)
+    yield server
+    if server.process.poll() is None:
+        server.stop(signal.SIGKILL)
 
 
-def listed(folder: Path) -> set[str]:
+def listed_endpoints(folder: Path) -> set[str]:
     done = run("zones", "hosts", folder / "z.kdl", "--state", folder / "state", "--json")
     assert done.exit_code == 0, done.stderr
     return {entry["id"] for entry in orjson.loads(done.stdout)}
 
 
-def test_what_was_answered_outlives_sigkill(served: Served) -> None:
-    answered = []
+def test_updates_that_were_answered_are_kept_after_sigkill(server_process: ServerProcess) -> None:
+    accepted = []
     for k in range(30):
-        if served.update(*added_endpoint(f"n-{k}")) == dns.rcode.NOERROR:
-            answered.append(f"n-{k}")
+        if server_process.update(*added_endpoint(f"n-{k}")) == dns.rcode.NOERROR:
+            accepted.append(f"n-{k}")
         if k == 20:
-            assert listed(served.folder) >= set(answered)  # beside a server that writes
-    served.end(signal.SIGKILL)
-    assert len(answered) == 30
-    assert listed(served.folder) == {*answered, "s-0", "s-1", "s-2", "s-3"}
-
-
-def test_a_zone_is_put_back_with_a_server_and_without(served: Served) -> None:
-    folder = served.folder
-    assert served.update(("delete", "s-0")) == dns.rcode.NOERROR
+            assert listed_endpoints(server_process.folder) >= set(
+                accepted
+            )  # While the server is writing.
+    server_process.stop(signal.SIGKILL)
+    assert len(accepted) == 30
+    assert listed_endpoints(server_process.folder) == {*accepted, "s-0", "s-1", "s-2", "s-3"}
+
+
+def test_a_zone_is_restored_with_and_without_a_running_server(
+    server_process: ServerProcess,
+) -> None:
+    folder = server_process.folder
+    assert server_process.update(("delete", "s-0")) == dns.rcode.NOERROR
     done = run("zones", "restore", folder / "z.kdl", "games.example.org", "--serial", 1, "--json")
     assert orjson.loads(done.stdout) == {
         "origin": "games.example.org",
@@ -190,20 +194,20 @@
         "serial": 3,
         "hosts": 4,
     }
-    assert served.end(signal.SIGTERM) == 0
-    assert listed(folder) == {"s-0", "s-1", "s-2", "s-3"}
+    assert server_process.stop(signal.SIGTERM) == 0
+    assert listed_endpoints(folder) == {"s-0", "s-1", "s-2", "s-3"}
     done = run("zones", "restore", folder / "z.kdl", ORIGIN, "--serial", 2)
     assert (done.exit_code, done.stdout) == (
         0,
-        f"{ORIGIN} is as it was at 2, now serial 4, 3 hosts\n",
+        f"{ORIGIN} restored from serial 2, new serial 4, 3 hosts\n",
     )
-    assert listed(folder) == {"s-1", "s-2", "s-3"}
+    assert listed_endpoints(folder) == {"s-1", "s-2", "s-3"}
     done = run("zones", "restore", folder / "z.kdl", ORIGIN, "--serial", 77)
     assert done.exit_code == 2
     assert "known: 1, 2, 3" in done.stderr
 
 
-def test_two_servers_do_not_share_a_state(served: Served) -> None:
+def test_two_servers_can_not_use_the_same_state_folder(server_process: ServerProcess) -> None:
     done = subprocess.run(
         [
             sys.executable,
@@ -211,19 +215,19 @@
             "kelpcourse.cli",
             "zones",
             "serve",
-            str(served.folder / "z.kdl"),
+            str(server_process.folder / "z.kdl"),
             "--listen",
             f"127.0.0.1:{free_address()[1]}",
         ],
         capture_output=True,
-        timeout=PATIENCE_S,
+        timeout=TIMEOUT_S,
     )
     assert (done.returncode, done.stdout) == (2, b"")
     assert b"is in use by another process" in done.stderr
 
 
-def test_the_platform_s_run_imports_nothing_of_this() -> None:
-    """Its build has h11 and orjson alone, and its memory is counted."""
+def test_the_platform_s_controller_imports_no_optional_package() -> None:
+    """The platform's build contains only h11 and orjson, and its memory use is measured."""
     code = (
         "import sys, kelpcourse.__main__, kelpcourse.simhost.__main__\n"
         "print(sorted({m.split('.')[0] for m in sys.modules} & set(sys.argv[1:])),"
@@ -240,7 +244,7 @@
     assert done.stdout == b"[] []\n"
 
 
-def test_the_settings_that_are_delivered_are_sound() -> None:
+def test_the_settings_in_the_deploy_folder_are_valid() -> None:
     deploy = Path(__file__).parent.parent / "deploy"
     done = run("check", deploy / "zones.kdl")
     assert (done.exit_code, done.stdout) == (0, "games.example.org. 2 hosts\n")
