--- a/kelpcourse/lab/__init__.py
+++ b/kelpcourse/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the surroundings of a controller, on loopback: relay, proxies, endpoints, discovery, DNS primary."""
+"""Simulated environment of a controller on loopback: relay, proxies, endpoints, discovery and DNS primary."""
--- a/kelpcourse/lab/config.py
+++ b/kelpcourse/lab/config.py
@@ -1,4 +1,4 @@
-"""A deployment for the lab: two rooms, two classes, of which `move-submit` is served in room-a alone."""
+"""The lab's deployment: two rooms and two request classes, with `move-submit` served only in room-a."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 def room_of(index: int) -> str:
-    """Proxies and endpoints are dealt to the rooms in turn."""
+    """Returns the room of a proxy or endpoint by its index; indexes alternate between the rooms."""
     return ROOMS[index % len(ROOMS)]
 
 
 def settings(proxy_count: int) -> dict[str, object]:
-    """The settings as the simulator names them."""
+    """Returns the settings of a controller, under the simulator's names."""
     return {
         "az": "room-a",
         "bounds": {"probing": True, "peers": False},
@@ -95,14 +95,14 @@
     proxy_count: int,
     known: Sequence[Mapping[str, object]] = (),
 ) -> bytes:
-    """The configuration file of a controller.
+    """Returns the contents of a controller's configuration file.
 
     Args:
-        listen: where the controller listens.
-        discovery: address of discovery.
-        relay: address of the relay.
-        proxy_count: proxies of the settings.
-        known: entries of the cached endpoint list.
+        listen: Address on which the controller listens.
+        discovery: Address of discovery.
+        relay: Address of the relay.
+        proxy_count: Number of proxies.
+        known: Entries of the cached endpoint list.
     """
     return orjson.dumps(
         {
--- a/kelpcourse/lab/controller_process.py
+++ b/kelpcourse/lab/controller_process.py
@@ -1,4 +1,4 @@
-"""A controller in a process of its own, and what it logs."""
+"""A controller in a separate process, and its log."""
 
 from __future__ import annotations
 
@@ -19,15 +19,20 @@
 
 
 class ControllerProcess:
-    """`kelpcourse run` with settings for DNS zones."""
+    """A process that runs `kelpcourse run` with settings for DNS zones.
+
+    Attributes:
+        log: Log lines that were read so far, as JSON objects.
+        on_log: Called with each log line.
+    """
 
     def __init__(self, loop: Loop, config: Path, zones: Path) -> None:
-        """Starts it.
+        """Starts the process.
 
         Args:
-            loop: reads its log.
-            config: the file for NODE_CONFIG.
-            zones: the settings in KDL.
+            loop: Event loop that reads the log.
+            config: Configuration file, passed as NODE_CONFIG.
+            zones: Settings file of the DNS zones, in KDL.
         """
         self.log: list[dict[str, Any]] = []
         self.on_log: Callable[[Mapping[str, Any]], None] = lambda _: None
@@ -37,7 +42,7 @@
             stdout=subprocess.PIPE,
         )
         if self._process.stdout is None:
-            raise OSError("no pipe to the controller")
+            raise OSError("controller process has no output pipe")
         self._output = self._process.stdout
         os.set_blocking(self._output.fileno(), False)
         loop.start("controller log", self._read_log())
@@ -60,25 +65,25 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process is running."""
         return self._process.poll() is None
 
     def terminate(self) -> None:
-        """Asks it to end."""
+        """Sends SIGTERM to the process."""
         self._process.send_signal(signal.SIGTERM)
 
     def exit_code(self) -> int:
-        """Its exit code; it is killed if it runs still."""
+        """Returns the exit code; kills the process if it is still running."""
         self.kill()
         return self._process.wait()
 
     def kill(self) -> None:
-        """Ends it, if it runs still."""
+        """Kills the process if it is still running, and waits until it has ended."""
         if self.is_running:
             with contextlib.suppress(ProcessLookupError):
                 self._process.kill()
         self._process.wait()
 
     def close(self) -> None:
-        """Closes the pipe of its log; the loop must not read it any more."""
+        """Closes the log's pipe; the loop must no longer read from it."""
         self._output.close()
--- a/kelpcourse/lab/discovery.py
+++ b/kelpcourse/lab/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: streams the endpoint list and what changes in it."""
+"""A discovery server that streams the endpoint list and its changes."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 class Discovery:
-    """Lists that were published, each with the next revision."""
+    """Streams published lists to every watch; each list has the next revision."""
 
     def __init__(self, loop: Loop) -> None:
-        """Listens at once, with nothing published."""
+        """Starts listening, with no published list."""
         self._lists: list[bytes] = []
         self._server = HttpServer(loop, self._serve)
         self.address = self._server.address
 
     def publish(self, entries: Sequence[Mapping[str, object]], complete: bool = True) -> None:
-        """Sends entries to every watch, as the complete list or as changes."""
+        """Publishes entries to every watch, as a complete list or as changes."""
         revision = len(self._lists) + 1
         fields = {"revision": revision, "complete": complete, "members": list(entries)}
         self._lists.append(orjson.dumps(fields))
--- a/kelpcourse/lab/loopback.py
+++ b/kelpcourse/lab/loopback.py
@@ -7,17 +7,20 @@
 
 from kelpcourse.wire.stream import Address
 
-# Connections go out from 127.0.0.1, so none can take a port that is free here.
+# Outgoing connections use 127.0.0.1, so they can't take a port that is free on this address.
 LISTEN_HOST = "127.0.0.2"
 
 
 def now_us() -> int:
-    """The monotonic clock, in microseconds."""
+    """Returns the time of the monotonic clock, in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 def free_address(host: str = "127.0.0.1") -> Address:
-    """An address with a port that is free now; on LISTEN_HOST it stays so until a listener takes it."""
+    """Returns an address with a free port.
+
+    On LISTEN_HOST the port stays free until a listener binds it; elsewhere an outgoing connection may take it.
+    """
     with socket.create_server((host, 0)) as sock:
         address: Address = sock.getsockname()
         return address
--- a/kelpcourse/lab/primary.py
+++ b/kelpcourse/lab/primary.py
@@ -1,4 +1,4 @@
-"""A DNS primary for the lab: this project's own, in the lab's loop, with a key and a zone file made for it."""
+"""The lab's DNS primary: this project's implementation in the lab's event loop, with a generated key and zone file."""
 
 from __future__ import annotations
 
@@ -29,7 +29,8 @@
 SERVICE = "_game._tcp"
 KEY_NAME = f"staff.{ORIGIN}"
 KEY_BYTES = 32
-NEVER_US = 1 << 40
+# Longer than any run: the zone file does not change.
+ZONE_FILE_POLL_US = 1 << 40
 MAX_UDP_BYTES = 65_535
 SETTINGS = """zones {{
     listen "{listen}"
@@ -45,7 +46,7 @@
 
 
 def make_key(folder: Path) -> dns.tsig.Key:
-    """A new secret in a file that only its owner may read."""
+    """Generates a TSIG key and writes its secret to a file that only the owner can read."""
     secret = base64.b64encode(os.urandom(KEY_BYTES))
     with open(
         os.open(folder / "staff.key", os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb"
@@ -57,7 +58,7 @@
 
 
 def zone_text(endpoints: Iterable[tuple[str, str, Address]], serial: int = 1) -> str:
-    """A zone file of endpoints: name, room, address."""
+    """Returns the text of a zone file for endpoints, which are given as name, room and address."""
     lines = ["$TTL 60", f"@ SOA ns staff {serial} 30 5 600 30", "@ NS ns", "ns A 127.0.0.1"]
     for name, room, (address, port) in endpoints:
         lines += [
@@ -69,13 +70,13 @@
 
 
 def write_settings(folder: Path, name: str, listen: Address, source: str) -> Path:
-    """Writes settings for zones and returns their file.
+    """Writes a settings file for a zone and returns its path.
 
     Args:
-        folder: for settings and state.
-        name: of the file and of the state's folder.
-        listen: address for DNS.
-        source: lines of the zone that say where it comes from.
+        folder: Folder for the settings file and the state folder.
+        name: Name of the settings file, and prefix of the state folder's name.
+        listen: Address on which DNS is served.
+        source: Settings lines that give the source of the zone.
     """
     path = folder / f"{name}.kdl"
     path.write_text(
@@ -92,7 +93,7 @@
 
 
 class DiscardingLog:
-    """A log that keeps nothing."""
+    """A log that discards all events."""
 
     def event(self, name: str, **fields: object) -> None:
         """Discards an event."""
@@ -102,7 +103,7 @@
 
 
 class Primary:
-    """A zone with a file and updates, which notifies one secondary."""
+    """A DNS primary with a zone that is loaded from a file, accepts updates and notifies one secondary."""
 
     def __init__(
         self,
@@ -113,15 +114,15 @@
         notify: Address,
         on_list: Callable[[Sequence[ListedEndpoint]], None],
     ) -> None:
-        """Writes a key, a zone file and settings; nothing is answered before `start`.
+        """Writes a key, a zone file and settings; no request is answered before `start`.
 
         Args:
-            loop: runs it.
-            folder: for files and state.
-            listen: address for DNS.
-            endpoints: name, room and address of each.
-            notify: the secondary's address.
-            on_list: is given what the zone announces.
+            loop: Event loop that runs the primary.
+            folder: Folder for files and state.
+            listen: Address on which DNS is served.
+            endpoints: Name, room and address of each endpoint.
+            notify: Address of the secondary.
+            on_list: Called with the endpoints that the zone announces, after each change.
         """
         self._loop = loop
         self._key = make_key(folder)
@@ -131,7 +132,7 @@
         settings = read_settings(write_settings(folder, "primary", listen, source))
         runtime = ZoneRuntime(
             loop,
-            replace(Limits(), zone_file_poll_us=NEVER_US),
+            replace(Limits(), zone_file_poll_us=ZONE_FILE_POLL_US),
             Counters(),
             DiscardingLog(),
             self._keep,
@@ -139,7 +140,7 @@
         self._zones = ZoneService(settings, runtime, self)
 
     def start(self) -> None:
-        """Announces the zone and answers from now on."""
+        """Starts to serve the zone."""
         self._zones.start()
 
     def _keep(self, name: str, factory: Callable[[], Coroutine[None]]) -> None:
@@ -148,11 +149,11 @@
     def list_changed(
         self, endpoints: Sequence[ListedEndpoint], version: int, complete: bool
     ) -> None:
-        """Takes what the zone announces."""
+        """Passes on the endpoints that the zone announces."""
         self._on_list(endpoints)
 
     def list_unavailable(self) -> None:
-        """The zone is unavailable, which a primary's own zone never is."""
+        """Does nothing, as a primary's own zone is never unavailable."""
 
     @property
     def ready(self) -> bool:
@@ -161,7 +162,7 @@
 
     @property
     def serial(self) -> int:
-        """The zone's current serial."""
+        """The current serial of the zone."""
         return self._zones.zone_states[ORIGIN].zone.serial
 
     def restore(self, serial: int, on_result: OnResult) -> None:
@@ -171,31 +172,36 @@
     def update(
         self,
         prepare: Callable[[dns.update.UpdateMessage], None],
-        answered: Callable[[dns.rcode.Rcode], None],
+        on_response: Callable[[dns.rcode.Rcode], None],
     ) -> None:
-        """Sends a signed update over UDP, as an operator's tool does."""
+        """Sends a signed update over UDP, as an operator's tool does.
+
+        Args:
+            prepare: Adds the changes to the update message.
+            on_response: Called with the response code.
+        """
         message = dns.update.UpdateMessage(ORIGIN)
         message.use_tsig(self._key)
         prepare(message)
-        self._loop.start("update", self._send(message, answered))
+        self._loop.start("update", self._send(message, on_response))
 
     def _send(
-        self, message: dns.update.UpdateMessage, answered: Callable[[dns.rcode.Rcode], None]
+        self, message: dns.update.UpdateMessage, on_response: Callable[[dns.rcode.Rcode], None]
     ) -> Coroutine[None]:
         server_address = self._zones.server_address
         if server_address is None:
-            raise RuntimeError("a primary without an address")
+            raise RuntimeError("the primary has no address")
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK) as sock:
             sock.connect(server_address)
             sock.send(message.to_wire())
             yield Wait(fd=sock.fileno(), event_mask=READ)
-            answer = dns.message.from_wire(
+            response = dns.message.from_wire(
                 sock.recv(MAX_UDP_BYTES),
                 keyring={self._key.name: self._key},
                 request_mac=message.mac or b"",
             )
-        answered(answer.rcode())
+        on_response(response.rcode())
 
     def close(self) -> None:
-        """Ends it; what is durable stays."""
+        """Stops the primary; its durable state stays."""
         self._zones.close()
--- a/kelpcourse/lab/proxy.py
+++ b/kelpcourse/lab/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy that does as its tables say: keeps what was ordered, admits by ratio, picks by weight. No I/O."""
+"""A simulated proxy that applies orders, admits requests by ratio and picks endpoints by weight. No I/O."""
 
 from __future__ import annotations
 
@@ -16,23 +16,33 @@
     WithdrawEndpoint,
 )
 
-UNBOUND = -1  # a table that there is not
+UNBOUND = -1  # The number of no table, for classes that are bound to none.
 
 
 @dataclass
 class Proxy:
-    """What one proxy has been ordered."""
+    """The state of one proxy, built from the orders that it has applied.
+
+    Attributes:
+        number: Number of the proxy.
+        zone: Zone of the proxy.
+        classes: Names of all request classes.
+        tables: Weight by endpoint of each table.
+        bound: Table by request class.
+        withdrawn: Endpoints that are withdrawn.
+        admission: Admission ratio by table and request class; the table None means all tables.
+    """
 
     number: int
     zone: str
     classes: tuple[str, ...]
-    tables: dict[int, dict[str, float]] = field(default_factory=dict)  # weight by endpoint
-    bound: dict[str, int] = field(default_factory=dict)  # table by class
+    tables: dict[int, dict[str, float]] = field(default_factory=dict)
+    bound: dict[str, int] = field(default_factory=dict)
     withdrawn: set[str] = field(default_factory=set)
-    admission: dict[tuple[int | None, str], float] = field(default_factory=dict)  # None: all tables
+    admission: dict[tuple[int | None, str], float] = field(default_factory=dict)
 
     def apply(self, order: Order) -> None:
-        """Applies an order as the relay hands it on."""
+        """Applies an order that the relay forwards."""
         match order:
             case SetWeight(table, endpoint, weight) if weight > 0:
                 self.tables.setdefault(table, {})[endpoint] = weight
@@ -52,28 +62,28 @@
                     self.admission[any_table, request_class] = limit
 
     def weights(self, request_class: str) -> dict[str, float]:
-        """Weights of the endpoints that a request of the class may go to."""
+        """Returns the weight of each endpoint that requests of the class may be sent to."""
         table = self.tables.get(self.bound.get(request_class, UNBOUND), {})
         return {
             endpoint: weight for endpoint, weight in table.items() if endpoint not in self.withdrawn
         }
 
     def admission_ratio(self, request_class: str) -> float:
-        """The part of the class's requests that is admitted: by its table, else by all tables."""
+        """Returns the admission ratio of the class: of its table, or else of all tables."""
         table = self.bound.get(request_class, UNBOUND)
-        of_all_tables = self.admission.get((None, request_class), 1.0)
-        return self.admission.get((table, request_class), of_all_tables)
+        default_ratio = self.admission.get((None, request_class), 1.0)
+        return self.admission.get((table, request_class), default_ratio)
 
-    def pick(self, request_class: str, draw: random.Random) -> str | None:
-        """Draws an endpoint by weight; None: there is none."""
+    def pick(self, request_class: str, rng: random.Random) -> str | None:
+        """Returns an endpoint drawn by weight, or None if there is none."""
         weights = self.weights(request_class)
         if not weights:
             return None
-        return draw.choices(list(weights), list(weights.values()))[0]
+        return rng.choices(list(weights), list(weights.values()))[0]
 
 
 def mean_shares(proxies: Sequence[Proxy], request_class: str) -> dict[str, float]:
-    """The mean share of each endpoint over proxies, as a table for people."""
+    """Returns the mean share of each endpoint over the proxies."""
     shares: dict[str, float] = {}
     for proxy in proxies:
         weights = proxy.weights(request_class)
--- a/kelpcourse/lab/relay.py
+++ b/kelpcourse/lab/relay.py
@@ -1,4 +1,4 @@
-"""A relay: takes calls, hands their orders on to the proxies, and streams the proxies' events."""
+"""A relay that accepts calls, forwards their orders to the proxies and streams the proxies' events."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     FENCED,
     HEARTBEAT,
     decode_orders,
-    encode_answer,
+    encode_accepted,
     encode_applied,
     encode_joined,
 )
@@ -23,7 +23,7 @@
 from kelpcourse.wire.loop import Coroutine, Loop, Wait
 
 GROUP_TARGET = re.compile(r"/v3/kv/groups/(\d+)/(?:orders\?epoch=(\d+)|events)\Z")
-TRANSIT_US = 50_000  # from the relay to a proxy
+TRANSIT_US = 50_000  # Time that orders take from the relay to a proxy.
 HEARTBEAT_US = 1_000_000
 STREAM_POLL_US = 5_000
 NO_EPOCH = 0
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """What a call is about: all proxies, or one proxy group under an epoch."""
+    """The target of a call: all proxies, or one proxy group under an epoch."""
 
     is_event_stream: bool
     group: int | None
@@ -41,27 +41,38 @@
 @dataclass
 class _EventStream:
     proxies: frozenset[int]
-    lines: list[bytes]  # not sent yet
+    lines: list[bytes]  # Lines that have not been sent yet.
 
 
 class Relay:
-    """At `/v3/kv/groups/G/…` the proxies of a group are ordered, under an epoch (`?epoch=`); elsewhere all."""
+    """The lab's relay.
+
+    Calls to `/v3/kv/groups/G/…` concern the proxies of group G, under an epoch (`?epoch=`); other calls concern all.
+
+    Attributes:
+        group_count: Number of proxy groups.
+        orders: Orders of all accepted calls.
+        calls: Proxy group and epoch of each accepted call.
+        fenced_count: Number of calls rejected because of an outdated epoch.
+        on_order: Called with each accepted order.
+        address: Address on which the relay listens.
+    """
 
     def __init__(
         self, loop: Loop, proxies: Sequence[Proxy], checker: RuleChecker, requests_per_s: float
     ) -> None:
-        """Listens at once.
+        """Starts listening.
 
         Args:
-            loop: runs the connections.
-            proxies: all of them; groups are dealt by number.
-            checker: is told of withdrawals as proxies apply them.
-            requests_per_s: the rate that a joining proxy reports.
+            loop: Event loop that runs the connections.
+            proxies: All proxies; a proxy's group is its number modulo the number of groups.
+            checker: Checker that is notified when proxies apply withdrawals and restorations.
+            requests_per_s: Request rate that a joining proxy reports.
         """
         self.group_count = 1
         self.orders: list[Order] = []
-        self.calls: list[tuple[int | None, int]] = []  # group and epoch of those accepted
-        self.fenced_count = 0  # calls under an epoch that has passed
+        self.calls: list[tuple[int | None, int]] = []
+        self.fenced_count = 0
         self.on_order: Callable[[Order], None] = lambda _: None
         self._loop = loop
         self._proxies = proxies
@@ -88,9 +99,9 @@
                 yield from connection.respond(409, FENCED)
                 continue
             orders = decode_orders(body)
-            yield from connection.respond(200, encode_answer(len(orders)))
+            yield from connection.respond(200, encode_accepted(len(orders)))
             self.calls.append((target.group, target.epoch))
-            self._hand_on(orders, proxies)
+            self._forward(orders, proxies)
 
     def _proxies_of(self, group: int | None) -> list[Proxy]:
         return [
@@ -99,14 +110,14 @@
             if group is None or proxy.number % self.group_count == group
         ]
 
-    def _hand_on(self, orders: Sequence[Order], proxies: Sequence[Proxy]) -> None:
+    def _forward(self, orders: Sequence[Order], proxies: Sequence[Proxy]) -> None:
         self.orders += orders
         for order in orders:
             self.on_order(order)
         for proxy in proxies:
-            self._loop.start("transit", self._carry(proxy, orders))
+            self._loop.start("transit", self._deliver(proxy, orders))
 
-    def _carry(self, proxy: Proxy, orders: Sequence[Order]) -> Coroutine[None]:
+    def _deliver(self, proxy: Proxy, orders: Sequence[Order]) -> Coroutine[None]:
         yield Wait(now_us() + TRANSIT_US)
         for order in orders:
             proxy.apply(order)
--- a/kelpcourse/lab/relay_protocol.py
+++ b/kelpcourse/lab/relay_protocol.py
@@ -1,4 +1,4 @@
-"""The relay's side of its protocol: orders of calls read, lines of the event stream written.
+"""The relay's side of its protocol: decodes the orders of calls and encodes lines of the event stream.
 
 The names on the wire are listed in `kelpcourse.wire.relay_codec`.
 """
@@ -28,24 +28,24 @@
 
 
 class UnknownOrderError(ValueError):
-    """An order with a verb that the relay does not know."""
+    """Raised for an order with an unknown verb."""
 
     def __init__(self, verb: object) -> None:
-        """Names the verb."""
-        super().__init__(f"no such verb: {verb!r}")
+        """Initializes the error with the verb."""
+        super().__init__(f"unknown verb: {verb!r}")
         self.verb = verb
 
 
 def decode_orders(body: bytes) -> list[Order]:
-    """The orders of a call."""
+    """Decodes the orders of a call."""
     return [decode_order(fields) for fields in orjson.loads(body)["orders"]]
 
 
 def decode_order(fields: Mapping[str, Any]) -> Order:
-    """One order.
+    """Decodes one order.
 
     Raises:
-        UnknownOrderError: its verb is not known.
+        UnknownOrderError: The verb is unknown.
     """
     match fields["verb"]:
         case "SET":
@@ -71,13 +71,13 @@
     return tuple(fields.get("for") or ())
 
 
-def encode_answer(order_count: int) -> bytes:
-    """The answer to a call whose orders were all accepted."""
+def encode_accepted(order_count: int) -> bytes:
+    """Encodes the response to a call whose orders were all accepted."""
     return b'{"ok_count":%d}' % order_count
 
 
 def encode_joined(proxy: Proxy, requests_per_s: float) -> bytes:
-    """The event by which a proxy joins."""
+    """Encodes the event that a proxy has joined."""
     fields = {
         "sidecar": proxy.number,
         "az": proxy.zone,
@@ -88,6 +88,6 @@
 
 
 def encode_applied(proxy: int, checkpoint_id: int, lag_ms: float) -> bytes:
-    """The event by which a proxy acknowledges a checkpoint."""
+    """Encodes the event that a proxy has acknowledged a checkpoint."""
     fields = {"sidecar": proxy, "version": checkpoint_id, "lag_ms": lag_ms}
     return orjson.dumps({"type": "applied", "object": fields})
--- a/kelpcourse/lab/rules.py
+++ b/kelpcourse/lab/rules.py
@@ -1,6 +1,6 @@
-"""Whether proxies kept the rules, from what crossed the sockets alone: announcements, orders, picks. No I/O.
+"""Checks the rules for proxies from announcements, orders and picks that crossed the sockets. No I/O.
 
-Independent of the policy's own records. Times in microseconds on one clock.
+The checker does not use the policy's own records. Times are in microseconds on one clock.
 """
 
 from __future__ import annotations
@@ -8,22 +8,22 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-MAX_VIOLATIONS = 20  # that are kept
+MAX_VIOLATIONS = 20  # Maximum number of violations that are recorded.
 
 
 @dataclass
 class RuleChecker:
-    """Checks every pick of a proxy.
+    """Checks every pick of a proxy against the rules.
 
     Attributes:
-        drain_grace_us: for which an endpoint may be picked after its drain or removal was announced.
-        max_without_endpoint_us: for which a proxy may be without an endpoint while one is ready.
-        ready_since_us: endpoints that are ready, and since when.
-        stopped_since_us: endpoints that drain or are gone, and since when.
-        withdrawn: endpoints that a proxy was ordered to leave, by proxy.
-        violations: what broke a rule.
-        pick_count: picks that were checked.
-        max_late_us: the longest that an endpoint was still picked after it had stopped.
+        drain_grace_us: Time for which an endpoint may be picked after its drain or removal was announced.
+        max_without_endpoint_us: Time for which a proxy may have no endpoint while one is ready.
+        ready_since_us: Time at which each ready endpoint became ready.
+        stopped_since_us: Time at which each draining or removed endpoint was first announced as such.
+        withdrawn: Endpoints that are withdrawn, by proxy.
+        violations: Descriptions of the violations.
+        pick_count: Number of picks that were checked.
+        max_late_us: Longest time between the announcement that an endpoint stopped and a pick of it.
     """
 
     drain_grace_us: int
@@ -37,21 +37,21 @@
     _without_endpoint_since_us: dict[tuple[int, str], int] = field(default_factory=dict)
 
     def endpoint_ready(self, endpoint: str, now_us: int) -> None:
-        """An endpoint is announced as ready."""
+        """Records that an endpoint was announced as ready."""
         self.stopped_since_us.pop(endpoint, None)
         self.ready_since_us.setdefault(endpoint, now_us)
 
     def endpoint_stopped(self, endpoint: str, now_us: int) -> None:
-        """An endpoint is announced as draining or gone."""
+        """Records that an endpoint was announced as draining or removed."""
         self.ready_since_us.pop(endpoint, None)
         self.stopped_since_us.setdefault(endpoint, now_us)
 
     def withdrawal_applied(self, proxy: int, endpoint: str) -> None:
-        """A proxy has applied that it is to leave an endpoint."""
+        """Records that a proxy has applied the withdrawal of an endpoint."""
         self.withdrawn.setdefault(proxy, set()).add(endpoint)
 
     def restoration_applied(self, proxy: int, endpoint: str) -> None:
-        """A proxy has applied that it may use an endpoint again."""
+        """Records that a proxy has applied the restoration of an endpoint."""
         self.withdrawn.setdefault(proxy, set()).discard(endpoint)
 
     def picked(
@@ -65,11 +65,11 @@
         """Checks a pick.
 
         Args:
-            proxy: that picks.
-            request_class: of the request.
-            endpoint: None: the proxy has none.
-            now_us: the time.
-            serving: endpoints that serve the class, if not all do.
+            proxy: Proxy that picks the endpoint.
+            request_class: Request class of the request.
+            endpoint: Endpoint that was picked, or None if the proxy has none.
+            now_us: Time of the pick.
+            serving: Endpoints that serve the request class; None means all.
         """
         self.pick_count += 1
         if endpoint is None:
@@ -78,7 +78,7 @@
             return
         self._without_endpoint_since_us.pop((proxy, request_class), None)
         if endpoint in self.withdrawn.get(proxy, ()):
-            self._add(f"proxy {proxy} picks {endpoint}, which it was told to leave")
+            self._add(f"proxy {proxy} picks {endpoint}, which is withdrawn")
         if endpoint in self.ready_since_us:
             return
         if endpoint not in self.stopped_since_us:
@@ -94,12 +94,12 @@
     ) -> None:
         key = proxy, request_class
         ready_us = [since for endpoint, since in self.ready_since_us.items() if endpoint in serving]
-        if not ready_us:  # no endpoint could serve it
+        if not ready_us:  # No ready endpoint serves the class.
             self._without_endpoint_since_us.pop(key, None)
             return
         without_since_us = self._without_endpoint_since_us.setdefault(key, now_us)
         if now_us - max(without_since_us, *ready_us) > self.max_without_endpoint_us:
-            self._add(f"proxy {proxy} has no host for {request_class} though some are ready")
+            self._add(f"proxy {proxy} has no endpoint for {request_class} although some are ready")
 
     def _add(self, violation: str) -> None:
         if len(self.violations) < MAX_VIOLATIONS:
--- a/kelpcourse/lab/traffic.py
+++ b/kelpcourse/lab/traffic.py
@@ -1,4 +1,4 @@
-"""Simulated requests of the proxies, and the report collectors that send their sums to the controller."""
+"""Simulated requests of the proxies, and report collectors that send their totals to the controller."""
 
 from __future__ import annotations
 
@@ -15,16 +15,20 @@
 from kelpcourse.wire.stream import Address
 
 ROUND_US = 100_000
-REQUESTS_A_ROUND = 20  # of each proxy
-SUBMIT_EVERY = 4  # of which one in so many is a submit
-REQUESTS_PER_S = REQUESTS_A_ROUND * 1e6 / ROUND_US
-REPORT_US = 1_000_000
-ANSWER_MS = 40.0
+REQUESTS_PER_ROUND = 20  # Requests of each proxy in a round.
+REQUESTS_PER_SUBMIT = 4  # One in this many requests is of the class SUBMIT.
+REQUESTS_PER_S = REQUESTS_PER_ROUND * 1e6 / ROUND_US
+REPORT_INTERVAL_US = 1_000_000
+MEAN_LATENCY_MS = 40.0
 CONNECT_TIMEOUT_S = 0.2
 
 
 class Traffic:
-    """Picks by the proxies' tables; nothing is sent to an endpoint."""
+    """Simulates requests by picking endpoints from the proxies' tables; nothing is sent to an endpoint.
+
+    Attributes:
+        served: Number of requests by endpoint.
+    """
 
     def __init__(
         self,
@@ -34,44 +38,44 @@
         serving: Callable[[str], set[str]],
         seed: int,
     ) -> None:
-        """Starts without any request.
+        """Initializes the traffic; `run` generates the requests.
 
         Args:
-            proxies: that requests come to.
-            checker: is told of every pick.
-            controller: where reports go.
-            serving: the endpoints that serve a class.
-            seed: of all draws.
+            proxies: Proxies that receive the requests.
+            checker: Checker that every pick is reported to.
+            controller: Address that reports are sent to.
+            serving: Returns the endpoints that serve a request class.
+            seed: Seed of the random number generator.
         """
-        self.served: Counter[str] = Counter()  # requests by endpoint
+        self.served: Counter[str] = Counter()
         self._proxies = proxies
         self._checker = checker
         self._controller = controller
         self._serving = serving
-        self._draw = random.Random(seed)
+        self._rng = random.Random(seed)
         self._collectors: dict[str, socket.socket] = {}
-        self._attempts: Counter[tuple[str, str]] = Counter()  # by zone and endpoint
-        self._offered: Counter[tuple[int, str]] = Counter()  # by proxy and class
+        self._attempts: Counter[tuple[str, str]] = Counter()  # Number by zone and endpoint.
+        self._offered: Counter[tuple[int, str]] = Counter()  # Number by proxy and class.
 
     def run(self) -> Coroutine[None]:
-        """Each proxy picks for requests of both classes; once a second the collectors report the sums."""
+        """Generates requests of both classes for each proxy and reports the totals once a second."""
         reported_us = now_us()
         while True:
             yield Wait(now_us() + ROUND_US)
             for proxy in self._proxies:
-                for index in range(REQUESTS_A_ROUND):
-                    self._request(proxy, SUBMIT if index % SUBMIT_EVERY == 0 else READ)
-            if now_us() - reported_us >= REPORT_US:
+                for index in range(REQUESTS_PER_ROUND):
+                    self._request(proxy, SUBMIT if index % REQUESTS_PER_SUBMIT == 0 else READ)
+            if now_us() - reported_us >= REPORT_INTERVAL_US:
                 self._report((now_us() - reported_us) / 1000)
                 reported_us = now_us()
 
     def _request(self, proxy: Proxy, request_class: str) -> None:
-        if not proxy.bound:  # no controller has steered it yet
+        if not proxy.bound:  # The proxy has not received a table from a controller yet.
             return
         self._offered[proxy.number, request_class] += 1
-        if self._draw.random() >= proxy.admission_ratio(request_class):
+        if self._rng.random() >= proxy.admission_ratio(request_class):
             return
-        endpoint = proxy.pick(request_class, self._draw)
+        endpoint = proxy.pick(request_class, self._rng)
         serving = self._serving(request_class)
         self._checker.picked(proxy.number, request_class, endpoint, now_us(), serving)
         if endpoint is not None:
@@ -82,7 +86,7 @@
         lines = {zone: [f"collector az={zone}"] for zone in ROOMS}
         for (zone, endpoint), count in self._attempts.items():
             lines[zone].append(
-                f"heard az={zone} host={endpoint} n={count} bad=0 avg={ANSWER_MS}"
+                f"heard az={zone} host={endpoint} n={count} bad=0 avg={MEAN_LATENCY_MS}"
                 f" window={window_ms:.1f}"
             )
         for (proxy, request_class), count in self._offered.items():
@@ -95,7 +99,10 @@
             self._send(zone, "".join(f"{line}\r\n" for line in zone_lines).encode())
 
     def _send(self, zone: str, data: bytes) -> None:
-        """Sends a collector's lines; a controller that is away loses these sums, as real ones do."""
+        """Sends the lines of a collector.
+
+        If the controller is unreachable, the totals are lost, as with real collectors.
+        """
         try:
             if zone not in self._collectors:
                 connection = socket.create_connection(self._controller, CONNECT_TIMEOUT_S)
--- a/kelpcourse/lab/world.py
+++ b/kelpcourse/lab/world.py
@@ -1,4 +1,4 @@
-"""The surroundings of a controller in one process, on loopback and the real clock.
+"""The simulated environment of a controller in one process, on loopback and the real clock.
 
 Endpoints and requests are simulated; every message to and from the controller crosses a socket.
 """
@@ -28,14 +28,29 @@
 from kelpcourse.wire.loop import Coroutine, Loop
 from kelpcourse.wire.stream import Address
 
-TURN_US = 20_000
-DEFAULT_PATIENCE_S = 60.0
-STOP_PATIENCE_S = 5.0
-LAST_TURNS = 10  # of the loop after the controller has ended, for its last lines
+MAX_TURN_US = 20_000  # Maximum wait in a turn of the loop.
+DEFAULT_TIMEOUT_S = 60.0
+STOP_TIMEOUT_S = 5.0
+# Turns of the loop after the controller has ended, in which its last log lines are read.
+FINAL_TURNS = 10
 
 
 class Lab:
-    """A relay with proxies, discovery, endpoints, and at most one controller."""
+    """A relay with proxies, discovery, endpoints, and at most one controller.
+
+    Attributes:
+        errors: Unexpected exceptions in the event loop.
+        loop: Event loop that runs everything but the controller.
+        checker: Checker of all picks.
+        proxies: All proxies.
+        endpoints: Address by endpoint.
+        rooms: Room by endpoint.
+        relay: The relay.
+        discovery: The discovery server.
+        listen: Address on which the controller listens.
+        traffic: Simulated requests.
+        controller: The controller, once it was started.
+    """
 
     def __init__(
         self,
@@ -45,16 +60,16 @@
         drain_grace_us: int = DRAIN_GRACE_US,
         max_without_endpoint_us: int = MAX_WITHOUT_ENDPOINT_US,
     ) -> None:
-        """Listens as relay and discovery at once.
+        """Starts the relay and discovery.
 
         Args:
-            folder: for the controller's configuration.
-            proxy_count: proxies, in both rooms in turn.
-            seed: of the requests.
-            drain_grace_us: of the rule checker.
-            max_without_endpoint_us: of the rule checker.
+            folder: Folder for the controller's configuration.
+            proxy_count: Number of proxies, alternating between the rooms.
+            seed: Seed of the simulated requests.
+            drain_grace_us: Grace period of the rule checker after a drain, in microseconds.
+            max_without_endpoint_us: Time in microseconds for which the rule checker allows a proxy to have no endpoint.
         """
-        self.errors: list[Exception] = []  # unexpected ones
+        self.errors: list[Exception] = []
         self.loop = Loop(now_us, lambda _, error: self.errors.append(error))
         self.checker = RuleChecker(drain_grace_us, max_without_endpoint_us)
         self.proxies = [
@@ -64,20 +79,20 @@
         self.rooms: dict[str, str] = {}
         self.relay = Relay(self.loop, self.proxies, self.checker, REQUESTS_PER_S)
         self.discovery = Discovery(self.loop)
-        self.listen = free_address()  # of the controller
+        self.listen = free_address()
         self.traffic = Traffic(self.proxies, self.checker, self.listen, self.serving, seed)
         self.controller: ControllerProcess | None = None
         self._folder = folder
 
     def add_endpoint(self, name: str, room: str) -> Address:
-        """An endpoint that answers health checks at an address of its own."""
+        """Starts an endpoint that answers health checks; returns its address."""
         server = HttpServer(self.loop, _answer_health_checks)
         self.endpoints[name] = server.address
         self.rooms[name] = room
         return server.address
 
     def serving(self, request_class: str) -> set[str]:
-        """The endpoints that serve a class; no other part knows."""
+        """Returns the endpoints that serve a class. Only the lab has this knowledge."""
         return {
             name
             for name, room in self.rooms.items()
@@ -85,7 +100,7 @@
         }
 
     def start_controller(self, zones: Path) -> ControllerProcess:
-        """Starts a controller with settings for DNS zones, and the requests."""
+        """Starts a controller with a settings file for DNS zones, and the simulated requests."""
         config = self._folder / "config.json"
         config.write_bytes(
             node_config(self.listen, self.discovery.address, self.relay.address, len(self.proxies))
@@ -95,32 +110,35 @@
         return self.controller
 
     def run_until(
-        self, condition: Callable[[], object], patience_s: float = DEFAULT_PATIENCE_S
+        self, condition: Callable[[], object], timeout_s: float = DEFAULT_TIMEOUT_S
     ) -> bool:
-        """Runs the loop until a condition holds; false: the controller ended or patience did."""
-        deadline_us = now_us() + round(patience_s * 1e6)
+        """Runs the loop until a condition is true.
+
+        Returns False if the controller ends or the timeout expires first.
+        """
+        deadline_us = now_us() + round(timeout_s * 1e6)
         while not condition():
             controller_ended = self.controller is not None and not self.controller.is_running
             if controller_ended or now_us() > deadline_us:
                 return False
-            self.loop.run_once(now_us() + TURN_US)
+            self.loop.run_once(now_us() + MAX_TURN_US)
         return True
 
     def run_for(self, seconds: float) -> None:
-        """Runs the loop for a time."""
+        """Runs the loop for some seconds."""
         end_us = now_us() + round(seconds * 1e6)
         self.run_until(lambda: now_us() >= end_us, seconds + 1)
 
     def stop_controller(self, controller: ControllerProcess) -> int:
-        """The controller's exit code after SIGTERM; its last lines are in its log."""
+        """Stops the controller with SIGTERM, reads the rest of its log and returns its exit code."""
         controller.terminate()
-        self.run_until(lambda: not controller.is_running, STOP_PATIENCE_S)
-        for _ in range(LAST_TURNS):
+        self.run_until(lambda: not controller.is_running, STOP_TIMEOUT_S)
+        for _ in range(FINAL_TURNS):
             self.loop.run_once(now_us())
         return controller.exit_code()
 
     def close(self) -> None:
-        """Ends the controller and everything else."""
+        """Stops the controller and closes everything else."""
         if self.controller is not None:
             self.controller.kill()
         self.traffic.close()
