--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements beside earlier versions and beside libraries; each module is run with `python -m`."""
+"""Benchmarks that compare kelpcourse with earlier versions and with libraries; each is run with `python -m`."""
--- a/benchmarks/before.py
+++ b/benchmarks/before.py
@@ -1,4 +1,4 @@
-"""This project as it stood at an earlier commit: one module of it, or its tree."""
+"""Loads an earlier revision of this project: one module of it, or its tree."""
 
 from __future__ import annotations
 
@@ -16,27 +16,33 @@
 
 
 class MissingRevisionError(Exception):
-    """The repository's history does not hold what was asked for."""
+    """Raised when the repository's history does not contain a requested path."""
 
     def __init__(self, revision: str, path: str, reason: str) -> None:
-        """Keeps the revision, the path and Git's message."""
+        """Initializes the error.
+
+        Args:
+            revision: Revision that was requested.
+            path: Path or paths that were requested.
+            reason: Git's error message.
+        """
         super().__init__(f"no {path} at {revision}: {reason}")
         self.revision = revision
         self.path = path
 
 
 def _git(command: str, revision: str, path: str, *arguments: str) -> bytes:
-    shown = subprocess.run(["git", "-C", str(ROOT), command, *arguments], capture_output=True)
-    if shown.returncode:
-        raise MissingRevisionError(revision, path, shown.stderr.decode().strip())
-    return shown.stdout
+    completed = subprocess.run(["git", "-C", str(ROOT), command, *arguments], capture_output=True)
+    if completed.returncode:
+        raise MissingRevisionError(revision, path, completed.stderr.decode().strip())
+    return completed.stdout
 
 
 def module_at(revision: str, path: str) -> types.ModuleType:
-    """Loads one module as it stood at a revision; what it imports is today's.
+    """Returns one module at a revision; its imports are of the current revision.
 
     Raises:
-        MissingRevisionError: the history does not hold the module.
+        MissingRevisionError: The history does not contain the module.
     """
     source = _git("show", revision, path, f"{revision}:{path}")
     module = types.ModuleType(f"before_{Path(path).stem}")
@@ -47,10 +53,10 @@
 
 @contextmanager
 def tree_at(revision: str, *paths: str) -> Iterator[Path]:
-    """Lays out folders as they stood at a revision in a temporary folder, and removes it at the end.
+    """Extracts folders of a revision into a temporary folder, which is removed at the end.
 
     Raises:
-        MissingRevisionError: the history does not hold one of the folders.
+        MissingRevisionError: The history does not contain one of the folders.
     """
     archived = _git("archive", revision, " ".join(paths), revision, *paths)
     with tempfile.TemporaryDirectory() as name:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,8 +1,11 @@
-"""What the policy's steps cost as the fleet grows, beside the version before: `python -m benchmarks.fleet`.
+"""Measures the cost of the policy's steps by fleet size, compared with an earlier version.
 
-Both versions are stepped in turn with the same events, each in a process of its own. Figures are processor time,
-medians of the rounds; the ratio is before over now, so above 1 is faster now. Memory is the peak that Python's
-allocator holds after a mass join, measured apart from the times.
+Run it with `python -m benchmarks.fleet`. Both versions are stepped alternately with the same events, each in a separate
+process. Figures are medians of the rounds, in processor time. The ratio is the earlier version over the current one, so
+a ratio above 1 means that the current version is faster. Memory is the peak of Python's allocator in a mass join, and
+is measured separately from the times.
+
+The worker looks up the scenarios, `cost_ms` and `memory_mb` by name in both versions, so they keep their names.
 """
 
 from __future__ import annotations
@@ -35,18 +38,30 @@
 from kelpcourse.policy.settings import Settings
 from tests.fleet import SECOND, SETTINGS, full_list, list_changes, make_endpoint
 
-BEFORE = "5b4a458"  # the version before the policy was split into modules
-POLICY_BEFORE = "Director"  # its name there
-SIZES = [(400, 30), (640, 120), (1_600, 200), (1_600, 1_024), (3_200, 1_024)]  # proxies, hosts
+BEFORE = "5b4a458"  # The last version before the policy was split into modules.
+POLICY_BEFORE = "Director"  # Name of the policy's class in that version.
+# Numbers of proxies and endpoints.
+SIZES = [(400, 30), (640, 120), (1_600, 200), (1_600, 1_024), (3_200, 1_024)]
 ROUNDS = 3
 
 
 class Fleet:
-    """A policy with its fleet; the processor time of its steps is summed up."""
-
-    def __init__(self, factory: Callable[[Settings], Any], proxies: int, hosts: int) -> None:
-        """Steps the policy with a complete list."""
-        self.hosts: list[Endpoint] = [make_endpoint(1_000 + k, f"z{k % 8}") for k in range(hosts)]
+    """A policy with its fleet.
+
+    Attributes:
+        endpoints: Endpoints of the fleet.
+        proxies: Numbers of the proxies.
+        policy: The policy.
+        now_us: Time of the latest step, in microseconds.
+        cpu_s: Total processor time of the steps, in seconds.
+        checkpoints: Checkpoints ordered by the latest step.
+    """
+
+    def __init__(self, factory: Callable[[Settings], Any], proxies: int, endpoints: int) -> None:
+        """Creates the policy and steps it with a complete endpoint list."""
+        self.endpoints: list[Endpoint] = [
+            make_endpoint(1_000 + k, f"z{k % 8}") for k in range(endpoints)
+        ]
         self.proxies = range(proxies)
         settings = replace(
             SETTINGS,
@@ -60,24 +75,24 @@
         )
         self.policy = factory(settings)
         self.now_us = 50 * SECOND
-        self.took_s = 0.0
-        self.step(full_list(self.hosts))
+        self.cpu_s = 0.0
+        self.step(full_list(self.endpoints))
 
     def step(self, *events: Event) -> None:
-        """Steps the policy 10 ms later."""
+        """Advances the time by 10 ms and steps the policy."""
         self.now_us += SECOND // 100
-        began_s = time.process_time()
+        start_s = time.process_time()
         actions = self.policy.step(self.now_us, events)
-        self.took_s += time.process_time() - began_s
+        self.cpu_s += time.process_time() - start_s
         self.checkpoints = [a.checkpoint_id for a in actions if isinstance(a, Checkpoint)]
 
-    def joined(self) -> Fleet:
-        """Lets all proxies join; returns itself."""
+    def join_all(self) -> Fleet:
+        """Steps the policy with the joins of all proxies; returns the fleet."""
         self.step(*(ProxyJoined(p, f"z{p % 8}", 2.0, True) for p in self.proxies))
         return self
 
-    def second(self) -> None:
-        """A hundred steps; whatever was ordered is answered in the next."""
+    def run_second(self) -> None:
+        """Steps the policy a hundred times; each step acknowledges the orders of the step before."""
         for _ in range(100):
             self.step(
                 *(OrdersAcknowledged(p, n, 200_000) for n in self.checkpoints for p in self.proxies)
@@ -85,74 +100,89 @@
 
 
 def a_mass_join(fleet: Fleet) -> None:
-    """All proxies come in one step, and five seconds go by in which they are bound."""
-    fleet.joined()
+    """Runs a step in which all proxies join and five seconds in which they are bound."""
+    fleet.join_all()
     for _ in range(5):
-        fleet.second()
+        fleet.run_second()
 
 
 def a_second(fleet: Fleet) -> None:
-    """A second of steps with nothing new, orders due among them."""
-    fleet.joined().took_s = 0.0
-    fleet.second()
+    """Runs a second of steps without new events, in which due orders are issued."""
+    fleet.join_all().cpu_s = 0.0
+    fleet.run_second()
 
 
 def a_report(fleet: Fleet) -> None:
-    """One step with a line on each host and two on each proxy."""
-    fleet.joined().took_s = 0.0
-    lines: Sequence[Event] = [
+    """Runs one step with an endpoint report for each endpoint and two demand reports for each proxy."""
+    fleet.join_all().cpu_s = 0.0
+    reports: Sequence[Event] = [
         *(
-            EndpointReport(h.id, h.zone, 20, 0, SECOND, 1000 * (200 + h.id % 300), ())
-            for h in fleet.hosts
+            EndpointReport(
+                endpoint.id, endpoint.zone, 20, 0, SECOND, 1000 * (200 + endpoint.id % 300), ()
+            )
+            for endpoint in fleet.endpoints
         ),
         *(DemandReport(p, k, 10, 0, SECOND) for p in fleet.proxies for k in range(2)),
     ]
-    fleet.step(*lines)
+    fleet.step(*reports)
 
 
 def a_withdrawal(fleet: Fleet) -> None:
-    """A tenth of the hosts drain in one step."""
-    fleet.joined()
-    fleet.second()
-    fleet.took_s = 0.0
+    """Runs one step in which a tenth of the endpoints start draining."""
+    fleet.join_all()
+    fleet.run_second()
+    fleet.cpu_s = 0.0
     fleet.step(
-        list_changes([replace(h, status=EndpointStatus.DRAINING) for h in fleet.hosts[::10]])
+        list_changes(
+            [
+                replace(endpoint, status=EndpointStatus.DRAINING)
+                for endpoint in fleet.endpoints[::10]
+            ]
+        )
     )
 
 
 def a_whole_list(fleet: Fleet) -> None:
-    """A complete list that changes nothing comes in one step."""
-    fleet.joined()
-    fleet.second()
-    fleet.took_s = 0.0
-    fleet.step(full_list(fleet.hosts))
+    """Runs one step with a complete endpoint list that changes nothing."""
+    fleet.join_all()
+    fleet.run_second()
+    fleet.cpu_s = 0.0
+    fleet.step(full_list(fleet.endpoints))
 
 
 def cost_ms(
-    kind: Callable[[Fleet], None], factory: Callable[[Settings], Any], proxies: int, hosts: int
+    scenario: Callable[[Fleet], None],
+    factory: Callable[[Settings], Any],
+    proxies: int,
+    endpoints: int,
 ) -> float:
-    """Milliseconds of processor time that a scenario's steps take."""
-    fleet = Fleet(factory, proxies, hosts)
+    """Returns the processor time of a scenario's measured steps, in milliseconds."""
+    fleet = Fleet(factory, proxies, endpoints)
     gc.collect()
-    fleet.took_s = 0.0
-    kind(fleet)
-    return fleet.took_s * 1000
+    fleet.cpu_s = 0.0
+    scenario(fleet)
+    return fleet.cpu_s * 1000
 
 
-def memory_mb(factory: Callable[[Settings], Any], proxies: int, hosts: int) -> float:
-    """The peak of Python's allocator in a mass join, in MB."""
+def memory_mb(factory: Callable[[Settings], Any], proxies: int, endpoints: int) -> float:
+    """Returns the peak of Python's allocator in a mass join, in MB."""
     tracemalloc.start()
-    a_mass_join(Fleet(factory, proxies, hosts))
+    a_mass_join(Fleet(factory, proxies, endpoints))
     peak_bytes = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     return peak_bytes / 1e6
 
 
 class Worker:
-    """A process that measures one version."""
+    """A process that measures one version of the policy."""
 
     def __init__(self, tree: Path, policy: str) -> None:
-        """Starts it on a tree that imports the policy under this name."""
+        """Starts the process.
+
+        Args:
+            tree: Root folder of the version.
+            policy: Name under which the version's `benchmarks.fleet` imports the policy.
+        """
         self._process = subprocess.Popen(
             [sys.executable, str(ROOT / "benchmarks" / "fleet_worker.py"), policy],
             cwd=tree,
@@ -163,7 +193,7 @@
         )
 
     def measure(self, scenario: str, proxies: int, endpoints: int) -> float:
-        """Returns one figure: milliseconds of processor time, or megabytes."""
+        """Returns one figure: milliseconds of processor time, or megabytes for MEMORY."""
         if self._process.stdin is None or self._process.stdout is None:
             raise RuntimeError("the worker has no pipes")
         print(scenario, proxies, endpoints, file=self._process.stdin, flush=True)
@@ -177,7 +207,7 @@
 
 
 def compare(before: Worker, now: Worker) -> None:
-    """Prints a table with both versions, measured in turn."""
+    """Prints a table of both versions, which are measured alternately."""
     print("| | proxies | endpoints | before | now | before over now |")
     print("| --- | ---: | ---: | ---: | ---: | ---: |")
     scenarios = [a_second, a_mass_join, a_report, a_withdrawal, a_whole_list]
@@ -199,7 +229,7 @@
 
 
 def main() -> None:
-    """Compares today's policy with the version before."""
+    """Compares the current policy with the earlier version."""
     with tree_at(BEFORE, "kelpcourse", "benchmarks", "tests") as tree:
         before = Worker(tree, POLICY_BEFORE)
         now = Worker(ROOT, RoutingPolicy.__name__)
--- a/benchmarks/fleet_worker.py
+++ b/benchmarks/fleet_worker.py
@@ -1,8 +1,8 @@
 """Measures the steps of one version of the policy for `benchmarks.fleet`.
 
-It is run by path with the version's tree as PYTHONPATH, and takes the name under which that tree's
-`benchmarks.fleet` imports the policy. Each line on standard input asks for one figure (a scenario, proxies and
-endpoints); each answer is one line with the figure.
+The worker is run by its path with the version's tree as PYTHONPATH. Its argument is the name under which that tree's
+`benchmarks.fleet` imports the policy. Each line on standard input requests one figure: scenario, number of proxies
+and number of endpoints. The response is one line with the figure.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def main() -> None:
-    """Answers until standard input ends."""
+    """Serves requests until standard input ends."""
     from benchmarks import fleet
 
     policy = getattr(fleet, sys.argv[1])
@@ -22,8 +22,8 @@
         if scenario == MEMORY:
             figure = fleet.memory_mb(policy, int(proxies), int(endpoints))
         else:
-            play = getattr(fleet, scenario)
-            figure = fleet.cost_ms(play, policy, int(proxies), int(endpoints))
+            run_scenario = getattr(fleet, scenario)
+            figure = fleet.cost_ms(run_scenario, policy, int(proxies), int(endpoints))
         print(figure, flush=True)
 
 
--- a/benchmarks/hashing.py
+++ b/benchmarks/hashing.py
@@ -1,4 +1,4 @@
-"""Hashes to compare `kelpcourse.shared.placement` with: a ring and jump hashing."""
+"""Hash-based placements to compare `kelpcourse.shared.placement` with: a hash ring and jump consistent hashing."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 def place_by_jump(groups: Sequence[GroupId], members: Sequence[str]) -> dict[GroupId, str]:
     """Returns a member for each group by jump consistent hashing (Lamping and Veach, 2014).
 
-    Members are numbered by their order, so one that leaves the middle shifts the rest.
+    Members are numbered in sorted order, so a member that leaves shifts the numbers of all after it.
     """
     ordered = sorted(members)
     return {
@@ -38,9 +38,9 @@
 
 def _jump_hash(key: int, bucket_count: int) -> int:
     bucket = -1
-    following = 0
-    while following < bucket_count:
-        bucket = following
+    next_bucket = 0
+    while next_bucket < bucket_count:
+        bucket = next_bucket
         key = (key * 2862933555777941757 + 1) & ((1 << 64) - 1)
-        following = int((bucket + 1) * ((1 << 31) / ((key >> 33) + 1)))
+        next_bucket = int((bucket + 1) * ((1 << 31) / ((key >> 33) + 1)))
     return bucket
--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -1,7 +1,8 @@
-"""What the platform's run costs, beside the version before: `python -m benchmarks.platform`.
+"""Measures the processor time and memory of the platform's controller, compared with an earlier version.
 
-Both versions of `python -m kelpcourse` by turns, each with the lab's relay, discovery, 30 endpoints and 60 proxies that
-report, for some seconds. Processor time and resident memory are the system's own figures of the process.
+Run it with `python -m benchmarks.platform`. Both versions of `python -m kelpcourse` run alternately for some seconds,
+each with the lab's relay, discovery, 30 endpoints and 60 proxies that send reports. Processor time and resident memory
+are the operating system's figures for the process.
 """
 
 from __future__ import annotations
@@ -19,22 +20,22 @@
 from kelpcourse.zones.settings import format_address
 
 BEFORE = "5b4a458"
-SECONDS = 8.0
+DURATION_S = 8.0
 ROUNDS = 3
-ENDPOINTS = 30
-PROXIES = 60
+ENDPOINT_COUNT = 30
+PROXY_COUNT = 60
 
 
-def figures(pid: int) -> tuple[float, float]:
-    """Processor seconds so far, and resident memory in MB."""
-    words = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    ticks = int(words[11]) + int(words[12])  # in user and system mode
+def resource_usage(pid: int) -> tuple[float, float]:
+    """Returns the processor time of a process in seconds and its resident memory in MB."""
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    ticks = int(fields[11]) + int(fields[12])  # Ticks in user mode and in kernel mode.
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return ticks / os.sysconf("SC_CLK_TCK"), pages * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
-def entry(lab: Lab, name: str) -> dict[str, object]:
-    """An endpoint as discovery lists it."""
+def discovery_entry(lab: Lab, name: str) -> dict[str, object]:
+    """Returns an endpoint in the format of discovery."""
     return {
         "id": name,
         "host_port": format_address(lab.endpoints[name]),
@@ -47,16 +48,16 @@
     }
 
 
-def played(tree: Path) -> tuple[float, float]:
-    """Processor seconds a second and resident memory in MB of the version in a tree."""
+def measure(tree: Path) -> tuple[float, float]:
+    """Returns processor seconds per second and resident memory in MB of the version in a tree."""
     with tempfile.TemporaryDirectory() as name:
-        lab = Lab(Path(name), PROXIES)
-        for index in range(ENDPOINTS):
+        lab = Lab(Path(name), PROXY_COUNT)
+        for index in range(ENDPOINT_COUNT):
             lab.add_endpoint(f"s-{index}", room_of(index))
-        lab.discovery.publish([entry(lab, endpoint) for endpoint in lab.endpoints])
+        lab.discovery.publish([discovery_entry(lab, endpoint) for endpoint in lab.endpoints])
         config = Path(name) / "config.json"
         config.write_bytes(
-            node_config(lab.listen, lab.discovery.address, lab.relay.address, PROXIES)
+            node_config(lab.listen, lab.discovery.address, lab.relay.address, PROXY_COUNT)
         )
         process = subprocess.Popen(
             [sys.executable, "-m", "kelpcourse"],
@@ -66,24 +67,24 @@
         )
         lab.loop.start("requests", lab.traffic.run())
         if not lab.run_until(lambda: all(proxy.weights(READ) for proxy in lab.proxies)):
-            raise SystemExit("the controller publishes no tables")
-        before, _ = figures(process.pid)
-        lab.run_for(SECONDS)
-        after, memory = figures(process.pid)
+            raise SystemExit("the controller has published no tables")
+        before, _ = resource_usage(process.pid)
+        lab.run_for(DURATION_S)
+        after, memory = resource_usage(process.pid)
         process.kill()
         process.wait()
         lab.close()
-        return (after - before) / SECONDS, memory
+        return (after - before) / DURATION_S, memory
 
 
 def main() -> None:
     """Prints a table of both versions."""
     with tree_at(BEFORE, "kelpcourse") as tree:
-        rounds = [(played(tree), played(ROOT)) for _ in range(ROUNDS)]
+        rounds = [(measure(tree), measure(ROOT)) for _ in range(ROUNDS)]
     print("| | before | now |\n| --- | ---: | ---: |")
-    for index, what in ((0, "processor seconds a second"), (1, "resident memory, MB")):
+    for index, label in ((0, "processor seconds per second"), (1, "resident memory, MB")):
         old, new = (statistics.median(r[version][index] for r in rounds) for version in (0, 1))
-        print(f"| {what} | {old:.3f} | {new:.3f} |")
+        print(f"| {label} | {old:.3f} | {new:.3f} |")
 
 
 if __name__ == "__main__":
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -1,8 +1,8 @@
-"""How groups are spread and moved by several hashes, and how long a takeover takes: `python -m benchmarks.shared`.
+"""Compares placements of proxy groups by several hashes and measures the duration of takeovers.
 
-Takeovers are played by controllers on loopback sockets with their disks, in one process; the holder that dies also
-leads, which is the worst case. No group controllers are behind them yet: what is timed is
-from the kill until every group has a holder again.
+Run it with `python -m benchmarks.shared`. Takeovers run on controllers with loopback sockets and state on disk, in one
+process. The lease holder that is killed is also the leader, which is the worst case. The controllers do not run group
+controllers yet: the time is measured from the kill until every group has a lease holder again.
 """
 
 from __future__ import annotations
@@ -28,39 +28,41 @@
 
 GROUPS = 240
 TAKEOVER_GROUPS = 24
-PATIENCE_S = 30
+TIMEOUT_S = 30
 LEASE_MS = 1_200
 
 
 def placement() -> None:
-    """Prints how evenly hashes place groups, and how many groups move."""
-    print(f"## {GROUPS} groups on five controllers, one of which leaves and comes back\n")
+    """Prints how evenly each method places groups, and how many groups move when the members change."""
+    print(f"## {GROUPS} groups on five controllers, one of which leaves and rejoins\n")
     print(
-        "| hash | most on one (even: 48) | least | moved when one of five leaves | moved when it is back |"
+        "| method | most on one (even: 48) | least | moved when one of five leaves | moved when it rejoins |"
     )
     print("| --- | ---: | ---: | ---: | ---: |")
     names = [f"n{k}" for k in range(5)]
     methods = {
-        "rendezvous, bounded, held where possible": place,
+        "rendezvous, bounded, current holder preferred": place,
         "ring, 64 points": place_by_ring,
         "jump": place_by_jump,
     }
     for name, method in methods.items():
         keeps_current = method is place
-        first = method(range(GROUPS), names)
+        initial = method(range(GROUPS), names)
         rows = []
         for gone in names:
             rest = [n for n in names if n != gone]
             without = (
-                place(range(GROUPS), rest, first) if keeps_current else method(range(GROUPS), rest)
+                place(range(GROUPS), rest, initial)
+                if keeps_current
+                else method(range(GROUPS), rest)
             )
-            back = (
+            rejoined = (
                 place(range(GROUPS), names, without)
                 if keeps_current
                 else method(range(GROUPS), names)
             )
-            rows.append((count_moved(first, without), count_moved(without, back)))
-        loads = [list(first.values()).count(n) for n in names]
+            rows.append((count_moved(initial, without), count_moved(without, rejoined)))
+        loads = [list(initial.values()).count(n) for n in names]
         print(
             f"| {name} | {max(loads)} | {min(loads)} | {statistics.mean(r[0] for r in rows):.0f} "
             f"| {statistics.mean(r[1] for r in rows):.0f} |"
@@ -68,7 +70,7 @@
 
 
 class NullEventLog:
-    """A log that keeps nothing."""
+    """A log that discards all events."""
 
     def event(self, name: str, **fields: object) -> None:
         """Discards an event."""
@@ -78,13 +80,21 @@
 
 
 class Fleet:
-    """Members on loopback, in one process."""
+    """Members of a fleet on loopback, in one process.
+
+    Attributes:
+        loop: Event loop that runs all members.
+        folder: Folder that contains the state folder of each member.
+        addresses: Address by member.
+        members: Running members by name.
+        tasks: Tasks of each running member.
+    """
 
     def __init__(self, folder: Path, count: int) -> None:
-        """Starts `count` members and waits until every group has a holder."""
+        """Starts `count` members and waits until every group has a lease holder."""
         self.loop = Loop(
             lambda: time.monotonic_ns() // 1000,
-            lambda _, error: sys.exit(f"an unexpected error: {error!r}"),
+            lambda _, error: sys.exit(f"unexpected error: {error!r}"),
         )
         self.folder = folder
         self.addresses = {f"n{k}": free_address() for k in range(count)}
@@ -98,7 +108,7 @@
         self.run_until(self.are_all_groups_held)
 
     def start(self, name: str) -> None:
-        """Starts a member with what its disk holds."""
+        """Starts a member from its state on disk."""
         others = {n: at for n, at in self.addresses.items() if n != name}
         settings = MemberSettings(
             name, self.addresses[name], others, self.folder / name, name == "n0", lambda: None
@@ -121,19 +131,19 @@
         self.members[name] = member
 
     def kill(self, name: str) -> None:
-        """Ends a member without notice."""
+        """Stops a member abruptly, as a killed process."""
         for task in self.tasks.pop(name):
             self.loop.stop(task)
         self.members.pop(name).close()
 
     def leader(self) -> str | None:
-        """The name of a member that leads, if there is one."""
+        """Returns the name of a member that is the leader, or None if there is none."""
         return next(
             (n for n, m in self.members.items() if m.status().get("role") == "leader"), None
         )
 
     def are_all_groups_held(self) -> bool:
-        """Whether every group has a lease holder."""
+        """Returns whether every group has a lease holder."""
         epochs = [
             member.epoch(group)
             for member in self.members.values()
@@ -149,51 +159,51 @@
             return False
 
     def run_until(self, condition: Callable[[], object]) -> None:
-        """Runs the loop until a condition holds, or ends the program."""
-        deadline_s = time.monotonic() + PATIENCE_S
+        """Runs the loop until a condition is true; exits the program at the timeout."""
+        deadline_s = time.monotonic() + TIMEOUT_S
         while not condition():
             if time.monotonic() > deadline_s:
-                sys.exit("the condition did not become true in time")
+                sys.exit("timed out waiting for a condition")
             self.loop.run_once(time.monotonic_ns() // 1000 + 2_000)
 
     def close(self) -> None:
-        """Ends all members."""
+        """Stops all members."""
         self.loop.close()
         for member in self.members.values():
             member.close()
 
 
 def takeovers(rounds: int = 20) -> None:
-    """Prints how long groups are without a holder when the leader is killed."""
+    """Prints how long groups have no lease holder after the leader is killed."""
     print(
-        f"\n## From the kill of leader and holder until every group is held again, lease {LEASE_MS} ms, s\n"
+        f"\n## Seconds from the kill of the leader until every group is held again, lease {LEASE_MS} ms\n"
     )
     print("| controllers | kills | median | 99th percentile | worst |")
     print("| ---: | ---: | ---: | ---: | ---: |")
     for count in (3, 5):
         with tempfile.TemporaryDirectory() as folder:
             fleet = Fleet(Path(folder), count)
-            times = []
+            times_s = []
             for _ in range(rounds):
                 fleet.run_until(lambda fleet=fleet: fleet.leader() and fleet.are_all_groups_held())  # type: ignore[misc]
                 victim = fleet.leader()
                 assert victim is not None
                 fleet.kill(victim)
-                began = time.monotonic()
+                start_s = time.monotonic()
                 fleet.run_until(fleet.are_all_groups_held)
-                times.append(time.monotonic() - began)
+                times_s.append(time.monotonic() - start_s)
                 fleet.start(victim)
             fleet.close()
-        times.sort()
+        times_s.sort()
         print(
-            f"| {count} | {rounds} | {statistics.median(times):.2f} | {times[int(0.99 * (rounds - 1))]:.2f} "
-            f"| {times[-1]:.2f} |",
+            f"| {count} | {rounds} | {statistics.median(times_s):.2f} | {times_s[int(0.99 * (rounds - 1))]:.2f} "
+            f"| {times_s[-1]:.2f} |",
             flush=True,
         )
 
 
 def main() -> None:
-    """Prints both tables; an argument is the number of kills."""
+    """Prints both tables; the optional argument is the number of kills."""
     placement()
     takeovers(int(sys.argv[1]) if len(sys.argv) > 1 else 20)
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,7 +1,8 @@
-"""The journal beside sqlite3 and LMDB for the same work: `python -m benchmarks.store`.
+"""Compares the journal with sqlite3 and LMDB for the same work.
 
-Small records, each batch durable before the next begins, on the disk of the folder for temporary files; then
-reading all of them again after a restart. What a sync costs is the disk's matter: figures are ratios in one run.
+Run it with `python -m benchmarks.store`. Small records are written in batches, each of which is durable before the next
+begins, on the disk of the folder for temporary files. Then all records are read again, as after a restart. The cost of
+a sync depends on the disk, so libraries are reported as ratios within one run.
 """
 
 from __future__ import annotations
@@ -21,23 +22,28 @@
 
 PAYLOAD = os.urandom(200)
 ROUNDS = 3
-BATCHES = ((1, 200), (50, 100), (1000, 100))  # records a batch, batches
-RECOVERED_BATCH = 1000  # for which the time of a recovery is printed
+BATCHES = ((1, 200), (50, 100), (1000, 100))  # Records per batch, and number of batches.
+RECOVERED_BATCH = 1000  # Records per batch of the run whose recovery time is printed.
 
 
 class Store(Protocol):
-    """A store of records, on disk."""
+    """A store of records on disk."""
 
     def commit(self, count: int) -> None:
-        """Makes a batch of so many records durable."""
+        """Writes a batch of `count` records durably."""
 
     def recover(self) -> int:
-        """Closes the store, reads all again and returns how many there are."""
+        """Closes the store, reads all records again and returns their number."""
         ...
 
 
 class Times(NamedTuple):
-    """Milliseconds a batch takes, as median, and reading all of it again."""
+    """Times of a store.
+
+    Attributes:
+        commit_ms: Median time of a batch, in milliseconds.
+        recover_ms: Time to read all records again, in milliseconds.
+    """
 
     commit_ms: float
     recover_ms: float
@@ -47,7 +53,7 @@
     """This project's journal."""
 
     def __init__(self, path: Path) -> None:
-        """Creates it in a folder of its own."""
+        """Creates the journal in a new folder."""
         path.mkdir()
         self._path = path
         self._journal = Journal(Folder(path))
@@ -56,12 +62,12 @@
         self._next = 1
 
     def commit(self, count: int) -> None:
-        """See `Store`."""
+        """Implements `Store`."""
         self._journal.append([Record(self._next + k, PAYLOAD) for k in range(count)])
         self._next += count
 
     def recover(self) -> int:
-        """See `Store`."""
+        """Implements `Store`."""
         self._journal.close()
         journal = Journal(Folder(self._path))
         found = journal.open()
@@ -70,7 +76,7 @@
 
 
 class SqliteStore:
-    """A table in sqlite3, with write-ahead log and full syncs."""
+    """A table in sqlite3 with a write-ahead log and full syncs."""
 
     def __init__(self, path: Path) -> None:
         """Creates the database."""
@@ -81,24 +87,24 @@
         self._db.execute("create table entries (number integer primary key, payload blob)")
 
     def commit(self, count: int) -> None:
-        """See `Store`."""
+        """Implements `Store`."""
         self._db.execute("begin")
         self._db.executemany("insert into entries (payload) values (?)", [(PAYLOAD,)] * count)
         self._db.execute("commit")
 
     def recover(self) -> int:
-        """See `Store`."""
+        """Implements `Store`."""
         self._db.close()
         query = "select payload from entries order by number"
         return len(sqlite3.connect(self._path).execute(query).fetchall())
 
 
 class LmdbStore:
-    """LMDB, with its syncs."""
+    """An LMDB environment that syncs each commit."""
 
     def __init__(self, path: Path) -> None:
-        """Creates the environment in a folder of its own."""
-        import lmdb  # in the extra `dev` alone: nothing but this comparison uses it
+        """Creates the environment in a new folder."""
+        import lmdb  # Only in the extra `dev`, because only this comparison uses it.
 
         path.mkdir()
         self._path = path
@@ -107,14 +113,14 @@
         self._next = 1
 
     def commit(self, count: int) -> None:
-        """See `Store`."""
+        """Implements `Store`."""
         with self._db.begin(write=True) as transaction:
             for k in range(count):
                 transaction.put((self._next + k).to_bytes(8, "big"), PAYLOAD)
         self._next += count
 
     def recover(self) -> int:
-        """See `Store`."""
+        """Implements `Store`."""
         self._db.close()
         with self._open().begin() as transaction:
             return len([bytes(value) for _, value in transaction.cursor()])
@@ -124,24 +130,24 @@
 
 
 def measure(factory: Callable[[Path], Store], batch: int, batches: int) -> Times:
-    """Times of so many batches in a new store."""
+    """Returns the times of some batches in a new store."""
     with tempfile.TemporaryDirectory() as folder:
         store = factory(Path(folder) / "store")
         times_s = []
         for _ in range(batches):
-            began_s = time.perf_counter()
+            start_s = time.perf_counter()
             store.commit(batch)
-            times_s.append(time.perf_counter() - began_s)
-        began_s = time.perf_counter()
+            times_s.append(time.perf_counter() - start_s)
+        start_s = time.perf_counter()
         recovered = store.recover()
-        recover_s = time.perf_counter() - began_s
+        recover_s = time.perf_counter() - start_s
         if recovered != batch * batches:
-            raise SystemExit(f"{recovered} records were read again, {batch * batches} were written")
+            raise SystemExit(f"{recovered} records were recovered, {batch * batches} were written")
         return Times(statistics.median(times_s) * 1e3, recover_s * 1e3)
 
 
 def row(batch: int, batches: int) -> list[str]:
-    """The cells for one size of batch: medians of the rounds, libraries as ratios."""
+    """Returns the cells of one batch size: medians of the rounds, with libraries as ratios to the journal."""
     rounds = [[measure(factory, batch, batches) for factory in FACTORIES] for _ in range(ROUNDS)]
     stores = range(len(FACTORIES))
     commit_ms = [statistics.median(times[k].commit_ms for times in rounds) for k in stores]
@@ -156,7 +162,7 @@
 def main() -> None:
     """Prints a table of all stores."""
     print(
-        "| records a batch | ours, ms | sqlite3 | LMDB | reading 100,000 again: ours, ms | sqlite3 | LMDB |"
+        "| records per batch | kelpcourse, ms | sqlite3 | LMDB | recovery of 100,000: kelpcourse, ms | sqlite3 | LMDB |"
     )
     print("| ---: | ---: | ---: | ---: | ---: | ---: | ---: |")
     for batch, batches in BATCHES:
--- a/benchmarks/zone_data.py
+++ b/benchmarks/zone_data.py
@@ -1,4 +1,4 @@
-"""What zones cost without sockets: loading, differences, transfers, memory and recovery."""
+"""Benchmarks of zones without sockets: loading, differences, transfers, memory and recovery."""
 
 from __future__ import annotations
 
@@ -45,62 +45,62 @@
 
 
 def large_zone() -> None:
-    """Compares a large zone with the one of dnspython."""
+    """Compares operations on a large zone with those of dnspython."""
     text = zone_text(sample_endpoints(LARGE_ZONE_ENDPOINTS))
     print_head(
-        f"A zone of {LARGE_ZONE_ENDPOINTS:,} hosts ({len(text.splitlines()):,} records)",
-        "what",
-        "ours, ms",
-        "dnspython's own zone, ms",
+        f"A zone of {LARGE_ZONE_ENDPOINTS:,} endpoints ({len(text.splitlines()):,} records)",
+        "operation",
+        "kelpcourse, ms",
+        "dnspython zone, ms",
     )
-    ours_ms, zone = timed_ms(lambda: parse_zone_text(text, ORIGIN, LIMITS))
-    theirs_ms, library_zone = timed_ms(
+    kelpcourse_ms, zone = timed_ms(lambda: parse_zone_text(text, ORIGIN, LIMITS))
+    dnspython_ms, library_zone = timed_ms(
         lambda: dns.zone.from_text(text, ORIGIN, relativize=False, zone_factory=dns.versioned.Zone),
         rounds=1,
     )
     assert isinstance(library_zone, dns.versioned.Zone)
-    print_row("load from a file", f"{ours_ms:.0f}", f"{theirs_ms:.0f}")
-    ours_ms, _ = timed_ms(lambda: _state_of(zone))
-    print_row("hosts out of it", f"{ours_ms:.0f}", "-")
+    print_row("load from a file", f"{kelpcourse_ms:.0f}", f"{dnspython_ms:.0f}")
+    kelpcourse_ms, _ = timed_ms(lambda: _state_of(zone))
+    print_row("extraction of endpoints", f"{kelpcourse_ms:.0f}", "-")
     _compare_differences(zone, library_zone)
     state = _state_of(zone)
     times_s = [_timed_change_s(state, number) for number in range(CHANGE_ROUNDS)]
-    theirs_ms, _ = timed_ms(lambda: _change_library_zone(library_zone))
-    ours_ms = statistics.median(times_s) * 1e3
-    print_row("one host's address changed, applied", f"{ours_ms:.2f}", f"{theirs_ms:.2f}")
-    ours_ms, _ = timed_ms(lambda: _transfer(zone), rounds=1)
-    print_row("AXFR, written and read, without sockets", f"{ours_ms:.0f}", "-")
+    dnspython_ms, _ = timed_ms(lambda: _change_library_zone(library_zone))
+    kelpcourse_ms = statistics.median(times_s) * 1e3
+    print_row("change of one endpoint's address", f"{kelpcourse_ms:.2f}", f"{dnspython_ms:.2f}")
+    kelpcourse_ms, _ = timed_ms(lambda: _transfer(zone), rounds=1)
+    print_row("AXFR, encoded and decoded, without sockets", f"{kelpcourse_ms:.0f}", "-")
 
 
 def memory() -> None:
-    """Compares the memory of a large zone with that of dnspython's."""
+    """Compares the memory of a large zone with that of dnspython's zone."""
     text = zone_text(sample_endpoints(LARGE_ZONE_ENDPOINTS))
-    title = f"Memory at {LARGE_ZONE_ENDPOINTS:,} hosts, MB of Python objects"
-    print_head(title, "what", "MB")
+    title = f"Memory of Python objects for {LARGE_ZONE_ENDPOINTS:,} endpoints"
+    print_head(title, "data", "MB")
     factories: dict[str, Callable[[], object]] = {
-        "zone, hosts and history": lambda: _state_of(parse_zone_text(text, ORIGIN, LIMITS)),
-        "dnspython's own zone, records alone": lambda: dns.zone.from_text(
-            text, ORIGIN, relativize=False
+        "kelpcourse: zone, endpoints and history": lambda: _state_of(
+            parse_zone_text(text, ORIGIN, LIMITS)
         ),
+        "dnspython zone, records only": lambda: dns.zone.from_text(text, ORIGIN, relativize=False),
     }
-    for what, factory in factories.items():
+    for label, factory in factories.items():
         tracemalloc.start()
         result = factory()
         used_bytes, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
-        print_row(what, f"{used_bytes / 1e6:.1f}")
+        print_row(label, f"{used_bytes / 1e6:.1f}")
         del result
 
 
 def recovery() -> None:
-    """Times the recovery of a zone from a long journal."""
-    print_head(f"Recovery of a journal of {RECOVERED_CHANGES:,} changes", "what", "s")
+    """Measures the recovery of a zone from a long journal."""
+    print_head(f"Recovery of a journal of {RECOVERED_CHANGES:,} changes", "operation", "s")
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         last_serial = _write_journal(folder)
-        took_ms, replay = timed_ms(lambda: _replay_journal(folder))
+        elapsed_ms, replay = timed_ms(lambda: _replay_journal(folder))
         assert replay.zones[ORIGIN].zone.serial == last_serial
-        print_row("read, checked and made into zones and hosts again", f"{took_ms / 1e3:.2f}")
+        print_row("read, verify, and rebuild zones and endpoints", f"{elapsed_ms / 1e3:.2f}")
 
 
 def _state_of(zone: Zone) -> ZoneState:
@@ -119,14 +119,14 @@
     soa_record = Record(zone.origin, SOA, TTL_S, zone.soa_data)
     changed.remove(soa_record)
     changed.add(soa_record._replace(data=pending.soa_data))
-    ours_ms, difference = timed_ms(lambda: difference_between(zone, changed, 0))
-    theirs_ms, _ = timed_ms(lambda: _library_difference(library_zone), rounds=1)
-    what = f"difference of two versions ({difference.record_count} records)"
-    print_row(what, f"{ours_ms:.0f}", f"{theirs_ms:.0f}")
+    kelpcourse_ms, difference = timed_ms(lambda: difference_between(zone, changed, 0))
+    dnspython_ms, _ = timed_ms(lambda: _library_difference(library_zone), rounds=1)
+    label = f"difference of two versions ({difference.record_count} records)"
+    print_row(label, f"{kelpcourse_ms:.0f}", f"{dnspython_ms:.0f}")
 
 
 def _timed_change_s(state: ZoneState, number: int) -> float:
-    """Returns the time for a pending version, the version made of it and its endpoints."""
+    """Returns the time to prepare and apply a change and update the endpoints, in seconds."""
     owner = f"s-{number}.{ORIGIN}"
     start_s = time.perf_counter()
     pending = state.new_pending_version()
@@ -145,7 +145,7 @@
 
 
 def _library_difference(zone: dns.versioned.Zone) -> int:
-    """Compares sets of records, as dnspython keeps versions and not their differences."""
+    """Returns the number of records that differ, by comparing sets, as dnspython keeps versions without differences."""
     with zone.reader() as reader:
         before = _all_records(reader)
     with zone.reader() as reader:
@@ -161,7 +161,7 @@
 
 
 def _transfer(zone: Zone) -> int:
-    """Returns the number of records that arrive."""
+    """Returns the number of records that are received."""
     query = dns.message.make_query(ORIGIN, "AXFR")
     incoming = IncomingTransfer(Zone(ORIGIN), AXFR, LIMITS)
     for wire in transfer_messages(query, axfr_records(zone)):
@@ -174,7 +174,7 @@
 
 
 def _write_journal(folder: Path) -> int:
-    """Writes a zone and its changes; returns the last serial."""
+    """Writes a zone and its changes to a journal; returns the last serial."""
     text = zone_text(sample_endpoints(RECOVERED_ENDPOINTS))
     state = _state_of(parse_zone_text(text, ORIGIN, LIMITS))
     journal = Journal(Folder(folder))
--- a/benchmarks/zone_orders.py
+++ b/benchmarks/zone_orders.py
@@ -1,4 +1,4 @@
-"""How long it takes from a DNS update to the controller's order at the relay."""
+"""Measures the time from a DNS update to the controller's order at the relay."""
 
 from __future__ import annotations
 
@@ -26,22 +26,22 @@
 PROXIES = 4
 SETTLE_S = 3
 ORDER_TIMEOUT_S = 20.0
-PAUSE_S = 0.06  # between updates
+PAUSE_S = 0.06  # Pause between updates.
 MAX_LATENCY_US = 60_000_000
 
 
 def orders() -> None:
-    """Measures the way for a controller that is the primary, and for one that follows it."""
+    """Measures a controller that is the primary, and one that follows a primary."""
     print_head(
-        f"From the update's last byte to the order's first byte at the relay, {ENDPOINTS:,} hosts",
-        "way",
+        f"From sending an update to the order at the relay, {ENDPOINTS:,} endpoints",
+        "setup",
         "updates",
         "median, ms",
         "99th percentile, ms",
     )
     for follows, name in (
-        (False, "the director is the primary"),
-        (True, "the director follows a primary"),
+        (False, "the controller is the primary"),
+        (True, "the controller follows a primary"),
     ):
         with tempfile.TemporaryDirectory() as folder:
             latencies_us = _measure(Path(folder), follows=follows)
@@ -55,7 +55,14 @@
 
 @dataclass(frozen=True)
 class UpdateTarget:
-    """Where updates go, and what the controller's settings say about the zone."""
+    """The primary that receives the updates, and the controller's source of the zone.
+
+    Attributes:
+        address: Address that updates are sent to.
+        key: Key that signs the updates.
+        zone_source: Lines of the controller's settings that give the source of the zone.
+        primary: The separate primary, or None if the controller is the primary.
+    """
 
     address: Address
     key: dns.tsig.Key
@@ -64,15 +71,15 @@
 
 
 def _measure(folder: Path, *, follows: bool) -> HdrHistogram:
-    """Drains endpoints by updates and waits for the orders that withdraw them."""
+    """Drains endpoints by updates and returns the latencies of the orders that withdraw them."""
     lab = Lab(folder, PROXIES)
     ordered_us: dict[str, int] = {}
 
-    def note_order(order: Order) -> None:
+    def record_order(order: Order) -> None:
         if isinstance(order, WithdrawEndpoint):
             ordered_us.setdefault(order.endpoint, now_us())
 
-    lab.relay.on_order = note_order
+    lab.relay.on_order = record_order
     primary_address = free_address()
     controller_address = free_address()
     if follows:
--- a/benchmarks/zone_server.py
+++ b/benchmarks/zone_server.py
@@ -1,4 +1,4 @@
-"""What a DNS server with zones answers on loopback: updates and queries."""
+"""Measures the rate and latency at which a DNS server answers updates and queries on loopback."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class ServedZone:
-    """A server in a thread of its own, with a zone that its key may update."""
+    """A DNS server in a separate thread, with a zone that accepts updates signed with `key`."""
 
     def __init__(self, folder: Path, endpoint_count: int) -> None:
         """Starts the server."""
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class Workload:
-    """Messages to send, and by how many clients."""
+    """Messages to send and the number of clients that send them."""
 
     name: str
     client_count: int
@@ -71,11 +71,11 @@
 
 
 def server() -> None:
-    """Measures rate and latency of updates and queries."""
+    """Prints the rate and latency of updates and queries."""
     print_head(
-        f"A server on loopback, zone of {ENDPOINTS:,} hosts",
-        "what",
-        "a second",
+        f"A server on loopback, zone of {ENDPOINTS:,} endpoints",
+        "workload",
+        "per second",
         "median, ms",
         "99th percentile, ms",
     )
@@ -101,8 +101,8 @@
     return [
         Workload("signed updates, each durable, one client", 1, updates),
         Workload("signed updates, each durable, fifty clients", MANY_CLIENTS, more_updates),
-        Workload("questions for an A record, one client", 1, [query] * 3000),
-        Workload("questions for an A record, fifty clients", MANY_CLIENTS, [query] * 10_000),
+        Workload("queries for an A record, one client", 1, [query] * 3000),
+        Workload("queries for an A record, fifty clients", MANY_CLIENTS, [query] * 10_000),
     ]
 
 
@@ -155,4 +155,4 @@
 def _check_response(wire: bytes) -> None:
     rcode = wire[3] & 0x0F  # RFC 1035, section 4.1.1
     if rcode != dns.rcode.NOERROR:
-        raise SystemExit("an answer is not NOERROR")
+        raise SystemExit("a response is not NOERROR")
--- a/benchmarks/zone_tables.py
+++ b/benchmarks/zone_tables.py
@@ -1,4 +1,4 @@
-"""Sample endpoints, timing and table rows of the benchmarks of zones."""
+"""Sample endpoints, timing and table output for the benchmarks of zones."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def print_head(title: str, *columns: str) -> None:
-    """Prints the title and the head of a table; all columns but the first hold numbers."""
+    """Prints the title and the head of a table; all columns but the first contain numbers."""
     print(f"\n## {title}\n")
     print(f"| {' | '.join(columns)} |")
     print(f"| --- |{' ---: |' * (len(columns) - 1)}")
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -1,7 +1,7 @@
-"""What zones cost: loading, transfers, differences, updates, queries, memory, recovery, and the way to an order.
+"""Benchmarks of zones: loading, transfers, differences, updates, queries, memory, recovery and latency of orders.
 
-`python -m benchmarks.zones [PART …]` prints all of it as tables; each figure says what it counts. Everything is on
-loopback, in one process but for the controller of the last part; endpoints are simulated.
+`python -m benchmarks.zones [PART …]` prints the results as tables. Everything runs on loopback in one process, except
+for the controller of the last part. Endpoints are simulated.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 
 
 def main() -> None:
-    """Runs the parts named on the command line, or all."""
-    print(f"Machine: {os.cpu_count()} cores; hosts simulated, all on loopback.")
+    """Runs the parts that are named on the command line, or all."""
+    print(f"Machine: {os.cpu_count()} cores; simulated endpoints, all on loopback.")
     for name in sys.argv[1:] or PARTS:
         PARTS[name]()
 
