--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -200,7 +200,7 @@
         return float(self._process.stdout.readline())
 
     def close(self) -> None:
-        """Ends the process."""
+        """Stops the process."""
         if self._process.stdin is not None:
             self._process.stdin.close()
         self._process.wait()
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -49,8 +49,8 @@
         keeps_current = method is place
         initial = method(range(GROUPS), names)
         rows = []
-        for gone in names:
-            rest = [n for n in names if n != gone]
+        for leaving in names:
+            rest = [n for n in names if n != leaving]
             without = (
                 place(range(GROUPS), rest, initial)
                 if keeps_current
@@ -131,7 +131,7 @@
         self.members[name] = member
 
     def kill(self, name: str) -> None:
-        """Stops a member abruptly, as a killed process."""
+        """Stops a member abruptly, like a killed process."""
         for task in self.tasks.pop(name):
             self.loop.stop(task)
         self.members.pop(name).close()
@@ -186,13 +186,13 @@
             times_s = []
             for _ in range(rounds):
                 fleet.run_until(lambda fleet=fleet: fleet.leader() and fleet.are_all_groups_held())  # type: ignore[misc]
-                victim = fleet.leader()
-                assert victim is not None
-                fleet.kill(victim)
+                killed = fleet.leader()
+                assert killed is not None
+                fleet.kill(killed)
                 start_s = time.monotonic()
                 fleet.run_until(fleet.are_all_groups_held)
                 times_s.append(time.monotonic() - start_s)
-                fleet.start(victim)
+                fleet.start(killed)
             fleet.close()
         times_s.sort()
         print(
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -70,9 +70,9 @@
         """Implements `Store`."""
         self._journal.close()
         journal = Journal(Folder(self._path))
-        found = journal.open()
+        contents = journal.open()
         journal.close()
-        return len(found.records)
+        return len(contents.records)
 
 
 class SqliteStore:
--- a/benchmarks/zone_data.py
+++ b/benchmarks/zone_data.py
@@ -201,8 +201,8 @@
 def _replay_journal(folder: Path) -> ZoneReplay:
     journal = Journal(Folder(folder))
     with garbage_collection_paused():
-        found = journal.open()
+        contents = journal.open()
         replay = ZoneReplay([ORIGIN], SERVICE, LIMITS)
-        replay.run(found.snapshot, (record.payload for record in found.records))
+        replay.run(contents.snapshot, (record.payload for record in contents.records))
     journal.close()
     return replay
--- a/kelpcourse/kdl/reader.py
+++ b/kelpcourse/kdl/reader.py
@@ -158,9 +158,8 @@
             return None
         block = block_type(**{**valid, "line": line})
         for name, text in block.problems():
-            if (
-                fields.values.get(name) is not INVALID
-            ):  # Invalid values were reported when they were read.
+            # Invalid values were reported when they were read.
+            if fields.values.get(name) is not INVALID:
                 self._add(line, _join(path, name), text)
         return block
 
@@ -190,8 +189,8 @@
         path = _join(fields.path, child.name)
         block = self.read_block(block_type, _Node.from_ckdl(child), line, path)
         if fields.repeats(name):
-            found = (block,) if block is not None else ()
-            fields.values[name] = (*fields.values.get(name, ()), *found)
+            blocks = (block,) if block is not None else ()
+            fields.values[name] = (*fields.values.get(name, ()), *blocks)
         elif name in fields.values:
             self._add(line, path, "appears twice")
         else:
--- a/kelpcourse/lab/primary.py
+++ b/kelpcourse/lab/primary.py
@@ -29,7 +29,7 @@
 SERVICE = "_game._tcp"
 KEY_NAME = f"staff.{ORIGIN}"
 KEY_BYTES = 32
-# Longer than any run: the zone file does not change.
+# Longer than any run, as the zone file does not change.
 ZONE_FILE_POLL_US = 1 << 40
 MAX_UDP_BYTES = 65_535
 SETTINGS = """zones {{
--- a/kelpcourse/lab/proxy.py
+++ b/kelpcourse/lab/proxy.py
@@ -16,7 +16,7 @@
     WithdrawEndpoint,
 )
 
-UNBOUND = -1  # The number of no table, for classes that are bound to none.
+UNBOUND = -1  # Placeholder for the table of a class that is bound to none.
 
 
 @dataclass
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -58,7 +58,7 @@
 
 
 def test_invalid_input_is_reported_in_one_line_with_exit_code_2() -> None:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "kelpcourse.simhost"],
         input="mark t_us=1\nwhat\n",
         capture_output=True,
@@ -66,8 +66,8 @@
         cwd=ROOT,
         check=False,
     )
-    assert done.returncode == 2
-    assert done.stderr == "simhost: line 2: unknown event 'what'\n"
+    assert completed.returncode == 2
+    assert completed.stderr == "simhost: line 2: unknown event 'what'\n"
 
 
 def test_input_that_ends_inside_a_batch_is_an_error(adapter_harness: AdapterHarness) -> None:
--- a/tests/test_adapter_actions.py
+++ b/tests/test_adapter_actions.py
@@ -114,7 +114,7 @@
 
 
 def actions_of(instances: Sequence[int], hash_seed: str) -> dict[int, list[str]]:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "kelpcourse.simhost"],
         input=sample_batches(instances),
         capture_output=True,
@@ -124,7 +124,7 @@
         env={**os.environ, "PYTHONHASHSEED": hash_seed},
     )
     found: dict[int, list[str]] = {i: [] for i in instances}
-    for line in done.stdout.splitlines():
+    for line in completed.stdout.splitlines():
         if line != "eor":
             number = next(int(p[12:]) for p in line.split(" ") if p.startswith("director_id="))
             found[number].append(line)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -43,9 +43,9 @@
 
 
 def test_endpoints_of_a_zone_file_are_listed_in_the_format_of_discovery(folder: Path) -> None:
-    done = run("zones", "check", folder / "games.zone", "--origin", "games.example.org", "--json")
-    assert done.exit_code == 0
-    assert orjson.loads(done.stdout)[0] == {
+    result = run("zones", "check", folder / "games.zone", "--origin", "games.example.org", "--json")
+    assert result.exit_code == 0
+    assert orjson.loads(result.stdout)[0] == {
         "id": "s-0",
         "host_port": "127.0.0.10:5000",
         "locality": "room-a",
@@ -71,16 +71,16 @@
         ],
     )
     (folder / "games.zone").write_text(format_zone(zone))
-    done = run("zones", "check", folder / "games.zone", "--origin", ORIGIN)
-    assert (done.exit_code, len(done.stdout.splitlines())) == (1, 4)
-    assert done.stderr == (
+    result = run("zones", "check", folder / "games.zone", "--origin", ORIGIN)
+    assert (result.exit_code, len(result.stdout.splitlines())) == (1, 4)
+    assert result.stderr == (
         f"{folder}/games.zone: s-9.{ORIGIN}: address: no A or AAAA, though"
         f" _game._tcp.room-a.{ORIGIN} names it\n"
     )
     (folder / "games.zone").write_text("@ SOA nothing\n")
-    done = run("zones", "check", folder / "games.zone", "--origin", ORIGIN)
-    assert (done.exit_code, done.stdout) == (1, "")
-    assert done.stderr.startswith(f"{folder}/games.zone:1: ")
+    result = run("zones", "check", folder / "games.zone", "--origin", ORIGIN)
+    assert (result.exit_code, result.stdout) == (1, "")
+    assert result.stderr.startswith(f"{folder}/games.zone:1: ")
 
 
 def test_settings_are_validated_and_all_problems_are_reported_together(folder: Path) -> None:
@@ -93,15 +93,15 @@
         .replace('listen "', 'listen 5 "')
     )
     (folder / "bad.kdl").write_text(text)
-    done = run("check", folder / "bad.kdl")
-    assert done.exit_code == 2
-    messages = done.stderr.splitlines()
+    result = run("check", folder / "bad.kdl")
+    assert result.exit_code == 2
+    messages = result.stderr.splitlines()
     assert [line.split("bad.kdl")[1].split(": ")[:2] for line in messages] == [
         [":2", "zones.listen"],
         [":5", "zones.key.secret-file"],
         [":8", "zones.zone.updaet"],
     ]
-    assert "others may read it (mode 0644): chmod 600" in done.stderr
+    assert "others may read it (mode 0644): chmod 600" in result.stderr
     assert run("run", folder / "nowhere.kdl").exit_code == 2
 
 
@@ -163,9 +163,9 @@
 
 
 def listed_endpoints(folder: Path) -> set[str]:
-    done = run("zones", "hosts", folder / "z.kdl", "--state", folder / "state", "--json")
-    assert done.exit_code == 0, done.stderr
-    return {entry["id"] for entry in orjson.loads(done.stdout)}
+    result = run("zones", "hosts", folder / "z.kdl", "--state", folder / "state", "--json")
+    assert result.exit_code == 0, result.stderr
+    return {entry["id"] for entry in orjson.loads(result.stdout)}
 
 
 def test_updates_that_were_answered_are_kept_after_sigkill(server_process: ServerProcess) -> None:
@@ -174,9 +174,8 @@
         if server_process.update(*added_endpoint(f"n-{k}")) == dns.rcode.NOERROR:
             accepted.append(f"n-{k}")
         if k == 20:
-            assert listed_endpoints(server_process.folder) >= set(
-                accepted
-            )  # While the server is writing.
+            # The state can be listed while a server writes it.
+            assert listed_endpoints(server_process.folder) >= set(accepted)
     server_process.stop(signal.SIGKILL)
     assert len(accepted) == 30
     assert listed_endpoints(server_process.folder) == {*accepted, "s-0", "s-1", "s-2", "s-3"}
@@ -187,8 +186,8 @@
 ) -> None:
     folder = server_process.folder
     assert server_process.update(("delete", "s-0")) == dns.rcode.NOERROR
-    done = run("zones", "restore", folder / "z.kdl", "games.example.org", "--serial", 1, "--json")
-    assert orjson.loads(done.stdout) == {
+    result = run("zones", "restore", folder / "z.kdl", "games.example.org", "--serial", 1, "--json")
+    assert orjson.loads(result.stdout) == {
         "origin": "games.example.org",
         "as_at": 1,
         "serial": 3,
@@ -196,19 +195,19 @@
     }
     assert server_process.stop(signal.SIGTERM) == 0
     assert listed_endpoints(folder) == {"s-0", "s-1", "s-2", "s-3"}
-    done = run("zones", "restore", folder / "z.kdl", ORIGIN, "--serial", 2)
-    assert (done.exit_code, done.stdout) == (
+    result = run("zones", "restore", folder / "z.kdl", ORIGIN, "--serial", 2)
+    assert (result.exit_code, result.stdout) == (
         0,
         f"{ORIGIN} restored from serial 2, new serial 4, 3 hosts\n",
     )
     assert listed_endpoints(folder) == {"s-1", "s-2", "s-3"}
-    done = run("zones", "restore", folder / "z.kdl", ORIGIN, "--serial", 77)
-    assert done.exit_code == 2
-    assert "known: 1, 2, 3" in done.stderr
+    result = run("zones", "restore", folder / "z.kdl", ORIGIN, "--serial", 77)
+    assert result.exit_code == 2
+    assert "known: 1, 2, 3" in result.stderr
 
 
 def test_two_servers_can_not_use_the_same_state_folder(server_process: ServerProcess) -> None:
-    done = subprocess.run(
+    completed = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -222,8 +221,8 @@
         capture_output=True,
         timeout=TIMEOUT_S,
     )
-    assert (done.returncode, done.stdout) == (2, b"")
-    assert b"is in use by another process" in done.stderr
+    assert (completed.returncode, completed.stdout) == (2, b"")
+    assert b"is in use by another process" in completed.stderr
 
 
 def test_the_platform_s_controller_imports_no_optional_package() -> None:
@@ -235,16 +234,16 @@
         " 'kelpcourse.store'))])"
     )
     heavy = ["dns", "msgspec", "ckdl", "click", "rich", "numpy", "matplotlib", "hdrh"]
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code, *heavy],
         capture_output=True,
         check=True,
         env={k: v for k, v in os.environ.items() if k != "NODE_CONFIG"},
     )
-    assert done.stdout == b"[] []\n"
+    assert completed.stdout == b"[] []\n"
 
 
 def test_the_settings_in_the_deploy_folder_are_valid() -> None:
     deploy = Path(__file__).parent.parent / "deploy"
-    done = run("check", deploy / "zones.kdl")
-    assert (done.exit_code, done.stdout) == (0, "games.example.org. 2 hosts\n")
+    result = run("check", deploy / "zones.kdl")
+    assert (result.exit_code, result.stdout) == (0, "games.example.org. 2 hosts\n")
