--- a/kelpcourse/cli/main.py
+++ b/kelpcourse/cli/main.py
@@ -20,7 +20,7 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="kelpcourse")
 def cli() -> None:
-    """Run a controller that publishes routing tables to a fleet of proxies."""
+    """Run and manage controllers that publish routing tables to a fleet of proxies."""
 
 
 cli.add_command(zones)
