--- a/kelpcourse/lab/discovery.py
+++ b/kelpcourse/lab/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: streams the endpoint list and what changes in it."""
+"""A discovery server that streams the endpoint list and its changes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import orjson
 
-from kelpcourse.lab.http import Caller, StandIn
+from kelpcourse.lab.http import HttpConnection, HttpServer
 from kelpcourse.lab.loopback import now_us
 from kelpcourse.wire.loop import Coroutine, Loop, Wait
 
@@ -14,27 +14,27 @@
 
 
 class Discovery:
-    """Lists that were published, each with the next revision."""
+    """Streams published lists to every watch; each list has the next revision."""
 
     def __init__(self, loop: Loop) -> None:
-        """Listens at once, with nothing published."""
+        """Starts listening, with no published list."""
         self._lists: list[bytes] = []
-        self._server = StandIn(loop, self._serve)
+        self._server = HttpServer(loop, self._serve)
         self.address = self._server.address
 
     def publish(self, entries: Sequence[Mapping[str, object]], complete: bool = True) -> None:
-        """Sends entries to every watch, as the complete list or as changes."""
+        """Publishes entries to every watch, as a complete list or as changes."""
         revision = len(self._lists) + 1
         fields = {"revision": revision, "complete": complete, "members": list(entries)}
         self._lists.append(orjson.dumps(fields))
 
-    def _serve(self, caller: Caller) -> Coroutine[None]:
-        yield from caller.request()
-        yield from caller.open_body()
+    def _serve(self, connection: HttpConnection) -> Coroutine[None]:
+        yield from connection.read_request()
+        yield from connection.start_chunked_response()
         sent_count = 0
         while True:
             for line in self._lists[sent_count:]:
-                yield from caller.line(line)
+                yield from connection.send_line(line)
             sent_count = len(self._lists)
-            yield from caller.line(b"")
+            yield from connection.send_line(b"")
             yield Wait(now_us() + POLL_US)
