--- a/kelpcourse/limits.py
+++ b/kelpcourse/limits.py
@@ -1,23 +1,22 @@
 """Limits that the policy does not decide: sizes, counts and times, grouped by component.
 
 Times are in microseconds and sizes in bytes. Every component receives `Limits`, which has the fields of all groups.
-The groups are never constructed on their own, so no methods are generated for them, which shortens the start.
+The groups are never constructed on their own, so no methods are generated for them, which shortens startup.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
 
-# Divisors of the descriptors and the memory that the machine grants.
+# Divisors that derive limits from the descriptors and the memory that the machine grants.
 CONNECTION_SOCKET_DIVISOR = 2  # descriptors granted for each client connection
 HEALTH_CHECK_SOCKET_DIVISOR = 16  # descriptors granted for each concurrent health check
-READ_BUFFER_MEMORY_DIVISOR = 4  # all read buffers together take at most this part of the memory
+READ_BUFFER_MEMORY_DIVISOR = 4  # bytes of memory granted for each byte of read buffers
 MIN_CONNECTIONS = 4
 BUFFERED_EVENTS_PER_PROXY = 4
 QUEUED_ORDERS_PER_PROXY = 8
-REPORT_TIMEOUT_PERIODS = (
-    4  # report periods to wait, because reports may be late and one may be lost
-)
+# Number of report periods in the timeout of reports, because reports may be late and one may be lost.
+REPORT_TIMEOUT_PERIODS = 4
 
 
 @dataclass(frozen=True, init=False, repr=False, eq=False)
@@ -326,7 +325,7 @@
     PeerLimits,
     StoreLimits,
 ):
-    """All limits; constructed once at the start and passed to every component."""
+    """All limits; constructed once at startup and passed to every component."""
 
     def for_machine(self, sockets: int, memory_mb: int) -> Limits:
         """Returns these limits reduced to what the machine grants.
--- a/kelpcourse/policy/admission.py
+++ b/kelpcourse/policy/admission.py
@@ -12,14 +12,14 @@
 from kelpcourse.policy.settings import AdmissionMode, Settings
 
 MIN_ADMISSION_RATIO = 0.05
-MIN_CAPACITY_SHARE = 0.3  # least part of the capacity estimate that any backlog leaves
+MIN_CAPACITY_SHARE = 0.3  # least part of the capacity estimate that remains for new requests
 # Maximum ratio of admitted load to estimated capacity of the endpoints of a class, while some of them warm up.
 WARM_UP_CAPACITY_SHARE = 2.0
 # Part of the latency objective that the backlog may take to serve; a lower one would leave endpoints idle.
 MAX_BACKLOG_OBJECTIVE_SHARE = 0.4
-BACKLOG_DRAIN_US = 3_000_000  # time in which a backlog above that limit is to drain
+BACKLOG_DRAIN_US = 3_000_000  # time in which the part of a backlog above its limit is to drain
 HISTORY_LENGTH = 20
-FORECAST_STEPS = 8  # points of the feedback delay at which unreported requests are estimated
+FORECAST_STEPS = 8  # samples of the feedback delay from which unreported requests are estimated
 
 
 @dataclass(frozen=True)
--- a/kelpcourse/policy/arithmetic.py
+++ b/kelpcourse/policy/arithmetic.py
@@ -4,7 +4,7 @@
 
 US_PER_S = 1e6
 GOLDEN_RATIO = 0.6180339887498949  # the fractional parts of its multiples are spread evenly
-MIN_DIVISOR = 1e-9  # least divisor, which keeps divisions by sums defined
+MIN_DIVISOR = 1e-9  # lower bound of divisors, which avoids division by zero
 
 
 def clamp(value: float, lowest: float, highest: float) -> float:
--- a/kelpcourse/policy/bindings.py
+++ b/kelpcourse/policy/bindings.py
@@ -10,7 +10,7 @@
 from kelpcourse.policy.settings import ProxyId, Settings
 
 RECONNECT_STORM_SPAN_US = 1_000_000
-RECONNECT_STORM_DIVISOR = 15  # divisor of the proxy count that gives the joins of a storm
+RECONNECT_STORM_DIVISOR = 15  # proxies of the fleet for each join that a reconnect storm requires
 MIN_RECONNECT_STORM_JOINS = 2
 INHERITANCE_US = 6_000_000  # time for which proxies may use tables of a previous controller
 
--- a/kelpcourse/policy/budget.py
+++ b/kelpcourse/policy/budget.py
@@ -24,7 +24,7 @@
 
 # Part of a drain's grace that bindings may take, and by which a withdrawal may be delayed.
 BINDING_GRACE_SHARE = 0.25
-MIN_BINDING_SPAN_US = 1_000_000  # least time for queued bindings
+MIN_BINDING_SPAN_US = 1_000_000  # least time that queued bindings may take to leave the queue
 MAX_ACTIONS = 700  # actions of one step that fit in 60,000 bytes
 
 
@@ -104,7 +104,7 @@
 
 
 class OrderBatch:
-    """The actions of one step and the entries in the delivery queue, which include them."""
+    """The actions of one step, and the number of entries in the delivery queue including those of the step."""
 
     def __init__(self, actions: list[Action], costs: OrderCosts, queued_entries: float) -> None:
         """Starts a step.
@@ -116,14 +116,13 @@
         """
         self.actions = actions
         self.queued_entries = queued_entries
-        self.changes: Counter[TableId] = (
-            Counter()
-        )  # number of orders to all proxies bound to a table
+        # Number of orders to all proxies bound to a table.
+        self.changes: Counter[TableId] = Counter()
         self.endpoint_orders = 0  # number of withdrawals and restores
         self._costs = costs
 
     def available_entries(self, limit: float) -> float:
-        """Returns the entries that can still be ordered under a limit."""
+        """Returns the number of entries that can still be ordered under a limit."""
         return limit - self.queued_entries
 
     def fits_reply(self, action_count: int) -> bool:
--- a/kelpcourse/policy/capacity.py
+++ b/kelpcourse/policy/capacity.py
@@ -7,8 +7,8 @@
 from kelpcourse.policy.arithmetic import US_PER_S
 
 MIN_CAPACITY_PER_S = 1.0
-SMOOTHING_TIME_US = 3_000_000  # time in which the estimate follows the rate of busy endpoints
-MIN_GROWTH_COMPLETED_SHARE = 0.75  # part of the estimate to complete before the estimate grows
+SMOOTHING_TIME_US = 3_000_000  # time constant of the estimate while endpoints are busy
+MIN_GROWTH_COMPLETED_SHARE = 0.75  # part of the estimate that must be completed for it to grow
 GROWTH_FACTOR_PER_S = 1.18  # growth of the estimate in a second while endpoints are idle
 
 
@@ -34,7 +34,7 @@
 
 
 class CapacityEstimate:
-    """The capacity estimate, the paper's V, in requests per second.
+    """The capacity estimate, in requests per second: V in the paper that `kelpcourse.policy.fill` cites.
 
     It is the highest recent rate of completed requests, scaled with the number of endpoints and proxies.
     """
--- a/kelpcourse/policy/controller.py
+++ b/kelpcourse/policy/controller.py
@@ -1,7 +1,7 @@
 """The routing policy, which receives batches of events, evaluates load and returns orders.
 
-`RoutingPolicy.step` is the place to start reading. It applies events, evaluates reports about once a second, and has
-the publisher order the changes, as far as the delivery queue allows.
+`RoutingPolicy.step` is the entry point. It applies events, evaluates reports about once a second, and orders the
+changes through the publisher, as far as the delivery queue allows.
 """
 
 from __future__ import annotations
@@ -145,7 +145,7 @@
         for endpoint in event.endpoints:
             self._apply_endpoint(now_us, endpoint)
         self.registry.update_mean_weight()
-        self._follow_fleet(now_us)
+        self._scale_capacity(now_us)
         self._update_admission(now_us)
 
     def _apply_complete_list(self, now_us: int, endpoints: Sequence[Endpoint]) -> None:
@@ -204,7 +204,7 @@
             self.publisher.urgent = True
         self._learn_relative_capacity(now_us)
         self._window.clear()
-        self._follow_fleet(now_us)
+        self._scale_capacity(now_us)
         self.load.decay_backlog(span_s)
         message = self.overload.evaluate(now_us, outliers.failure_ratio, span_s)
         if message is not None:
@@ -224,7 +224,7 @@
             self.load.report_span_us,
         )
 
-    def _follow_fleet(self, now_us: int) -> None:
+    def _scale_capacity(self, now_us: int) -> None:
         self.capacity.scale_to_fleet(
             self.registry.reachable_capacity(now_us), self.bindings.usual_rate()
         )
--- a/kelpcourse/policy/delivery.py
+++ b/kelpcourse/policy/delivery.py
@@ -104,7 +104,8 @@
         self._last_acknowledged_sent_us = 0  # latest send time of an acknowledged delivery
         # Time of the latest acknowledgement of a delivery older than all those that are tracked.
         self._last_progress_us = 0
-        self._recent_messages: deque[Delivery] = deque(maxlen=max_messages)  # to all proxies
+        # Latest deliveries to any proxy and to each proxy; as many of them as the message limit allows.
+        self._recent_messages: deque[Delivery] = deque(maxlen=max_messages)
         self._recent_by_proxy: dict[ProxyId, deque[Delivery]] = {}
         self._unknown_outcomes: tuple[int, ...] = ()
 
@@ -199,9 +200,9 @@
 
         If its departure was not reported, queued entries may still be sent to it, but it does not acknowledge them.
         """
-        waiting = sum(part.entries for part in self._by_proxy.get(proxy, ()))
+        unacknowledged = sum(part.entries for part in self._by_proxy.get(proxy, ()))
         self._unreported_departures.append(
-            UnreportedDeparture(now_us + self._max_delivery_us, waiting)
+            UnreportedDeparture(now_us + self._max_delivery_us, unacknowledged)
         )
         self._forget_entries(proxy)
 
@@ -311,7 +312,7 @@
     ) -> float:
         """Returns the entries of a delivery that may still be in the queue.
 
-        Unconfirmed entries are assumed to leave in step with the acknowledged ones or at the usual rate of the
+        Unconfirmed entries are assumed to leave at the rate of the acknowledged ones or at the usual rate of the
         queue, whichever is slower.
         """
         unacknowledged_part = 0.0
--- a/kelpcourse/policy/draining.py
+++ b/kelpcourse/policy/draining.py
@@ -31,8 +31,10 @@
         costs: OrderCosts,
     ) -> None:
         """Starts without withdrawals."""
-        self.draining: dict[EndpointId, int] = {}  # to be withdrawn, with the time of the request
-        self.withdrawn: dict[EndpointId, int] = {}  # withdrawn, with the time of the order
+        # Endpoints that are to be withdrawn, with the time at which this was requested.
+        self.draining: dict[EndpointId, int] = {}
+        # Withdrawn endpoints, with the time at which the withdrawal was ordered.
+        self.withdrawn: dict[EndpointId, int] = {}
         self._registry = registry
         self._tables = tables
         self._bindings = bindings
--- a/kelpcourse/policy/endpoints.py
+++ b/kelpcourse/policy/endpoints.py
@@ -9,7 +9,7 @@
 from kelpcourse.policy.settings import EndpointId, RequestClass, Settings
 
 REPORT_DECAY = 0.5  # factor by which the sums decay in a report period
-MIN_SPAN_US = 1  # least span of a report, which keeps divisions defined
+MIN_SPAN_US = 1  # lower bound of the window of a report, which avoids division by zero
 
 
 @dataclass
--- a/kelpcourse/policy/events.py
+++ b/kelpcourse/policy/events.py
@@ -48,7 +48,7 @@
     cell: int
     weight: float
     status: EndpointStatus
-    started_us: int  # time of the start; 0 if it is long past
+    started_us: int  # time at which the endpoint started; 0 if that was long ago
 
 
 @dataclass(frozen=True)
--- a/kelpcourse/policy/list_watch.py
+++ b/kelpcourse/policy/list_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list where discovery responds only to requests."""
+"""The watch of the endpoint list in deployments where discovery responds only to requests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from kelpcourse.policy.settings import Settings
 
 FIRST_BACKOFF_US = 500_000
-MAX_BACKOFF_DIVISOR = 4  # divisor of the time within which the list must be requested
+MAX_BACKOFF_DIVISOR = 4  # divisor of the discovery poll deadline that gives the maximum backoff
 
 
 class ListWatch:
--- a/kelpcourse/policy/load.py
+++ b/kelpcourse/policy/load.py
@@ -9,8 +9,9 @@
 
 EVALUATION_PERIOD_US = 1_000_000
 REPORT_DELAY_US = 700_000  # delay of a report after the end of its window
-MAX_EVALUATION_GAP_SPANS = 4.0  # report spans without an evaluation that reset the rates
-BUSY_OBJECTIVE_SHARE = 0.5  # mean time, as a part of the latency objective, of fully used endpoints
+MAX_EVALUATION_GAP_SPANS = 4.0  # report spans without an evaluation after which rates are reset
+# Ratio of the mean response time of fully used endpoints to the latency objective.
+BUSY_OBJECTIVE_SHARE = 0.5
 MIN_UNIQUE_REQUEST_RATIO = 0.3
 UNIQUE_RATIO_LEARNING_US = 5_000_000
 BACKLOG_DECAY_US = 6_000_000
@@ -103,7 +104,7 @@
     def _update_backlog(
         self, now_us: int, window: ReportWindow, history: AdmissionHistory, span_s: float
     ) -> None:
-        """Updates the backlog from admitted and ended requests; learns the client retries unless endpoints are busy."""
+        """Updates the backlog from admitted and ended requests; learns the unique ratio unless endpoints are busy."""
         ended = window.successes() + window.unanswered
         admitted_at_us = now_us - self.feedback_delay_us
         ratio = self.unique_request_ratio
--- a/kelpcourse/policy/outliers.py
+++ b/kelpcourse/policy/outliers.py
@@ -14,9 +14,8 @@
 OUTLIER_MIN_FAILURES = 4
 OUTLIER_MIN_ODDS = 10.0  # failures per success, relative to those at the other endpoints
 MAX_EJECTED_SHARE = 0.4
-PARTITION_MIN_SHARE = (
-    0.25  # least part of all endpoints without a success that counts as a partition
-)
+# A partition is assumed if the part of all endpoints that fail without any success is in this range.
+PARTITION_MIN_SHARE = 0.25
 PARTITION_MAX_SHARE = 0.6
 MIN_HEALTH_FACTOR = 0.04
 MAX_EJECTION_FACTOR = 0.5
@@ -72,18 +71,18 @@
             state.partitioned = True
             state.last_ejection_us = now_us
         excluded = {state.endpoint.id for state in partitioned}
-        judged = [
+        candidates = [
             state for number, state in self._registry.endpoints.items() if number not in excluded
         ]
-        if self._eject_outliers(now_us, judged, settling_time_us):
+        if self._eject_outliers(now_us, candidates, settling_time_us):
             ejected = True
         return OutlierResult(self._failure_ratio(), ejected)
 
     def _partitioned(self, window: ReportWindow) -> list[EndpointState]:
         """Returns the endpoints cut off by a network partition.
 
-        Many endpoints without a success, while the others have some, are a partition. Their failures are no measure
-        for the other endpoints.
+        Many endpoints without a success, while the others have some, are a partition. Their failures are excluded
+        from the totals that the other endpoints are compared with.
         """
         unresponsive = [
             state
@@ -94,15 +93,15 @@
         return unresponsive if PARTITION_MIN_SHARE <= share <= PARTITION_MAX_SHARE else []
 
     def _eject_outliers(
-        self, now_us: int, judged: list[EndpointState], settling_time_us: int
+        self, now_us: int, candidates: list[EndpointState], settling_time_us: int
     ) -> bool:
         totals = _Totals(
-            sum(state.attempts for state in judged), sum(state.failures for state in judged)
+            sum(state.attempts for state in candidates), sum(state.failures for state in candidates)
         )
         max_ejected = MAX_EJECTED_SHARE * len(self._registry)
         ejected_count = sum(1 for state in self._registry.states() if state.health_factor < 1)
         any_ejected = False
-        for state in judged:
+        for state in candidates:
             is_ejected = state.health_factor < 1
             settled = state.last_report_us - state.last_ejection_us >= settling_time_us
             may_eject = is_ejected or ejected_count < max_ejected
--- a/kelpcourse/policy/publisher.py
+++ b/kelpcourse/policy/publisher.py
@@ -46,7 +46,8 @@
         """Initializes the publisher with the components whose decisions it publishes."""
         self.withdrawals = withdrawals
         self.checkpoint_id = 0
-        self.urgent = False  # whether table updates are urgent; reset by the next ones
+        # Whether the next table updates are sent without waiting for the end of the update period.
+        self.urgent = False
         self._tables = tables
         self._bindings = bindings
         self._costs = costs
--- a/kelpcourse/policy/relative_capacity.py
+++ b/kelpcourse/policy/relative_capacity.py
@@ -49,15 +49,15 @@
     completed_per_s: float,
     report_span_us: int,
 ) -> None:
-    """Corrects the relative capacity of every endpoint that the window reports on."""
+    """Corrects the relative capacity of every endpoint that has reports in the window."""
     measured = [
         state
         for state in registry.states()
         if state.successes >= MIN_SUCCESSES and not registry.is_warming_up(state, now_us)
     ]
     reference = _Reference.of(measured)
-    answers = max(1.0, completed_per_s * report_span_us)
-    max_reports = AVERAGED_RESPONSES * len(registry) * US_PER_S / answers
+    responses = max(1.0, completed_per_s * report_span_us)
+    max_reports = AVERAGED_RESPONSES * len(registry) * US_PER_S / responses
     for state in measured:
         if state.endpoint.id in window.outcomes:
             report_count = min(state.report_count, max_reports)
--- a/kelpcourse/policy/settings.py
+++ b/kelpcourse/policy/settings.py
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """The settings of its deployment that a controller reads at start."""
+    """The settings of a deployment, which the controller reads at startup."""
 
     controller_index: int
     controller_count: int
@@ -88,7 +88,7 @@
     report_period_us: int
     delivery_entries_per_s: float  # table entries that leave the delivery queue in a second
     max_backlog_entries: float  # table entries that may be in the delivery queue
-    message_overhead_entries: float  # table entries that a message costs besides its own
+    message_overhead_entries: float  # cost of a message, in table entries, without its own entries
     min_endpoint_connections: float  # connections that the smallest endpoint accepts; 0 if unknown
     max_messages_per_proxy: int  # messages to one proxy within the message window; 0 for no limit
     message_window_us: int  # window in which messages to a proxy are counted
@@ -101,6 +101,7 @@
     drain_grace_us: int  # time within which proxies must stop sending to a draining endpoint
     warm_up_min_capacity: float  # part of its capacity that an endpoint has when it starts
     warm_up_us: int
-    # Multiple of its present capacity that a warming-up endpoint can serve; it fails after the tolerance above it.
+    # Multiple of its present capacity that a warming-up endpoint can serve; it fails if the load exceeds this
+    # multiple for longer than the tolerance.
     overload_factor: float
-    overload_tolerance_us: int  # time for which a warming-up endpoint tolerates such an overload
+    overload_tolerance_us: int  # time for which a warming-up endpoint tolerates such a load
--- a/kelpcourse/policy/subsetting.py
+++ b/kelpcourse/policy/subsetting.py
@@ -25,7 +25,7 @@
 def subset_of(proxy: ProxyId, subset_count: int) -> int:
     """Returns the subset of a proxy.
 
-    Subsets are of even size also within a zone whose proxies are numbered in steps.
+    Subsets have about equal sizes, even within a zone whose proxy ids are regularly spaced.
     """
     return int(proxy * GOLDEN_RATIO % 1 * subset_count)
 
