--- a/kelpcourse/facade/facade.py
+++ b/kelpcourse/facade/facade.py
@@ -60,7 +60,7 @@
 
 
 class Facade:
-    """Turns reports into events of the next step, and collects the work that steps ask for.
+    """Turns reports into events of the next step, and collects the work that steps request.
 
     Every `report_` method raises InvalidReportError, and reports nothing, if a value is unknown or out of range.
     """
@@ -88,7 +88,8 @@
         self._translator = OrderTranslator(settings, self._endpoints)
         self._timers = TimerQueue(limits.max_timers)
         self._events: list[Event] = [Started(seed)]
-        self._step_due_us: int | None = None  # when the pending events go to the policy
+        # Time at which the pending events are passed to the policy; None if not determined yet.
+        self._step_due_us: int | None = None
         self._work = Work()
         self._may_resend = False
         self._checkpoints: dict[int, None] = {}  # numbers of ordered checkpoints, oldest first
@@ -284,7 +285,7 @@
         return self._step_due_us is not None and self._step_due_us <= now_us
 
     def pick(self) -> Work:
-        """Returns the work that steps have asked for since the last call of this method."""
+        """Returns the work that steps have requested since the last call of this method."""
         work = self._work
         self._work = Work()
         return work
--- a/kelpcourse/facade/validation.py
+++ b/kelpcourse/facade/validation.py
@@ -19,7 +19,7 @@
 
 
 class InvalidReportError(ValueError):
-    """A report names something unknown to this controller, or has a value that is out of range."""
+    """Raised for a report that names something unknown to this controller or has a value that is out of range."""
 
     def __init__(self, subject: str, problem: str) -> None:
         """Initializes the error, whose text is the subject followed by the problem.
--- a/kelpcourse/facade/work.py
+++ b/kelpcourse/facade/work.py
@@ -1,4 +1,4 @@
-"""Work that the policy has asked for, with endpoints identified by name."""
+"""Work that the policy has requested, with endpoints identified by name."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 @dataclass
 class Work:
-    """Work that steps of the policy have asked for since work was last taken.
+    """Work that steps of the policy have requested since it was last collected.
 
     Attributes:
-        orders: Orders to the relay, in the order in which they were given.
+        orders: Orders to the relay, in the order in which the policy returned them.
         watch: Whether to start, or restart, the watch of the endpoint list (True) or to end it (False). None if the
             watch stays as it is.
         fetches: Number of requests for the complete endpoint list.
         health_checks: Health checks to be made.
-        log_messages: Texts that the policy wants to be logged.
-        steps: Number of steps that the policy has taken.
-        undeliverable: Number of actions that could not be carried out: their endpoint's name is unknown or the endpoint
-            is not listed, no connection carries them, or too many timers are pending.
+        log_messages: Texts to be logged for the policy.
+        steps: Number of steps that were run.
+        undeliverable: Number of actions that could not be carried out, because their endpoint's name is unknown or the
+            endpoint is not listed, because no connection supports them, or because too many timers are pending.
     """
 
     orders: list[Order] = field(default_factory=list)
--- a/kelpcourse/memory/endpoints.py
+++ b/kelpcourse/memory/endpoints.py
@@ -38,7 +38,7 @@
         self._next_number = 1
         self._numbers: dict[str, int] = {}
         self._names: dict[int, str] = {}
-        self._addresses: dict[str, tuple[str, int]] = {}  # of listed endpoints, by name
+        self._addresses: dict[str, tuple[str, int]] = {}  # addresses of listed endpoints, by name
         self._gone: dict[str, None] = {}  # names that left the list, oldest first
 
     def __len__(self) -> int:
--- a/kelpcourse/memory/orders.py
+++ b/kelpcourse/memory/orders.py
@@ -9,7 +9,7 @@
 
 OrderKey = tuple[object, ...]
 
-CHECKPOINT_KEY: OrderKey = ("checkpoint",)  # the same for all: a call has only one checkpoint
+CHECKPOINT_KEY: OrderKey = ("checkpoint",)  # key of all checkpoints, as a call has only one
 
 
 @dataclass(frozen=True)
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class RestoreEndpoint:
-    """Lets proxies send to a withdrawn endpoint again."""
+    """Allows proxies to send to a withdrawn endpoint again."""
 
     endpoint: str
 
--- a/kelpcourse/memory/proxies.py
+++ b/kelpcourse/memory/proxies.py
@@ -14,7 +14,7 @@
     proxy: int
     zone: str
     request_rate_per_s: float  # requests per second that the proxy usually receives
-    has_no_table: bool  # whether the proxy is still waiting for its first binding to a table
+    has_no_table: bool  # whether the proxy has not been bound to a table yet
 
 
 @dataclass(frozen=True)
--- a/kelpcourse/service/config.py
+++ b/kelpcourse/service/config.py
@@ -18,7 +18,7 @@
 # Environment variables that, if set, must have the value of a field of the file.
 FIELD_BY_VARIABLE = {"NODE_NAME": "name", "NODE_LISTEN": "listen", "NODE_DISCOVERY": "discovery"}
 # Fields of `Config` that a reload applies, and fields whose change requires a restart. The log writes these names.
-FOLLOWED_BY_RELOAD = ("discovery", "relay")
+APPLIED_BY_RELOAD = ("discovery", "relay")
 REQUIRES_RESTART = ("name", "listen", "settings", "sockets", "memory_mb")
 
 DEFAULT_SOCKETS = 1024
@@ -26,7 +26,7 @@
 
 
 class ConfigError(ValueError):
-    """The configuration cannot be used; the text names the field or variable."""
+    """Raised for a configuration that cannot be used; the text names the field or variable."""
 
 
 @dataclass(frozen=True)
@@ -177,4 +177,4 @@
     try:
         return int(value, 16)
     except ValueError as error:
-        raise ConfigError(f"field 'seed' is not hex digits: {value!r:.60}") from error
+        raise ConfigError(f"field 'seed' is not a hexadecimal number: {value!r:.60}") from error
--- a/kelpcourse/service/controller.py
+++ b/kelpcourse/service/controller.py
@@ -15,7 +15,7 @@
 from kelpcourse.limits import Limits
 from kelpcourse.memory.order_queue import OrderQueue
 from kelpcourse.service.config import (
-    FOLLOWED_BY_RELOAD,
+    APPLIED_BY_RELOAD,
     REQUIRES_RESTART,
     Config,
     ConfigError,
@@ -55,10 +55,10 @@
         """Constructs the components without starting them.
 
         Args:
-            config: Configuration that was read at the start.
+            config: Configuration that was read at startup.
             limits: Sizes and times for this machine and fleet.
             environment: Environment variables with which the configuration is read again at a reload.
-            signals: Signals that have been caught since the start.
+            signals: Signals that have been caught since the process started.
             listener_socket: Socket that already listens; None if the previous process still uses the address.
             source_factory: Constructs the source of the endpoint list; None means discovery.
         """
@@ -121,7 +121,7 @@
 
     def _apply_config(self, config: Config) -> None:
         """Connects to new addresses of relay and discovery; listener, policy, proxies and orders are kept."""
-        changed = changed_fields(self._config, config, FOLLOWED_BY_RELOAD)
+        changed = changed_fields(self._config, config, APPLIED_BY_RELOAD)
         requires_restart = changed_fields(self._config, config, REQUIRES_RESTART)
         self._config = replace(self._config, discovery=config.discovery, relay=config.relay)
         self._counters.add("configuration_reloads")
@@ -199,7 +199,7 @@
 
 
 def bind_listener(address: Address) -> socket.socket | None:
-    """Returns a socket that listens at an address. Connections wait there until the loop runs and accepts them.
+    """Returns a socket that listens at an address. Connections are queued there until the loop accepts them.
 
     Returns None if the address is still in use. Raises ConfigError if it cannot be bound for another
     reason, such as an address that this machine does not have.
--- a/kelpcourse/service/logs.py
+++ b/kelpcourse/service/logs.py
@@ -45,7 +45,7 @@
         self._counters = counters
         self._node = node
         self._fd = fd
-        self._windows: dict[str, _Window] = {}  # by event name
+        self._windows: dict[str, _Window] = {}  # current window of each event, by event name
 
     def event(self, name: str, **fields: object) -> None:
         """Writes an event that may be frequent. Lines above its burst limit are counted instead of written."""
--- a/kelpcourse/service/process.py
+++ b/kelpcourse/service/process.py
@@ -14,7 +14,7 @@
 from kelpcourse.service.signals import Signals
 from kelpcourse.wire.loop import Coroutine, Loop, Wait
 
-MAX_TRACEBACK_CHARACTERS = 3000  # of a longer traceback, only the end is logged
+MAX_TRACEBACK_CHARACTERS = 3000  # only the end of a longer traceback is logged
 CoroutineFactory = Callable[[], Coroutine[None]]
 
 
--- a/kelpcourse/service/signals.py
+++ b/kelpcourse/service/signals.py
@@ -10,13 +10,13 @@
 from kelpcourse.wire.loop import READ, Coroutine, Wait
 
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
-READ_BYTES = 64  # each signal is one byte
+READ_BYTES = 64  # maximum number of signals in one read, as each signal is one byte
 
 
 class Signals:
     """Catches the signals of the process from the construction of this object on.
 
-    It is constructed before everything else at the start, so that a signal that arrives while the configuration is read
+    It is constructed before everything else at startup, so that a signal that arrives while the configuration is read
     does not end the process but is delivered once the loop runs.
     """
 
--- a/kelpcourse/service/source.py
+++ b/kelpcourse/service/source.py
@@ -17,7 +17,7 @@
     """A source that reports the endpoint list to the facade of its runtime."""
 
     def start(self) -> None:
-        """Reports the endpoint list as known at the start and begins to follow changes."""
+        """Reports the endpoint list as known at startup and begins to watch it for changes."""
         ...
 
     def close(self) -> None:
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -106,7 +106,7 @@
 
 def test_a_bad_configuration_is_one_plain_message(deployment: Deployment) -> None:
     for changes, message in [
-        ({"seed": "xyz"}, b"kelpcourse: field 'seed' is not hex digits: 'xyz'\n"),
+        ({"seed": "xyz"}, b"kelpcourse: field 'seed' is not a hexadecimal number: 'xyz'\n"),
         (
             {"listen": "192.0.2.1:5000"},
             b"kelpcourse: variable NODE_LISTEN and field 'listen' differ",
