--- a/kelpcourse/wire/discovery.py
+++ b/kelpcourse/wire/discovery.py
@@ -77,7 +77,7 @@
         """Directs calls to a new address.
 
         A watch continues at the old address until one at the new address has received the changes made since, so that
-        the policy does not receive a report of a gap where there is none.
+        the list is not reported as unavailable to the policy in the meantime.
         """
         self._address = address
         if self._watch is None:
--- a/kelpcourse/wire/errors.py
+++ b/kelpcourse/wire/errors.py
@@ -8,23 +8,23 @@
 
 
 class StreamError(WireError):
-    """A connection can no longer be used; the text gives the reason."""
+    """Raised when a connection can no longer be used; the text gives the reason."""
 
 
 class ConnectError(StreamError):
-    """A connection could not be established."""
+    """Raised when a connection could not be established."""
 
 
 class StreamTimeoutError(StreamError):
-    """The peer did not send or accept data before the deadline."""
+    """Raised when the peer did not send or accept data before the deadline."""
 
 
 class HttpProtocolError(StreamError):
-    """The peer sent data that is not valid HTTP, or a part of a response exceeds its size limit."""
+    """Raised when the peer sent data that is not valid HTTP, or a part of a response exceeds its size limit."""
 
 
 class HttpStatusError(StreamError):
-    """An HTTP response has a status other than 200.
+    """Raised for an HTTP response with a status other than 200.
 
     Attributes:
         status: HTTP status that the peer sent.
@@ -37,11 +37,11 @@
 
 
 class ProtocolViolationError(StreamError):
-    """An unauthenticated client sent a message that it is not allowed to send."""
+    """Raised when an unauthenticated client sent a message that it is not allowed to send, or none in time."""
 
 
 class MessageTooLongError(WireError):
-    """A message is longer than the maximum size of the read buffer.
+    """Raised for a message that is longer than the maximum size of the read buffer.
 
     Attributes:
         max_bytes: Maximum size of the read buffer in bytes.
@@ -54,24 +54,27 @@
 
 
 class InvalidMessageError(WireError, ValueError):
-    """A message is invalid; the text names the field, if it concerns one."""
+    """Raised for an invalid message; the text names the field, if it concerns one."""
 
 
 class NotJsonError(InvalidMessageError):
-    """A message is not a JSON object, so its content is lost."""
+    """Raised for a message that is not a JSON object, so that its content is lost."""
 
 
 class MalformedLineError(InvalidMessageError):
-    """A line is not a message, so the lines after it can't be expected to be messages either."""
+    """Raised for a line that is not a message, so that the lines after it can't be expected to be messages either."""
 
 
 class RelayError(WireError):
-    """The relay responded to a call with an error."""
+    """Raised when the relay responded to a call with an error."""
 
 
 class ThrottledError(RelayError):
-    """The relay rejected a call because its run has not begun; the call can be repeated later."""
+    """Raised when a call is not possible yet, because the relay's run has not begun or this controller may not order.
+
+    The call can be repeated later.
+    """
 
 
 class InvalidCallError(RelayError):
-    """The relay rejected a request as not being a valid call, so it did not carry it out."""
+    """Raised when the relay rejected a request as not being a valid call, so that it did not carry it out."""
--- a/kelpcourse/wire/listener.py
+++ b/kelpcourse/wire/listener.py
@@ -107,7 +107,7 @@
 
     def _add_connection(self, stream: Stream) -> None:
         limits = self._runtime.limits
-        # Only short answers are ever written, so a small send buffer suffices.
+        # Only short responses are ever written, so a small send buffer suffices.
         with contextlib.suppress(OSError):
             stream.sock.setsockopt(
                 socket.SOL_SOCKET, socket.SO_SNDBUF, limits.max_unauthenticated_bytes
--- a/kelpcourse/wire/relay_calls.py
+++ b/kelpcourse/wire/relay_calls.py
@@ -62,9 +62,9 @@
         self._sent_count = 0  # number of orders in the current call; 0 until it was sent completely
         # Number of consecutive responses that rejected a call as invalid.
         self._invalid_responses = 0
-        # The order that was refused last. It is dropped only if it is refused again, because one refusal may be due to
-        # a corrupted response.
-        self._refused_order: Order | None = None
+        # The order that was rejected last. It is dropped only if it is rejected again, because one rejection may be due
+        # to a corrupted response.
+        self._rejected_order: Order | None = None
         self._backoff = Backoff(runtime.limits)
         self.reachable = Signal()
 
@@ -197,9 +197,9 @@
         return NO_WAIT_US if checkpoint_ids else self._backoff.next_us()
 
     def _settle(self, accepted: int, sent: int) -> None:
-        """Reports the accepted orders and drops the first of the others if it was refused twice.
+        """Reports the accepted orders and drops the first of the others if it was rejected twice.
 
-        The relay stops at an order that it refuses, which would block all orders after it.
+        The relay stops at an order that it rejects, which would block all orders after it.
         """
         for checkpoint_id in self._orders.accept(accepted):
             self._runtime.facade.report_accepted(checkpoint_id)
@@ -207,11 +207,11 @@
         if accepted == sent:
             return
         order = self._orders.first()
-        if order != self._refused_order:
-            self._refused_order = order
+        if order != self._rejected_order:
+            self._rejected_order = order
             return
         self._orders.drop_first()
-        self._refused_order = None
+        self._rejected_order = None
         self._runtime.counters.add("relay_orders_rejected")
         self._runtime.log.event("order_rejected", order=encode_order(order).decode())
 
--- a/kelpcourse/wire/report_codec.py
+++ b/kelpcourse/wire/report_codec.py
@@ -4,7 +4,7 @@
 
 | kind | on the wire | in the program |
 | --- | --- | --- |
-| `ping` | | `Ping`, answered by `pong` |
+| `ping` | | `Ping`; the response is `pong` |
 | `collector` | | `CollectorHello` |
 | `heard` | | `EndpointReportMessage` |
 | `usage` | | `DemandReportMessage` |
@@ -29,8 +29,8 @@
 
 PONG = b"pong\r\n"
 REFUSED = b"refused\r\n"
-MAX_KIND_LENGTH = 32  # in characters
-MAX_VALUE_LENGTH = 256  # in characters
+MAX_KIND_LENGTH = 32  # maximum number of characters of a message kind
+MAX_VALUE_LENGTH = 256  # maximum number of characters of a field's value
 MAX_COUNT_DIGITS = 15
 MAX_NUMBER = 1e15
 # The reason that Python gives for a truncated UTF-8 sequence.
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Ping:
-    """A liveness check, answered by `PONG`."""
+    """A liveness check; the response is `PONG`."""
 
 
 @dataclass(frozen=True)
@@ -181,9 +181,9 @@
     for part in parts:
         name, separator, value = part.partition("=")
         if not separator or not name:
-            raise InvalidMessageError(f"field {part!r:.60} is not name=value")
+            raise InvalidMessageError(f"field {part!r:.60} is not of the form name=value")
         if name in fields:
-            raise InvalidMessageError(f"field '{name:.60}' occurs twice")
+            raise InvalidMessageError(f"field '{name:.60}' appears twice")
         fields[name] = value
     return fields
 
--- a/kelpcourse/wire/report_handler.py
+++ b/kelpcourse/wire/report_handler.py
@@ -160,7 +160,7 @@
             sent = connection.stream.sock.send(PONG)
         except OSError:
             sent = 0
-        # The client does not read its answers; nothing may be sent after an incomplete line.
+        # The client does not read its responses; nothing may be sent after an incomplete line.
         if sent < len(PONG):
             with contextlib.suppress(OSError):
                 connection.stream.sock.shutdown(socket.SHUT_RDWR)
--- a/kelpcourse/wire/storage.py
+++ b/kelpcourse/wire/storage.py
@@ -107,7 +107,7 @@
             loop: Loop whose clock is used.
             limits: Limits of the sizes of staged changes and of the journal.
             journal: Journal that writes the files.
-            recovered: Content of the files at the start.
+            recovered: Content of the files at startup.
             runner: Runner for the writes.
             snapshot: Function that returns the encoded complete state, for compaction.
             on_settled: Function that is called with the tickets whose outcome has become known.
--- a/kelpcourse/wire/worker.py
+++ b/kelpcourse/wire/worker.py
@@ -29,7 +29,7 @@
         self.error: Exception | None = None
         self._work = work
         self._lock = threading.Lock()
-        self._references = 2  # one of the thread and one of the coroutine
+        self._references = 2  # number of users of the descriptor: the thread and the coroutine
 
     def run(self) -> None:
         try:
