--- a/kelpcourse/shared/commands.py
+++ b/kelpcourse/shared/commands.py
@@ -41,13 +41,12 @@
     """Starts a drain: the endpoint is draining or gone, and tables of some proxies may still contain it."""
 
     endpoint: str
-    since_unix_ms: (
-        int  # Unix time in milliseconds at which a controller first learned of the drain.
-    )
+    # Unix time in milliseconds at which a controller first learned of the drain.
+    since_unix_ms: int
 
 
 class CompleteDrain(msgspec.Struct, tag="cleared", array_like=True, frozen=True):
-    """Completes a drain in one group: its proxies have left the endpoint, or the endpoint is ready again."""
+    """Completes a drain in one group: its proxies no longer use the endpoint, or the endpoint is ready again."""
 
     endpoint: str
     group: GroupId
--- a/kelpcourse/shared/errors.py
+++ b/kelpcourse/shared/errors.py
@@ -43,7 +43,7 @@
 
     def __init__(self, max_entries: int) -> None:
         """Initializes the error with the maximum number of uncommitted entries."""
-        super().__init__(f"{max_entries} entries wait already")
+        super().__init__(f"{max_entries} entries are already uncommitted")
         self.max_entries = max_entries
 
 
--- a/kelpcourse/shared/fencing.py
+++ b/kelpcourse/shared/fencing.py
@@ -9,7 +9,7 @@
     """Tracks the highest epoch seen for each group."""
 
     def __init__(self) -> None:
-        """Initializes the fence before any epoch is seen."""
+        """Initializes the fence without any epoch."""
         self._highest: dict[GroupId, int] = {}
 
     def admits(self, group: GroupId, epoch: int) -> bool:
--- a/kelpcourse/shared/group_controller.py
+++ b/kelpcourse/shared/group_controller.py
@@ -29,7 +29,7 @@
 from kelpcourse.wire.runtime import EventLog, Runtime
 from kelpcourse.wire.stream import Address
 
-DRAIN_COMPLETE_US = 30_000_000  # Time after which all proxies have left a withdrawn endpoint.
+DRAIN_COMPLETE_US = 30_000_000  # Time after which no proxy uses a withdrawn endpoint any longer.
 DRAIN_CHECK_INTERVAL_US = DRAIN_COMPLETE_US // 10
 US_PER_MS = 1_000
 
@@ -43,7 +43,7 @@
         limits: Limits of the process.
         counters: Counters of the process.
         log: The event log.
-        settings: Settings of the update policy.
+        settings: Settings of the routing policy.
         relay: Address of the relay.
         discovery: Address of discovery.
         seed: Base of the random seed of each group controller.
@@ -79,10 +79,12 @@
         super().__init__(settings, seed, limits)
         self._observer = observer
 
-    def report_list(self, members: Sequence[ListedEndpoint], version: int, whole: bool) -> None:
+    def report_list(
+        self, endpoints: Sequence[ListedEndpoint], version: int, complete: bool
+    ) -> None:
         """Passes an endpoint list to the observer and to the facade."""
-        self._observer(members)
-        super().report_list(members, version, whole)
+        self._observer(endpoints)
+        super().report_list(endpoints, version, complete)
 
 
 class GroupController:
@@ -122,7 +124,7 @@
 
     @property
     def facade(self) -> Facade:
-        """The facade that makes the group's decisions."""
+        """The facade of the group's routing policy."""
         return self._facade
 
     def _orders_target(self) -> str | None:
@@ -136,7 +138,7 @@
         coroutines = [
             self._calls.run(),
             *(self._events.run(stream) for stream in self._events.streams()),
-            self._run_decisions(),
+            self._run_policy_steps(),
             self._run_drain_checks(),
         ]
         loop = self._context.loop
@@ -148,8 +150,8 @@
             self._context.loop.stop(task)
         self._discovery.watch(False)
 
-    def _run_decisions(self) -> Coroutine[None]:
-        """Calls the facade when an action is due, and at least once in each batching interval."""
+    def _run_policy_steps(self) -> Coroutine[None]:
+        """Runs the policy's steps: calls the facade when one is due, and at least once in each batching interval."""
         clock = self._context.loop.clock
         interval_us = self._context.limits.step_batching_us
         self._facade.start(clock())
@@ -174,7 +176,7 @@
     # Drains
 
     def _on_endpoint_list(self, endpoints: Sequence[ListedEndpoint]) -> None:
-        """Submits changed drains before any order for them is sent, so that a next holder can complete them."""
+        """Submits changed drains before any order for them is sent, so that the next holder can complete them."""
         for endpoint in endpoints:
             is_ready = endpoint.status is EndpointStatus.READY
             is_draining = endpoint.name in self._draining_since_unix_ms
--- a/kelpcourse/shared/lease_timing.py
+++ b/kelpcourse/shared/lease_timing.py
@@ -1,7 +1,7 @@
 """Timing of leases on groups, and the messages by which they are renewed.
 
 A holder counts a lease from its request, shortened by the maximum clock drift; the leader counts it from its reply,
-lengthened by the drift. A lease therefore expires on its holder before it expires on the leader, regardless of the
+lengthened by the drift. A lease therefore expires for its holder before it expires for the leader, regardless of the
 delay of the reply. Renewals are not in the log: a leader grants them only while no other member can have been elected
 (`LeaderRole.leadership_guaranteed_until_us`), and a new leader first waits for the duration of a lease, as it does not
 know which leases the previous leader renewed.
--- a/kelpcourse/shared/member.py
+++ b/kelpcourse/shared/member.py
@@ -132,7 +132,7 @@
         supervise("shared", self.run)
 
     def run(self) -> Coroutine[None]:
-        """Runs the step function once the storage is ready; before, the member could not store what it acknowledges."""
+        """Runs the step function once the storage is ready, as the member must store what it acknowledges."""
         while not self._storage.is_ready and not self.halt_reason:
             yield Wait(self._loop.clock() + STORAGE_POLL_US)
         if not self.halt_reason and self.controller is None:
--- a/kelpcourse/shared/peers.py
+++ b/kelpcourse/shared/peers.py
@@ -63,7 +63,7 @@
         """Adds a message.
 
         Returns:
-            False if the oldest message was dropped to make room.
+            False if the queue was full, so that the oldest message was dropped.
         """
         is_full = len(self.messages) == self.messages.maxlen
         self.messages.append(message)
--- a/kelpcourse/shared/storage.py
+++ b/kelpcourse/shared/storage.py
@@ -1,7 +1,7 @@
 """A member's persistent state on disk. A member halts after the first failed write.
 
-After a failed write it is unknown which changes are durable, so the member could break what it has acknowledged. Once
-it has halted, its leases expire and another member takes over; a restart continues with what the disk contains.
+After a failed write it is unknown which changes are durable, so the member could contradict what it has acknowledged.
+Once it has halted, its leases expire and another member takes over; a restart continues with what the disk contains.
 """
 
 from __future__ import annotations
