--- a/kelpcourse/service/config.py
+++ b/kelpcourse/service/config.py
@@ -177,4 +177,4 @@
     try:
         return int(value, 16)
     except ValueError as error:
-        raise ConfigError(f"field 'seed' is not a hexadecimal number: {value!r:.60}") from error
+        raise ConfigError(f"field 'seed' is not hex digits: {value!r:.60}") from error
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -106,7 +106,7 @@
 
 def test_an_invalid_configuration_is_reported_as_one_line(deployment: Deployment) -> None:
     for changes, message in [
-        ({"seed": "xyz"}, b"kelpcourse: field 'seed' is not a hexadecimal number: 'xyz'\n"),
+        ({"seed": "xyz"}, b"kelpcourse: field 'seed' is not hex digits: 'xyz'\n"),
         (
             {"listen": "192.0.2.1:5000"},
             b"kelpcourse: variable NODE_LISTEN and field 'listen' differ",
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -39,7 +39,7 @@
     deployment.start()
     deployment.until(deployment.ping)
     unusable: list[tuple[dict[str, object], str]] = [
-        ({"seed": "xyz"}, "field 'seed' is not a hexadecimal number: 'xyz'"),
+        ({"seed": "xyz"}, "field 'seed' is not hex digits: 'xyz'"),
         ({"registry": {}}, "field 'registry.address' is missing, empty or not a string"),
     ]
     for changes, reason in unusable:
