--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -20,7 +20,7 @@
 from kelpcourse.lab.loopback import free_address
 from kelpcourse.zones.zonefile import format_zone
 from tests.zonerig import KEY, PRIMARY, SECRET, added_endpoint, update_message
-from tests.zoning import ORIGIN, record, sample_endpoints, zone_with
+from tests.zonesamples import ORIGIN, record, sample_endpoints, zone_with
 
 PATIENCE_S = 60.0
 
--- a/tests/test_dns_bytes.py
+++ b/tests/test_dns_bytes.py
@@ -18,7 +18,7 @@
 import pytest
 
 from tests.zonerig import KEY, Client, World, ZoneNode, added_endpoint, update_message
-from tests.zoning import ORIGIN, SERVICE, endpoint_records, sample_endpoints, zone_with
+from tests.zonesamples import ORIGIN, SERVICE, endpoint_records, sample_endpoints, zone_with
 
 GOLDEN = Path(__file__).parent / "golden" / "wire"
 NOW_S = 1_700_000_000
--- a/tests/test_stored_zones.py
+++ b/tests/test_stored_zones.py
@@ -20,7 +20,7 @@
 from kelpcourse.zones.persistence import ZoneReplay, decode_entry, encode_entry, encode_snapshot
 from kelpcourse.zones.zone_state import ZoneState
 from tests.zonerig import SECONDARY, World
-from tests.zoning import ORIGIN, SERVICE
+from tests.zonesamples import ORIGIN, SERVICE
 
 GOLDEN = Path(__file__).parent / "golden" / "zones-store"
 RECORDED: dict[str, Any] = json.loads((GOLDEN / "recorded.json").read_bytes())
--- a/tests/test_zone_answer.py
+++ b/tests/test_zone_answer.py
@@ -6,7 +6,7 @@
 
 from kelpcourse.zones.answer import look_up
 from kelpcourse.zones.endpoint_extraction import SRV, A
-from tests.zoning import ORIGIN, SERVICE, record, sample_endpoints, zone_with
+from tests.zonesamples import ORIGIN, SERVICE, record, sample_endpoints, zone_with
 
 
 def test_queries_are_answered_from_the_zone() -> None:
--- a/tests/test_zone_endpoint_extraction.py
+++ b/tests/test_zone_endpoint_extraction.py
@@ -8,7 +8,14 @@
 from kelpcourse.zones.endpoint_extraction import EndpointExtractor
 from kelpcourse.zones.records import Record
 from kelpcourse.zones.versions import build_zone
-from tests.zoning import ORIGIN, SERVICE, endpoint_records, pending_version_of, record, zone_with
+from tests.zonesamples import (
+    ORIGIN,
+    SERVICE,
+    endpoint_records,
+    pending_version_of,
+    record,
+    zone_with,
+)
 
 
 def extractor_of(*records: Record) -> EndpointExtractor:
--- a/tests/test_zone_files.py
+++ b/tests/test_zone_files.py
@@ -6,7 +6,7 @@
 
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.zonefile import format_zone, parse_zone_text
-from tests.zoning import LIMITS, ORIGIN, record, sample_endpoints, zone_with
+from tests.zonesamples import LIMITS, ORIGIN, record, sample_endpoints, zone_with
 
 HEAD = "$TTL 60\n@ SOA ns staff 1 60 10 600 30\n@ NS ns\n"
 
--- a/tests/test_zone_follower.py
+++ b/tests/test_zone_follower.py
@@ -12,7 +12,7 @@
 from kelpcourse.zones.versions import Zone
 from tests.zoneprimary import ScriptedPrimary
 from tests.zonerig import MS, OTHER, SECOND, World, ZoneNode
-from tests.zoning import (
+from tests.zonesamples import (
     ORIGIN,
     endpoint_records,
     pending_version_of,
--- a/tests/test_zone_history.py
+++ b/tests/test_zone_history.py
@@ -6,7 +6,7 @@
 
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.history import History, restore_version
-from tests.zoning import pending_version_of, record, zone_with
+from tests.zonesamples import pending_version_of, record, zone_with
 
 
 def test_history_is_bounded_and_forgets_the_oldest() -> None:
--- a/tests/test_zone_merged_list.py
+++ b/tests/test_zone_merged_list.py
@@ -8,7 +8,7 @@
 from kelpcourse.policy.events import EndpointStatus
 from kelpcourse.zones.merged_list import MergedEndpointList
 from kelpcourse.zones.refresh import SECOND_US
-from tests.zoning import listed_endpoint
+from tests.zonesamples import listed_endpoint
 
 MS = 1000
 
--- a/tests/test_zone_names.py
+++ b/tests/test_zone_names.py
@@ -5,7 +5,7 @@
 import pytest
 
 from kelpcourse.zones.names import is_under, labels, relative
-from tests.zoning import ORIGIN, record
+from tests.zonesamples import ORIGIN, record
 
 
 @pytest.mark.parametrize(
--- a/tests/test_zone_persistence.py
+++ b/tests/test_zone_persistence.py
@@ -13,7 +13,7 @@
     encode_snapshot,
 )
 from kelpcourse.zones.versions import Zone, difference_between
-from tests.zoning import (
+from tests.zonesamples import (
     LIMITS,
     ORIGIN,
     SERVICE,
--- a/tests/test_zone_query_handler.py
+++ b/tests/test_zone_query_handler.py
@@ -12,7 +12,7 @@
     World,
     start_primary,
 )
-from tests.zoning import ORIGIN, SERVICE, endpoint_records, record, sample_endpoints, zone_with
+from tests.zonesamples import ORIGIN, SERVICE, endpoint_records, record, sample_endpoints, zone_with
 
 NOERROR, REFUSED = dns.rcode.NOERROR, dns.rcode.REFUSED
 
--- a/tests/test_zone_refresh.py
+++ b/tests/test_zone_refresh.py
@@ -6,7 +6,7 @@
 
 from kelpcourse.zones.records import Soa
 from kelpcourse.zones.refresh import SECOND_US, RefreshTimer
-from tests.zoning import LIMITS
+from tests.zonesamples import LIMITS
 
 SOA = Soa(5, refresh=60, retry=10, expire=600, minimum=30)
 
--- a/tests/test_zone_request_handler.py
+++ b/tests/test_zone_request_handler.py
@@ -18,7 +18,7 @@
     added_endpoint,
     update_message,
 )
-from tests.zoning import LIMITS, ORIGIN, sample_endpoints, zone_state_of, zone_with
+from tests.zonesamples import LIMITS, ORIGIN, sample_endpoints, zone_state_of, zone_with
 
 
 class RejectingContext:
--- a/tests/test_zone_restore.py
+++ b/tests/test_zone_restore.py
@@ -16,7 +16,7 @@
     room_a_removal,
     start_primary,
 )
-from tests.zoning import ORIGIN
+from tests.zonesamples import ORIGIN
 
 NOERROR, REFUSED = dns.rcode.NOERROR, dns.rcode.REFUSED
 
--- a/tests/test_zone_server.py
+++ b/tests/test_zone_server.py
@@ -19,7 +19,7 @@
     open_descriptor_count,
     start_primary,
 )
-from tests.zoning import ORIGIN, sample_endpoints, zone_with
+from tests.zonesamples import ORIGIN, sample_endpoints, zone_with
 
 NOERROR, REFUSED = dns.rcode.NOERROR, dns.rcode.REFUSED
 
--- a/tests/test_zone_store.py
+++ b/tests/test_zone_store.py
@@ -18,7 +18,7 @@
     start_primary,
     update_message,
 )
-from tests.zoning import LIMITS, ORIGIN, SERVICE
+from tests.zonesamples import LIMITS, ORIGIN, SERVICE
 
 NOERROR, REFUSED = dns.rcode.NOERROR, dns.rcode.REFUSED
 
--- a/tests/test_zone_transfers.py
+++ b/tests/test_zone_transfers.py
@@ -17,7 +17,7 @@
     added_endpoint,
     start_primary,
 )
-from tests.zoning import ORIGIN, endpoint_records, zone_with
+from tests.zonesamples import ORIGIN, endpoint_records, zone_with
 
 NOERROR, REFUSED = dns.rcode.NOERROR, dns.rcode.REFUSED
 
--- a/tests/test_zone_update.py
+++ b/tests/test_zone_update.py
@@ -10,7 +10,7 @@
 from kelpcourse.zones.records import SOA, Record, parse_soa
 from kelpcourse.zones.update import UpdateRejectedError, evaluate
 from kelpcourse.zones.versions import Zone
-from tests.zoning import ORIGIN, record, sample_endpoints, zone_with
+from tests.zonesamples import ORIGIN, record, sample_endpoints, zone_with
 
 
 def update_message(*calls: tuple[str, ...]) -> dns.update.UpdateMessage:
--- a/tests/test_zone_update_policy.py
+++ b/tests/test_zone_update_policy.py
@@ -18,7 +18,7 @@
     read_grant,
     rejection_reason,
 )
-from tests.zoning import (
+from tests.zonesamples import (
     LIMITS,
     ORIGIN,
     endpoint_records,
--- a/tests/test_zone_versions.py
+++ b/tests/test_zone_versions.py
@@ -15,7 +15,7 @@
 from kelpcourse.zones.records import SOA, Record
 from kelpcourse.zones.serials import next_serial
 from kelpcourse.zones.versions import Zone
-from tests.zoning import (
+from tests.zonesamples import (
     LIMITS,
     ORIGIN,
     SERVICE,
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -31,7 +31,7 @@
 from kelpcourse.zones.versions import Zone
 from kelpcourse.zones.zonefile import format_zone
 from tests.standins import FakeClock, RecordingLog
-from tests.zoning import ORIGIN, SERVICE, sample_endpoints, zone_with
+from tests.zonesamples import ORIGIN, SERVICE, sample_endpoints, zone_with
 
 MS = 1000
 SECOND = 1_000_000
