--- a/kelpcourse/zones/update_policy.py
+++ b/kelpcourse/zones/update_policy.py
@@ -55,11 +55,11 @@
             return True
         type_allowed = not self.types or type_ in self.types
         return type_allowed and (
-            not self.names or any(matches(pattern, owner) for pattern in self.names)
+            not self.names or any(name_matches(pattern, owner) for pattern in self.names)
         )
 
 
-def matches(pattern: str, owner: str) -> bool:
+def name_matches(pattern: str, owner: str) -> bool:
     """Whether a name is the pattern, or below it if the pattern begins with `*.`."""
     if pattern.startswith("*."):
         return len(labels(owner)) >= len(labels(pattern)) and is_under(owner, pattern[2:])
--- a/tests/test_zone_follower.py
+++ b/tests/test_zone_follower.py
@@ -11,7 +11,7 @@
 from kelpcourse.zones.transfer import ixfr_records
 from kelpcourse.zones.versions import Zone
 from tests.zoneprimary import ScriptedPrimary
-from tests.zonerig import MS, OTHER, SECOND, World, ZoneNode
+from tests.zonerig import MS, OTHER_SECRET_KEY, SECOND, World, ZoneNode
 from tests.zonesamples import (
     ORIGIN,
     endpoint_records,
@@ -120,10 +120,10 @@
 def test_an_interrupted_transfer_leaves_the_zone_unchanged(world: World, cut: int) -> None:
     primary, node = following(world)
     primary.zone = zone_with(101, [r for k in range(500) for r in endpoint_records(f"h-{k}")])
-    primary.cut_after = cut
+    primary.max_transfer_messages = cut
     query_again(world, node, primary)
     assert (node.serial, len(node.statuses)) == (100, 4)
-    primary.cut_after = 1 << 30
+    primary.max_transfer_messages = 1 << 30
     node.zones.notify_received(ORIGIN)
     world.run_until(lambda: node.serial == 101)
     assert len(node.statuses) == 500
@@ -161,14 +161,14 @@
     forged = zone_with(105, endpoint_records("evil"))
 
     def forge(query: dns.message.Message) -> list[bytes]:
-        other_id = primary.soa_answer(query, forged)
+        other_id = primary.soa_response(query, forged)
         other_id.id ^= 1
         unsigned = dns.message.make_query(ORIGIN, "SOA")
         unsigned.id = query.id
         unsigned.flags |= dns.flags.QR
         wrongly = dns.message.make_query(ORIGIN, "SOA")
         wrongly.id = query.id
-        wrongly.use_tsig(OTHER)
+        wrongly.use_tsig(OTHER_SECRET_KEY)
         wrongly.flags |= dns.flags.QR
         return [other_id.to_wire(), unsigned.to_wire(), wrongly.to_wire(), b"\xff" * 20]
 
--- a/tests/test_zone_request_handler.py
+++ b/tests/test_zone_request_handler.py
@@ -14,7 +14,7 @@
 from kelpcourse.zones.update_policy import EndpointClass
 from tests.standins import RecordingLog
 from tests.zonerig import (
-    OTHER,
+    OTHER_SECRET_KEY,
     added_endpoint,
     update_message,
 )
@@ -70,7 +70,13 @@
     start = zone_state_of(zone_with(1, sample_endpoints()))
     said: list[bytes] = []
     handler = DnsRequestHandler(
-        {ORIGIN: start}, {}, {"k": OTHER}, LIMITS, Counters(), RecordingLog(), RejectingContext()
+        {ORIGIN: start},
+        {},
+        {"k": OTHER_SECRET_KEY},
+        LIMITS,
+        Counters(),
+        RecordingLog(),
+        RejectingContext(),
     )
     handler.handle(wire, ("127.0.0.1", 9), tcp, lambda wires: said.extend(wires))
     assert len(said) <= 1
--- a/tests/test_zone_update_handler.py
+++ b/tests/test_zone_update_handler.py
@@ -10,7 +10,7 @@
 
 from tests.zonerig import (
     KEY,
-    OTHER,
+    OTHER_SECRET_KEY,
     SUBMIT,
     World,
     added_endpoint,
@@ -40,7 +40,7 @@
     node, client = start_primary(world, update='{ names "*.room-a"; types "SRV"; }')
     add = added_endpoint("s-9")
     assert client.update(*add, key=None) == REFUSED
-    wrong = client.send(update_message(*add, key=OTHER).to_wire())
+    wrong = client.send(update_message(*add, key=OTHER_SECRET_KEY).to_wire())
     answer = dns.message.from_wire(client.receive(wrong), keyring=False)
     assert (answer.rcode(), answer.tsig_error) == (dns.rcode.NOTAUTH, dns.rcode.BADSIG)
     stranger = dns.tsig.Key(dns.name.from_text("nobody."), KEY.secret, KEY.algorithm)
--- a/tests/test_zone_update_policy.py
+++ b/tests/test_zone_update_policy.py
@@ -14,7 +14,7 @@
     RemovalHistory,
     UpdateGrant,
     classes_without_endpoints,
-    matches,
+    name_matches,
     read_grant,
     rejection_reason,
 )
@@ -43,7 +43,7 @@
     ],
 )
 def test_name_patterns_of_a_grant(pattern: str, owner: str, result: bool) -> None:
-    assert matches(pattern, owner) is result
+    assert name_matches(pattern, owner) is result
 
 
 def test_a_grant_resolves_relative_names_and_rejects_what_it_does_not_list() -> None:
--- a/tests/zoneprimary.py
+++ b/tests/zoneprimary.py
@@ -34,7 +34,9 @@
         self.zone = zone
         self.transferred_zone: Zone | None = None  # None: `zone`
         self.ixfr: RecordsSince | None = None  # None: IXFR queries get the whole zone
-        self.cut_after = UNLIMITED_MESSAGES  # of a transfer, then the connection is closed
+        self.max_transfer_messages = (
+            UNLIMITED_MESSAGES  # of a transfer, then the connection is closed
+        )
         self.silent = False
         self.forged_responses: ForgedResponses = lambda _: []  # sent before the true one
         self.queries: list[str] = []  # the types that were queried
@@ -57,9 +59,9 @@
             for forged in self.forged_responses(query):
                 self._udp.sendto(forged, peer)
             if not self.silent:
-                self._udp.sendto(self.soa_answer(query, self.zone).to_wire(), peer)
+                self._udp.sendto(self.soa_response(query, self.zone).to_wire(), peer)
 
-    def soa_answer(self, query: dns.message.Message, zone: Zone) -> dns.message.Message:
+    def soa_response(self, query: dns.message.Message, zone: Zone) -> dns.message.Message:
         response = dns.message.make_response(query)
         response.flags |= dns.flags.AA
         response.answer.append(build_rrset(zone.origin, SOA, 60, (zone.soa_data,)))
@@ -87,7 +89,7 @@
                 if self.silent:
                     continue
                 for count, answer in enumerate(self._answers(query)):
-                    if count >= self.cut_after:
+                    if count >= self.max_transfer_messages:
                         return
                     yield from stream.send(frame(answer), FAR_US)
             count = yield from stream.recv_into(buffer.writable(), FAR_US)
@@ -98,7 +100,7 @@
     def _answers(self, query: dns.message.Message) -> list[bytes]:
         rdtype = query.question[0].rdtype
         if rdtype == dns.rdatatype.SOA:
-            return [self.soa_answer(query, self.zone).to_wire()]
+            return [self.soa_response(query, self.zone).to_wire()]
         records: Sequence[Record] = axfr_records(self.transferred_zone or self.zone)
         if rdtype == dns.rdatatype.IXFR and self.ixfr is not None:
             records = self.ixfr(query.authority[0][0].serial)
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -39,7 +39,7 @@
 KEY = dns.tsig.Key(
     dns.name.from_text("staff." + ORIGIN), SECRET.decode(), dns.name.from_text("hmac-sha256")
 )
-OTHER = dns.tsig.Key(KEY.name, base64.b64encode(bytes(32)).decode(), KEY.algorithm)
+OTHER_SECRET_KEY = dns.tsig.Key(KEY.name, base64.b64encode(bytes(32)).decode(), KEY.algorithm)
 FAST_LIMITS = replace(
     Limits(),
     soa_query_timeout_us=50 * MS,
