--- a/kelpcourse/zones/deduplication.py
+++ b/kelpcourse/zones/deduplication.py
@@ -13,7 +13,7 @@
 import dns.rcode
 
 FUDGE_US = 300 * 1_000_000  # the usual value (RFC 8945, section 10)
-REMEMBER_US = 2 * FUDGE_US  # before and after the time signed
+RETENTION_US = 2 * FUDGE_US  # before and after the time signed
 SendResponse = Callable[[dns.rcode.Rcode], None]
 
 
@@ -61,7 +61,7 @@
     def _forget_old(self, now_us: int) -> None:
         while self._responses:
             oldest_mac, (completed_us, _) = next(iter(self._responses.items()))
-            is_recent = completed_us > now_us - REMEMBER_US
+            is_recent = completed_us > now_us - RETENTION_US
             if is_recent and len(self._responses) <= self._max_responses:
                 break
             del self._responses[oldest_mac]
--- a/kelpcourse/zones/request_handler.py
+++ b/kelpcourse/zones/request_handler.py
@@ -87,7 +87,7 @@
             send(())
             return
         if _is_unsigned_update(wire):
-            self._updates.note_denied("", "not signed", "")
+            self._updates.log_denied("", "not signed", "")
             send([header_response(wire, dns.rcode.REFUSED)])
             return
         try:
--- a/kelpcourse/zones/tcp_framing.py
+++ b/kelpcourse/zones/tcp_framing.py
@@ -4,8 +4,8 @@
 
 from kelpcourse.wire.buffers import ReadBuffer
 
-LENGTH_BYTES = 2
-MAX_FRAME_BYTES = LENGTH_BYTES + 65_535
+LENGTH_PREFIX_BYTES = 2
+MAX_FRAME_BYTES = LENGTH_PREFIX_BYTES + 65_535
 MIN_READ_BYTES = 512
 
 
@@ -16,4 +16,4 @@
 
 def frame(message: bytes) -> bytes:
     """Returns a message with its length in front."""
-    return len(message).to_bytes(LENGTH_BYTES, "big") + message
+    return len(message).to_bytes(LENGTH_PREFIX_BYTES, "big") + message
--- a/kelpcourse/zones/update_handler.py
+++ b/kelpcourse/zones/update_handler.py
@@ -64,7 +64,7 @@
         grant = self._grant_of(request.key_name, origin)
         if grant is None:
             reason = f"key {request.key_name} may not update" if request.key_name else "not signed"
-            self.note_denied(origin, reason, request.key_name)
+            self.log_denied(origin, reason, request.key_name)
             self._responder.reject(request, dns.rcode.REFUSED)
             return
         mac = bytes(message.mac or b"")
@@ -77,7 +77,7 @@
             return
         self._apply(message, zone, grant)
 
-    def note_denied(self, origin: str, reason: str, key_name: str) -> None:
+    def log_denied(self, origin: str, reason: str, key_name: str) -> None:
         """Counts and logs an update that the update policy denies."""
         self._counters.add("zone_updates_denied")
         self._log.event("zone_update_denied", zone=origin, reason=reason, key=key_name)
@@ -109,7 +109,7 @@
         try:
             difference = self._evaluate(message, zone)
         except UpdateRejectedError as error:
-            self._note_rejected(error, zone, grant)
+            self._log_rejected(error, zone, grant)
             complete(error.rcode)
             return
         if difference is None:
@@ -117,7 +117,7 @@
             return
         denied_reason = self._stage_in_head(difference, zone, grant, staged_us)
         if denied_reason:
-            self.note_denied(zone.origin, denied_reason, grant.key)
+            self.log_denied(zone.origin, denied_reason, grant.key)
             complete(dns.rcode.REFUSED)
             return
         if not self._context.stage(PendingUpdate(zone, difference, on_settled)):
@@ -143,7 +143,7 @@
         except ZoneError as error:
             return str(error)
 
-    def _note_rejected(
+    def _log_rejected(
         self, error: UpdateRejectedError, zone: ZoneState, grant: UpdateGrant
     ) -> None:
         self._log.event(
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -19,7 +19,7 @@
 from kelpcourse.cli.main import cli
 from kelpcourse.lab.loopback import free_address
 from kelpcourse.zones.zonefile import format_zone
-from tests.zonerig import KEY, PRIMARY, SECRET, added_endpoint, update_message
+from tests.zonerig import KEY, PRIMARY_SETTINGS, SECRET, added_endpoint, update_message
 from tests.zonesamples import ORIGIN, record, sample_endpoints, zone_with
 
 PATIENCE_S = 60.0
@@ -33,7 +33,7 @@
     (tmp_path / "games.zone").write_text(format_zone(zone_with(1, sample_endpoints())))
     listen = free_address()
     (tmp_path / "z.kdl").write_text(
-        PRIMARY.format(update="", more="").replace("127.0.0.1:1", f"127.0.0.1:{listen[1]}")
+        PRIMARY_SETTINGS.format(update="", more="").replace("127.0.0.1:1", f"127.0.0.1:{listen[1]}")
     )
     return tmp_path
 
--- a/tests/test_stored_zones.py
+++ b/tests/test_stored_zones.py
@@ -19,7 +19,7 @@
 from kelpcourse.store.recovery import Recovered, from_bytes
 from kelpcourse.zones.persistence import ZoneReplay, decode_entry, encode_entry, encode_snapshot
 from kelpcourse.zones.zone_state import ZoneState
-from tests.zonerig import SECONDARY, World
+from tests.zonerig import SECONDARY_SETTINGS, World
 from tests.zonesamples import ORIGIN, SERVICE
 
 GOLDEN = Path(__file__).parent / "golden" / "zones-store"
@@ -218,7 +218,7 @@
     world = World(tmp_path)
     path = world.new_folder("secondary", None)
     shutil.copytree(GOLDEN, path / "state")
-    settings = SECONDARY.format(more='state "state"', primaries='primary "127.0.0.1:1"')
+    settings = SECONDARY_SETTINGS.format(more='state "state"', primaries='primary "127.0.0.1:1"')
     (path / "z.kdl").write_text(settings)
     node = world.node(path)
     try:
--- a/tests/zoneprimary.py
+++ b/tests/zoneprimary.py
@@ -19,7 +19,7 @@
 from kelpcourse.zones.versions import Zone
 from tests.zonerig import KEY
 
-FAR_US = 1 << 60
+NO_DEADLINE_US = 1 << 60
 UNLIMITED_MESSAGES = 1 << 30
 
 RecordsSince = Callable[[int], Sequence[Record]]  # by the serial of the client's version
@@ -91,8 +91,8 @@
                 for count, answer in enumerate(self._answers(query)):
                     if count >= self.max_transfer_messages:
                         return
-                    yield from stream.send(frame(answer), FAR_US)
-            count = yield from stream.recv_into(buffer.writable(), FAR_US)
+                    yield from stream.send(frame(answer), NO_DEADLINE_US)
+            count = yield from stream.recv_into(buffer.writable(), NO_DEADLINE_US)
             if not count:
                 return
             buffer.commit(count)
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -53,7 +53,7 @@
     dns_partial_message_timeout_us=60 * MS,
 )
 SUBMIT = EndpointClass("move-submit", frozenset({"room-a"}), frozenset())
-PRIMARY = """zones {{
+PRIMARY_SETTINGS = """zones {{
     listen "127.0.0.1:1"
     state "state"
     service "_game._tcp"
@@ -66,7 +66,7 @@
     }}
 }}
 """
-SECONDARY = """zones {{
+SECONDARY_SETTINGS = """zones {{
     listen "127.0.0.1:1"
     {more}
     service "_game._tcp"
@@ -132,7 +132,7 @@
         limits: Limits = FAST_LIMITS,
     ) -> ZoneNode:
         path = self.new_folder(name, zone)
-        (path / "z.kdl").write_text(PRIMARY.format(update=update, more=more))
+        (path / "z.kdl").write_text(PRIMARY_SETTINGS.format(update=update, more=more))
         return self.node(path, classes, limits)
 
     def secondary(
@@ -146,7 +146,7 @@
         path = self.new_folder(name, None)
         signed = ' key="staff.games.example.org"' if key else ""
         lines = "\n".join(f'primary "{format_address(p)}"{signed}' for p in primaries)
-        (path / "z.kdl").write_text(SECONDARY.format(primaries=lines, more=more))
+        (path / "z.kdl").write_text(SECONDARY_SETTINGS.format(primaries=lines, more=more))
         return self.node(path, (), limits)
 
     def node(
