--- a/kelpcourse/zones/answer.py
+++ b/kelpcourse/zones/answer.py
@@ -1,6 +1,6 @@
-"""Answers to questions out of a zone (RFC 1034, section 4.3.2). Pure.
+"""Lookup of the answer to a question in a zone (RFC 1034, section 4.3.2), without I/O.
 
-Neither wildcards nor delegations are followed: a zone of endpoints needs none, and the design note says so.
+Wildcards and delegations are not supported, because zones of endpoints don't need them (see the design page).
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def build_rrset(owner: str, type_: int, ttl: int, data: Iterable[bytes]) -> dns.rrset.RRset:
-    """Builds dnspython's record set out of record data in wire form."""
+    """Builds a dnspython RRset from record data in wire format."""
     rrset = dns.rrset.RRset(to_name(owner), dns.rdataclass.IN, dns.rdatatype.RdataType.make(type_))
     rrset.update_ttl(ttl)
     for record_data in data:
@@ -45,12 +45,12 @@
 
 
 def soa_rrset(zone: Zone) -> dns.rrset.RRset:
-    """Returns the zone's SOA without a TTL, as IXFR queries and NOTIFY messages carry it."""
+    """Returns the SOA record of a zone with TTL 0, as sent in IXFR queries and NOTIFY messages."""
     return build_rrset(zone.origin, SOA, 0, (zone.soa_data,))
 
 
 def look_up(zone: Zone, owner: str, type_: int) -> Answer:
-    """Answers a question; a CNAME is followed once, within the zone."""
+    """Returns the answer to a question; a CNAME record is followed once, within the zone."""
     answer = Answer()
     types = list(zone.types(owner)) if type_ == ANY else [type_]
     for asked_type in types:
@@ -67,7 +67,7 @@
 
 
 def fill_response(response: dns.message.Message, answer: Answer) -> None:
-    """Puts an answer into an authoritative response."""
+    """Copies an answer into a response and sets its AA flag."""
     response.set_rcode(answer.rcode)
     response.flags |= dns.flags.AA
     response.answer = answer.answer
@@ -92,7 +92,7 @@
 
 
 def _negative_soa(zone: Zone) -> dns.rrset.RRset:
-    """The SOA, whose TTL is the time to cache a negative answer (RFC 2308, section 3)."""
+    """Returns the SOA record set, whose TTL is the caching time of a negative answer (RFC 2308, section 3)."""
     record_set = zone.record_set(zone.origin, SOA)
     if record_set is None:
         raise MissingSoaError(zone.origin)
@@ -102,7 +102,7 @@
 
 
 def _add_addresses(zone: Zone, answer: Answer) -> None:
-    """Adds the addresses of SRV and NS targets; truncation omits them first (RFC 2782)."""
+    """Adds the addresses of SRV and NS targets to the additional section, which truncation omits first (RFC 2782)."""
     included = {(str(rrset.name), int(rrset.rdtype)) for rrset in answer.answer}
     for rrset in answer.answer:
         if int(rrset.rdtype) not in (SRV, NS):
--- a/kelpcourse/zones/dns_client.py
+++ b/kelpcourse/zones/dns_client.py
@@ -1,4 +1,4 @@
-"""Queries to other DNS servers: over UDP, over TCP, and the check of the response."""
+"""DNS client: sends queries to other servers over UDP and TCP and verifies the responses."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 from kelpcourse.zones.tcp_framing import frame, new_read_buffer
 from kelpcourse.zones.transfer import AXFR, IXFR
 
-UDP_ATTEMPTS = 2  # before TCP is used
+UDP_ATTEMPTS = 2  # number of UDP queries before TCP is used
 SigningContext = dns.tsig.HMACTSig | dns.tsig.GSSTSig | None
-UNREADABLE_ERRORS = (dns.exception.DNSException, ValueError, IndexError)
+PARSE_ERRORS = (dns.exception.DNSException, ValueError, IndexError)
 
 
 def make_query(origin: str, rdtype: dns.rdatatype.RdataType, peer: DnsPeer) -> dns.message.Message:
-    """Returns a query, signed if the peer has a key."""
+    """Creates a query, which is signed if the peer has a key."""
     query = dns.message.make_query(to_name(origin), rdtype, flags=0)
     if peer.key is not None:
         query.use_tsig(peer.key)
@@ -46,7 +46,7 @@
 
 
 def soa_version(message: dns.message.Message, origin: str) -> Version | None:
-    """Returns the version that the SOA in a response names; None without one."""
+    """Returns the version of the zone given by the SOA record in a response, or None if it has no SOA record."""
     for rrset in message.answer:
         is_soa = rrset.rdtype == dns.rdatatype.SOA and canonical(rrset.name) == origin
         if is_soa and len(rrset) == 1:
@@ -56,20 +56,20 @@
 
 
 class DnsClient:
-    """Sends queries to other servers."""
+    """Sends queries to other DNS servers."""
 
     def __init__(self, loop: Loop, limits: Limits, counters: Counters, log: EventLog) -> None:
-        """Takes the parts that the queries need and that the users of the client share."""
+        """Initializes a client; its attributes are also used by the components that send queries with it."""
         self.loop = loop
         self.limits = limits
         self.counters = counters
         self.log = log
 
     def query(self, query: dns.message.Message, peer: DnsPeer) -> Coroutine[dns.message.Message]:
-        """Returns the response over UDP, or over TCP if none came or it was truncated.
+        """Sends a query over UDP, or over TCP after a timeout or a truncated response, and returns the response.
 
         Raises:
-            StreamError: The connection over TCP failed.
+            StreamError: No UDP socket could be opened, or the TCP connection failed.
             ZoneError: The response over TCP cannot be used.
         """
         for _ in range(UDP_ATTEMPTS):
@@ -90,10 +90,11 @@
     def query_udp(
         self, query: dns.message.Message, peer: DnsPeer
     ) -> Coroutine[dns.message.Message | None]:
-        """Returns the response over UDP; None if none came in time.
+        """Sends a query over UDP and returns the response; None if none was received before the deadline.
 
-        The port is fresh and the socket receives from its peer alone. Datagrams with another id,
-        question or signature are taken for forged, and the true response is waited for (RFC 5452).
+        Each query uses a new local port, and its socket receives datagrams from the peer only. Datagrams with another
+        ID, question or signature are presumably forged; they are ignored until the real response is received
+        (RFC 5452).
 
         Raises:
             StreamError: No socket could be opened.
@@ -103,12 +104,12 @@
                 address_family(peer.address), socket.SOCK_DGRAM | socket.SOCK_NONBLOCK
             )
         except OSError as error:
-            raise StreamError(f"no socket: {error.strerror}") from error
+            raise StreamError(f"socket cannot be opened: {error.strerror}") from error
         try:
             sock.connect(peer.address)
             sock.send(query.to_wire())
             return (yield from self._receive_udp(sock, query, peer))
-        except OSError:  # an ICMP error: nothing listens there
+        except OSError:  # ICMP error: no process listens at the address
             return None
         finally:
             sock.close()
@@ -129,24 +130,29 @@
 
 @dataclass(frozen=True)
 class TcpResponse:
-    """One message of the response to a query over TCP."""
+    """One message of a response over TCP.
+
+    Attributes:
+        wire: The message in wire format.
+        message: The parsed message.
+    """
 
     wire: bytes
     message: dns.message.Message
 
 
 class TcpExchange:
-    """A query over TCP and the messages of its response, of which a transfer has many."""
+    """A query over TCP and the messages of its response; the response to a transfer query can have many messages."""
 
     def __init__(self, client: DnsClient, peer: DnsPeer, query: dns.message.Message) -> None:
-        """Connects in `open`."""
+        """Initializes an exchange without a connection; `open` connects."""
         self._loop = client.loop
         self._limits = client.limits
         self._peer = peer
         self._query = query
         self._buffer = new_read_buffer()
         self._stream: Stream | None = None
-        self._signing_context: SigningContext = None  # over the messages so far
+        self._signing_context: SigningContext = None  # TSIG context of the messages received so far
 
     def open(self) -> Coroutine[None]:
         """Connects and sends the query.
@@ -161,10 +167,10 @@
         yield from self._stream.send(frame(wire), send_deadline_us)
 
     def receive(self) -> Coroutine[TcpResponse]:
-        """Returns the next message; a large one is parsed in a thread.
+        """Receives the next message; a large one is parsed in a thread.
 
         Raises:
-            StreamError: The connection failed or was silent for too long.
+            StreamError: The connection failed, or no data was received before the deadline.
             ZoneError: The message cannot be used.
         """
         wire = yield from self._receive_frame()
@@ -187,10 +193,10 @@
             try:
                 space = self._buffer.writable()
             except MessageTooLongError as error:
-                raise StreamError("the message is longer than the limit") from error
+                raise StreamError("message exceeds its size limit") from error
             count = yield from self._stream.recv_into(space, deadline_us)
             if not count:
-                raise StreamError("the connection was closed before the end of the response")
+                raise StreamError("connection closed before the end of the response")
             self._buffer.commit(count)
 
     def _parse(self, wire: bytes) -> TcpResponse:
@@ -199,7 +205,7 @@
             message = _read_response(
                 wire, self._query, self._peer, self._signing_context, is_transfer
             )
-        except UNREADABLE_ERRORS as error:
+        except PARSE_ERRORS as error:
             raise UnreadableResponseError(error) from error
         if message.id != self._query.id or not message.flags & dns.flags.QR:
             raise UnrelatedResponseError(self._query.id, message.id)
@@ -214,9 +220,9 @@
     signing_context: SigningContext = None,
     is_transfer: bool = False,
 ) -> dns.message.Message:
-    """Parses a response and checks its signature; raises what dnspython does.
+    """Parses a response and verifies its signature; errors of dnspython are not converted.
 
-    In a transfer not every message has to be signed (RFC 8945, section 5.3.1).
+    Not every message of a transfer has to be signed (RFC 8945, section 5.3.1).
     """
     keyring = {peer.key.name: peer.key} if peer.key is not None else None
     message = dns.message.from_wire(
@@ -239,5 +245,5 @@
     try:
         message = _read_response(wire, query, peer)
         return message if query.is_response(message) else None
-    except UNREADABLE_ERRORS:
+    except PARSE_ERRORS:
         return None
--- a/tests/test_zone_file_watcher.py
+++ b/tests/test_zone_file_watcher.py
@@ -33,7 +33,7 @@
     assert f"{path}:1:" in str(node.log.named("zone_file_rejected")[0]["reason"])
     path.write_text(good.replace("127.0.0.10", "127.0.0.77"))  # its serial goes backwards
     world.run_until(lambda: len(node.log.named("zone_file_rejected")) == 2)
-    assert "serial 1 is not believed beside 2: behind" in str(
+    assert "serial 1 is rejected, current serial is 2: behind" in str(
         node.log.named("zone_file_rejected")[1]["reason"]
     )
     assert (node.serial, len(node.statuses)) == (2, 4)
--- a/tests/test_zone_files.py
+++ b/tests/test_zone_files.py
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize(
     ("text", "what"),
     [
-        ("s-1 A 10.0.0.1\n", "has not exactly one SOA"),
+        ("s-1 A 10.0.0.1\n", "does not have exactly one SOA"),
         (HEAD + "x CNAME s-1\nx A 10.0.0.1\n", "has a CNAME and other records: A"),
     ],
 )
