--- a/kelpcourse/zones/incoming_transfer.py
+++ b/kelpcourse/zones/incoming_transfer.py
@@ -1,4 +1,4 @@
-"""Incoming zone transfers, message by message: AXFR (RFC 5936) and IXFR (RFC 1995). No I/O."""
+"""Processing of the messages of incoming zone transfers, AXFR (RFC 5936) and IXFR (RFC 1995), without I/O."""
 
 from __future__ import annotations
 
@@ -33,13 +33,18 @@
 
 @dataclass(frozen=True)
 class TransferredVersion:
-    """What a complete transfer brought: a zone, or differences over the current one, or neither."""
+    """The result of a complete transfer.
+
+    Attributes:
+        zone: The zone, if all of its records were transferred.
+        pending_version: The current version with the transferred differences, if the transfer was incremental.
+    """
 
     zone: Zone | None = None
     pending_version: PendingVersion | None = None
 
     def version(self) -> Version | None:
-        """Returns the version, to be compared before it is accepted; None if there is none."""
+        """Returns the transferred version, to be compared with the accepted one; None if none was transferred."""
         soa_data = b""
         if self.zone is not None:
             soa_data = self.zone.soa_data
@@ -49,7 +54,7 @@
 
 
 class IncomingTransfer:
-    """One transfer, collected apart from the current version until it is complete."""
+    """A transfer whose records are collected separately from the current version until it is complete."""
 
     def __init__(
         self,
@@ -57,7 +62,13 @@
         rdtype: dns.rdatatype.RdataType,
         limits: Limits,
     ) -> None:
-        """Starts a transfer over TCP; `rdtype` is AXFR or IXFR, as in the query."""
+        """Initializes a transfer over TCP.
+
+        Args:
+            current: Current version of the zone.
+            rdtype: Record type of the query, AXFR or IXFR.
+            limits: Limits on the size of the transfer and of the zone.
+        """
         self._origin = current.origin
         self._max_bytes = limits.max_incoming_transfer_bytes
         self._received_bytes = 0
@@ -68,12 +79,12 @@
         )
 
     def add_message(self, wire: bytes, message: dns.message.Message) -> bool:
-        """Takes the next message in; returns whether the transfer is complete.
+        """Processes the next message and returns whether the transfer is complete.
 
         Raises:
-            IncrementalTransferError: The differences do not fit the current version.
+            IncrementalTransferError: The differences do not apply to the current version.
             ZoneError: The transfer cannot be used.
-            dns.xfr.UseTCP: The primary wants to be queried over TCP.
+            dns.xfr.UseTCP: The primary requests a query over TCP.
         """
         self._received_bytes += len(wire)
         if self._received_bytes > self._max_bytes:
@@ -89,12 +100,12 @@
             raise InvalidTransferError(self._origin, reason) from error
 
     def result(self) -> TransferredVersion:
-        """Returns what came; without a zone and differences if nothing was newer."""
+        """Returns the result, which has neither a zone nor differences if the primary has no newer version."""
         return self._collector.result()
 
 
 class _RecordCollector(dns.transaction.TransactionManager):
-    """The few calls of a transaction that dnspython makes for a transfer."""
+    """The methods of a transaction that dnspython calls during a transfer."""
 
     def __init__(self, current: Zone, max_records: int) -> None:
         self._current = current
@@ -132,20 +143,20 @@
                 self._pending_version.add(record)
 
     def replace(self, name: dns.name.Name, rdataset: dns.rdataset.Rdataset) -> None:
-        """Only called for the SOA of the new version."""
+        """Replaces a record set; dnspython calls it for the SOA record of the new version only."""
         if self._pending_version is not None:
             self._pending_version.remove_set(canonical(name), int(rdataset.rdtype))
         self.add(name, rdataset)
 
     def delete_exact(self, name: dns.name.Name, rdataset: dns.rdataset.Rdataset) -> None:
-        """Only called for differences."""
+        """Deletes records; dnspython calls it for differences only."""
         pending_version = self._pending_version
         for rdata in rdataset:
             is_removed = pending_version is not None and pending_version.remove(
                 canonical(name), int(rdataset.rdtype), canonical_data(rdata)
             )
             if not is_removed:
-                raise IncrementalTransferError(str(name), "no such record to be removed")
+                raise IncrementalTransferError(str(name), "no such record to remove")
 
     def commit(self) -> None:
         self._is_committed = True
@@ -163,7 +174,7 @@
 
 
 def check_servable(zone: Zone) -> None:
-    """Checks a zone that was received in full.
+    """Checks whether a completely transferred zone can be served.
 
     Raises:
         SoaCountError: The zone does not have exactly one SOA record.
--- a/kelpcourse/zones/notify_handler.py
+++ b/kelpcourse/zones/notify_handler.py
@@ -1,4 +1,4 @@
-"""Received NOTIFY messages (RFC 1996): a hint to query the primaries, accepted from primaries only."""
+"""Handler of NOTIFY messages (RFC 1996), which are accepted from primaries only and trigger a query to them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class NotifyHandler:
-    """Acknowledges NOTIFY messages and passes them on."""
+    """Responds to NOTIFY messages and passes them to the service."""
 
     def __init__(
         self,
@@ -25,14 +25,24 @@
         context: HandlerContext,
         responder: Responder,
     ) -> None:
-        """Takes the settings of the zones by origin, which name the primaries."""
+        """Initializes a handler.
+
+        Args:
+            settings: Settings of the zones by origin, which contain the primaries.
+            counters: Counters of received messages.
+            context: Service to which accepted messages are passed.
+            responder: Sender of rejections.
+        """
         self._settings = settings
         self._counters = counters
         self._context = context
         self._responder = responder
 
     def handle(self, request: DnsRequest) -> None:
-        """Answers a NOTIFY; a forged one only causes a query to the true primary."""
+        """Responds to a NOTIFY message.
+
+        A forged message has no other effect than a query to the configured primaries.
+        """
         origin = canonical(request.message.question[0].name) if request.message.question else ""
         settings = self._settings.get(origin)
         if settings is None or not settings.primaries:
@@ -49,7 +59,7 @@
 
 
 def _is_from_primary(request: DnsRequest, settings: ZoneSettings) -> bool:
-    """Whether the address or the key is that of a primary."""
+    """Returns whether the request comes from the address of a primary or is signed with the key of one."""
     for primary in settings.primaries:
         if request.peer[0] == primary.address[0]:
             return True
--- a/kelpcourse/zones/query_handler.py
+++ b/kelpcourse/zones/query_handler.py
@@ -1,4 +1,4 @@
-"""Responses to queries, out of the durable versions of the zones (RFC 1034, section 4.3.2)."""
+"""Handler of queries, which are answered from the durable versions of the zones (RFC 1034, section 4.3.2)."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class QueryHandler:
-    """Answers queries, and passes those for a transfer on."""
+    """Answers queries; queries for a transfer are passed to the transfer handler."""
 
     def __init__(
         self,
@@ -27,14 +27,21 @@
         responder: Responder,
         transfers: TransferHandler,
     ) -> None:
-        """Takes the zones by origin, in the order in which they are searched."""
+        """Initializes a handler.
+
+        Args:
+            zones: Zones by origin, in the order in which they are searched for the queried name.
+            counters: Counters of queries.
+            responder: Sender of the responses.
+            transfers: Handler of AXFR and IXFR queries.
+        """
         self._zones = zones
         self._counters = counters
         self._responder = responder
         self._transfers = transfers
 
     def handle(self, request: DnsRequest, question: dns.rrset.RRset) -> None:
-        """Answers a query of one question."""
+        """Responds to a query that has exactly one question."""
         owner = canonical(question.name)
         type_ = question.rdtype
         self._counters.add("dns_queries")
--- a/kelpcourse/zones/request_handler.py
+++ b/kelpcourse/zones/request_handler.py
@@ -1,7 +1,7 @@
-"""The handler of DNS requests, without sockets: reads a message and passes it to the handler of its kind.
+"""Handler of DNS requests, independent of sockets: parses each message and passes it to the handler of its opcode.
 
-A request is answered immediately, or, an update, once its outcome is known: through the function that came with the
-request. Responses are made from the durable version of a zone.
+The response is sent by calling the function that is passed with the message: immediately, or, for an update, as soon as
+its outcome is known. Responses are created from the durable version of a zone.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class DnsRequestHandler:
-    """Reads requests and has them answered."""
+    """Parses requests and passes them to the handlers that respond to them."""
 
     def __init__(
         self,
@@ -54,16 +54,16 @@
         log: EventLog,
         context: HandlerContext,
     ) -> None:
-        """Creates the handlers.
+        """Creates the handlers of queries, transfers, NOTIFY messages and updates.
 
         Args:
-            zones: The zones by origin.
-            settings: The settings of the zones by origin.
-            keys: The TSIG keys by name.
+            zones: Zones by origin.
+            settings: Settings of the zones by origin.
+            keys: TSIG keys by name.
             limits: Limits on responses, transfers and pending updates.
-            counters: Counts requests and their outcomes.
-            log: Takes rejections.
-            context: The service around the handlers.
+            counters: Counters of requests and their outcomes.
+            log: Log of rejected messages, updates and transfers.
+            context: Service to which updates and NOTIFY messages are passed.
         """
         self._key_ring = {key.name: key for key in keys.values()}
         self._counters = counters
@@ -77,9 +77,9 @@
         )
 
     def handle(self, wire: bytes, peer: Address, over_tcp: bool, send: SendMessages) -> None:
-        """Takes a message in; `send` is called once with the messages of the response, if any.
+        """Handles a message; `send` is called exactly once, with the messages of the response or with none.
 
-        A response is dropped, as an answer to it could be answered without end.
+        Messages that are responses are dropped: two servers that respond to each other's responses would never stop.
         """
         self._counters.add("dns_messages")
         if len(wire) < HEADER_BYTES or wire[2] & RESPONSE_FLAG:
@@ -134,9 +134,9 @@
 
 
 def _is_unsigned_update(wire: bytes) -> bool:
-    """Whether the header announces an update without additional records, so without a signature.
+    """Returns whether the header is that of an update without additional records and therefore without a signature.
 
-    Such a message is not parsed, so that a flood of them costs little.
+    Such a message is rejected without being parsed, so that a flood of them costs little.
     """
     opcode = wire[2] >> 3 & 15
     has_no_additional_records = wire[10:12] == b"\0\0"
--- a/kelpcourse/zones/transfer.py
+++ b/kelpcourse/zones/transfer.py
@@ -1,4 +1,4 @@
-"""The messages of outgoing zone transfers: AXFR (RFC 5936) and IXFR (RFC 1995). No I/O."""
+"""Encoding of the messages of outgoing zone transfers, AXFR (RFC 5936) and IXFR (RFC 1995), without I/O."""
 
 from __future__ import annotations
 
@@ -20,17 +20,19 @@
 AXFR = dns.rdatatype.AXFR
 IXFR = dns.rdatatype.IXFR
 
-# Names beyond 16 383 bytes cannot be pointed to (RFC 1035, section 4.1.4), and small messages
-# keep the reader's turns short.
+# Size of the records in a message, in bytes, from which on the next record goes into the next message. A compression
+# pointer cannot refer to a name beyond 16 383 bytes (RFC 1035, section 4.1.4), and a reader that parses one message at
+# a time blocks only briefly for a small one.
 MESSAGE_RECORD_BYTES = 16_000
-RECORD_HEADER = struct.Struct(">HHIH")  # type, class, TTL, length of the data
-ORIGIN_POINTER = b"\xc0\x0c"  # to the name in the question, which follows the 12-byte header
+RECORD_HEADER = struct.Struct(">HHIH")  # type, class, TTL and length of the data
+# Compression pointer to the name in the question, which follows the 12 bytes of the header.
+ORIGIN_POINTER = b"\xc0\x0c"
 
-_Renderer: Any = dns.renderer.Renderer  # its methods are not typed in full
+_Renderer: Any = dns.renderer.Renderer  # `Any` because the methods have incomplete type annotations
 
 
 def axfr_records(zone: Zone) -> list[Record]:
-    """Returns the records of an AXFR response, which begins and ends with the SOA."""
+    """Returns the records of an AXFR response, which starts and ends with the SOA record."""
     soa = _soa_record(zone)
     others = [
         record for record in zone.records() if record.type != SOA or record.owner != zone.origin
@@ -41,7 +43,8 @@
 def ixfr_records(zone: Zone, differences: Sequence[Difference]) -> list[Record]:
     """Returns the records of an incremental IXFR response (RFC 1995, section 4).
 
-    The current SOA encloses the differences; each part of a difference begins with its own SOA.
+    The response starts and ends with the current SOA record. In between, the removed and the added records of each
+    difference start with the SOA record of their version.
     """
     current_soa = _soa_record(zone)
     records = [current_soa]
@@ -52,7 +55,7 @@
 
 
 def transfer_messages(query: dns.message.Message, records: Sequence[Record]) -> Iterator[bytes]:
-    """Yields the response in wire form; to a signed query all are signed (RFC 8945, section 5.3.1)."""
+    """Yields the messages of a response in wire format, all signed if the query is (RFC 8945, section 5.3.1)."""
     response = dns.message.make_response(query)
     origin = canonical(query.question[0].name)
     request_tsig: Any = response.tsig[0] if response.tsig is not None else None
@@ -60,7 +63,7 @@
     for encoded_records in _batches(records, origin):
         renderer = _Renderer(query.id, int(response.flags | dns.flags.AA))
         renderer.add_question(query.question[0].name, query.question[0].rdtype)
-        # Records are stored in wire form, so they are appended without being parsed again.
+        # Records are stored in wire format, so they are appended without being parsed again.
         renderer.output.write(b"".join(encoded_records))
         renderer.counts[dns.renderer.ANSWER] += len(encoded_records)
         renderer.write_header()
@@ -91,7 +94,7 @@
 
 
 def _batches(records: Sequence[Record], origin: str) -> Iterator[list[bytes]]:
-    """Yields the encoded records of each message; the last of them may pass the size."""
+    """Yields the encoded records of each message; the last record of a message may exceed `MESSAGE_RECORD_BYTES`."""
     batch: list[bytes] = []
     batch_bytes = 0
     for record in records:
@@ -107,7 +110,7 @@
 
 
 def _encode(record: Record, origin: str) -> bytes:
-    """Owners end in a pointer to the origin in the question (RFC 1035, section 4.1.4)."""
+    """Encodes a record, whose owner ends in a pointer to the origin in the question (RFC 1035, section 4.1.4)."""
     label_count = len(labels(record.owner)) - len(labels(origin))
     owner_labels = to_name(record.owner).labels[:label_count]
     owner = b"".join(bytes((len(label),)) + label for label in owner_labels)
--- a/kelpcourse/zones/transfer_handler.py
+++ b/kelpcourse/zones/transfer_handler.py
@@ -1,4 +1,4 @@
-"""Outgoing zone transfers: who may have one, and whether it is incremental (RFC 5936 and RFC 1995)."""
+"""Handler of transfer queries: access control and the choice between AXFR (RFC 5936) and IXFR (RFC 1995)."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True)
 class _TransferContent:
-    kind: str  # "axfr" or "ixfr"
+    kind: str  # "axfr" for a full transfer, "ixfr" for an incremental one
     records: Sequence[Record]
 
 
 class TransferHandler:
-    """Answers requests for a transfer, a limited number of them at a time."""
+    """Responds to transfer queries, with a limited number of concurrent transfers."""
 
     def __init__(
         self,
@@ -43,7 +43,15 @@
         log: EventLog,
         responder: Responder,
     ) -> None:
-        """Takes the settings of the zones by origin, which name the keys that are allowed."""
+        """Initializes a handler.
+
+        Args:
+            settings: Settings of the zones by origin, which contain the keys that allow transfers.
+            limits: Limits, among them the maximum number of concurrent transfers.
+            counters: Counters of transfers.
+            log: Log of transfers and rejections.
+            responder: Sender of the responses that are not transfers.
+        """
         self._settings = settings
         self._limits = limits
         self._counters = counters
@@ -52,7 +60,7 @@
         self._running_transfers = 0
 
     def handle(self, request: DnsRequest, zone: ZoneState, owner: str) -> None:
-        """Answers a query for AXFR or IXFR."""
+        """Responds to an AXFR or IXFR query for `owner`, a name in `zone`."""
         rdtype = request.message.question[0].rdtype
         if owner != zone.origin:
             self._responder.reject(request, dns.rcode.NOTAUTH)
@@ -79,13 +87,13 @@
         return request.key_name in self._settings[zone.origin].transfer_keys
 
     def _send_soa(self, request: DnsRequest, zone: ZoneState) -> None:
-        """The SOA alone makes the client come back over TCP (RFC 1995, section 2)."""
+        """Sends the SOA record only, so that the client repeats the query over TCP (RFC 1995, section 2)."""
         response = dns.message.make_response(request.message)
         fill_response(response, look_up(zone.zone, zone.origin, SOA))
         self._responder.send(request, response)
 
     def _start_transfer(self, request: DnsRequest, zone: ZoneState) -> Iterator[bytes]:
-        """All records are collected at once, as the zone may change while a slow client reads."""
+        """Collects all records at once, because the zone may change while a slow client reads the response."""
         content = _select_content(request.message, zone)
         self._counters.add(f"zone_{content.kind}_out")
         self._log.event(
@@ -107,7 +115,7 @@
 
 
 def _select_content(message: dns.message.Message, zone: ZoneState) -> _TransferContent:
-    """IXFR falls back to the whole zone if the client's version is no longer in the history."""
+    """Returns the records to transfer; for an IXFR query the full zone if the history lacks the client's version."""
     serial = _client_serial(message)
     if serial is not None:
         if serial == zone.zone.serial:
@@ -119,7 +127,10 @@
 
 
 def _client_serial(message: dns.message.Message) -> int | None:
-    """Returns the serial of the SOA in the authority section; None for AXFR or without an SOA."""
+    """Returns the serial of the SOA record in the authority section of an IXFR query.
+
+    Returns None for an AXFR query and if there is no SOA record.
+    """
     if message.question[0].rdtype != IXFR:
         return None
     for record_set in message.authority:
