--- a/kelpcourse/zones/server.py
+++ b/kelpcourse/zones/server.py
@@ -1,4 +1,4 @@
-"""A DNS server on the loop: UDP and TCP at one address, for one request handler."""
+"""DNS server on the event loop, which passes requests over UDP and TCP at one address to one request handler."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DnsServer:
-    """Both sockets of a server."""
+    """Serves DNS requests over UDP and TCP at one address."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
 
     @property
     def address(self) -> Address:
-        """The address of both sockets."""
+        """The address at which both sockets are bound."""
         return self._tcp.address
 
     def run_udp(self) -> Coroutine[None]:
--- a/kelpcourse/zones/signatures.py
+++ b/kelpcourse/zones/signatures.py
@@ -1,4 +1,4 @@
-"""Responses to requests with a wrong transaction signature (TSIG, RFC 8945, section 5.2)."""
+"""Responses to requests with an invalid transaction signature (TSIG, RFC 8945, section 5.2)."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 
 
 def signature_error_response(wire: bytes, rcode: dns.rcode.Rcode, keys: KeyRing) -> bytes | None:
-    """Returns NOTAUTH with the TSIG error code; None if the request cannot be read at all.
+    """Returns a NOTAUTH response with the TSIG error code, in wire format.
 
-    Only the response on a wrong time is signed, as only there the client has proved that it knows
-    the secret.
+    Returns None if the request cannot be parsed or has no signature. Only a BADTIME response is signed, because only in
+    this case the client has proved that it knows the secret.
     """
     try:
         query = dns.message.from_wire(wire, keyring=False)
--- a/kelpcourse/zones/sockets.py
+++ b/kelpcourse/zones/sockets.py
@@ -1,4 +1,4 @@
-"""The listening sockets of a DNS server: UDP and TCP at one address."""
+"""Sockets of a DNS server, which are bound to the same address for UDP and TCP."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from kelpcourse.wire.stream import Address, address_family, listen
 
-MAX_PORT_ATTEMPTS = 16
+MAX_PORT_ATTEMPTS = 16  # maximum number of attempts to find a port that is free for UDP and TCP
 
 
 def bind_udp(address: Address) -> socket.socket:
-    """Returns a socket for datagrams at an address of this machine.
+    """Opens a UDP socket that is bound to a local address.
 
     Raises:
         OSError: The address cannot be bound.
@@ -25,7 +25,7 @@
 
 
 def bind_udp_and_tcp(address: Address, backlog: int) -> tuple[socket.socket, socket.socket]:
-    """Returns a UDP and a TCP socket at one address; port 0 means any that is free for both.
+    """Opens a UDP and a TCP socket that are bound to the same address; port 0 means any port that is free for both.
 
     Raises:
         OSError: The address cannot be bound.
--- a/kelpcourse/zones/tcp_server.py
+++ b/kelpcourse/zones/tcp_server.py
@@ -1,4 +1,4 @@
-"""DNS requests over TCP (RFC 7766): connections, their time limits and their number."""
+"""Server of DNS requests over TCP (RFC 7766), with limits on the number of connections and on their idle time."""
 
 from __future__ import annotations
 
@@ -18,37 +18,50 @@
 
 
 class ClientConnection:
-    """A connection of a client, with the responses that are to be sent over it."""
+    """A connection of a client, with the responses that are still to be sent over it.
+
+    Attributes:
+        stream: The accepted connection.
+        peer: Address of the client.
+        buffer: Received data that has not been processed.
+        last_message_us: Time of the last complete message, or of the accept before the first one, in microseconds.
+        partial_since_us: Time since which the buffer contains an incomplete message, in microseconds; None if it
+            contains none.
+        responses: The messages of each response that is not sent completely, oldest response first.
+        response_added: Signal that is set when a response is added.
+        pending_count: Number of requests without a response so far.
+        task: Task that serves the connection; None until it is started.
+    """
 
     def __init__(self, stream: Stream, peer: Address, now_us: int) -> None:
-        """Takes an accepted connection over."""
+        """Initializes the state of a connection accepted at `now_us`."""
         self.stream = stream
         self.peer = peer
         self.buffer = new_read_buffer()
         self.last_message_us = now_us
-        self.partial_since_us: int | None = None  # since when a message is incomplete
+        self.partial_since_us: int | None = None
         self.responses: deque[Iterator[bytes]] = deque()
         self.response_added = Signal()
-        self.pending_count = 0  # requests whose response is still to come
+        self.pending_count = 0
         self.task: Task | None = None
 
     def add_response(self, messages: Iterable[bytes]) -> None:
-        """Queues the response to a request; the connection may have ended meanwhile."""
+        """Queues the response to a request; the connection may already be closed."""
         self.pending_count -= 1
         self.responses.append(iter(messages))
         self.response_added.set()
 
     def deadline_us(self, limits: Limits) -> int:
-        """Returns when the connection is closed unless it sends a complete message before.
+        """Returns the time at which the connection is closed unless a complete message is received before.
 
-        Bytes of an incomplete message do not extend the time.
+        Receiving a part of a message does not extend the deadline.
         """
         if self.partial_since_us is not None:
             return self.partial_since_us + limits.dns_partial_message_timeout_us
         return self.last_message_us + limits.dns_idle_timeout_us
 
     def close(self) -> None:
-        """Closes the stream, and the transfers that are not sent in full."""
+        """Closes the stream and the generators of responses that are not sent completely."""
         for messages in self.responses:
             if isinstance(messages, Generator):
                 messages.close()
@@ -56,7 +69,7 @@
 
 
 class TcpServer:
-    """One listening TCP socket and its connections."""
+    """Accepts connections on one listening TCP socket and serves them."""
 
     def __init__(
         self,
@@ -67,7 +80,7 @@
         log: EventLog,
         handler: DnsRequestHandler,
     ) -> None:
-        """Takes the listening socket over."""
+        """Initializes a server that owns the listening socket."""
         self._socket = sock
         self._loop = loop
         self._limits = limits
@@ -78,7 +91,7 @@
         self.address: Address = sock.getsockname()[:2]
 
     def run(self) -> Coroutine[None]:
-        """Accepts connections."""
+        """Accepts connections and starts a coroutine for each."""
         while True:
             yield Wait(fd=self._socket.fileno(), event_mask=READ)
             try:
@@ -106,7 +119,7 @@
         connection.task = self._loop.start("dns client", self._serve(connection))
 
     def _evict_one(self) -> None:
-        """Closes the connection that is idle for longest, preferably one without pending updates."""
+        """Closes the connection that has been idle for longest, preferably one without pending requests."""
         if not self._connections:
             return
         evicted = min(
@@ -131,7 +144,7 @@
             connection.close()
 
     def _wait(self, connection: ClientConnection) -> Coroutine[bool]:
-        """Waits for bytes or for a response; returns whether the connection stays open."""
+        """Waits for data, which it processes, or for a response; returns whether the connection stays open."""
         deadline_us = None
         if not connection.pending_count:
             deadline_us = connection.deadline_us(self._limits)
@@ -154,7 +167,8 @@
         connection.buffer.commit(count)
         for message in connection.buffer.length_prefixed_messages():
             self._handle(connection, bytes(message))
-            yield from self._send_responses(connection)  # before more requests are read
+            # Queued responses are sent before another request is handled.
+            yield from self._send_responses(connection)
         if connection.buffer.pending_bytes and connection.partial_since_us is None:
             connection.partial_since_us = self._loop.clock()
         if self._loop.clock() >= connection.deadline_us(self._limits):
@@ -163,7 +177,7 @@
 
     def _handle(self, connection: ClientConnection, message: bytes) -> None:
         if len(message) < HEADER_BYTES:
-            raise StreamError("no message")
+            raise StreamError("message is shorter than a DNS header")
         connection.last_message_us = self._loop.clock()
         connection.partial_since_us = None
         connection.pending_count += 1
--- a/kelpcourse/zones/udp_server.py
+++ b/kelpcourse/zones/udp_server.py
@@ -1,4 +1,4 @@
-"""DNS requests over UDP: reads datagrams and sends the responses of the request handler."""
+"""Server of DNS requests over UDP: reads datagrams and sends the responses of the request handler."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class UdpServer:
-    """One UDP socket."""
+    """Serves requests on one UDP socket."""
 
     def __init__(
         self, sock: socket.socket, limits: Limits, counters: Counters, handler: DnsRequestHandler
     ) -> None:
-        """Takes the bound socket over."""
+        """Initializes a server that owns the bound socket."""
         self._socket = sock
         self._limits = limits
         self._counters = counters
         self._handler = handler
 
     def run(self) -> Coroutine[None]:
-        """Serves requests, a limited number before other coroutines have their turn."""
+        """Serves requests; other coroutines run after a limited number of them."""
         while True:
             yield Wait(fd=self._socket.fileno(), event_mask=READ)
             self._handle_pending()
@@ -43,12 +43,12 @@
                 wire, peer = self._socket.recvfrom(MAX_MESSAGE_BYTES)
             except BlockingIOError:
                 return
-            except OSError:  # an ICMP error on an earlier response
+            except OSError:  # ICMP error caused by an earlier response
                 continue
             self._handler.handle(wire, peer[:2], False, partial(self._send_first, peer))
 
     def _send_first(self, peer: Address, messages: Iterable[bytes]) -> None:
-        """A response that the full socket buffer does not take is lost; the client retries."""
+        """Sends the first message; it is lost if the socket buffer is full, and then the client retries its query."""
         for message in messages:
             with contextlib.suppress(OSError):
                 self._socket.sendto(message, peer)
