--- a/kelpcourse/zones/deduplication.py
+++ b/kelpcourse/zones/deduplication.py
@@ -1,8 +1,8 @@
-"""Update deduplication: an update that a client sends again takes effect once. Pure.
+"""Deduplication of updates: an update that is received more than once takes effect once. Has no I/O.
 
-A signed message is identified by its MAC. The signature is valid for the fudge around its time (RFC 8945, section
-5.2.3), so the MAC is remembered for at least that long. Whoever sends the message again, be it the client or somebody
-who recorded it, gets the response to the first one and changes nothing.
+A signed message is identified by its MAC. A signature is valid from its time minus the fudge to its time plus the fudge
+(RFC 8945, section 5.2.3), so the MAC is kept for at least that long. A repeated message, whether it is a retry of the
+client or a replay by an attacker, changes nothing and gets the response to the first one.
 """
 
 from __future__ import annotations
@@ -12,29 +12,30 @@
 
 import dns.rcode
 
-FUDGE_US = 300 * 1_000_000  # the usual value (RFC 8945, section 10)
-RETENTION_US = 2 * FUDGE_US  # before and after the time signed
+FUDGE_US = 300 * 1_000_000  # recommended fudge (RFC 8945, section 10), in microseconds
+# Time, in microseconds, for which a response is kept: the fudge before and after the time signed.
+RETENTION_US = 2 * FUDGE_US
 SendResponse = Callable[[dns.rcode.Rcode], None]
 
 
 class UpdateDeduplicator:
-    """Responses to recent updates, and the clients that wait for a pending one."""
+    """Tracks the responses to recent updates, and the requests whose update is pending."""
 
     def __init__(self, max_responses: int) -> None:
-        """Remembers at most `max_responses` responses, the latest ones."""
+        """Initializes a deduplicator that keeps the latest responses, `max_responses` at most."""
         self._max_responses = max_responses
         self._responses: OrderedDict[bytes, tuple[int, dns.rcode.Rcode]] = OrderedDict()
         self._pending: dict[bytes, list[SendResponse]] = {}
 
     def __len__(self) -> int:
-        """Returns the number of remembered and pending updates."""
+        """Returns the number of pending updates and of completed ones whose response is kept."""
         return len(self._responses) + len(self._pending)
 
     def register(self, mac: bytes, now_us: int, send_response: SendResponse) -> bool:
-        """Returns whether the update is new and so must be carried out.
+        """Registers a request and returns whether its update is new and therefore to be applied.
 
-        Either way `send_response` is called with the response to the first such message, now or
-        once there is one.
+        In both cases `send_response` is called with the response to the first request that has this MAC: immediately
+        if there is one already, otherwise on completion of the update.
         """
         self._forget_old(now_us)
         if mac in self._pending:
@@ -48,9 +49,9 @@
         return True
 
     def complete(self, mac: bytes, rcode: dns.rcode.Rcode, now_us: int) -> None:
-        """Responds to every client that sent the update.
+        """Completes an update: sends the response to all requests that contained it, and keeps the response.
 
-        SERVFAIL is not remembered, so that the update may be retried.
+        SERVFAIL is not kept, so that the client can retry the update.
         """
         waiting = self._pending.pop(mac)
         if rcode != dns.rcode.SERVFAIL:
--- a/kelpcourse/zones/notifier.py
+++ b/kelpcourse/zones/notifier.py
@@ -1,4 +1,4 @@
-"""Sent NOTIFY messages (RFC 1996): announce each new version of a zone to one secondary."""
+"""Sender of NOTIFY messages (RFC 1996), which announce each new version of a zone to one secondary."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 
 
 class Notifier:
-    """Announces new versions to one secondary until it responds (RFC 1996, section 3.6)."""
+    """Announces new versions of a zone to one secondary, with retries until it responds (RFC 1996, section 3.6)."""
 
     def __init__(self, client: DnsClient, zone: ZoneState, secondary: DnsPeer) -> None:
-        """Creates a notifier; `run` is its coroutine."""
+        """Initializes a notifier; `run` is its coroutine."""
         self._client = client
         self._zone = zone
         self._secondary = secondary
         self._changed = Signal()
 
     def zone_changed(self) -> None:
-        """Takes in that the zone has a new version."""
+        """Requests an announcement of the zone's new version."""
         self._changed.set()
 
     def run(self) -> Coroutine[None]:
-        """Sends a NOTIFY for each new version, with retries."""
+        """Sends NOTIFY messages for each new version until the secondary responds or the attempts are used up."""
         while True:
             yield Wait(signal=self._changed)
             self._changed.clear()
             yield from self._notify()
 
     def _notify(self) -> Coroutine[None]:
-        """Ends early if the zone changes again."""
+        """Sends NOTIFY messages for the current version; stops early if the zone changes again."""
         backoff_us = self._client.limits.notify_retry_us
         for _ in range(self._client.limits.max_notify_attempts):
             is_acknowledged = yield from self._send()
--- a/kelpcourse/zones/update.py
+++ b/kelpcourse/zones/update.py
@@ -1,7 +1,8 @@
-"""Dynamic updates: prerequisites and changes, all or nothing (RFC 2136, sections 3.2 to 3.4). Pure.
+"""Evaluation of dynamic updates, whose changes are applied all or none (RFC 2136, sections 3.2 to 3.4), without I/O.
 
-In dnspython's messages the class of an RRset is the zone's, and what the RFC encodes in the class is `deleting`: ANY,
-NONE, or None for the class of the zone.
+RFC 2136 encodes the kind of a prerequisite or change in the class of its RRset. In dnspython's messages that class is
+the attribute `deleting`: ANY, NONE, or None for the class of the zone. The attribute `rdclass` is always the class of
+the zone.
 """
 
 from __future__ import annotations
@@ -29,26 +30,34 @@
 from kelpcourse.zones.serials import SerialOrder, compare_serials
 
 ANY = int(dns.rdatatype.ANY)
-META_TYPES = range(128, 256)  # of queries, not of records (RFC 6895, section 3.1)
-MIN_SOA_BYTES = SOA_NUMBERS_BYTES + 2  # two names, each of the root alone
+META_TYPES = range(
+    128, 256
+)  # types that occur in queries only, not in records (RFC 6895, section 3.1)
+# Minimum size of SOA data in wire format: its numbers and two names, each of which is at least the root (one byte).
+MIN_SOA_BYTES = SOA_NUMBERS_BYTES + 2
 
 
 class UpdateRejectedError(ZoneError):
-    """An update is not made; `rcode` is the response code for it (RFC 2136, section 2.2)."""
+    """Raised when an update is malformed or a prerequisite of it does not hold.
+
+    Attributes:
+        rcode: Response code to send (RFC 2136, section 2.2).
+        reason: Description of the problem.
+    """
 
     def __init__(self, rcode: dns.rcode.Rcode, reason: str) -> None:
-        """Keeps the response code and the reason."""
+        """Initializes the error with the response code and the reason."""
         super().__init__(reason)
         self.rcode = rcode
         self.reason = reason
 
 
 def evaluate(message: dns.update.UpdateMessage, pending: PendingVersion) -> None:
-    """Makes an update in a pending version (RFC 2136, section 3).
+    """Applies an update to a pending version (RFC 2136, section 3).
 
     Raises:
-        UpdateRejectedError: a prerequisite does not hold or the message is malformed; the pending
-            version must not be used any more.
+        UpdateRejectedError: A prerequisite does not hold or the message is malformed. The pending version must not be
+            used any more.
     """
     _check_prerequisites(message.prerequisite, pending)
     for rrset in message.update:
@@ -68,7 +77,7 @@
     return [canonical_data(rdata) for rdata in rrset]
 
 
-# Prerequisites (section 3.2)
+# Prerequisites (RFC 2136, section 3.2)
 
 
 def _check_prerequisites(rrsets: Iterable[dns.rrset.RRset], pending: PendingVersion) -> None:
@@ -76,11 +85,11 @@
     for rrset in rrsets:
         owner, type_ = _owner_and_type(rrset, pending)
         if rrset.ttl:
-            reason = f"a prerequisite on {owner} with a TTL"
+            reason = f"prerequisite for {owner} has a TTL"
             raise UpdateRejectedError(dns.rcode.FORMERR, reason)
         match rrset.deleting:
             case dns.rdataclass.ANY | dns.rdataclass.NONE if len(rrset):
-                reason = f"a prerequisite on {owner} with data"
+                reason = f"prerequisite for {owner} has data"
                 raise UpdateRejectedError(dns.rcode.FORMERR, reason)
             case dns.rdataclass.ANY:
                 _require_present(owner, type_, pending)
@@ -91,30 +100,30 @@
                 expected_data.update(_canonical_set(rrset))
     for (owner, type_), expected_data in expected_sets.items():
         if set(pending.record_data(owner, type_)) != expected_data:
-            raise UpdateRejectedError(dns.rcode.NXRRSET, f"{owner} holds other records")
+            raise UpdateRejectedError(dns.rcode.NXRRSET, f"{owner} has other records")
 
 
 def _require_present(owner: str, type_: int, pending: PendingVersion) -> None:
     if type_ == ANY:
         if not pending.types(owner):
-            raise UpdateRejectedError(dns.rcode.NXDOMAIN, f"{owner} is not there")
+            raise UpdateRejectedError(dns.rcode.NXDOMAIN, f"{owner} does not exist")
     elif not pending.record_count(owner, type_):
-        raise UpdateRejectedError(dns.rcode.NXRRSET, f"{owner} has no such records")
+        raise UpdateRejectedError(dns.rcode.NXRRSET, f"{owner} has no records of the type")
 
 
 def _require_absent(owner: str, type_: int, pending: PendingVersion) -> None:
     if type_ == ANY:
         if pending.types(owner):
-            raise UpdateRejectedError(dns.rcode.YXDOMAIN, f"{owner} is there")
+            raise UpdateRejectedError(dns.rcode.YXDOMAIN, f"{owner} exists")
     elif pending.record_count(owner, type_):
-        raise UpdateRejectedError(dns.rcode.YXRRSET, f"{owner} has such records")
+        raise UpdateRejectedError(dns.rcode.YXRRSET, f"{owner} has records of the type")
 
 
-# Changes (section 3.4)
+# Changes (RFC 2136, section 3.4)
 
 
 def _prescan(rrset: dns.rrset.RRset, pending: PendingVersion) -> None:
-    """Rejects an update that contains a malformed change (section 3.4.1.3)."""
+    """Raises an error for a malformed change, before any change is applied (RFC 2136, section 3.4.1.3)."""
     owner, type_ = _owner_and_type(rrset, pending)
     is_meta = type_ in META_TYPES
     if rrset.deleting is None:
@@ -126,7 +135,7 @@
     else:
         malformed = True
     if malformed:
-        raise UpdateRejectedError(dns.rcode.FORMERR, f"no such change at {owner}")
+        raise UpdateRejectedError(dns.rcode.FORMERR, f"change of {owner} is malformed")
 
 
 def _apply_change(rrset: dns.rrset.RRset, pending: PendingVersion) -> None:
@@ -141,7 +150,7 @@
 
 
 def _add_record(record: Record, pending: PendingVersion) -> None:
-    """Adds a record; one that the zone cannot have is ignored (section 3.4.2.2)."""
+    """Adds a record; one that the zone cannot contain, for example beside a CNAME, is ignored (section 3.4.2.2)."""
     if record.type == SOA:
         _replace_soa(record, pending)
         return
@@ -156,7 +165,7 @@
 
 
 def _replace_soa(record: Record, pending: PendingVersion) -> None:
-    """Replaces the SOA record if the serial of the new one is ahead."""
+    """Replaces the SOA record of the origin if the new one is long enough and its serial is ahead."""
     if record.owner != pending.origin or len(record.data) < MIN_SOA_BYTES:
         return
     serial_order = compare_serials(soa_serial(record.data), soa_serial(pending.soa_data))
@@ -165,7 +174,7 @@
 
 
 def _delete_sets(owner: str, type_: int, pending: PendingVersion) -> None:
-    """Deletes one set or all of a name, but not SOA and NS of the origin (section 3.4.2.3)."""
+    """Deletes one or all record sets of a name, except SOA and NS of the origin (RFC 2136, section 3.4.2.3)."""
     types = pending.types(owner) if type_ == ANY else [type_]
     for each in types:
         is_protected = owner == pending.origin and each in (SOA, NS)
@@ -176,7 +185,7 @@
 def _delete_records(
     owner: str, type_: int, data_to_delete: Iterable[bytes], pending: PendingVersion
 ) -> None:
-    """Deletes records, but not the SOA and the last NS of the origin (section 3.4.2.4)."""
+    """Deletes records, except the SOA and the last NS of the origin (RFC 2136, section 3.4.2.4)."""
     if type_ == SOA:
         return
     for data in data_to_delete:
--- a/kelpcourse/zones/update_handler.py
+++ b/kelpcourse/zones/update_handler.py
@@ -1,4 +1,4 @@
-"""Dynamic updates (RFC 2136): who may make them, and a response once the outcome is known."""
+"""Handler of dynamic updates (RFC 2136), which checks permissions and responds once the outcome is known."""
 
 from __future__ import annotations
 
@@ -23,11 +23,12 @@
 from kelpcourse.zones.versions import Difference
 from kelpcourse.zones.zone_state import ZoneState
 
+# Number of remembered responses for each update that may be pending at a time.
 REMEMBERED_RESPONSES_PER_PENDING_UPDATE = 16
 
 
 class UpdateHandler:
-    """Checks updates, stages them to be made durable and answers them."""
+    """Checks updates, stages them to be made durable and responds to them."""
 
     def __init__(
         self,
@@ -39,7 +40,17 @@
         context: HandlerContext,
         responder: Responder,
     ) -> None:
-        """Takes the zones and their settings by origin; the settings hold the grants."""
+        """Initializes a handler.
+
+        Args:
+            zones: Zones by origin.
+            settings: Settings of the zones by origin, which contain the update grants.
+            limits: Limits, among them the maximum number of pending updates.
+            counters: Counters of updates and their outcomes.
+            log: Log of denied, rejected and throttled updates.
+            context: Service that makes updates durable.
+            responder: Sender of the responses.
+        """
         self._zones = zones
         self._settings = settings
         self._counters = counters
@@ -51,7 +62,7 @@
         )
 
     def handle(self, request: DnsRequest, message: dns.update.UpdateMessage) -> None:
-        """Makes an update, or rejects it; the response may be sent later."""
+        """Applies or rejects an update; the response may be sent after this method returns."""
         self._counters.add("zone_updates")
         if len(message.zone) != 1 or message.zone[0].rdtype != dns.rdatatype.SOA:
             self._responder.reject(request, dns.rcode.FORMERR)
@@ -93,7 +104,7 @@
     def _apply(
         self, message: dns.update.UpdateMessage, zone: ZoneState, grant: UpdateGrant
     ) -> None:
-        """Every way out completes the update in the deduplicator, which sends the responses."""
+        """Applies an update; each outcome completes it in the deduplicator, which sends the responses."""
         mac = bytes(message.mac or b"")
         staged_us = self._context.now_us()
 
@@ -126,7 +137,7 @@
             complete(dns.rcode.SERVFAIL)
 
     def _evaluate(self, message: dns.update.UpdateMessage, zone: ZoneState) -> Difference | None:
-        """Returns None if the update changes nothing (RFC 2136, section 3.4.2.7)."""
+        """Returns the records that an update changes, or None if it changes none (RFC 2136, section 3.4.2.7)."""
         pending_version = zone.new_pending_version()
         evaluate(message, pending_version)
         if not pending_version.is_changed():
@@ -137,7 +148,7 @@
     def _stage_in_head(
         self, difference: Difference, zone: ZoneState, grant: UpdateGrant, now_us: int
     ) -> str:
-        """Returns why the update is denied; empty if it is part of the head now."""
+        """Stages an update in the head and returns an empty string, or returns why the update is denied."""
         try:
             return zone.stage_update(difference, grant, self._context.classes, now_us)
         except ZoneError as error:
--- a/kelpcourse/zones/update_policy.py
+++ b/kelpcourse/zones/update_policy.py
@@ -1,9 +1,9 @@
-"""The update policy: what a key may change, and how many endpoints an update may remove. Pure.
+"""Update policy: which records a key may change, and how many endpoints an update may remove. Has no I/O.
 
-An update counts as removing an endpoint if the endpoint was ready and is gone or draining afterwards. An update that
-removes more than the granted fraction of the ready endpoints, of the zone or of one request class, is rejected as a
-whole. If the grant has a window, endpoints removed by earlier updates within it count too, so that many small updates
-cannot remove together what one may not.
+An update removes an endpoint if the endpoint was ready before and is gone or draining afterwards. An update that
+removes more than the granted fraction of the ready endpoints, of the zone or of one request class, is rejected
+completely. If the grant has a window, endpoints that earlier updates removed within the window count too, so that many
+small updates cannot remove together what a single update may not remove.
 """
 
 from __future__ import annotations
@@ -23,14 +23,20 @@
 
 @dataclass(frozen=True)
 class EndpointClass:
-    """A request class and the endpoints that may serve it."""
+    """A request class and the conditions that an endpoint has to meet to serve it.
+
+    Attributes:
+        name: Name of the request class.
+        zones: Zones of the endpoints that may serve the class, not DNS zones; empty for all.
+        kinds: Kinds of the endpoints that may serve the class; empty for all.
+    """
 
     name: str
-    zones: frozenset[str]  # empty: all
-    kinds: frozenset[str]  # empty: all
+    zones: frozenset[str]
+    kinds: frozenset[str]
 
     def includes(self, endpoint: ListedEndpoint) -> bool:
-        """Whether the endpoint may serve the class."""
+        """Returns whether the endpoint may serve the class."""
         zone_allowed = not self.zones or endpoint.zone in self.zones
         kind_allowed = not self.kinds or endpoint.kind in self.kinds
         return zone_allowed and kind_allowed
@@ -41,17 +47,28 @@
 
 @dataclass(frozen=True)
 class UpdateGrant:
-    """The right of one key to update one zone."""
+    """The permission of one key to update one zone.
+
+    Attributes:
+        key: Name of the key.
+        names: Patterns of the owners that the key may change, as absolute names; empty for all owners. A pattern whose
+            first label is `*` matches all names below the rest of the pattern.
+        types: Numbers of the record types that the key may change; empty for all types.
+        max_removed_fraction: Maximum fraction of the ready endpoints, of the zone and of each request class, that may
+            be removed.
+        window_us: Length of the window, in microseconds, in which removals by earlier updates count too; 0 if they
+            don't.
+    """
 
     key: str
-    names: tuple[str, ...] = ()  # absolute; empty: all; a first label `*`: all names below it
-    types: tuple[int, ...] = ()  # empty: all
-    max_removed_fraction: float = 1.0  # of the ready endpoints of the zone and of each class
-    window_us: int = 0  # earlier removals within it count too
+    names: tuple[str, ...] = ()
+    types: tuple[int, ...] = ()
+    max_removed_fraction: float = 1.0
+    window_us: int = 0
 
     def allows_record(self, owner: str, type_: int) -> bool:
-        """Whether the key may add or remove such a record."""
-        if type_ == SOA:  # the serial moves with every change
+        """Returns whether the key may add or remove records of this owner and type."""
+        if type_ == SOA:  # each change of the zone also changes the serial in the SOA record
             return True
         type_allowed = not self.types or type_ in self.types
         return type_allowed and (
@@ -60,7 +77,7 @@
 
 
 def name_matches(pattern: str, owner: str) -> bool:
-    """Whether a name is the pattern, or below it if the pattern begins with `*.`."""
+    """Returns whether a name equals a pattern or, if the pattern starts with `*.`, is below the rest of the pattern."""
     if pattern.startswith("*."):
         return len(labels(owner)) >= len(labels(pattern)) and is_under(owner, pattern[2:])
     return pattern == owner
@@ -74,12 +91,12 @@
     max_removed_fraction: float,
     window_us: int,
 ) -> UpdateGrant:
-    """Resolves a grant as it is written in the settings.
+    """Creates a grant from its values in the settings.
 
     Names are relative to the origin unless they end in a dot.
 
     Raises:
-        ZoneError: a name is malformed or outside the zone, or a type is unknown.
+        ZoneError: A name is malformed or outside the zone, or a type is unknown.
     """
     return UpdateGrant(
         key,
@@ -107,16 +124,16 @@
     try:
         return int(dns.rdatatype.from_text(type_))
     except (dns.rdatatype.UnknownRdatatype, ValueError) as error:
-        raise InvalidGrantError("type", type_, "is not one of records") from error
+        raise InvalidGrantError("type", type_, "is not a record type") from error
 
 
 class RemovalHistory:
-    """Endpoints of a zone that stopped being ready lately."""
+    """Endpoints of a zone that recently stopped being ready."""
 
     def __init__(self, window_us: int) -> None:
-        """Remembers removals for `window_us`."""
+        """Initializes an empty history that keeps each removal for `window_us` microseconds."""
         self._window_us = window_us
-        # When each endpoint stopped being ready and what it was, oldest first.
+        # For each name the time at which the endpoint stopped being ready, and the endpoint before that; oldest first.
         self._removed: dict[str, tuple[int, ListedEndpoint]] = {}
 
     def record(
@@ -125,7 +142,7 @@
         changes: Mapping[str, ListedEndpoint | None],
         now_us: int,
     ) -> None:
-        """Notes a change: the endpoints before and after it, by name."""
+        """Records the removals of a change, given the endpoints before and after it by name."""
         for name, endpoint in changes.items():
             before = previous.get(name)
             if is_ready(endpoint):
@@ -135,7 +152,7 @@
         self._forget_before(now_us - self._window_us)
 
     def removed_since(self, since_us: int) -> dict[str, ListedEndpoint]:
-        """Returns the endpoints removed at or after a time, as they were before, by name."""
+        """Returns the endpoints that were removed at or after `since_us`, in their state before removal, by name."""
         return {
             name: endpoint
             for name, (removed_us, endpoint) in self._removed.items()
@@ -151,7 +168,7 @@
 
 
 def is_ready(endpoint: ListedEndpoint | None) -> bool:
-    """Whether there is an endpoint and it is neither draining nor gone."""
+    """Returns whether the endpoint exists and is neither draining nor gone."""
     return endpoint is not None and endpoint.status is EndpointStatus.READY
 
 
@@ -164,22 +181,22 @@
     classes: Sequence[EndpointClass],
     now_us: int,
 ) -> str:
-    """Returns why the key may not make this update; empty if it may.
+    """Returns the reason for which the policy rejects an update; empty if the policy allows it.
 
     Args:
-        grant: the right of the key.
-        difference: what the update changes in the zone.
-        endpoints: the endpoints before the update, by name.
-        changes: the endpoints that the update changes, by name; None for one that is gone.
-        removals: earlier removals from the zone.
-        classes: the request classes, each of which must keep its part of the endpoints.
-        now_us: the time of the update on a monotonic clock.
+        grant: Permission of the key with which the update is signed.
+        difference: Records that the update removes and adds.
+        endpoints: Endpoints before the update, by name.
+        changes: Endpoints that the update changes, after it, by name; None for an endpoint that is gone.
+        removals: Endpoints that earlier updates removed from the zone.
+        classes: Request classes, for each of which the granted fraction is checked.
+        now_us: Time of the update on a monotonic clock, in microseconds.
     """
     reason = _record_rejection(grant, difference)
     if reason or grant.max_removed_fraction >= 1:
         return reason
     removed = _removed_by(endpoints, changes)
-    if not removed:  # restoring endpoints is never too much
+    if not removed:  # an update that removes no endpoint is allowed, whatever was removed before
         return ""
     earlier = removals.removed_since(now_us - grant.window_us) if grant.window_us else {}
     removed = {**earlier, **removed}
@@ -207,7 +224,7 @@
 def _removed_by(
     endpoints: Mapping[str, ListedEndpoint], changes: Mapping[str, ListedEndpoint | None]
 ) -> dict[str, ListedEndpoint]:
-    """Returns the endpoints that were ready and are not ready after the changes."""
+    """Returns the endpoints that are ready before the changes and not ready after them, by name."""
     return {
         name: endpoints[name]
         for name, endpoint in changes.items()
@@ -227,15 +244,15 @@
         return ""
     place = f"class {endpoint_class.name}" if endpoint_class.name else "the zone"
     return (
-        f"takes away {removed_count} of {ready_count} ready hosts of {place},"
-        f" at most {max_removed_fraction:g} of them are allowed"
+        f"removes {removed_count} of {ready_count} ready endpoints of {place},"
+        f" the allowed fraction is {max_removed_fraction:g}"
     )
 
 
 def classes_without_endpoints(
     classes: Sequence[EndpointClass], endpoints: Iterable[ListedEndpoint]
 ) -> list[str]:
-    """Returns the names of the classes that have no ready endpoint."""
+    """Returns the names of the request classes that have no ready endpoint."""
     ready = [endpoint for endpoint in endpoints if is_ready(endpoint)]
     return [
         endpoint_class.name
--- a/tests/test_zone_update_handler.py
+++ b/tests/test_zone_update_handler.py
@@ -99,7 +99,7 @@
     node, client = start_primary(world, update="most=0.5", classes=(SUBMIT,))
     assert client.update(*room_a_removal()) == REFUSED
     assert (len(node.statuses), node.serial) == (4, 1)
-    assert "takes away 2 of 2 ready hosts of class move-submit" in str(
+    assert "removes 2 of 2 ready endpoints of class move-submit" in str(
         node.log.named("zone_update_denied")[0]
     )
     assert client.update(("delete", "s-0")) == NOERROR
--- a/tests/test_zone_update_policy.py
+++ b/tests/test_zone_update_policy.py
@@ -81,14 +81,14 @@
 
 def test_an_update_may_remove_the_granted_fraction_and_no_more() -> None:
     assert rejection_of(0.5, 2) == ""
-    assert "takes away 3 of 4 ready hosts of the zone" in rejection_of(0.5, 3)
+    assert "removes 3 of 4 ready endpoints of the zone" in rejection_of(0.5, 3)
     assert rejection_of(1.0, 4) == ""
     assert rejection_of(0.0, 1)
 
 
 def test_the_granted_fraction_holds_for_each_class() -> None:
     submit = EndpointClass("move-submit", frozenset({"room-a"}), frozenset())
-    assert "takes away 2 of 2 ready hosts of class move-submit" in rejection_of(
+    assert "removes 2 of 2 ready endpoints of class move-submit" in rejection_of(
         0.5, 2, classes=(submit,)
     )
     assert rejection_of(0.5, 1, classes=(submit,)) == ""
@@ -113,7 +113,7 @@
         return reason
 
     assert [remove(f"s-{k}", k) for k in range(3)] == ["", "", ""]
-    assert "takes away 4 of 10" in remove("s-3", 3)
+    assert "removes 4 of 10" in remove("s-3", 3)
     assert remove("s-3", 60 * SECOND_US + 3) == ""  # earlier removals are outside the window
     removals.record({"s-0": None}, {"s-0": listed_endpoint("s-0")}, 60 * SECOND_US + 4)
     assert removals.removed_since(0).keys() == {"s-1", "s-2", "s-3"}
