--- a/tests/test_dns_bytes.py
+++ b/tests/test_dns_bytes.py
@@ -1,4 +1,4 @@
-"""Golden bytes of DNS: answers, transfers, NOTIFY and updates, held to the last byte.
+"""Byte-for-byte comparison of DNS responses, transfers, NOTIFY messages and updates with recorded ones.
 
 The expected bytes in `golden/wire/` were recorded once and are never regenerated.
 """
@@ -26,12 +26,12 @@
 
 @pytest.fixture
 def world(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[World]:
-    """With a clock that stands, as signatures hold the time, and sets of records in the order that they have here."""
+    """Services with a constant Unix time, which is part of signatures, and with record sets in a constant order."""
     monkeypatch.setattr("time.time", lambda: float(NOW_S))
     monkeypatch.setattr("random.shuffle", lambda _: None)
-    made = World(tmp_path)
-    yield made
-    made.close()
+    test_world = World(tmp_path)
+    yield test_world
+    test_world.close()
 
 
 def golden(name: str) -> bytes:
@@ -39,10 +39,10 @@
 
 
 def primary(world: World, more: str = "") -> tuple[ZoneNode, Client]:
-    many = [
+    many_endpoints = [
         r for k in range(40) for r in endpoint_records(f"n-{k}", "room-c", address=f"127.0.1.{k}")
     ]
-    node = world.primary(zone_with(1, sample_endpoints(), many), more=more)
+    node = world.primary(zone_with(1, sample_endpoints(), many_endpoints), more=more)
     world.run_until(lambda: node.zones.zone_states[ORIGIN].zone.exists)
     return node, Client(world, node)
 
@@ -55,7 +55,7 @@
         connection.close()
 
 
-QUESTIONS = (
+DNS_QUERIES = (
     ("a", f"s-0.{ORIGIN}", "A", False),
     ("txt", f"s-1.{ORIGIN}", "TXT", False),
     ("srv", f"{SERVICE}.room-a.{ORIGIN}", "SRV", False),
@@ -69,14 +69,16 @@
 )
 
 
-@pytest.mark.parametrize(("name", "owner", "rdtype", "tcp"), QUESTIONS)
-def test_bytes_of_a_dns_answer(world: World, name: str, owner: str, rdtype: str, tcp: bool) -> None:
+@pytest.mark.parametrize(("name", "owner", "rdtype", "tcp"), DNS_QUERIES)
+def test_dns_responses_match_golden_bytes(
+    world: World, name: str, owner: str, rdtype: str, tcp: bool
+) -> None:
     _, client = primary(world)
     query = dns.message.make_query(owner, rdtype, id=4242)
     assert exchange(client, query.to_wire(), tcp) == golden(name)
 
 
-def test_bytes_of_a_dns_answer_with_edns(world: World) -> None:
+def test_edns_responses_match_golden_bytes(world: World) -> None:
     _, client = primary(world)
     owner = f"{SERVICE}.room-a.{ORIGIN}"
     query = dns.message.make_query(owner, "SRV", id=4242, use_edns=0, payload=1232)
@@ -88,7 +90,7 @@
 @pytest.mark.parametrize(
     ("name", "wire"), [("unreadable", bytes(9) + b"\1\0\0"), ("status", b"\0\7\x10" + bytes(9))]
 )
-def test_bytes_of_a_dns_error(world: World, name: str, wire: bytes) -> None:
+def test_dns_error_responses_match_golden_bytes(world: World, name: str, wire: bytes) -> None:
     _, client = primary(world)
     assert exchange(client, wire, False) == golden(name)
 
@@ -102,7 +104,7 @@
     return query.to_wire()
 
 
-def test_bytes_of_transfers(world: World) -> None:
+def test_transfers_match_golden_bytes(world: World) -> None:
     _, client = primary(world)
     assert exchange(client, signed("AXFR"), True) == golden("axfr")
     assert client.update(*added_endpoint("s-9")) == dns.rcode.NOERROR
@@ -113,15 +115,15 @@
     assert exchange(client, signed("AXFR"), False) == golden("axfr-udp")
 
 
-def update(*prepare: tuple[str, ...], key: dns.tsig.Key | None = KEY) -> bytes:
-    message = update_message(*prepare, key=None)
+def update(*calls: tuple[str, ...], key: dns.tsig.Key | None = KEY) -> bytes:
+    message = update_message(*calls, key=None)
     message.id = 4242
     if key is not None:
         message.use_tsig(key)
     return message.to_wire()
 
 
-def test_bytes_of_update_answers(world: World) -> None:
+def test_update_responses_match_golden_bytes(world: World) -> None:
     _, client = primary(world)
     add = added_endpoint("s-9")
     unknown = dns.tsig.Key("nobody.", KEY.secret, KEY.algorithm)
@@ -132,25 +134,25 @@
     assert exchange(client, prerequisite, True) == golden("update-prerequisite")
 
 
-def test_bytes_of_a_notify_and_of_its_answer(world: World) -> None:
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as follower:
-        follower.bind(("127.0.0.1", 0))
-        follower.setblocking(False)
-        _part, _ = primary(world, more=f'notify "127.0.0.1:{follower.getsockname()[1]}"')
+def test_notify_and_its_response_match_golden_bytes(world: World) -> None:
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as secondary_socket:
+        secondary_socket.bind(("127.0.0.1", 0))
+        secondary_socket.setblocking(False)
+        _node, _ = primary(world, more=f'notify "127.0.0.1:{secondary_socket.getsockname()[1]}"')
         received: list[bytes] = []
 
-        def notified() -> bool:
+        def notify_received() -> bool:
             try:
-                received.append(follower.recv(4096))
+                received.append(secondary_socket.recv(4096))
             except BlockingIOError:
                 return False
             return True
 
-        world.run_until(notified)
-    assert received[0][2:] == golden("notify")[2:]  # its id is drawn
-    second = world.secondary(("127.0.0.1", 1))
+        world.run_until(notify_received)
+    assert received[0][2:] == golden("notify")[2:]  # without the ID, which is random
+    secondary_node = world.secondary(("127.0.0.1", 1))
     notify = dns.message.make_query(ORIGIN, "SOA", id=4242)
     notify.set_opcode(dns.opcode.NOTIFY)
     notify.flags |= dns.flags.AA
-    answer = exchange(Client(world, second), notify.to_wire(), False)
-    assert answer == golden("notify-answer")
+    response = exchange(Client(world, secondary_node), notify.to_wire(), False)
+    assert response == golden("notify-answer")
--- a/tests/test_zone_query_handler.py
+++ b/tests/test_zone_query_handler.py
@@ -1,4 +1,4 @@
-"""Answers of a DNS server out of its zone, over UDP and TCP."""
+"""Tests of a DNS server's responses to queries over UDP and TCP."""
 
 from __future__ import annotations
 
@@ -18,33 +18,33 @@
 
 
 def test_queries_are_answered_over_udp_and_tcp(world: World) -> None:
-    _part, client = start_primary(world)
+    _node, client = start_primary(world)
     for tcp in (False, True):
-        answer = client.query(f"{SERVICE}.room-a.{ORIGIN}", "SRV", tcp)
-        assert answer.flags & dns.flags.AA
-        assert len(answer.answer[0]) == 2
+        response = client.query(f"{SERVICE}.room-a.{ORIGIN}", "SRV", tcp)
+        assert response.flags & dns.flags.AA
+        assert len(response.answer[0]) == 2
     assert client.query("nobody." + ORIGIN, "A").rcode() == dns.rcode.NXDOMAIN
     assert client.query("example.com.", "A").rcode() == REFUSED
     assert client.query(ORIGIN, "SOA").answer[0][0].serial == 1
     assert client.query(ORIGIN, "SOA", use_edns=1).rcode() == dns.rcode.BADVERS
 
 
-def test_an_answer_too_large_for_udp_is_truncated_and_complete_over_tcp(world: World) -> None:
-    many = [
+def test_response_too_large_for_udp_is_truncated_and_complete_over_tcp(world: World) -> None:
+    many_endpoints = [
         r
         for k in range(60)
         for r in endpoint_records(f"host-with-a-long-name-{k}", address=f"127.0.1.{k}")
     ]
-    node = world.primary(zone_with(1, many))
+    node = world.primary(zone_with(1, many_endpoints))
     client, owner = Client(world, node), f"{SERVICE}.room-a.{ORIGIN}"
-    cut = client.query(owner, "SRV")
-    assert cut.flags & dns.flags.TC
-    assert len(cut.to_wire()) <= 512
+    truncated = client.query(owner, "SRV")
+    assert truncated.flags & dns.flags.TC
+    assert len(truncated.to_wire()) <= 512
     assert client.query(owner, "SRV", use_edns=0, payload=4096).flags & dns.flags.TC
     assert len(client.query(owner, "SRV", tcp=True).answer[0]) == 60
 
 
-def test_records_of_other_types_are_served(world: World) -> None:
+def test_records_of_types_without_meaning_for_endpoints_are_served(world: World) -> None:
     node = world.primary(
         zone_with(
             1,
--- a/tests/test_zone_request_handler.py
+++ b/tests/test_zone_request_handler.py
@@ -1,4 +1,4 @@
-"""The request handler alone, fed with arbitrary bytes."""
+"""Tests of the request handler, without sockets, with arbitrary bytes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RejectingContext:
-    """A context for the request handler alone."""
+    """A handler context that accepts no updates."""
 
     classes: tuple[EndpointClass, ...] = ()
 
@@ -32,14 +32,14 @@
     def unix_ms(self) -> int:
         return 0
 
-    def stage(self, ticket: object) -> bool:
-        raise AssertionError("nothing that is not signed comes so far")
+    def stage(self, update: object) -> bool:
+        raise AssertionError("an unsigned update was staged")
 
     def notify_received(self, origin: str) -> None:
         pass
 
 
-VALID = [
+VALID_MESSAGES = [
     dns.message.make_query(ORIGIN, "SOA").to_wire(),
     update_message(*added_endpoint("x"), key=None).to_wire(),
     update_message(*added_endpoint("x")).to_wire(),
@@ -51,10 +51,10 @@
     st.one_of(
         st.binary(max_size=200),
         st.builds(
-            lambda wire, at, junk: (
-                wire[: at % len(wire)] + junk + wire[(at + len(junk)) % len(wire) :]
+            lambda wire, offset, junk: (
+                wire[: offset % len(wire)] + junk + wire[(offset + len(junk)) % len(wire) :]
             ),
-            st.sampled_from(VALID),
+            st.sampled_from(VALID_MESSAGES),
             st.integers(0, 500),
             st.binary(min_size=1, max_size=8),
         ),
@@ -67,10 +67,10 @@
 def test_arbitrary_bytes_get_at_most_one_response_and_change_nothing(
     wire: bytes, tcp: bool
 ) -> None:
-    start = zone_state_of(zone_with(1, sample_endpoints()))
-    said: list[bytes] = []
+    state = zone_state_of(zone_with(1, sample_endpoints()))
+    responses: list[bytes] = []
     handler = DnsRequestHandler(
-        {ORIGIN: start},
+        {ORIGIN: state},
         {},
         {"k": OTHER_SECRET_KEY},
         LIMITS,
@@ -78,7 +78,7 @@
         RecordingLog(),
         RejectingContext(),
     )
-    handler.handle(wire, ("127.0.0.1", 9), tcp, lambda wires: said.extend(wires))
-    assert len(said) <= 1
-    assert all(answer[:2] == wire[:2] and answer[2] & 0x80 for answer in said)
-    assert (start.zone.serial, len(start.extractor.endpoints), start.staged_updates) == (1, 4, 0)
+    handler.handle(wire, ("127.0.0.1", 9), tcp, lambda wires: responses.extend(wires))
+    assert len(responses) <= 1
+    assert all(response[:2] == wire[:2] and response[2] & 0x80 for response in responses)
+    assert (state.zone.serial, len(state.extractor.endpoints), state.staged_updates) == (1, 4, 0)
--- a/tests/test_zone_server.py
+++ b/tests/test_zone_server.py
@@ -1,4 +1,4 @@
-"""The sockets of a DNS server: malformed messages, idle and slow connections, and their number."""
+"""Tests of a DNS server's sockets: malformed messages, idle and slow connections, and the limit of connections."""
 
 from __future__ import annotations
 
@@ -26,9 +26,10 @@
 
 def test_malformed_messages_are_answered_or_dropped_and_leave_no_descriptors(world: World) -> None:
     node, client = start_primary(world)
-    before = open_descriptor_count()
-    loop = b"\x12\x34\0\0\0\x01\0\0\0\0\0\0\xc0\x0c\0\x01\0\x01"  # a name that points at itself
-    longest = (
+    descriptors_before = open_descriptor_count()
+    # A query whose name is a compression pointer to itself.
+    pointer_loop = b"\x12\x34\0\0\0\x01\0\0\0\0\0\0\xc0\x0c\0\x01\0\x01"
+    longest_name = (
         b"\x12\x34\0\0\0\x01\0\0\0\0\0\0"
         + b"\x3f"
         + b"a" * 63
@@ -40,52 +41,55 @@
         + b"d" * 61
         + b"\0\0\x01\0\x01"
     )
-    over = longest.replace(b"\x3d", b"\x3f" + b"e" * 63 + b"\x3d", 1)
-    for wire, rcode in ((loop, dns.rcode.FORMERR), (over, dns.rcode.FORMERR), (longest, REFUSED)):
+    too_long_name = longest_name.replace(b"\x3d", b"\x3f" + b"e" * 63 + b"\x3d", 1)
+    for wire, rcode in (
+        (pointer_loop, dns.rcode.FORMERR),
+        (too_long_name, dns.rcode.FORMERR),
+        (longest_name, REFUSED),
+    ):
         assert (
             dns.message.from_wire(client.receive(client.send(wire)), continue_on_error=True).rcode()
             == rcode
         )
-    for wire in (b"", b"\0" * 11, b"\xff" * 300):  # too short, or an answer: nothing is said
+    for wire in (b"", b"\0" * 11, b"\xff" * 300):  # too short, or a response: dropped
         client.send(wire).close()
-    halves = [client.send(b"\x00\x50abc", tcp=True) for _ in range(20)]
-    idle = [client.send(b"", tcp=True) for _ in range(100)]
+    partial_connections = [client.send(b"\x00\x50abc", tcp=True) for _ in range(20)]
+    idle_connections = [client.send(b"", tcp=True) for _ in range(100)]
     world.run_until(lambda: node.counters["dns_connections"] >= 100)
     world.run_for_us(500 * MS)
     assert client.query(ORIGIN, "SOA", tcp=True).rcode() == NOERROR
-    for sock in (*halves, *idle):
+    for sock in (*partial_connections, *idle_connections):
         sock.close()
     world.run_for_us(300 * MS)
-    assert open_descriptor_count() <= before + 3
+    assert open_descriptor_count() <= descriptors_before + 3
 
 
-def test_connections_are_bounded_and_the_longest_idle_is_evicted(world: World) -> None:
+def test_longest_idle_connection_is_evicted_at_the_connection_limit(world: World) -> None:
     node = world.primary(
         zone_with(1, sample_endpoints()), limits=replace(FAST_LIMITS, max_dns_tcp_connections=8)
     )
     client = Client(world, node)
-    crowd = []
+    connections = []
     for _ in range(30):
-        crowd.append(socket.create_connection(node.address))
+        connections.append(socket.create_connection(node.address))
         world.run_once()
     assert client.query(ORIGIN, "SOA", tcp=True).rcode() == NOERROR
     assert node.counters["dns_connections_evicted"] >= 22
-    for sock in crowd:
+    for sock in connections:
         sock.close()
 
 
-@pytest.mark.parametrize(
-    "drip", [b"\0", b"\1"]
-)  # messages of no length, and a long one that never ends
-def test_a_client_that_sends_slowly_is_disconnected(world: World, drip: bytes) -> None:
-    _part, client = start_primary(world)
+# A client that sends empty messages, and one that sends a long message without completing it.
+@pytest.mark.parametrize("data", [b"\0", b"\1"])
+def test_slow_client_is_disconnected(world: World, data: bytes) -> None:
+    _node, client = start_primary(world)
     sock = client.send(b"", tcp=True)
     sock.setblocking(False)
     for _ in range(200):
         try:
-            sock.send(drip)
+            sock.send(data)
         except OSError:
             break
         world.run_for_us(2 * MS)
     else:
-        raise AssertionError("it is held for good")
+        raise AssertionError("the connection was not closed")
--- a/tests/test_zone_transfers.py
+++ b/tests/test_zone_transfers.py
@@ -1,4 +1,4 @@
-"""Zone transfers and NOTIFY between a primary and its secondaries."""
+"""Tests of zone transfers and NOTIFY between a primary and its secondaries."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 NOERROR, REFUSED = dns.rcode.NOERROR, dns.rcode.REFUSED
 
 
-def test_a_secondary_follows_by_notify_and_differences(world: World) -> None:
-    second = world.secondary(("127.0.0.1", 1))
-    node, client = start_primary(world, more=f'notify "127.0.0.1:{second.address[1]}"')
-    second.kill()
+def test_secondary_follows_with_notify_and_incremental_transfers(world: World) -> None:
+    secondary_node = world.secondary(("127.0.0.1", 1))
+    node, client = start_primary(world, more=f'notify "127.0.0.1:{secondary_node.address[1]}"')
+    secondary_node.kill()
     follower = world.secondary(node.address, name="third")
     world.run_until(lambda: follower.serial == 1)
     assert follower.statuses == node.statuses
@@ -43,24 +43,24 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(("127.0.0.1", 0))
     sock.setblocking(False)
-    _part, _client = start_primary(world, more=f'notify "127.0.0.1:{sock.getsockname()[1]}"')
-    heard: list[tuple[bytes, tuple[str, int]]] = []
+    _node, _client = start_primary(world, more=f'notify "127.0.0.1:{sock.getsockname()[1]}"')
+    received: list[tuple[bytes, tuple[str, int]]] = []
 
-    def told() -> int:
+    def received_count() -> int:
         with contextlib.suppress(BlockingIOError):
-            heard.append(sock.recvfrom(4096))
-        return len(heard)
+            received.append(sock.recvfrom(4096))
+        return len(received)
 
-    world.run_until(lambda: told() >= 2)
-    message = dns.message.from_wire(heard[-1][0])
+    world.run_until(lambda: received_count() >= 2)
+    message = dns.message.from_wire(received[-1][0])
     assert (message.opcode(), message.answer[0][0].serial) == (dns.opcode.NOTIFY, 1)
-    sock.sendto(dns.message.make_response(message).to_wire(), heard[-1][1])
+    sock.sendto(dns.message.make_response(message).to_wire(), received[-1][1])
     world.run_for_us(3 * SECOND)
-    assert told() == 2
+    assert received_count() == 2
     sock.close()
 
 
-def test_transfers_need_an_allowed_key_and_axfr_needs_tcp(world: World) -> None:
+def test_transfer_requires_an_allowed_key_and_axfr_requires_tcp(world: World) -> None:
     _, client = start_primary(world)
     assert client.query(ORIGIN, "AXFR", tcp=True).rcode() == REFUSED
     signed = dns.message.make_query(ORIGIN, "AXFR")
@@ -71,13 +71,13 @@
     assert len(client.exchange(signed, tcp=True).answer) >= 8
 
 
-def test_a_zone_of_many_messages_is_transferred_completely(world: World) -> None:
-    many = [
+def test_zone_larger_than_one_message_is_transferred_completely(world: World) -> None:
+    many_endpoints = [
         r
         for k in range(700)
         for r in endpoint_records(f"h-{k}", address=f"127.{k % 200}.1.{k // 200}", txt='"kind=m2"')
     ]
-    node = world.primary(zone_with(1, many))
-    second = world.secondary(node.address)
-    world.run_until(lambda: second.serial == 1)
-    assert len(second.statuses) == 700
+    node = world.primary(zone_with(1, many_endpoints))
+    secondary_node = world.secondary(node.address)
+    world.run_until(lambda: secondary_node.serial == 1)
+    assert len(secondary_node.statuses) == 700
--- a/tests/test_zone_update.py
+++ b/tests/test_zone_update.py
@@ -1,4 +1,4 @@
-"""Dynamic updates (RFC 2136)."""
+"""Tests of the evaluation of dynamic updates (RFC 2136)."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 def update_message(*calls: tuple[str, ...]) -> dns.update.UpdateMessage:
     message = dns.update.UpdateMessage(ORIGIN)
-    for call, *words in calls:
-        getattr(message, call)(*words)
-    made = dns.message.from_wire(message.to_wire(), one_rr_per_rrset=True)
-    assert isinstance(made, dns.update.UpdateMessage)
-    return made
+    for method, *arguments in calls:
+        getattr(message, method)(*arguments)
+    parsed = dns.message.from_wire(message.to_wire(), one_rr_per_rrset=True)
+    assert isinstance(parsed, dns.update.UpdateMessage)
+    return parsed
 
 
-def changes_of(start: Zone, *calls: tuple[str, ...]) -> set[Record]:
-    """Returns the records that an update adds and removes, without the SOA record."""
-    pending = PendingVersion(start)
+def changes_of(zone: Zone, *calls: tuple[str, ...]) -> set[Record]:
+    """Returns the records that an update adds and removes, except the SOA record."""
+    pending = PendingVersion(zone)
     evaluate(update_message(*calls), pending)
     pending.advance_serial()
-    step = pending.difference(0)
-    return {r for r in (*step.removed, *step.added) if r.type != SOA}
+    difference = pending.difference(0)
+    return {r for r in (*difference.removed, *difference.added) if r.type != SOA}
 
 
 @pytest.mark.parametrize(
@@ -48,8 +48,8 @@
     ],
 )
 def test_update_prerequisites(calls: tuple[str, ...], rcode: dns.rcode.Rcode | None) -> None:
-    start = zone_with(1, sample_endpoints())
-    pending = PendingVersion(start)
+    zone = zone_with(1, sample_endpoints())
+    pending = PendingVersion(zone)
     if rcode is None:
         evaluate(update_message(calls), pending)
     else:
@@ -58,26 +58,24 @@
         assert error.value.rcode == rcode
 
 
-def test_an_update_changes_records_but_keeps_soa_ns_and_cname_rules() -> None:
-    start = zone_with(1, sample_endpoints(), [record("alias", "CNAME", "s-0." + ORIGIN)])
-    assert {r.owner for r in changes_of(start, ("delete", "s-0"))} == {"s-0." + ORIGIN}
-    assert changes_of(start, ("delete", "s-0", "A", "10.9.9.9")) == set()
-    assert (
-        changes_of(start, ("delete", "@", "NS"), ("delete", "@", "SOA"), ("delete", "@")) == set()
-    )
-    assert changes_of(start, ("delete", "@", "NS", "ns." + ORIGIN)) == set()  # the last one
-    assert changes_of(start, ("add", "alias", "60", "A", "10.0.0.1")) == set()
-    assert changes_of(start, ("add", "s-0", "60", "CNAME", "s-1." + ORIGIN)) == set()
-    assert len(changes_of(start, ("add", "alias", "60", "CNAME", "s-1." + ORIGIN))) == 2
-    assert changes_of(start, ("add", "x", "60", "A", "10.0.0.1"), ("delete", "x")) == set()
-    assert len(changes_of(start, ("replace", "s-0", "9", "A", "10.0.0.1"))) == 2
+def test_update_changes_records_within_the_rules_for_soa_ns_and_cname() -> None:
+    zone = zone_with(1, sample_endpoints(), [record("alias", "CNAME", "s-0." + ORIGIN)])
+    assert {r.owner for r in changes_of(zone, ("delete", "s-0"))} == {"s-0." + ORIGIN}
+    assert changes_of(zone, ("delete", "s-0", "A", "10.9.9.9")) == set()
+    assert changes_of(zone, ("delete", "@", "NS"), ("delete", "@", "SOA"), ("delete", "@")) == set()
+    assert changes_of(zone, ("delete", "@", "NS", "ns." + ORIGIN)) == set()  # the last NS record
+    assert changes_of(zone, ("add", "alias", "60", "A", "10.0.0.1")) == set()
+    assert changes_of(zone, ("add", "s-0", "60", "CNAME", "s-1." + ORIGIN)) == set()
+    assert len(changes_of(zone, ("add", "alias", "60", "CNAME", "s-1." + ORIGIN))) == 2
+    assert changes_of(zone, ("add", "x", "60", "A", "10.0.0.1"), ("delete", "x")) == set()
+    assert len(changes_of(zone, ("replace", "s-0", "9", "A", "10.0.0.1"))) == 2
 
 
-def test_the_serial_advances_by_one_or_to_the_soa_of_the_update_and_never_goes_back() -> None:
-    start = zone_with(7)
-    for told, result in ((9, 9), (6, 8), (7, 8)):
-        pending = PendingVersion(start)
-        text = f"ns.{ORIGIN} staff.{ORIGIN} {told} 60 10 600 30"
+def test_update_advances_the_serial_by_one_or_to_a_later_serial_in_its_soa() -> None:
+    zone = zone_with(7)
+    for new_serial, result in ((9, 9), (6, 8), (7, 8)):
+        pending = PendingVersion(zone)
+        text = f"ns.{ORIGIN} staff.{ORIGIN} {new_serial} 60 10 600 30"
         evaluate(
             update_message(("add", "x", "60", "A", "10.0.0.1"), ("add", "@", "60", "SOA", text)),
             pending,
--- a/tests/test_zone_update_handler.py
+++ b/tests/test_zone_update_handler.py
@@ -1,4 +1,4 @@
-"""Dynamic updates: who may make them, their effect, and that they are durable before the response."""
+"""Tests of dynamic updates: permissions, effects, and durability before the response."""
 
 from __future__ import annotations
 
@@ -22,50 +22,50 @@
 NOERROR, REFUSED = dns.rcode.NOERROR, dns.rcode.REFUSED
 
 
-def test_a_signed_update_is_durable_before_it_is_answered_and_announced(world: World) -> None:
+def test_signed_update_is_durable_before_it_is_confirmed_and_published(world: World) -> None:
     node, client = start_primary(world)
     assert set(node.statuses) == {f"s-{k}" for k in range(4)}
     assert client.update(*added_endpoint("s-9")) == NOERROR
     assert (set(node.statuses) - {f"s-{k}" for k in range(4)}, node.serial) == ({"s-9"}, 2)
     node.kill()
-    again = world.node(node.path)
-    assert "s-9" in again.statuses
-    assert again.serial == 2
-    assert again.list_changes[0][1]  # one whole list, at once
+    restarted = world.node(node.path)
+    assert "s-9" in restarted.statuses
+    assert restarted.serial == 2
+    assert restarted.list_changes[0][1]  # the first published change is a complete list
 
 
-def test_an_update_that_is_not_signed_or_not_allowed_changes_nothing(
+def test_unsigned_or_disallowed_update_is_rejected(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     node, client = start_primary(world, update='{ names "*.room-a"; types "SRV"; }')
     add = added_endpoint("s-9")
     assert client.update(*add, key=None) == REFUSED
     wrong = client.send(update_message(*add, key=OTHER_SECRET_KEY).to_wire())
-    answer = dns.message.from_wire(client.receive(wrong), keyring=False)
-    assert (answer.rcode(), answer.tsig_error) == (dns.rcode.NOTAUTH, dns.rcode.BADSIG)
-    stranger = dns.tsig.Key(dns.name.from_text("nobody."), KEY.secret, KEY.algorithm)
-    answer = dns.message.from_wire(
-        client.receive(client.send(update_message(*add, key=stranger).to_wire())), keyring=False
+    response = dns.message.from_wire(client.receive(wrong), keyring=False)
+    assert (response.rcode(), response.tsig_error) == (dns.rcode.NOTAUTH, dns.rcode.BADSIG)
+    unknown_key = dns.tsig.Key(dns.name.from_text("nobody."), KEY.secret, KEY.algorithm)
+    response = dns.message.from_wire(
+        client.receive(client.send(update_message(*add, key=unknown_key).to_wire())), keyring=False
     )
-    assert (answer.rcode(), answer.tsig_error) == (dns.rcode.NOTAUTH, dns.rcode.BADKEY)
+    assert (response.rcode(), response.tsig_error) == (dns.rcode.NOTAUTH, dns.rcode.BADKEY)
     message = update_message(*add)
-    with monkeypatch.context() as past:
-        past.setattr("dns.message.time.time", lambda: 1_700_000_000)
+    with monkeypatch.context() as patch:
+        patch.setattr("dns.message.time.time", lambda: 1_700_000_000)
         wire = message.to_wire()
-    answer = dns.message.from_wire(client.receive(client.send(wire)), keyring=False)
-    assert (answer.rcode(), answer.tsig_error) == (dns.rcode.NOTAUTH, dns.rcode.BADTIME)
-    with pytest.raises(dns.tsig.PeerBadTime):  # told under the key, so that the client believes it
+    response = dns.message.from_wire(client.receive(client.send(wire)), keyring=False)
+    assert (response.rcode(), response.tsig_error) == (dns.rcode.NOTAUTH, dns.rcode.BADTIME)
+    with pytest.raises(dns.tsig.PeerBadTime):  # signed, so that the client can verify it
         dns.message.from_wire(
             client.receive(client.send(wire)),
             keyring={KEY.name: KEY},
             request_mac=message.mac or b"",
         )
-    assert client.update(*add) == REFUSED  # A and TXT at s-9 are beyond the grant
+    assert client.update(*add) == REFUSED  # the grant does not allow A and TXT records of s-9
     assert client.update(add[0]) == NOERROR
     assert (set(node.statuses), node.serial) == ({f"s-{k}" for k in range(4)}, 2)
 
 
-def test_updates_are_atomic_and_their_prerequisites_hold(world: World) -> None:
+def test_updates_are_atomic_and_their_prerequisites_are_checked(world: World) -> None:
     node, client = start_primary(world)
     assert client.update(("present", "s-0", "AAAA"), *added_endpoint("s-9")) == dns.rcode.NXRRSET
     assert (
@@ -75,12 +75,12 @@
     assert node.serial == 1
     assert client.update(("absent", "s-9"), *added_endpoint("s-9"), tcp=True) == NOERROR
     assert client.update(("absent", "s-9"), *added_endpoint("s-9"), tcp=True) == dns.rcode.YXDOMAIN
-    assert client.update(*added_endpoint("s-9")) == NOERROR  # stands already: nothing changes
+    assert client.update(*added_endpoint("s-9")) == NOERROR  # no change: the records exist
     assert node.serial == 2
 
 
-def test_an_update_sent_twice_takes_effect_once_and_is_answered_twice(world: World) -> None:
-    """A client repeats what got no answer; a recorded removal must not undo the restore that followed it."""
+def test_repeated_update_takes_effect_once_and_gets_a_response_each_time(world: World) -> None:
+    """Clients retry an update without a response, and a replayed removal must not undo a later restore."""
     node, client = start_primary(world)
     message = update_message(("delete", "s-0"))
     wire = message.to_wire()
@@ -89,13 +89,13 @@
         NOERROR
     ] * 2
     assert client.update(("add", "s-0", "60", "A", "127.0.0.10")) == NOERROR
-    late = client.send(wire)
-    assert dns.message.from_wire(client.receive(late), keyring=False).rcode() == NOERROR
+    replayed = client.send(wire)
+    assert dns.message.from_wire(client.receive(replayed), keyring=False).rcode() == NOERROR
     assert ("s-0" in node.statuses, node.serial) == (True, 3)
     assert node.counters["zone_updates_deduplicated"] == 2
 
 
-def test_removing_more_endpoints_than_granted_is_refused(world: World) -> None:
+def test_update_that_removes_more_endpoints_than_granted_is_refused(world: World) -> None:
     node, client = start_primary(world, update="most=0.5", classes=(SUBMIT,))
     assert client.update(*room_a_removal()) == REFUSED
     assert (len(node.statuses), node.serial) == (4, 1)
@@ -106,16 +106,16 @@
     assert set(node.statuses) == {"s-1", "s-2", "s-3"}
 
 
-def test_fifty_updates_of_one_round_share_syncs(world: World) -> None:
+def test_fifty_simultaneous_updates_are_all_applied(world: World) -> None:
     node, client = start_primary(world)
-    codes = client.update_all(
+    rcodes = client.update_all(
         [update_message(*added_endpoint(f"n-{k}", address=f"127.0.2.{k}")) for k in range(50)]
     )
-    assert codes == [NOERROR] * 50
+    assert rcodes == [NOERROR] * 50
     assert (len(node.statuses), node.serial) == (54, 51)
 
 
-def test_a_thousand_unsigned_updates_change_nothing_and_are_all_answered(world: World) -> None:
+def test_flood_of_unsigned_updates_changes_nothing(world: World) -> None:
     node, client = start_primary(world)
     wire = update_message(*added_endpoint("s-9"), key=None).to_wire()
     for _ in range(1000):
--- a/tests/test_zone_update_policy.py
+++ b/tests/test_zone_update_policy.py
@@ -1,4 +1,4 @@
-"""The update policy."""
+"""Tests of the update policy."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
         ("*.a.b.", "x\\.a.b.", False),
     ],
 )
-def test_name_patterns_of_a_grant(pattern: str, owner: str, result: bool) -> None:
+def test_grant_pattern_matches_names(pattern: str, owner: str, result: bool) -> None:
     assert name_matches(pattern, owner) is result
 
 
-def test_a_grant_resolves_relative_names_and_rejects_what_it_does_not_list() -> None:
+def test_grant_allows_only_the_listed_names_and_types() -> None:
     grant = read_grant("k", ORIGIN, ["*.room-a", "s-1"], ["srv", "A"], 1.0, 0)
     assert grant.allows_record("_game._tcp.room-a." + ORIGIN, SRV)
     assert not grant.allows_record("_game._tcp.room-b." + ORIGIN, SRV)
     assert not grant.allows_record("s-1." + ORIGIN, TXT)
-    assert grant.allows_record(ORIGIN, SOA)  # the serial
+    assert grant.allows_record(ORIGIN, SOA)  # always allowed, as each change advances the serial
     for names, types in ((["s-1.elsewhere."], []), ([], ["HOST"]), (["a..b"], [])):
         with pytest.raises(ZoneError):
             read_grant("k", ORIGIN, names, types, 1.0, 0)
@@ -60,33 +60,33 @@
 def rejection_of(
     max_removed_fraction: float, removed_count: int, classes: tuple[EndpointClass, ...] = ()
 ) -> str:
-    """Stages an update that removes some of four endpoints, s-0 and s-2 of room-a first."""
-    start = zone_state_of(zone_with(1, sample_endpoints()))
+    """Stages an update that removes `removed_count` of four endpoints, those of room-a (s-0 and s-2) first."""
+    state = zone_state_of(zone_with(1, sample_endpoints()))
     names = ["s-0", "s-2", "s-1", "s-3"][:removed_count]
-    draft = pending_version_of(
-        start.head,
+    pending = pending_version_of(
+        state.head,
         remove=[
             r
             for r in sample_endpoints()
             if any(n in r.owner or n.encode() in r.data for n in names)
         ],
     )
-    return start.stage_update(
-        draft.difference(0),
+    return state.stage_update(
+        pending.difference(0),
         UpdateGrant("k", max_removed_fraction=max_removed_fraction),
         classes,
         0,
     )
 
 
-def test_an_update_may_remove_the_granted_fraction_and_no_more() -> None:
+def test_update_may_remove_at_most_the_granted_fraction() -> None:
     assert rejection_of(0.5, 2) == ""
     assert "removes 3 of 4 ready endpoints of the zone" in rejection_of(0.5, 3)
     assert rejection_of(1.0, 4) == ""
     assert rejection_of(0.0, 1)
 
 
-def test_the_granted_fraction_holds_for_each_class() -> None:
+def test_granted_fraction_applies_to_each_class() -> None:
     submit = EndpointClass("move-submit", frozenset({"room-a"}), frozenset())
     assert "removes 2 of 2 ready endpoints of class move-submit" in rejection_of(
         0.5, 2, classes=(submit,)
@@ -98,15 +98,17 @@
     )
 
 
-def test_small_updates_within_the_window_add_up() -> None:
+def test_removals_of_several_updates_within_the_window_add_up() -> None:
     endpoints = {f"s-{k}": listed_endpoint(f"s-{k}") for k in range(10)}
     removals = RemovalHistory(LIMITS.zone_removal_window_us)
     grant = UpdateGrant("k", max_removed_fraction=0.3, window_us=60 * SECOND_US)
-    start = zone_state_of(zone_with(1, sample_endpoints()))
-    nothing = pending_version_of(start.head).difference(0)
+    state = zone_state_of(zone_with(1, sample_endpoints()))
+    soa_difference = pending_version_of(state.head).difference(0)
 
     def remove(name: str, now_us: int) -> str:
-        reason = rejection_reason(grant, nothing, endpoints, {name: None}, removals, (), now_us)
+        reason = rejection_reason(
+            grant, soa_difference, endpoints, {name: None}, removals, (), now_us
+        )
         if not reason:
             removals.record({name: endpoints[name]}, {name: None}, now_us)
             del endpoints[name]
@@ -124,13 +126,13 @@
         "a": listed_endpoint("a"),
         "b": listed_endpoint("b", status=EndpointStatus.DRAINING),
     }
-    start = zone_state_of(zone_with(1, sample_endpoints()))
-    nothing = pending_version_of(start.head).difference(0)
+    state = zone_state_of(zone_with(1, sample_endpoints()))
+    soa_difference = pending_version_of(state.head).difference(0)
     grant = UpdateGrant("k", max_removed_fraction=0.0)
     removals = RemovalHistory(0)
     assert rejection_reason(
         grant,
-        nothing,
+        soa_difference,
         endpoints,
         {"a": listed_endpoint("a", status=EndpointStatus.DRAINING)},
         removals,
@@ -138,23 +140,27 @@
         0,
     )
     assert (
-        rejection_reason(grant, nothing, endpoints, {"b": listed_endpoint("b")}, removals, (), 0)
+        rejection_reason(
+            grant, soa_difference, endpoints, {"b": listed_endpoint("b")}, removals, (), 0
+        )
         == ""
     )
-    assert rejection_reason(grant, nothing, endpoints, {"b": None}, removals, (), 0) == ""
+    assert rejection_reason(grant, soa_difference, endpoints, {"b": None}, removals, (), 0) == ""
 
 
-def test_a_rejected_update_leaves_the_head_as_it_was() -> None:
-    start = zone_state_of(zone_with(1, sample_endpoints()))
-    draft = pending_version_of(start.head, remove=endpoint_records("s-0", address="127.0.0.10")[1:])
-    assert start.stage_update(
-        draft.difference(0), UpdateGrant("k", max_removed_fraction=0.0), (), 0
+def test_rejected_update_leaves_the_head_unchanged() -> None:
+    state = zone_state_of(zone_with(1, sample_endpoints()))
+    pending = pending_version_of(
+        state.head, remove=endpoint_records("s-0", address="127.0.0.10")[1:]
     )
-    assert sorted(start.head.records()) == sorted(start.zone.records())
-    assert start.staged_updates == 0
+    assert state.stage_update(
+        pending.difference(0), UpdateGrant("k", max_removed_fraction=0.0), (), 0
+    )
+    assert sorted(state.head.records()) == sorted(state.zone.records())
+    assert state.staged_updates == 0
 
 
-def test_classes_without_an_endpoint_are_named() -> None:
+def test_classes_without_a_ready_endpoint_are_listed() -> None:
     classes = (
         EndpointClass("any", frozenset(), frozenset()),
         EndpointClass("submit", frozenset({"room-a"}), frozenset()),
--- a/tests/zoneprimary.py
+++ b/tests/zoneprimary.py
@@ -1,4 +1,4 @@
-"""A scripted DNS primary: responds as the test says, rightly or wrongly, over UDP and TCP."""
+"""A DNS primary for tests, which sends correct or incorrect responses over UDP and TCP as the test configures it."""
 
 from __future__ import annotations
 
@@ -22,24 +22,34 @@
 NO_DEADLINE_US = 1 << 60
 UNLIMITED_MESSAGES = 1 << 30
 
-RecordsSince = Callable[[int], Sequence[Record]]  # by the serial of the client's version
+# Function that returns the records of an IXFR response, given the serial of the client's version.
+RecordsSince = Callable[[int], Sequence[Record]]
 ForgedResponses = Callable[[dns.message.Message], list[bytes]]
 
 
 class ScriptedPrimary:
-    """A primary of one zone."""
+    """A primary of one zone.
+
+    Attributes:
+        zone: The zone whose SOA record is sent in responses to SOA queries.
+        transferred_zone: The zone that is sent in transfers; None for `zone`.
+        ixfr: Function that returns the records of IXFR responses; None for full transfers.
+        max_transfer_messages: Number of messages of a transfer after which the connection is closed.
+        silent: Whether queries get no response.
+        forged_responses: Function that returns messages to send over UDP before the response to a query.
+        queries: Record types of the queries received so far.
+        address: Address of the primary for UDP and TCP.
+    """
 
     def __init__(self, loop: Loop, zone: Zone, signed: bool = True) -> None:
         self.loop = loop
         self.zone = zone
-        self.transferred_zone: Zone | None = None  # None: `zone`
-        self.ixfr: RecordsSince | None = None  # None: IXFR queries get the whole zone
-        self.max_transfer_messages = (
-            UNLIMITED_MESSAGES  # of a transfer, then the connection is closed
-        )
+        self.transferred_zone: Zone | None = None
+        self.ixfr: RecordsSince | None = None
+        self.max_transfer_messages = UNLIMITED_MESSAGES
         self.silent = False
-        self.forged_responses: ForgedResponses = lambda _: []  # sent before the true one
-        self.queries: list[str] = []  # the types that were queried
+        self.forged_responses: ForgedResponses = lambda _: []
+        self.queries: list[str] = []
         self._ring = {KEY.name: KEY} if signed else None
         self._udp, self._tcp = bind_udp_and_tcp(("127.0.0.1", 0), 16)
         self.address: Address = self._tcp.getsockname()
@@ -71,9 +81,9 @@
         while True:
             yield Wait(fd=self._tcp.fileno(), event_mask=READ)
             connection, _ = self._tcp.accept()
-            self.loop.start("primary client", self._guarded(Stream(connection)))
+            self.loop.start("primary client", self._serve_until_closed(Stream(connection)))
 
-    def _guarded(self, stream: Stream) -> Coroutine[None]:
+    def _serve_until_closed(self, stream: Stream) -> Coroutine[None]:
         try:
             yield from self._serve(stream)
         except StreamError:
@@ -88,16 +98,16 @@
                 query = self._read(bytes(wire))
                 if self.silent:
                     continue
-                for count, answer in enumerate(self._answers(query)):
+                for count, response in enumerate(self._response_messages(query)):
                     if count >= self.max_transfer_messages:
                         return
-                    yield from stream.send(frame(answer), NO_DEADLINE_US)
+                    yield from stream.send(frame(response), NO_DEADLINE_US)
             count = yield from stream.recv_into(buffer.writable(), NO_DEADLINE_US)
             if not count:
                 return
             buffer.commit(count)
 
-    def _answers(self, query: dns.message.Message) -> list[bytes]:
+    def _response_messages(self, query: dns.message.Message) -> list[bytes]:
         rdtype = query.question[0].rdtype
         if rdtype == dns.rdatatype.SOA:
             return [self.soa_response(query, self.zone).to_wire()]
--- a/tests/zonerig.py
+++ b/tests/zonerig.py
@@ -1,4 +1,4 @@
-"""Running zone services on loopback, on the test's own loop and clock, and a DNS client."""
+"""Zone services on loopback, driven by one event loop with a fake clock, and a DNS client for tests."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
 
 
 class World:
-    """Several nodes in one loop; the clock advances only while no byte is in flight."""
+    """Several zone services on one event loop, whose clock advances only when no work is pending."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -95,17 +95,20 @@
                 return
             self.run_once()
         raise AssertionError(
-            f"the condition never held; unexpected errors: {self.unexpected_errors}; "
+            f"the condition was never true; unexpected errors: {self.unexpected_errors}; "
             f"logs: {[node.log.lines[-4:] for node in self.nodes]}"
         )
 
     def run_once(self) -> None:
-        """Only threads are waited for, as bytes on loopback arrive as soon as they are sent."""
-        thread_runs = any(node.disk_is_busy for node in self.nodes) or any(
+        """Runs the loop once, and advances the clock if the loop did nothing and no thread is running.
+
+        The loop blocks only to wait for threads, because data sent over loopback is available immediately.
+        """
+        thread_is_running = any(node.disk_is_busy for node in self.nodes) or any(
             thread.name == "work" for thread in threading.enumerate()
         )
-        wait_us = MS if thread_runs else 0
-        if not self.loop.run_once(self.clock.now + wait_us) and not thread_runs:
+        wait_us = MS if thread_is_running else 0
+        if not self.loop.run_once(self.clock.now + wait_us) and not thread_is_running:
             self.clock.now += MS
 
     def run_for_us(self, span_us: int) -> None:
@@ -165,7 +168,7 @@
 
 
 class ZoneNode:
-    """A zone service with a log, counters and a listener of its own."""
+    """A zone service with its own log, counters and endpoint list."""
 
     def __init__(
         self, world: World, path: Path, classes: tuple[EndpointClass, ...], limits: Limits
@@ -181,7 +184,8 @@
         self._tasks: list[Any] = []
         runtime = ZoneRuntime(world.loop, limits, self.counters, self.log, self._start)
         settings = read_settings(path / "z.kdl")
-        if settings.listen is not None:  # the settings reader does not accept port 0
+        # Port 0 is set here because the settings reader does not accept it.
+        if settings.listen is not None:
             settings = replace(settings, listen=(settings.listen[0], 0))
         self.zones = ZoneService(settings, runtime, self, classes, 2 * SECOND)
         self.zones.start()
@@ -207,7 +211,7 @@
 
     @property
     def disk_is_busy(self) -> bool:
-        """Whether a write is running, for which the clock stands still."""
+        """Whether a thread is writing to the store; the clock does not advance meanwhile."""
         writer = self.zones.store.writer
         return writer is not None and writer._commit.busy
 
@@ -222,7 +226,7 @@
         return zone.serial if zone.exists else 0
 
     def kill(self) -> None:
-        """Ends as a killed process does: nothing is sent and nothing finished."""
+        """Stops the service like a killed process: nothing more is sent or written."""
         for task in self._tasks:
             self.world.loop.stop(task)
         self.zones.close()
@@ -230,7 +234,7 @@
 
 
 class Client:
-    """Sends requests to one node, and runs the loop until the response is there."""
+    """Sends requests to one node, and runs the loop until the response is received."""
 
     def __init__(self, world: World, node: ZoneNode) -> None:
         self.world = world
@@ -278,14 +282,14 @@
 
     def update(
         self,
-        *prepare: tuple[str, ...],
+        *calls: tuple[str, ...],
         key: dns.tsig.Key | None = KEY,
         tcp: bool = False,
     ) -> dns.rcode.Rcode:
-        return self.exchange(update_message(*prepare, key=key), tcp).rcode()
+        return self.exchange(update_message(*calls, key=key), tcp).rcode()
 
     def update_all(self, messages: Iterable[dns.message.Message]) -> list[dns.rcode.Rcode]:
-        """Sends several updates at once, each from a socket of its own."""
+        """Sends all updates, each from its own socket, before receiving the responses."""
         rcodes = []
         sent = [(message, self.send(message.to_wire())) for message in messages]
         for message, sock in sent:
@@ -300,13 +304,13 @@
 
 
 def update_message(
-    *prepare: tuple[str, ...], key: dns.tsig.Key | None = KEY
+    *calls: tuple[str, ...], key: dns.tsig.Key | None = KEY
 ) -> dns.update.UpdateMessage:
     message = dns.update.UpdateMessage(ORIGIN)
     if key is not None:
         message.use_tsig(key)
-    for call, *words in prepare:
-        getattr(message, call)(*words)
+    for method, *arguments in calls:
+        getattr(message, method)(*arguments)
     return message
 
 
--- a/tests/zonesamples.py
+++ b/tests/zonesamples.py
@@ -1,4 +1,4 @@
-"""Zones for tests: written as a person writes them, read by the same reader."""
+"""Sample zones for tests, whose records are parsed from their text format."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def record(owner: str, type_: str, text: str, ttl: int = 60, origin: str = ORIGIN) -> Record:
-    """Returns a record; the owner is relative to the origin, `@` is the origin itself."""
+    """Creates a record from text; the owner is relative to the origin, and `@` is the origin itself."""
     number = dns.rdatatype.from_text(type_)
     absolute = origin if owner == "@" else f"{owner}.{origin}"
     rdata = dns.rdata.from_text(dns.rdataclass.IN, number, text)
@@ -32,7 +32,7 @@
 def soa_record(
     serial: int, origin: str = ORIGIN, refresh: int = 60, retry: int = 10, expire: int = 600
 ) -> Record:
-    """Returns the SOA record of a zone; times are in seconds."""
+    """Creates the SOA record of a zone; times are in seconds."""
     text = f"ns.{origin} staff.{origin} {serial} {refresh} {retry} {expire} 30"
     return record("@", "SOA", text, origin=origin)
 
@@ -46,7 +46,7 @@
     weight: int = 1,
     origin: str = ORIGIN,
 ) -> list[Record]:
-    """Returns the records of one endpoint; `zone` is the policy's."""
+    """Creates the records of one endpoint; `zone` is the zone of the endpoint, not the DNS zone."""
     srv_text = f"0 {weight} {port} {name}.{origin}"
     records = [
         record(f"{SERVICE}.{zone}", "SRV", srv_text, origin=origin),
@@ -58,14 +58,14 @@
 
 
 def zone_with(serial: int, *records: Iterable[Record], origin: str = ORIGIN) -> Zone:
-    """Returns a zone with an SOA and an NS record and these."""
+    """Creates a zone with an SOA record, an NS record and the given records."""
     ns_record = record("@", "NS", f"ns.{origin}", origin=origin)
     others = [each for group in records for each in group]
     return build_zone(origin, [soa_record(serial, origin), ns_record, *others])
 
 
 def sample_endpoints(count: int = 4) -> list[Record]:
-    """Returns the records of s-0 and the next ones, in room-a and room-b in turn."""
+    """Creates the records of `count` endpoints from s-0 on, alternately in room-a and room-b."""
     records = []
     for number in range(count):
         records += endpoint_records(
@@ -78,7 +78,7 @@
 
 
 def zone_state_of(zone: Zone, limits: Limits = LIMITS) -> ZoneState:
-    """Returns the state of a zone whose current version is this one."""
+    """Creates the state of a zone whose current version is `zone`."""
     state = ZoneState(zone.origin, SERVICE, limits)
     state.apply(state.difference_to(zone, 0), 0)
     return state
@@ -87,7 +87,7 @@
 def pending_version_of(
     zone: Zone, add: Iterable[Record] = (), remove: Iterable[Record] = ()
 ) -> PendingVersion:
-    """Returns a pending version with these changes and the next serial."""
+    """Creates a pending version of a zone with these changes and the next serial."""
     pending = PendingVersion(zone)
     for each in remove:
         assert pending.remove(each.owner, each.type, each.data)
@@ -105,5 +105,5 @@
     address: str = "10.0.0.1",
     kind: str = "default",
 ) -> ListedEndpoint:
-    """Returns an entry of the endpoint list."""
+    """Creates an entry of the endpoint list."""
     return ListedEndpoint(name, (address, 5000), zone, kind, 0, status, 1.0, started_ms)
