--- a/kelpcourse/zones/answer.py
+++ b/kelpcourse/zones/answer.py
@@ -53,10 +53,10 @@
     """Returns the answer to a question; a CNAME record is followed once, within the zone."""
     answer = Answer()
     types = list(zone.types(owner)) if type_ == ANY else [type_]
-    for asked_type in types:
-        record_set = zone.record_set(owner, asked_type)
+    for queried_type in types:
+        record_set = zone.record_set(owner, queried_type)
         if record_set is not None:
-            answer.answer.append(_rrset_of(owner, asked_type, record_set))
+            answer.answer.append(_rrset_of(owner, queried_type, record_set))
     if not answer.answer:
         _follow_alias(zone, owner, type_, answer)
     if not answer.answer:
--- a/kelpcourse/zones/deduplication.py
+++ b/kelpcourse/zones/deduplication.py
@@ -49,14 +49,14 @@
         return True
 
     def complete(self, mac: bytes, rcode: dns.rcode.Rcode, now_us: int) -> None:
-        """Completes an update: sends the response to all requests that contained it, and keeps the response.
+        """Completes an update: sends the response to each request for it, and keeps the response.
 
         SERVFAIL is not kept, so that the client can retry the update.
         """
-        waiting = self._pending.pop(mac)
+        response_senders = self._pending.pop(mac)
         if rcode != dns.rcode.SERVFAIL:
             self._responses[mac] = now_us, rcode
-        for send_response in waiting:
+        for send_response in response_senders:
             send_response(rcode)
 
     def _forget_old(self, now_us: int) -> None:
--- a/kelpcourse/zones/dns_client.py
+++ b/kelpcourse/zones/dns_client.py
@@ -119,8 +119,8 @@
     ) -> Coroutine[dns.message.Message | None]:
         deadline_us = self.loop.clock() + self.limits.soa_query_timeout_us
         while True:
-            woken = yield Wait(deadline_us, sock.fileno(), READ)
-            if woken is WakeReason.TIMED_OUT:
+            wake_reason = yield Wait(deadline_us, sock.fileno(), READ)
+            if wake_reason is WakeReason.TIMED_OUT:
                 return None
             message = _verified_response(sock.recv(MAX_MESSAGE_BYTES), query, peer)
             if message is not None:
--- a/kelpcourse/zones/notifier.py
+++ b/kelpcourse/zones/notifier.py
@@ -43,8 +43,8 @@
             if is_acknowledged:
                 return
             deadline_us = self._client.loop.clock() + backoff_us
-            woken = yield Wait(deadline_us, signal=self._changed)
-            if woken is WakeReason.SIGNALLED:
+            wake_reason = yield Wait(deadline_us, signal=self._changed)
+            if wake_reason is WakeReason.SIGNALLED:
                 return
             backoff_us *= 2
         self._client.log.event(
--- a/kelpcourse/zones/tcp_server.py
+++ b/kelpcourse/zones/tcp_server.py
@@ -149,11 +149,11 @@
         if not connection.pending_count:
             deadline_us = connection.deadline_us(self._limits)
         fd = connection.stream.sock.fileno()
-        woken = yield Wait(deadline_us, fd, READ, connection.response_added)
+        wake_reason = yield Wait(deadline_us, fd, READ, connection.response_added)
         connection.response_added.clear()
-        if woken is WakeReason.TIMED_OUT:
+        if wake_reason is WakeReason.TIMED_OUT:
             return False
-        if woken is not WakeReason.READY:
+        if wake_reason is not WakeReason.READY:
             return True
         return (yield from self._receive(connection))
 
--- a/kelpcourse/zones/update_handler.py
+++ b/kelpcourse/zones/update_handler.py
@@ -74,7 +74,7 @@
             return
         grant = self._grant_of(request.key_name, origin)
         if grant is None:
-            reason = f"key {request.key_name} may not update" if request.key_name else "not signed"
+            reason = f"key {request.key_name} has no grant" if request.key_name else "not signed"
             self.log_denied(origin, reason, request.key_name)
             self._responder.reject(request, dns.rcode.REFUSED)
             return
--- a/kelpcourse/zones/update_policy.py
+++ b/kelpcourse/zones/update_policy.py
@@ -109,12 +109,12 @@
 
 def _absolute_name(name: str, origin: str) -> str:
     if name == "@":
-        written = origin
+        text = origin
     elif name.endswith("."):
-        written = name
+        text = name
     else:
-        written = f"{name}.{origin}"
-    absolute = read_name(written, "name")
+        text = f"{name}.{origin}"
+    absolute = read_name(text, "name")
     if not is_under(absolute, origin):
         raise InvalidGrantError("name", name, f"is not in {origin}")
     return absolute
@@ -217,7 +217,9 @@
 def _record_rejection(grant: UpdateGrant, difference: Difference) -> str:
     for record in (*difference.removed, *difference.added):
         if not grant.allows_record(record.owner, record.type):
-            return f"key {grant.key} may not change {type_name(record.type)} at {record.owner}"
+            return (
+                f"key {grant.key} may not change {type_name(record.type)} records of {record.owner}"
+            )
     return ""
 
 
