--- a/tests/test_stored_zones.py
+++ b/tests/test_stored_zones.py
@@ -19,8 +19,8 @@
 from kelpcourse.store.recovery import Recovered, from_bytes
 from kelpcourse.zones.persistence import ZoneReplay, decode_entry, encode_entry, encode_snapshot
 from kelpcourse.zones.zone_state import ZoneState
-from tests.zonerig import SECONDARY, World
-from tests.zoning import ORIGIN, SERVICE
+from tests.zonerig import SECONDARY_SETTINGS, World
+from tests.zonesamples import ORIGIN, SERVICE
 
 GOLDEN_FOLDER = Path(__file__).parent / "golden" / "zones-store"
 RECORDED: dict[str, Any] = json.loads((GOLDEN_FOLDER / "recorded.json").read_bytes())
@@ -221,7 +221,7 @@
     world = World(tmp_path)
     path = world.new_folder("secondary", None)
     shutil.copytree(GOLDEN_FOLDER, path / "state")
-    settings = SECONDARY.format(more='state "state"', primaries='primary "127.0.0.1:1"')
+    settings = SECONDARY_SETTINGS.format(more='state "state"', primaries='primary "127.0.0.1:1"')
     (path / "z.kdl").write_text(settings)
     node = world.node(path)
     try:
--- a/tests/test_zone_files.py
+++ b/tests/test_zone_files.py
@@ -6,7 +6,7 @@
 
 from kelpcourse.zones.errors import ZoneError
 from kelpcourse.zones.zonefile import format_zone, parse_zone_text
-from tests.zoning import LIMITS, ORIGIN, record, sample_endpoints, zone_with
+from tests.zonesamples import LIMITS, ORIGIN, record, sample_endpoints, zone_with
 
 HEAD = "$TTL 60\n@ SOA ns staff 1 60 10 600 30\n@ NS ns\n"
 
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize(
     ("text", "reason"),
     [
-        ("s-1 A 10.0.0.1\n", "has not exactly one SOA"),
+        ("s-1 A 10.0.0.1\n", "does not have exactly one SOA"),
         (HEAD + "x CNAME s-1\nx A 10.0.0.1\n", "has a CNAME and other records: A"),
     ],
 )
