--- a/tests/delivery_simulation.py
+++ b/tests/delivery_simulation.py
@@ -131,7 +131,14 @@
 
 @dataclass
 class Message:
-    """The orders of one call that go to one proxy."""
+    """The orders of one call that go to one proxy.
+
+    Attributes:
+        leaves_us: Time at which the message leaves the delivery queue, in microseconds.
+        proxy: The proxy to which the message is sent.
+        entries: Size of the message in table entries, with the overhead of a message.
+        orders: The orders of the message.
+    """
 
     leaves_us: int
     proxy: int
@@ -158,15 +165,17 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.proxies: dict[int, SimulatedProxy] = {}
-        self.withdrawn: set[EndpointKey] = set()  # Withdrawn by the orders sent so far
+        self.withdrawn: set[EndpointKey] = set()  # Endpoints withdrawn by the orders sent so far
         self.max_backlog_entries = 0.0  # Largest backlog found by a check
-        self._entries: dict[TableKey, dict[EndpointKey, float]] = {}  # By the orders sent so far
+        # Weights by table and endpoint, after the orders sent so far.
+        self._entries: dict[TableKey, dict[EndpointKey, float]] = {}
         self._bound_proxies: dict[TableKey, set[int]] = {}
         self._limited_tables: set[TableKey] = set()
         self._queued: deque[Message] = deque()
         self._in_transit: deque[tuple[int, Message]] = deque()
-        self._draining_since_us: dict[EndpointKey, int] = {}  # When the controller was notified
-        self._queue_empty_us = 0  # When the last queued message leaves the delivery queue
+        # Time at which the controller was notified that an endpoint drains, by endpoint.
+        self._draining_since_us: dict[EndpointKey, int] = {}
+        self._queue_empty_us = 0  # Time at which the last queued message leaves the delivery queue
 
     # Events
 
--- a/tests/recording.py
+++ b/tests/recording.py
@@ -48,8 +48,8 @@
     """Returns the action's line in the simulator's protocol, followed by its exact floating-point values."""
     if isinstance(action, ResendOrders):
         return "resend"
-    figures = [repr(value) for value in astuple(action) if isinstance(value, float)]
-    return " ".join([write_action(0, action), *figures])
+    exact_values = [repr(value) for value in astuple(action) if isinstance(value, float)]
+    return " ".join([write_action(0, action), *exact_values])
 
 
 def endpoint_list(kind: str, version: int, endpoints: list[Endpoint]) -> Event:
@@ -239,7 +239,7 @@
 
     def _due(self) -> list[Event]:
         events = [event for due_us, event in self.pending if due_us <= self.now_us]
-        self.pending = [event_at for event_at in self.pending if event_at[0] > self.now_us]
+        self.pending = [delayed for delayed in self.pending if delayed[0] > self.now_us]
         fired = [name for due_us, name in self.timers if due_us <= self.now_us]
         self.timers = [timer for timer in self.timers if timer[0] > self.now_us]
         if self.watched and self.rng.random() < 0.1:
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -73,12 +73,12 @@
 ) -> None:
     process = deployment.start()
     deployment.until(deployment.ping)
-    open_connections = socket.create_connection(deployment.listen)
+    open_connection = socket.create_connection(deployment.listen)
     process.kill()
     process.communicate()
     deployment.start()
     deployment.until(deployment.ping)
-    open_connections.close()
+    open_connection.close()
 
 
 def test_a_controller_answers_while_discovery_and_relay_are_down(tmp_path: Path) -> None:
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -279,6 +279,7 @@
             if isinstance(action, BindProxy):
                 step.append(action.proxy)
             elif isinstance(action, Checkpoint):
+                # Table entries, binding, admission limits of two classes, and message overhead with checkpoint.
                 self.queue.extend((p, action.checkpoint_id, 80 + 1 + 2 + 7) for p in step)
                 step = []
         self._read_actions = len(self.harness.log)
@@ -307,12 +308,12 @@
     queued_bindings = QueuedBindings(harness)
     assert 0 < queued_bindings.update() < 4000
     kept = {proxy for proxy, _, _ in queued_bindings.queue[-3:]}
-    left = [proxy for proxy in harness.proxies if proxy not in kept]
-    for proxy in left:
+    departed = [proxy for proxy in harness.proxies if proxy not in kept]
+    for proxy in departed:
         harness.send(ProxyLeft(proxy))
         queued_bindings.update()
         queued_bindings.remove(proxy)
-    for proxy in left:
+    for proxy in departed:
         harness.send(ProxyJoined(proxy, "east", 10.0, True))
         assert queued_bindings.update() <= 4000
     acknowledged_messages: set[tuple[int, int]] = set()
@@ -339,9 +340,9 @@
     assert tracker.backlog_entries(4 * SECOND) == 50 + 200
     tracker.acknowledged(2, 1)
     assert tracker.backlog_entries(4 * SECOND) == 80
-    alone = DeliveryTracker(MAX_DELIVERY_US, ENTRIES_PER_US)
-    alone.record_sent(1, 0, {}, 400.0)
-    assert [alone.backlog_entries(k * SECOND) for k in (0, 1, 3, 4)] == [400, 300, 100, 0]
+    separate = DeliveryTracker(MAX_DELIVERY_US, ENTRIES_PER_US)
+    separate.record_sent(1, 0, {}, 400.0)
+    assert [separate.backlog_entries(k * SECOND) for k in (0, 1, 3, 4)] == [400, 300, 100, 0]
 
 
 def test_unconfirmed_entries_count_while_earlier_messages_are_unacknowledged() -> None:
@@ -350,11 +351,11 @@
     assert tracker.backlog_entries(SECOND) == 110
 
 
-def tracker_with_messages_at(*at_us: int) -> DeliveryTracker:
+def tracker_with_messages_at(*times_us: int) -> DeliveryTracker:
     """Returns a tracker of a message to one proxy at each of these times; the limit is four in ten seconds."""
     tracker = DeliveryTracker(MAX_DELIVERY_US, ENTRIES_PER_US, 4, 10 * SECOND)
-    for checkpoint_id, at in enumerate(at_us, 1):
-        tracker.record_sent(checkpoint_id, at, {1: 10.0})
+    for checkpoint_id, sent_us in enumerate(times_us, 1):
+        tracker.record_sent(checkpoint_id, sent_us, {1: 10.0})
     return tracker
 
 
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -79,20 +79,20 @@
     When the endpoint is listed as draining afterwards, it is withdrawn again; listed as restarted, it warms up.
     """
     harness = PolicyHarness(listed=make_endpoints(6))
-    left = make_endpoints(6)[1:]
+    remaining = make_endpoints(6)[1:]
     harness.send(list_changes([make_endpoint(100, status=EndpointStatus.GONE)]))
-    run_with_changing_weight(harness, WITHDRAWAL_RETENTION_US // SECOND - 1, left)
+    run_with_changing_weight(harness, WITHDRAWAL_RETENTION_US // SECOND - 1, remaining)
     assert RestoreEndpoint(100) not in [action for _, action in harness.log]
-    run_with_changing_weight(harness, 12, left)
+    run_with_changing_weight(harness, 12, remaining)
     assert [action for _, action in harness.log].count(RestoreEndpoint(100)) == 1
     assert 100 not in harness.tables[0]
     drain_actions = harness.send(
         list_changes([make_endpoint(100, status=EndpointStatus.DRAINING)], 3)
     )
     assert endpoint_orders(drain_actions) == [WithdrawEndpoint(100)]
-    run_with_changing_weight(harness, WITHDRAWAL_RETENTION_US // SECOND + 12, left)
+    run_with_changing_weight(harness, WITHDRAWAL_RETENTION_US // SECOND + 12, remaining)
     harness.send(list_changes([make_endpoint(100, started_us=harness.now_us)], 4))
-    run_with_changing_weight(harness, 3, left)
+    run_with_changing_weight(harness, 3, remaining)
     assert 0 < harness.weight_share(100) < 0.5 / 6  # It is warming up
 
 
--- a/tests/test_list_watch.py
+++ b/tests/test_list_watch.py
@@ -89,14 +89,14 @@
 
 def test_after_a_crash_the_restored_list_is_used_until_a_full_list_replaces_it() -> None:
     policy = RoutingPolicy(POLLED_DISCOVERY)
-    now = 90 * SECOND
+    now_us = 90 * SECOND
     first = policy.step(
-        now, [Started(3), EndpointList(EndpointListKind.RESTORED, 4, tuple(make_endpoints(5)))]
+        now_us, [Started(3), EndpointList(EndpointListKind.RESTORED, 4, tuple(make_endpoints(5)))]
     )
     assert actions_of_type(first, WatchEndpoints) == [WatchEndpoints(True)]
-    join_actions = policy.step(now + SECOND, [ProxyJoined(0, "east", 10.0, False)])
+    join_actions = policy.step(now_us + SECOND, [ProxyJoined(0, "east", 10.0, False)])
     assert actions_of_type(join_actions, BindProxy) != []
-    full_list_actions = policy.step(now + 2 * SECOND, [full_list(make_endpoints(4), 9)])
+    full_list_actions = policy.step(now_us + 2 * SECOND, [full_list(make_endpoints(4), 9)])
     assert endpoint_orders(full_list_actions) == [WithdrawEndpoint(104)]
 
 
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -54,11 +54,13 @@
     listed = make_endpoints(10)
     harness = PolicyHarness(replace(SETTINGS, max_messages_per_proxy=12), listed=listed)
     accepted_us: list[int] = []
-    pending: list[tuple[int, int]] = []  # When the relay accepts it, and the checkpoint
+    pending: list[tuple[int, int]] = []  # Time of acceptance by the relay, and checkpoint
     for k in range(150):
         actions = harness.run_until(harness.now_us + SECOND // 5)
-        due = [(at, checkpoint_id) for at, checkpoint_id in pending if at <= harness.now_us]
-        pending = [w for w in pending if w not in due]
+        due = [
+            (due_us, checkpoint_id) for due_us, checkpoint_id in pending if due_us <= harness.now_us
+        ]
+        pending = [message for message in pending if message not in due]
         accepted_us += [harness.now_us for _ in due]
         state = EndpointStatus.DRAINING if k % 2 else EndpointStatus.READY
         actions += harness.send(
@@ -130,17 +132,17 @@
 ) -> int:
     """Returns the entries that a log sends to a proxy bound to the only table.
 
-    A withdrawal or its end counts only if the table contains the endpoint.
+    An order that withdraws or restores an endpoint counts only if the table contains the endpoint.
 
     Args:
-        before: The log up to then, which determines what the table contains.
+        before: The log before `log`, which determines what the table contains at its start.
         log: The log whose entries are counted.
     """
     table_endpoints, entries = set[int](), 0
-    for at, (_, action) in enumerate([*before, *log]):
+    for position, (_, action) in enumerate([*before, *log]):
         if isinstance(action, SetWeight):
             (table_endpoints.add if action.weight > 0 else table_endpoints.discard)(action.endpoint)
-        if at >= len(before):
+        if position >= len(before):
             entries += isinstance(action, SetWeight | SetAdmission) or (
                 isinstance(action, WithdrawEndpoint | RestoreEndpoint)
                 and action.endpoint in table_endpoints
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -141,7 +141,7 @@
     for proxy in harness.policy.bindings:
         for table in harness.policy.tables.tables_of(proxy, zone_of(harness, proxy)):
             bound_proxies[table] += 1
-    holding_tables = {table for table, at in harness.tables.items() if 103 in at}
+    holding_tables = {table for table, weights in harness.tables.items() if 103 in weights}
     entries = dict.fromkeys(harness.tables, 0)
     actions = harness.send(list_changes([make_endpoint(103, "east", EndpointStatus.GONE)]))
     assert WithdrawEndpoint(103) in actions
@@ -294,11 +294,11 @@
     """With every second proxy in a zone, half of its subsets had no proxy and their endpoints got no request."""
     harness = harness_with_proxies(0, 0, replace(FEW_CONNECTIONS, min_endpoint_connections=80.0))
     assert harness.policy.tables.subset_count % 2 == 0
-    groups = {
+    subset_sizes = {
         zone: Counter(subset_of(p, harness.policy.tables.subset_count) for p in range(zone, 120, 2))
         for zone in range(2)
     }
-    for counts in groups.values():
+    for counts in subset_sizes.values():
         assert set(counts) == set(range(harness.policy.tables.subset_count))
         assert max(counts.values()) <= 2 * min(counts.values())
 
--- a/tests/test_table_updates.py
+++ b/tests/test_table_updates.py
@@ -77,9 +77,9 @@
         make_endpoint(endpoint.id, endpoint.zone, started_us=harness.now_us)
         for endpoint in make_endpoints(80)[:60]
     ]
-    out = harness.send(list_changes(restarted)) + harness.run_until(harness.now_us + 5 * SECOND)
+    actions = harness.send(list_changes(restarted)) + harness.run_until(harness.now_us + 5 * SECOND)
     assert (
         0
-        < count_entries(out, 80, 70) + 70 * SETTINGS.message_overhead_entries
+        < count_entries(actions, 80, 70) + 70 * SETTINGS.message_overhead_entries
         < LARGE_BACKLOG_ENTRIES
     )
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -163,7 +163,7 @@
     return harness
 
 
-def test_possibly_stale_bindings_after_a_watch_gap_still_count_entries() -> None:
+def test_possibly_stale_bindings_after_an_event_stream_gap_still_count_entries() -> None:
     """Proxies that are reported as joined again after a gap of the event stream may still be bound at the relay.
 
     After a gap of 6 s, 167 entries of the next table update went to 40 such proxies without being counted, and 6,939
