--- a/tests/test_dns_bytes.py
+++ b/tests/test_dns_bytes.py
@@ -149,7 +149,7 @@
             return True
 
         world.run_until(notify_received)
-    assert received[0][2:] == golden("notify")[2:]  # without the ID, which is random
+    assert received[0][2:] == golden("notify")[2:]  # Without the ID, which is random
     secondary_node = world.secondary(("127.0.0.1", 1))
     notify = dns.message.make_query(ORIGIN, "SOA", id=4242)
     notify.set_opcode(dns.opcode.NOTIFY)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("parts", [1, 4])
 def test_rates_do_not_depend_on_whether_reports_arrive_together_or_staggered(parts: int) -> None:
-    """With four parts, a quarter of the endpoints and proxies reports each second, and each report covers four seconds."""
+    """With four parts, a quarter of the endpoints and proxies sends reports each second, which cover four seconds."""
     listed = make_endpoints(80)
     harness = PolicyHarness(settings=LARGE_FLEET, listed=listed, proxies=40)
     for second in range(24):
--- a/tests/test_store_commit.py
+++ b/tests/test_store_commit.py
@@ -1,4 +1,4 @@
-"""Group commit: the order of jobs, and the changes that a failed job undoes."""
+"""Tests of group commit: the order of jobs, and the changes that a failed job undoes."""
 
 from __future__ import annotations
 
--- a/tests/test_store_journal.py
+++ b/tests/test_store_journal.py
@@ -1,4 +1,4 @@
-"""The journal when the disk is full, when any call fails, and when the process dies at any call."""
+"""Tests of the journal when the disk is full, when any call fails, and when the process dies at any call."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
     def __init__(self, path: Path) -> None:
         super().__init__(path)
-        self.fails: dict[str, int] = {}  # error number by name of the call that fails
-        self.dies_at = -1  # number of the call at which the process dies
+        self.fails: dict[str, int] = {}  # Error number by name of the call that fails
+        self.crashes_at_call = -1  # Number of the call at which the process dies
         self.calls = 0
 
     def _check_fault(self, call: str) -> None:
         self.calls += 1
-        if self.calls == self.dies_at:
+        if self.calls == self.crashes_at_call:
             raise KeyboardInterrupt
         if call in self.fails:
             raise OSError(self.fails[call], os.strerror(self.fails[call]))
 
     def write(self, fd: int, data: bytes, offset: int) -> None:
-        if "write" in self.fails or self.calls + 1 == self.dies_at:
-            os.pwrite(fd, data[: len(data) // 2], offset)  # partial write
+        if "write" in self.fails or self.calls + 1 == self.crashes_at_call:
+            os.pwrite(fd, data[: len(data) // 2], offset)  # Partial write
         self._check_fault("write")
         super().write(fd, data, offset)
 
@@ -102,7 +102,7 @@
         path = tmp_path / str(crash_call)
         disk, journal = new_journal(path)
         attempted, durable = 0, 0
-        disk.dies_at = disk.calls + crash_call
+        disk.crashes_at_call = disk.calls + crash_call
         try:
             for number in range(1, 6):
                 attempted = number
--- a/tests/test_store_recovery.py
+++ b/tests/test_store_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery from truncated journals, flipped bits, damaged snapshots and crashes between generations."""
+"""Tests of recovery from truncated journals, flipped bits, damaged snapshots and crashes between generations."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     assert read(Kind.JOURNAL, bytes(inside)).damage is Damage.INSIDE
     assert read(Kind.JOURNAL, JOURNAL[:-1]).damage is Damage.TORN
     found = from_bytes({**NAMES, "journal-000000000004": bytes(inside)})
-    assert found.needs_generation  # nothing is appended after damage
+    assert found.needs_generation  # Nothing is appended after damage
     assert [warning.alarming for warning in found.warnings] == [True]
 
 
@@ -81,7 +81,7 @@
     empty = {"journal-000000000005": header(Kind.JOURNAL, 5, 13)}
     found = from_bytes({**NAMES, **empty})
     assert found.records == RECORDS
-    assert found.needs_generation  # the next record would not have the empty journal's first number
+    assert found.needs_generation  # The next record would not have the empty journal's first number
     follows = from_bytes({**NAMES, "journal-000000000005": header(Kind.JOURNAL, 5, 15)})
     assert (follows.needs_generation, follows.generation, follows.next_number) == (False, 5, 15)
 
--- a/tests/test_stored_zones.py
+++ b/tests/test_stored_zones.py
@@ -1,4 +1,4 @@
-"""Stored zones: the files of an earlier revision are decoded to the recorded state and encoded to the same bytes."""
+"""Tests that stored zones of an earlier revision are decoded to the recorded state and encoded to the same bytes."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
 
 
 @dataclass
-class Opened:
+class OpenedStore:
     """The result of recovering and replaying the files of one store."""
 
     found: Recovered
     replay: ZoneReplay
 
 
-def open_copy(folder: Path, files: dict[str, bytes] = FILES) -> Opened:
+def open_copy(folder: Path, files: dict[str, bytes] = FILES) -> OpenedStore:
     """Opens a copy of the store in a new folder, in the same way as at startup."""
     folder.mkdir()
     for name, data in files.items():
@@ -54,7 +54,7 @@
     journal = Journal(Folder(folder))
     found = journal.open()
     journal.close()
-    return Opened(found, replay_of(found))
+    return OpenedStore(found, replay_of(found))
 
 
 def replay_of(found: Recovered, origins: list[str] = ALL_ZONES) -> ZoneReplay:
--- a/tests/test_zone_endpoint_extraction.py
+++ b/tests/test_zone_endpoint_extraction.py
@@ -1,4 +1,4 @@
-"""Endpoint extraction from SRV, A, AAAA and TXT records."""
+"""Tests of endpoint extraction from SRV, A, AAAA and TXT records."""
 
 from __future__ import annotations
 
--- a/tests/test_zone_file_watcher.py
+++ b/tests/test_zone_file_watcher.py
@@ -1,4 +1,4 @@
-"""Zone files that are changed while the service runs."""
+"""Tests of zone files that are changed while the service runs."""
 
 from __future__ import annotations
 
--- a/tests/test_zone_files.py
+++ b/tests/test_zone_files.py
@@ -1,4 +1,4 @@
-"""Zone files: errors are reported with their line, and a formatted zone is parsed to the same zone."""
+"""Tests of zone files: errors are reported with their line, and a formatted zone is parsed to the same zone."""
 
 from __future__ import annotations
 
--- a/tests/test_zone_follower.py
+++ b/tests/test_zone_follower.py
@@ -1,4 +1,4 @@
-"""A secondary with faulty primaries: serials that go backwards, bad transfers, timeouts and forged responses."""
+"""Tests of a secondary with faulty primaries: serials that go backwards, bad transfers, timeouts, forged responses."""
 
 from __future__ import annotations
 
@@ -116,11 +116,11 @@
     assert node.list_changes[-1] == ({"s-0": "gone", "s-9": "ready"}, False)
 
 
-@pytest.mark.parametrize("cut", [0, 1, 2])
-def test_an_interrupted_transfer_leaves_the_zone_unchanged(world: World, cut: int) -> None:
+@pytest.mark.parametrize("max_messages", [0, 1, 2])
+def test_an_interrupted_transfer_leaves_the_zone_unchanged(world: World, max_messages: int) -> None:
     primary, node = new_secondary(world)
     primary.zone = zone_with(101, [r for k in range(500) for r in endpoint_records(f"h-{k}")])
-    primary.max_transfer_messages = cut
+    primary.max_transfer_messages = max_messages
     query_again(world, node, primary)
     assert (node.serial, len(node.statuses)) == (100, 4)
     primary.max_transfer_messages = 1 << 30
@@ -136,7 +136,7 @@
     primary.silent = True
     world.run_until(lambda: node.log.named("zone_expired"))
     assert node.unavailable_count == 1
-    assert len(node.statuses) == 4  # a missing response removes no endpoint
+    assert len(node.statuses) == 4  # A missing response removes no endpoint
     merged = node.zones.merged_list
     assert not merged.is_available
     # Any version is accepted after expiry.
--- a/tests/test_zone_history.py
+++ b/tests/test_zone_history.py
@@ -1,4 +1,4 @@
-"""The history of a zone's differences."""
+"""Tests of the history of a zone's differences."""
 
 from __future__ import annotations
 
--- a/tests/test_zone_merged_list.py
+++ b/tests/test_zone_merged_list.py
@@ -1,4 +1,4 @@
-"""The merged endpoint list of several zones."""
+"""Tests of the merged endpoint list of several zones."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return MergedEndpointList(sources or ("z",), grace_us, 100)
 
 
-def test_an_endpoint_listed_again_after_the_grace_counts_as_restarted() -> None:
+def test_an_endpoint_listed_again_after_the_grace_period_counts_as_restarted() -> None:
     merged = merged_list()
     merged.update("z", {"s": listed_endpoint("s", started_ms=5.0)}, 0, 1_000)
     gone, _ = merged.update("z", {"s": None}, 10 * MS, 1_010)
@@ -98,8 +98,8 @@
     now = 0
     announced: dict[str, dict[str, EndpointStatus]] = {"a": {}, "b": {}}
     listed: dict[str, EndpointStatus] = {}
-    for zone, name, status, wait in change_steps:
-        now += wait
+    for zone, name, status, wait_us in change_steps:
+        now += wait_us
         announced[zone].pop(name, None)
         if status is not None:
             announced[zone][name] = status
--- a/tests/test_zone_names.py
+++ b/tests/test_zone_names.py
@@ -1,4 +1,4 @@
-"""Keys of domain names."""
+"""Tests of domain names: their labels, and names relative to an origin."""
 
 from __future__ import annotations
 
--- a/tests/test_zone_persistence.py
+++ b/tests/test_zone_persistence.py
@@ -1,4 +1,4 @@
-"""Encoding and replay of stored zone entries."""
+"""Tests of the encoding and replay of stored zone entries."""
 
 from __future__ import annotations
 
--- a/tests/test_zone_reconciliation.py
+++ b/tests/test_zone_reconciliation.py
@@ -1,4 +1,4 @@
-"""Version reconciliation."""
+"""Tests of the reconciliation of versions that different primaries offer."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     assert reconciler.offer("p", version(40))[0] is Verdict.BEHIND
 
 
-def test_contradictions_are_tracked_by_source_and_end_when_it_times_out() -> None:
+def test_contradictions_are_tracked_by_source_and_end_when_the_source_times_out() -> None:
     reconciler = VersionReconciler(version(100))
     assert reconciler.offer("a", version(100))[0] is Verdict.SAME
     assert reconciler.offer("b", version(100, b"another"))[0] is Verdict.DIFFERS
--- a/tests/test_zone_restore.py
+++ b/tests/test_zone_restore.py
@@ -1,4 +1,4 @@
-"""Former versions of a zone, restored by commands in the state folder."""
+"""Tests of restoring former versions of a zone by commands in the state folder."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 NOERROR, REFUSED = dns.rcode.NOERROR, dns.rcode.REFUSED
 
 
-def test_endpoints_restored_after_the_grace_count_as_restarted(world: World) -> None:
+def test_endpoints_restored_after_the_grace_period_count_as_restarted(world: World) -> None:
     node, client = start_primary(world, classes=(SUBMIT,))
     assert client.update(*room_a_removal()) == NOERROR
     assert set(node.statuses) == {"s-1", "s-3"}
-    assert node.list_changes[-1] == ({"s-0": "gone", "s-2": "gone"}, False)  # in one change
+    assert node.list_changes[-1] == ({"s-0": "gone", "s-2": "gone"}, False)  # In one change
     assert node.log.named("zone_classes_without_endpoints")[-1]["classes"] == ["move-submit"]
-    world.run_for_us(3 * SECOND)  # longer than the grace period
+    world.run_for_us(3 * SECOND)  # Longer than the grace period
     (node.path / "state" / "command-1.json").write_bytes(
         b'{"origin":"%s","serial":1}' % ORIGIN.encode()
     )
@@ -36,7 +36,7 @@
     assert msgspec.json.decode(result_path.read_bytes(), type=RestoreResult) == RestoreResult(3, 4)
     assert set(node.statuses) == {f"s-{k}" for k in range(4)}
     assert node.serial == 3
-    assert node.endpoints["s-0"].started_ms > 1e12  # it counts as started now, so it is warming up
+    assert node.endpoints["s-0"].started_ms > 1e12  # It counts as started now, so it is warming up
     assert node.endpoints["s-1"].started_ms == 0
     assert node.log.named("zone_classes_without_endpoints")[-1]["classes"] == []
 
--- a/tests/test_zone_serials.py
+++ b/tests/test_zone_serials.py
@@ -1,4 +1,4 @@
-"""Serial numbers (RFC 1982)."""
+"""Tests of serial numbers (RFC 1982)."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 @given(serials)
-def test_half_the_space_apart_is_undefined_and_the_next_serial_is_ahead_and_not_0(
+def test_serials_half_the_space_apart_have_no_order_and_the_next_serial_is_ahead_and_not_0(
     serial: int,
 ) -> None:
     assert (
--- a/tests/test_zone_server.py
+++ b/tests/test_zone_server.py
@@ -51,7 +51,7 @@
             dns.message.from_wire(client.receive(client.send(wire)), continue_on_error=True).rcode()
             == rcode
         )
-    for wire in (b"", b"\0" * 11, b"\xff" * 300):  # too short, or a response: dropped
+    for wire in (b"", b"\0" * 11, b"\xff" * 300):  # Dropped: too short, or a response
         client.send(wire).close()
     partial_connections = [client.send(b"\x00\x50abc", tcp=True) for _ in range(20)]
     idle_connections = [client.send(b"", tcp=True) for _ in range(100)]
--- a/tests/test_zone_store.py
+++ b/tests/test_zone_store.py
@@ -1,4 +1,4 @@
-"""The store of the zones when a write is incomplete, the disk is full or a sync fails."""
+"""Tests of the store of the zones when a write is incomplete, the disk is full or a sync fails."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
             h for h in zone_state.extractor.endpoints if h[0] == "n"
         }
         assert replay.warnings == []
-    assert len(records) == 4  # the zone file and three updates
+    assert len(records) == 4  # The zone file and three updates
     assert versions == {count: count for count in range(5)}
     assert sorted(zone_state.zone.records()) == final
 
--- a/tests/test_zone_update.py
+++ b/tests/test_zone_update.py
@@ -63,7 +63,7 @@
     assert {r.owner for r in changes_of(zone, ("delete", "s-0"))} == {"s-0." + ORIGIN}
     assert changes_of(zone, ("delete", "s-0", "A", "10.9.9.9")) == set()
     assert changes_of(zone, ("delete", "@", "NS"), ("delete", "@", "SOA"), ("delete", "@")) == set()
-    assert changes_of(zone, ("delete", "@", "NS", "ns." + ORIGIN)) == set()  # the last NS record
+    assert changes_of(zone, ("delete", "@", "NS", "ns." + ORIGIN)) == set()  # The last NS record
     assert changes_of(zone, ("add", "alias", "60", "A", "10.0.0.1")) == set()
     assert changes_of(zone, ("add", "s-0", "60", "CNAME", "s-1." + ORIGIN)) == set()
     assert len(changes_of(zone, ("add", "alias", "60", "CNAME", "s-1." + ORIGIN))) == 2
--- a/tests/test_zone_update_handler.py
+++ b/tests/test_zone_update_handler.py
@@ -31,7 +31,7 @@
     restarted = world.node(node.path)
     assert "s-9" in restarted.statuses
     assert restarted.serial == 2
-    assert restarted.list_changes[0][1]  # the first published change is a complete list
+    assert restarted.list_changes[0][1]  # The first published change is a complete list
 
 
 def test_unsigned_or_disallowed_update_is_rejected(
@@ -40,8 +40,8 @@
     node, client = start_primary(world, update='{ names "*.room-a"; types "SRV"; }')
     add = added_endpoint("s-9")
     assert client.update(*add, key=None) == REFUSED
-    wrong = client.send(update_message(*add, key=OTHER_SECRET_KEY).to_wire())
-    response = dns.message.from_wire(client.receive(wrong), keyring=False)
+    wrongly_signed = client.send(update_message(*add, key=OTHER_SECRET_KEY).to_wire())
+    response = dns.message.from_wire(client.receive(wrongly_signed), keyring=False)
     assert (response.rcode(), response.tsig_error) == (dns.rcode.NOTAUTH, dns.rcode.BADSIG)
     unknown_key = dns.tsig.Key(dns.name.from_text("nobody."), KEY.secret, KEY.algorithm)
     response = dns.message.from_wire(
@@ -54,13 +54,13 @@
         wire = message.to_wire()
     response = dns.message.from_wire(client.receive(client.send(wire)), keyring=False)
     assert (response.rcode(), response.tsig_error) == (dns.rcode.NOTAUTH, dns.rcode.BADTIME)
-    with pytest.raises(dns.tsig.PeerBadTime):  # signed, so that the client can verify it
+    with pytest.raises(dns.tsig.PeerBadTime):  # Signed, so that the client can verify it
         dns.message.from_wire(
             client.receive(client.send(wire)),
             keyring={KEY.name: KEY},
             request_mac=message.mac or b"",
         )
-    assert client.update(*add) == REFUSED  # the grant does not allow A and TXT records of s-9
+    assert client.update(*add) == REFUSED  # The grant does not allow A and TXT records of s-9
     assert client.update(add[0]) == NOERROR
     assert (set(node.statuses), node.serial) == ({f"s-{k}" for k in range(4)}, 2)
 
@@ -75,7 +75,7 @@
     assert node.serial == 1
     assert client.update(("absent", "s-9"), *added_endpoint("s-9"), tcp=True) == NOERROR
     assert client.update(("absent", "s-9"), *added_endpoint("s-9"), tcp=True) == dns.rcode.YXDOMAIN
-    assert client.update(*added_endpoint("s-9")) == NOERROR  # no change: the records exist
+    assert client.update(*added_endpoint("s-9")) == NOERROR  # No change: the records exist
     assert node.serial == 2
 
 
--- a/tests/test_zone_update_policy.py
+++ b/tests/test_zone_update_policy.py
@@ -51,7 +51,7 @@
     assert grant.allows_record("_game._tcp.room-a." + ORIGIN, SRV)
     assert not grant.allows_record("_game._tcp.room-b." + ORIGIN, SRV)
     assert not grant.allows_record("s-1." + ORIGIN, TXT)
-    assert grant.allows_record(ORIGIN, SOA)  # always allowed, as each change advances the serial
+    assert grant.allows_record(ORIGIN, SOA)  # Always allowed, as each change advances the serial
     for names, types in ((["s-1.elsewhere."], []), ([], ["HOST"]), (["a..b"], [])):
         with pytest.raises(ZoneError):
             read_grant("k", ORIGIN, names, types, 1.0, 0)
@@ -116,7 +116,7 @@
 
     assert [remove(f"s-{k}", k) for k in range(3)] == ["", "", ""]
     assert "removes 4 of 10" in remove("s-3", 3)
-    assert remove("s-3", 60 * SECOND_US + 3) == ""  # earlier removals are outside the window
+    assert remove("s-3", 60 * SECOND_US + 3) == ""  # Earlier removals are outside the window
     removals.record({"s-0": None}, {"s-0": listed_endpoint("s-0")}, 60 * SECOND_US + 4)
     assert removals.removed_since(0).keys() == {"s-1", "s-2", "s-3"}
 
--- a/tests/test_zone_versions.py
+++ b/tests/test_zone_versions.py
@@ -1,4 +1,4 @@
-"""Versions of a zone, the differences between them and pending versions."""
+"""Tests of versions of a zone, the differences between them and pending versions."""
 
 from __future__ import annotations
 
