--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -99,7 +99,9 @@
     assert len(adapter_harness.policies[1].steps[0][1]) == 2
 
 
-def test_an_exception_in_the_policy_becomes_bail_out(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_exception_in_the_policy_is_reported_as_bail_out(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     class FailingPolicy:
         def step(self, now_us: int, events: Sequence[Event]) -> list[Action]:
             raise KeyError("no such thing")
--- a/tests/test_adapter_actions.py
+++ b/tests/test_adapter_actions.py
@@ -74,7 +74,7 @@
     def for_each_instance(text: str) -> list[str]:
         return [text.replace("director_id=3", f"director_id={i}") for i in instances]
 
-    out = batch(
+    batches = batch(
         1_000_000,
         *LIST,
         *(
@@ -86,7 +86,7 @@
             )
         ),
     )
-    out += batch(
+    batches += batch(
         1_000_002,
         *for_each_instance("subscribed director_id=3 client_lb=1 az=room-a heft=6 set=1"),
         *for_each_instance("subscribed director_id=3 client_lb=2 az=room-b heft=6 set=0"),
@@ -109,8 +109,8 @@
                 "item heft=1 unit_group=0 sku=large mode=DRAINING az=room-a host=51530247",
                 *for_each_instance("members director_id=3 scope=update number=2 roster_id=1"),
             ]
-        out += batch(1_000_000 * k, *lines)
-    return out
+        batches += batch(1_000_000 * k, *lines)
+    return batches
 
 
 def actions_of(instances: Sequence[int], hash_seed: str) -> dict[int, list[str]]:
@@ -123,12 +123,12 @@
         check=True,
         env={**os.environ, "PYTHONHASHSEED": hash_seed},
     )
-    found: dict[int, list[str]] = {i: [] for i in instances}
+    actions_by_instance: dict[int, list[str]] = {i: [] for i in instances}
     for line in completed.stdout.splitlines():
         if line != "eor":
             number = next(int(p[12:]) for p in line.split(" ") if p.startswith("director_id="))
-            found[number].append(line)
-    return found
+            actions_by_instance[number].append(line)
+    return actions_by_instance
 
 
 def test_actions_do_not_depend_on_the_hash_seed_or_on_other_hosted_instances() -> None:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -136,15 +136,15 @@
         while self.update(("delete", "nobody")) != dns.rcode.NOERROR:
             pass  # Updates are rejected until the first generation of the state is written.
 
-    def update(self, *prepare: tuple[str, ...]) -> dns.rcode.Rcode | None:
+    def update(self, *calls: tuple[str, ...]) -> dns.rcode.Rcode | None:
         """Returns the response code of an update, or None if the server ended before it responded."""
-        message = update_message(*prepare)
+        message = update_message(*calls)
         wire = message.to_wire()
         try:
             with socket.create_connection(self.address, TIMEOUT_S) as sock:
                 sock.sendall(len(wire).to_bytes(2, "big") + wire)
-                head = sock.recv(2, socket.MSG_WAITALL)
-                response = sock.recv(int.from_bytes(head, "big"), socket.MSG_WAITALL)
+                length_prefix = sock.recv(2, socket.MSG_WAITALL)
+                response = sock.recv(int.from_bytes(length_prefix, "big"), socket.MSG_WAITALL)
             return dns.message.from_wire(
                 response, keyring={KEY.name: KEY}, request_mac=message.mac or b""
             ).rcode()
@@ -210,7 +210,7 @@
     assert "known: 1, 2, 3" in result.stderr
 
 
-def test_two_servers_can_not_use_the_same_state_folder(server_process: ServerProcess) -> None:
+def test_two_servers_cannot_use_the_same_state_folder(server_process: ServerProcess) -> None:
     completed = subprocess.run(
         [
             sys.executable,
@@ -229,7 +229,7 @@
     assert b"is in use by another process" in completed.stderr
 
 
-def test_the_platform_s_controller_imports_no_optional_package() -> None:
+def test_the_controller_and_the_simulator_adapter_import_no_optional_package() -> None:
     """The platform's build contains only h11 and orjson, and its memory use is measured."""
     code = (
         "import sys, kelpcourse.__main__, kelpcourse.simhost.__main__\n"
@@ -237,9 +237,9 @@
         " [m for m in sys.modules if m.startswith(('kelpcourse.zones', 'kelpcourse.lab', 'kelpcourse.cli',"
         " 'kelpcourse.store'))])"
     )
-    heavy = ["dns", "msgspec", "ckdl", "click", "rich", "numpy", "matplotlib", "hdrh"]
+    optional_packages = ["dns", "msgspec", "ckdl", "click", "rich", "numpy", "matplotlib", "hdrh"]
     completed = subprocess.run(
-        [sys.executable, "-c", code, *heavy],
+        [sys.executable, "-c", code, *optional_packages],
         capture_output=True,
         check=True,
         env={k: v for k, v in os.environ.items() if k != "NODE_CONFIG"},
--- a/tests/test_kdl.py
+++ b/tests/test_kdl.py
@@ -102,18 +102,18 @@
 
 @st.composite
 def documents(draw: st.DrawFn, depth: int = 2) -> str:
-    out = ""
-    for at in range(draw(st.integers(0, 3))):
-        out += draw(
+    text = ""
+    for position in range(draw(st.integers(0, 3))):
+        text += draw(
             st.sampled_from(
                 ["", "// note\n", "/* a /* b */ \n c */", "/- off 1 { inside 2; }\n", "\n"]
             )
         )
-        out += f"n{depth}{at} " + " ".join(draw(st.lists(value, max_size=3)))
+        text += f"n{depth}{position} " + " ".join(draw(st.lists(value, max_size=3)))
         if depth and draw(st.booleans()):
-            out += " {\n" + draw(documents(depth - 1)) + "}"
-        out += draw(st.sampled_from(["\n", ";", " // end\n"]))
-    return out
+            text += " {\n" + draw(documents(depth - 1)) + "}"
+        text += draw(st.sampled_from(["\n", ";", " // end\n"]))
+    return text
 
 
 @given(documents())
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -90,7 +90,7 @@
     assert proxy.pick("read", random.Random(1)) is None
 
 
-def test_a_controller_on_a_zone_withdraws_a_room_and_restores_it(
+def test_a_controller_that_follows_a_zone_withdraws_and_restores_endpoints(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Runs primary, controller, relay and proxies over sockets, with the real controller in a separate process.
--- a/tests/test_zone_merged_list.py
+++ b/tests/test_zone_merged_list.py
@@ -98,8 +98,8 @@
     now = 0
     announced: dict[str, dict[str, EndpointStatus]] = {"a": {}, "b": {}}
     listed: dict[str, EndpointStatus] = {}
-    for zone, name, status, wait_us in change_steps:
-        now += wait_us
+    for zone, name, status, wait in change_steps:
+        now += wait
         announced[zone].pop(name, None)
         if status is not None:
             announced[zone][name] = status
--- a/tests/test_zone_request_handler.py
+++ b/tests/test_zone_request_handler.py
@@ -51,8 +51,8 @@
     st.one_of(
         st.binary(max_size=200),
         st.builds(
-            lambda wire, offset, patch: (
-                wire[: offset % len(wire)] + patch + wire[(offset + len(patch)) % len(wire) :]
+            lambda wire, offset, junk: (
+                wire[: offset % len(wire)] + junk + wire[(offset + len(junk)) % len(wire) :]
             ),
             st.sampled_from(VALID_MESSAGES),
             st.integers(0, 500),
