--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -59,7 +59,7 @@
     assert admitted_per_s <= SETTINGS.overload_factor * endpoint_capacity_per_s
 
 
-def test_a_fleet_that_restarts_together_is_admitted_by_its_capacity() -> None:
+def test_load_is_admitted_by_capacity_when_the_whole_fleet_restarts() -> None:
     listed = make_endpoints(10)
     harness = PolicyHarness(listed=listed)
     for _ in range(6):
--- a/tests/test_binding_orders.py
+++ b/tests/test_binding_orders.py
@@ -42,7 +42,9 @@
     assert actions_of_type(harness.send(ProxyJoined(0, "east", 5.0, False)), BindProxy) != []
 
 
-def test_proxies_that_join_before_any_endpoint_is_known_are_bound_once_one_is() -> None:
+def test_proxies_that_join_before_any_endpoint_is_known_are_bound_when_the_first_is_listed() -> (
+    None
+):
     harness = PolicyHarness(listed=(), proxies=2)
     assert [b for _, b in harness.log if isinstance(b, BindProxy)] == []
     actions = harness.send(full_list(make_endpoints(2)))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -61,7 +61,7 @@
     )
 
 
-def test_unusable_records_are_reported_one_a_line_with_exit_code_1(folder: Path) -> None:
+def test_unusable_records_are_reported_one_per_line_with_exit_code_1(folder: Path) -> None:
     zone = zone_with(
         1,
         sample_endpoints(),
--- a/tests/test_late_joiners.py
+++ b/tests/test_late_joiners.py
@@ -59,7 +59,7 @@
     assert 0 < len(harness.policy.bindings.unbound_since_us) < 66
 
 
-def test_no_proxy_is_bound_while_a_withdrawal_is_pending_or_in_its_step() -> None:
+def test_no_proxy_is_bound_while_a_withdrawal_is_pending_or_in_the_step_that_orders_it() -> None:
     """Messages leave the delivery queue in order: 213 bindings in the same step delayed a withdrawal by 2 s."""
     harness, _ = join_after_withdrawal(66, 2)
     harness.send(
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -55,7 +55,7 @@
     )
 
 
-def test_a_dead_endpoint_is_distinguished_from_loaded_ones() -> None:
+def test_an_unresponsive_endpoint_is_distinguished_from_loaded_ones() -> None:
     harness = PolicyHarness(listed=make_endpoints(10))
     run_with_failures(harness, 4)
     run_with_failures(
--- a/tests/test_table_updates.py
+++ b/tests/test_table_updates.py
@@ -53,7 +53,7 @@
     assert all(harness.tables[0].get(500 + k, 0.0) > 0 for k in range(60))
 
 
-def test_entries_of_gone_endpoints_are_removed_in_time() -> None:
+def test_entries_of_many_gone_endpoints_are_all_removed() -> None:
     harness = PolicyHarness(settings=LARGE_FLEET, listed=make_endpoints(80), proxies=70)
     harness.run_until(harness.now_us + 10 * SECOND)
     harness.send(
