--- a/tests/leaseworld.py
+++ b/tests/lease_simulation.py
@@ -11,7 +11,7 @@
 from kelpcourse.shared.lease_manager import LeaseManager
 from kelpcourse.shared.lease_timing import LeaseTiming
 from kelpcourse.shared.raft.messages import LogEntry, MemberId
-from tests.raftworld import MS, TIMING, InvariantError, Node, World
+from tests.raft_simulation import MS, TIMING, InvariantError, Node, RaftSimulation
 
 GROUP_COUNT = 6
 LEASE_TIMING = LeaseTiming(
@@ -21,8 +21,6 @@
     member_timeout_us=200 * MS,
     max_migrations=2,
 )
-
-
 LONG_LEASE_TIMING = LeaseTiming(
     duration_us=800 * MS,
     max_clock_drift=0.1,
@@ -32,8 +30,8 @@
 )
 
 
-class Fleet(World):
-    """Simulates controllers, each on its own clock; safety properties are checked on the world's clock."""
+class LeaseSimulation(RaftSimulation):
+    """Simulates controllers, each on its own clock; safety properties are checked on the simulation's clock."""
 
     def __init__(
         self,
@@ -104,7 +102,7 @@
             self.process_output(node)
 
     def _apply(self, node: Node, entry: LogEntry) -> None:
-        """Applies an entry as `World` does, but allows gaps by snapshots; checks that members reach equal states."""
+        """Applies an entry, allows gaps that snapshots cause, and checks that members reach equal states."""
         node.applied[-1] = entry.index - 1, b""
         super()._apply(node, entry)
         node.applied = node.applied[-1:]
@@ -137,56 +135,58 @@
         self.held_group_count = len(holding)
 
 
-def run_lease_faults(fleet: Fleet, steps: int) -> None:
-    rng, names = fleet.random, sorted(fleet.nodes)
+def run_lease_faults(simulation: LeaseSimulation, steps: int) -> None:
+    rng, names = simulation.random, sorted(simulation.nodes)
     for _ in range(steps):
-        node, fault = fleet.nodes[rng.choice(names)], rng.randrange(8)
+        node, fault = simulation.nodes[rng.choice(names)], rng.randrange(8)
         if fault == 0:
             if node.raft is None:
-                fleet.start(node)
+                simulation.start(node)
             else:
-                fleet.crash(node)
+                simulation.crash(node)
         elif fault == 1:
-            fleet.blocked_links = {(a, b) for a in names for b in names if rng.random() < 0.3}
+            simulation.blocked_links = {(a, b) for a in names for b in names if rng.random() < 0.3}
         elif fault in (2, 3):
-            fleet.blocked_links.clear()
+            simulation.blocked_links.clear()
         elif fault == 4:
-            fleet.loss_ratio = rng.choice([0.0, 0.2])
+            simulation.loss_ratio = rng.choice([0.0, 0.2])
         elif fault == 5:
             node.paused = not node.paused
         elif fault == 6:
-            fleet.delay_us = rng.choice([(1 * MS, 5 * MS), (1 * MS, 150 * MS)])
-        fleet.run(rng.randint(20 * MS, 300 * MS))
+            simulation.delay_us = rng.choice([(1 * MS, 5 * MS), (1 * MS, 150 * MS)])
+        simulation.run(rng.randint(20 * MS, 300 * MS))
 
 
-def crash_leader_and_isolate_holder(fleet: Fleet) -> None:
+def crash_leader_and_isolate_holder(simulation: LeaseSimulation) -> None:
     """Crashes the leader and isolates a holder, so that the new leader doesn't know the holder's last renewal."""
-    fleet.run_until(lambda: fleet.held_group_count == GROUP_COUNT)
-    leader = fleet.leader
+    simulation.run_until(lambda: simulation.held_group_count == GROUP_COUNT)
+    leader = simulation.leader
     assert leader is not None
-    isolated = next(n for n in sorted(fleet.nodes) if n != leader.name)
-    fleet.crash(leader)
-    fleet.blocked_links = {(a, b) for a in fleet.nodes for b in fleet.nodes if isolated in (a, b)}
-    fleet.run(2000 * MS)
+    isolated = next(n for n in sorted(simulation.nodes) if n != leader.name)
+    simulation.crash(leader)
+    simulation.blocked_links = {
+        (a, b) for a in simulation.nodes for b in simulation.nodes if isolated in (a, b)
+    }
+    simulation.run(2000 * MS)
 
 
-def resume_leader_with_buffered_requests(fleet: Fleet) -> None:
+def resume_leader_with_buffered_requests(simulation: LeaseSimulation) -> None:
     """Resumes a leader after another was elected, with requests of a holder that could only reach the old leader."""
-    fleet.run_until(lambda: fleet.held_group_count == GROUP_COUNT)
-    old_leader = fleet.leader
+    simulation.run_until(lambda: simulation.held_group_count == GROUP_COUNT)
+    old_leader = simulation.leader
     assert old_leader is not None
-    isolated = next(n for n in sorted(fleet.nodes) if n != old_leader.name)
+    isolated = next(n for n in sorted(simulation.nodes) if n != old_leader.name)
     old_leader.paused = True
     pair = {old_leader.name, isolated}
-    fleet.blocked_links = {
-        (a, b) for a in fleet.nodes for b in fleet.nodes if (a in pair) != (b in pair)
+    simulation.blocked_links = {
+        (a, b) for a in simulation.nodes for b in simulation.nodes if (a in pair) != (b in pair)
     }
-    fleet.run(fleet.random.randint(500 * MS, 900 * MS))
+    simulation.run(simulation.random.randint(500 * MS, 900 * MS))
     old_leader.paused = False
-    fleet.run(600 * MS)
+    simulation.run(600 * MS)
 
 
-SCENARIOS: list[Callable[[Fleet], None]] = [
+SCENARIOS: list[Callable[[LeaseSimulation], None]] = [
     partial(run_lease_faults, steps=40),
     crash_leader_and_isolate_holder,
     resume_leader_with_buffered_requests,
--- a/tests/memberrig.py
+++ b/tests/member_rig.py
@@ -25,7 +25,7 @@
 MS = 1000
 
 
-class Rig:
+class MemberRig:
     """Members in one loop on the real clock, so tests wait for conditions and make no assertions about durations."""
 
     def __init__(self, folder: Path, count: int, tls: bool) -> None:
@@ -108,9 +108,9 @@
         """Makes all members voters: the first call of `add` adds a learner, the second promotes it."""
         for name in self.names[1:]:
             for _ in range(2):
-                self.run_until(lambda name=name: self._added(name))  # type: ignore[misc]
+                self.run_until(lambda name=name: self._try_add(name))  # type: ignore[misc]
 
-    def _added(self, name: str) -> bool:
+    def _try_add(self, name: str) -> bool:
         leader = self.leader()
         try:
             return leader is not None and bool(leader.add(name))
--- a/tests/raftmutants.py
+++ b/tests/raft_mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of Raft, each without one safety rule, and scenarios that expose them."""
+"""Mutants of Raft, each without one safety rule, and scenarios in which they violate a safety property."""
 
 from __future__ import annotations
 
@@ -15,84 +15,87 @@
 )
 from kelpcourse.shared.raft.node import Raft
 from kelpcourse.shared.raft.role import Role
-from tests.raftworld import MS, TIMING, Node, World
+from tests.raft_simulation import MS, TIMING, Node, RaftSimulation
 
 
-def run_crashes(world: World, steps: int) -> None:
+def run_crashes(simulation: RaftSimulation, steps: int) -> None:
     """Crashes a majority at once while a proposal is replicated, which loses writes that are not durable."""
-    rng, names = world.random, sorted(world.nodes)
+    rng, names = simulation.random, sorted(simulation.nodes)
     for step in range(steps):
-        for node in world.nodes.values():
+        for node in simulation.nodes.values():
             if node.raft is None:
-                world.start(node)
-        world.run(rng.randint(150 * MS, 400 * MS))
-        world.propose(b"<%d>" % step)
-        world.run(rng.randint(5 * MS, 40 * MS))
+                simulation.start(node)
+        simulation.run(rng.randint(150 * MS, 400 * MS))
+        simulation.propose(b"<%d>" % step)
+        simulation.run(rng.randint(5 * MS, 40 * MS))
         for name in rng.sample(names, len(names) // 2 + 1):
-            world.crash(world.nodes[name])
-        world.run(rng.randint(5 * MS, 30 * MS))
-        world.check_logs()
+            simulation.crash(simulation.nodes[name])
+        simulation.run(rng.randint(5 * MS, 30 * MS))
+        simulation.check_logs()
 
 
-def connect_only(world: World, *names: MemberId) -> None:
+def connect_only(simulation: RaftSimulation, *names: MemberId) -> None:
     """Blocks all links but those among the named members."""
-    world.blocked_links = {
-        (a, b) for a in world.nodes for b in world.nodes if not (a in names and b in names)
+    simulation.blocked_links = {
+        (a, b)
+        for a in simulation.nodes
+        for b in simulation.nodes
+        if not (a in names and b in names)
     }
 
 
-def figure_8(world: World, _: int) -> None:
-    """Plays figure 8 of the paper: an entry of an earlier term is on a majority and can still be overwritten."""
-    if len(world.nodes) != 5:
+def run_figure_8(simulation: RaftSimulation, _: int) -> None:
+    """Reproduces figure 8 of the Raft paper: an entry of an earlier term on a majority can still be overwritten."""
+    if len(simulation.nodes) != 5:
         return
-    for node in world.nodes.values():
+    for node in simulation.nodes.values():
         assert node.raft is not None
         node.raft._options = replace(TIMING, max_entries_per_message=1)
-    world.run_until(lambda: world.leader is not None)
-    first = world.leader
+    simulation.run_until(lambda: simulation.leader is not None)
+    first = simulation.leader
     assert first is not None
-    world.run(100 * MS)
-    second, *rest = [n for n in world.nodes if n != first.name]
-    connect_only(world, first.name, second)
-    world.propose(b"<e>")
-    world.run(90 * MS)
-    world.crash(first)
-    world.crash(world.nodes[second])
-    connect_only(world, *rest)
+    simulation.run(100 * MS)
+    second, *rest = [n for n in simulation.nodes if n != first.name]
+    connect_only(simulation, first.name, second)
+    simulation.propose(b"<e>")
+    simulation.run(90 * MS)
+    simulation.crash(first)
+    simulation.crash(simulation.nodes[second])
+    connect_only(simulation, *rest)
 
     def current_leader() -> Node | None:
         leaders = [
-            world.nodes[n]
+            simulation.nodes[n]
             for n in rest
-            if (r := world.nodes[n].raft) is not None and r.role is Role.LEADER
+            if (r := simulation.nodes[n].raft) is not None and r.role is Role.LEADER
         ]
         return leaders[0] if leaders else None
 
     while current_leader() is None:
-        world.run(1 * MS)
+        simulation.run(1 * MS)
     other = current_leader()
     assert other is not None
     # The first entry of the new leader reaches no other member.
-    world.blocked_links = {(a, b) for a in world.nodes for b in world.nodes}
-    world.run(70 * MS)
-    world.crash(other)
+    simulation.blocked_links = {(a, b) for a in simulation.nodes for b in simulation.nodes}
+    simulation.run(70 * MS)
+    simulation.crash(other)
     third, fourth = (n for n in rest if n != other.name)
-    connect_only(world, first.name, second, third)
-    for node in (first, world.nodes[second]):
-        world.start(node)
+    connect_only(simulation, first.name, second, third)
+    for node in (first, simulation.nodes[second]):
+        simulation.start(node)
         assert node.raft is not None
         node.raft._options = replace(TIMING, max_entries_per_message=1)
     for _ in range(2000):
-        if any(data == b"<e>" for _, data in world.committed.values()):
+        if any(data == b"<e>" for _, data in simulation.committed.values()):
             break
-        world.run(1 * MS)
+        simulation.run(1 * MS)
     for name in (first.name, second):
-        world.crash(world.nodes[name])
-    world.start(other)
-    connect_only(world, other.name, third, fourth)
-    world.run(1500 * MS)
-    world.clear_faults()
-    world.run(1500 * MS)
+        simulation.crash(simulation.nodes[name])
+    simulation.start(other)
+    connect_only(simulation, other.name, third, fourth)
+    simulation.run(1500 * MS)
+    simulation.clear_faults()
+    simulation.run(1500 * MS)
 
 
 class SendsBeforeWriteIsDurable(Raft):
@@ -190,8 +193,8 @@
     CountsDeniedVotes,
 ]
 
-
-SCENARIOS: dict[type[Raft], Callable[[World, int], None]] = {
+# Scenarios for mutants that random faults rarely expose.
+SCENARIOS: dict[type[Raft], Callable[[RaftSimulation, int], None]] = {
     SendsBeforeWriteIsDurable: run_crashes,
-    CommitsEntriesOfEarlierTerms: figure_8,
+    CommitsEntriesOfEarlierTerms: run_figure_8,
 }
--- a/tests/raftworld.py
+++ b/tests/raft_simulation.py
@@ -63,7 +63,7 @@
     paused: bool = False
 
 
-class World:
+class RaftSimulation:
     def __init__(
         self,
         seed: int,
@@ -304,53 +304,55 @@
     NONE_SECOND = 9
 
 
-def inject_node_fault(world: World, node: Node, fault: Fault, allow_crashes: bool) -> None:
+def inject_node_fault(
+    simulation: RaftSimulation, node: Node, fault: Fault, allow_crashes: bool
+) -> None:
     """Injects a fault of one node; does nothing for other faults."""
     match fault:
         case Fault.CRASH_OR_START if allow_crashes:
             if node.raft is None:
-                world.start(node)
+                simulation.start(node)
             else:
-                world.crash(node)
+                simulation.crash(node)
         case Fault.PAUSE_OR_CONTINUE:
             node.paused = not node.paused
         case Fault.ADVANCE_CLOCK if node.raft is not None:
-            node.clock_offset_us += world.random.choice([0, 50 * MS])
+            node.clock_offset_us += simulation.random.choice([0, 50 * MS])
 
 
-def inject_network_fault(world: World, fault: Fault) -> None:
+def inject_network_fault(simulation: RaftSimulation, fault: Fault) -> None:
     """Injects a fault of the network; does nothing for other faults."""
-    rng = world.random
-    names = sorted(world.nodes)
+    rng = simulation.random
+    names = sorted(simulation.nodes)
     match fault:
         case Fault.BLOCK_RANDOM_LINKS:
-            world.blocked_links = {(a, b) for a in names for b in names if rng.random() < 0.3}
+            simulation.blocked_links = {(a, b) for a in names for b in names if rng.random() < 0.3}
         case Fault.PARTITION:
             half = set(rng.sample(names, len(names) // 2))
-            world.blocked_links = {
+            simulation.blocked_links = {
                 (a, b) for a in names for b in names if (a in half) != (b in half)
             }
         case Fault.UNBLOCK_LINKS:
-            world.blocked_links.clear()
+            simulation.blocked_links.clear()
         case Fault.CHANGE_LOSS:
             ratios = rng.choice([(0.0, 0.0), (0.2, 0.0), (0.1, 0.3)])
-            world.loss_ratio, world.duplicate_ratio = ratios
+            simulation.loss_ratio, simulation.duplicate_ratio = ratios
         case Fault.CHANGE_DELAY:
-            world.delay_us = rng.choice([(1 * MS, 5 * MS), (1 * MS, 80 * MS)])
+            simulation.delay_us = rng.choice([(1 * MS, 5 * MS), (1 * MS, 80 * MS)])
 
 
-def run_faults(world: World, steps: int, allow_crashes: bool = True) -> None:
-    """Injects faults drawn from the world's seed, with proposals between them."""
-    rng = world.random
-    names = sorted(world.nodes)
+def run_faults(simulation: RaftSimulation, steps: int, allow_crashes: bool = True) -> None:
+    """Injects faults drawn from the simulation's seed, with proposals between them."""
+    rng = simulation.random
+    names = sorted(simulation.nodes)
     for step in range(steps):
-        node = world.nodes[rng.choice(names)]
+        node = simulation.nodes[rng.choice(names)]
         fault = Fault(rng.randrange(10))
-        inject_node_fault(world, node, fault, allow_crashes)
-        inject_network_fault(world, fault)
+        inject_node_fault(simulation, node, fault, allow_crashes)
+        inject_network_fault(simulation, fault)
         for position in range(rng.randint(0, 3)):
             data = b"<%d.%d>" % (step, position)
-            if world.propose(data):
-                world.accepted.append(data)
-        world.run(rng.randint(5 * MS, 150 * MS))
-        world.check_logs()
+            if simulation.propose(data):
+                simulation.accepted.append(data)
+        simulation.run(rng.randint(5 * MS, 150 * MS))
+        simulation.check_logs()
--- a/tests/test_group_controller.py
+++ b/tests/test_group_controller.py
@@ -176,7 +176,7 @@
     leader = next(n for n, m in fleet.members.items() if m.status()["role"] == "leader")
     group = fleet.held_groups()[leader][0]
     epoch_before = fleet.members[leader].epoch(group) or 0
-    # The holder learns of the drain, and is killed as soon as the drain is replicated.
+    # The holder is notified of the drain and killed as soon as the drain is replicated.
     fleet.lab.discovery.publish([fleet.list_entry("s-1", "draining")], complete=False)
     other = next(m for n, m in fleet.members.items() if n != leader)
     fleet.run_until("the drain is replicated", lambda: other.status()["withdrawn"] == ["s-1"])
@@ -193,9 +193,9 @@
     )
     highest: dict[int | None, int] = {}
     # The relay accepted no call of a lower epoch after one of a higher epoch.
-    for called, epoch in fleet.lab.relay.calls:
-        assert epoch >= highest.get(called, 0)
-        highest[called] = epoch
+    for called_group, epoch in fleet.lab.relay.calls:
+        assert epoch >= highest.get(called_group, 0)
+        highest[called_group] = epoch
     assert fleet.lab.checker.violations == []
     assert fleet.lab.checker.pick_count > 0
 
@@ -205,14 +205,14 @@
     fleet.add_members()
     fleet.run_until("all proxies use all hosts", fleet.all_proxies_use_all_hosts)
     held_groups = fleet.held_groups()
-    victim = next(n for n, m in fleet.members.items() if m.status()["role"] != "leader")
-    group = held_groups[victim][0]
-    epoch = fleet.members[victim].epoch(group) or 0
-    fleet.kill(victim)
+    killed_name = next(n for n, m in fleet.members.items() if m.status()["role"] != "leader")
+    group = held_groups[killed_name][0]
+    epoch = fleet.members[killed_name].epoch(group) or 0
+    fleet.kill(killed_name)
     fleet.run_until(
         "another holder orders for the group", lambda: (group, epoch + 1) in fleet.lab.relay.calls
     )
-    before, statuses = len(fleet.lab.relay.orders), list[int]()
+    order_count_before, statuses = len(fleet.lab.relay.orders), list[int]()
 
     def send_late_call() -> Coroutine[None]:
         client = yield from connect_http(fleet.lab.relay.address, Limits(), now_us() + 1_000 * MS)
@@ -225,7 +225,9 @@
     fleet.run_until("the late call is answered", lambda: statuses)
     assert statuses == [409]
     assert fleet.lab.relay.fenced_count == 1
-    assert not any(isinstance(o, WithdrawEndpoint) for o in fleet.lab.relay.orders[before:])
+    assert not any(
+        isinstance(o, WithdrawEndpoint) for o in fleet.lab.relay.orders[order_count_before:]
+    )
     assert all("s-0" not in proxy.withdrawn for proxy in fleet.lab.proxies)
 
 
--- a/tests/test_lease_faults.py
+++ b/tests/test_lease_faults.py
@@ -13,30 +13,35 @@
 from kelpcourse.shared.controller import Controller
 from kelpcourse.shared.controller_events import ControllerOutput, LeaseAcquired
 from kelpcourse.shared.raft.messages import Configuration
-from tests.leaseworld import GROUP_COUNT, LEASE_TIMING, Fleet, run_lease_faults
-from tests.raftworld import MS, Node
+from tests.lease_simulation import GROUP_COUNT, LEASE_TIMING, LeaseSimulation, run_lease_faults
+from tests.raft_simulation import MS, Node
 
 
 @pytest.mark.parametrize("count", [3, 5])
 def test_groups_have_one_holder_at_a_time_under_faults_and_are_held_afterwards(count: int) -> None:
     for seed in range(12):
-        fleet = Fleet(seed, count)
-        run_lease_faults(fleet, 40)
-        fleet.clear_faults()
-        fleet.delay_us = (1 * MS, 5 * MS)
-        fleet.run_until(lambda fleet=fleet: fleet.held_group_count == GROUP_COUNT, 5000 * MS)  # type: ignore[misc]
+        simulation = LeaseSimulation(seed, count)
+        run_lease_faults(simulation, 40)
+        simulation.clear_faults()
+        simulation.delay_us = (1 * MS, 5 * MS)
+        simulation.run_until(
+            lambda simulation=simulation: simulation.held_group_count == GROUP_COUNT,  # type: ignore[misc]
+            5000 * MS,
+        )
 
 
 def test_crashed_holder_is_replaced_within_a_lease_and_an_election() -> None:
-    fleet = Fleet(3, 3)
-    fleet.run_until(lambda: fleet.held_group_count == GROUP_COUNT)
-    victim = fleet.leader  # The worst case: the crashed member is both holder and leader.
-    assert victim is not None
-    fleet.crash(victim)
-    started_us = fleet.now_us
-    fleet.run_until(lambda: fleet.held_group_count == GROUP_COUNT)
+    simulation = LeaseSimulation(3, 3)
+    simulation.run_until(lambda: simulation.held_group_count == GROUP_COUNT)
+    crashed_node = (
+        simulation.leader
+    )  # The worst case: the crashed member is both holder and leader.
+    assert crashed_node is not None
+    simulation.crash(crashed_node)
+    started_us = simulation.now_us
+    simulation.run_until(lambda: simulation.held_group_count == GROUP_COUNT)
     assert (
-        fleet.now_us - started_us
+        simulation.now_us - started_us
         < 200 * MS
         + LEASE_TIMING.leader_duration_us * 1.1
         + 2 * LEASE_TIMING.renewal_interval_us
@@ -46,24 +51,30 @@
 
 def test_commands_are_resent_until_the_replicated_state_holds_them() -> None:
     for seed in range(6):
-        fleet = Fleet(seed, 3, max_log_entries=10)
-        fleet.run_until(lambda fleet=fleet: fleet.held_group_count == GROUP_COUNT)  # type: ignore[misc]
+        simulation = LeaseSimulation(seed, 3, max_log_entries=10)
+        simulation.run_until(
+            lambda simulation=simulation: simulation.held_group_count == GROUP_COUNT  # type: ignore[misc]
+        )
         for k in range(12):
-            name = fleet.random.choice(sorted(fleet.nodes))
-            fleet.loss_ratio = 0.3
-            node = fleet.nodes[name]
-            fleet.controllers[name].submit(fleet.clock(node), StartDrain(f"h-{k}", 1000 + k))
-            fleet.controllers[name].submit(fleet.clock(node), CompleteDrain(f"h-{k}", 0, 1000 + k))
-            fleet.process_output(node)
-            fleet.run(30 * MS)
-        fleet.loss_ratio = 0.0
-        fleet.run_until(
-            lambda fleet=fleet: all(  # type: ignore[misc]
-                len(c.state.drains) == 12 for c in fleet.controllers.values()
+            name = simulation.random.choice(sorted(simulation.nodes))
+            simulation.loss_ratio = 0.3
+            node = simulation.nodes[name]
+            simulation.controllers[name].submit(
+                simulation.clock(node), StartDrain(f"h-{k}", 1000 + k)
+            )
+            simulation.controllers[name].submit(
+                simulation.clock(node), CompleteDrain(f"h-{k}", 0, 1000 + k)
+            )
+            simulation.process_output(node)
+            simulation.run(30 * MS)
+        simulation.loss_ratio = 0.0
+        simulation.run_until(
+            lambda simulation=simulation: all(  # type: ignore[misc]
+                len(c.state.drains) == 12 for c in simulation.controllers.values()
             ),
             5000 * MS,
         )
-        assert any(c.raft.log.snapshot.index for c in fleet.controllers.values())
+        assert any(c.raft.log.snapshot.index for c in simulation.controllers.values())
 
 
 def test_member_stays_drained_under_later_leaders_until_removed() -> None:
@@ -74,37 +85,41 @@
     """
     removed = 0
     for seed in range(4):
-        fleet = Fleet(seed, 3)
-        fleet.run_until(lambda fleet=fleet: fleet.held_group_count == GROUP_COUNT)  # type: ignore[misc]
-        first = fleet.leader
+        simulation = LeaseSimulation(seed, 3)
+        simulation.run_until(
+            lambda simulation=simulation: simulation.held_group_count == GROUP_COUNT  # type: ignore[misc]
+        )
+        first = simulation.leader
         assert first is not None
-        drained = next(n for n in fleet.nodes.values() if n is not first)
-        fleet.controllers[first.name].submit(
-            fleet.clock(first), SetMemberDrained(drained.name, True)
+        drained = next(n for n in simulation.nodes.values() if n is not first)
+        simulation.controllers[first.name].submit(
+            simulation.clock(first), SetMemberDrained(drained.name, True)
         )
-        fleet.process_output(first)
+        simulation.process_output(first)
 
-        def is_drained(fleet: Fleet = fleet, drained: Node = drained) -> bool:
-            return fleet.held_group_count == GROUP_COUNT and not fleet.controllers[
+        def is_drained(simulation: LeaseSimulation = simulation, drained: Node = drained) -> bool:
+            return simulation.held_group_count == GROUP_COUNT and not simulation.controllers[
                 drained.name
-            ].lease_holder.held_epochs(fleet.clock(drained))
+            ].lease_holder.held_epochs(simulation.clock(drained))
 
-        fleet.run_until(is_drained, 5000 * MS)
-        fleet.crash(first)
-        fleet.run_until(lambda fleet=fleet, first=first: fleet.leader not in (None, first))  # type: ignore[misc]
-        fleet.run(1000 * MS)
+        simulation.run_until(is_drained, 5000 * MS)
+        simulation.crash(first)
+        simulation.run_until(
+            lambda simulation=simulation, first=first: simulation.leader not in (None, first)  # type: ignore[misc]
+        )
+        simulation.run(1000 * MS)
         assert is_drained()
-        fleet.start(first)
-        fleet.run(1000 * MS)
-        leader = fleet.leader
+        simulation.start(first)
+        simulation.run(1000 * MS)
+        leader = simulation.leader
         if leader is None or leader is drained:
             continue  # The test needs a leader other than the removed member.
-        controller = fleet.controllers[leader.name]
+        controller = simulation.controllers[leader.name]
         controller.change_membership(
-            fleet.clock(leader), Configuration(frozenset(fleet.nodes) - {drained.name})
+            simulation.clock(leader), Configuration(frozenset(simulation.nodes) - {drained.name})
         )
-        fleet.process_output(leader)
-        fleet.run_until(
+        simulation.process_output(leader)
+        simulation.run_until(
             lambda controller=controller: not controller.state.drained_members,  # type: ignore[misc]
             5000 * MS,
         )
@@ -113,28 +128,32 @@
 
 
 def test_next_holder_receives_pending_drains_and_handover_state() -> None:
-    fleet = Fleet(2, 3)
-    fleet.run_until(lambda: fleet.held_group_count == GROUP_COUNT)
-    victim = next(n for n in fleet.nodes.values() if n is not fleet.leader)
-    controller = fleet.controllers[victim.name]
-    held = controller.lease_holder.held_epochs(fleet.clock(victim))
+    simulation = LeaseSimulation(2, 3)
+    simulation.run_until(lambda: simulation.held_group_count == GROUP_COUNT)
+    crashed_node = next(n for n in simulation.nodes.values() if n is not simulation.leader)
+    controller = simulation.controllers[crashed_node.name]
+    held = controller.lease_holder.held_epochs(simulation.clock(crashed_node))
     group, epoch = next(iter(held.items()))
-    controller.submit(fleet.clock(victim), StartDrain("h", 77))
-    controller.submit(fleet.clock(victim), SaveHandover(group, epoch, (1.0, 0.5), 300.0))
-    fleet.process_output(victim)
-    fleet.run_until(
-        lambda: fleet.controllers[victim.name].state.leases[group].capacity_per_s == 300.0
+    controller.submit(simulation.clock(crashed_node), StartDrain("h", 77))
+    controller.submit(simulation.clock(crashed_node), SaveHandover(group, epoch, (1.0, 0.5), 300.0))
+    simulation.process_output(crashed_node)
+    simulation.run_until(
+        lambda: (
+            simulation.controllers[crashed_node.name].state.leases[group].capacity_per_s == 300.0
+        )
     )
-    fleet.crash(victim)
+    simulation.crash(crashed_node)
     acquired: list[LeaseAcquired] = []
     take_output = Controller.take_output
 
     def take_and_record(controller: Controller) -> ControllerOutput:
-        out = take_output(controller)
-        acquired.extend(e for e in out.events if isinstance(e, LeaseAcquired) and e.group == group)
-        return out
+        output = take_output(controller)
+        acquired.extend(
+            e for e in output.events if isinstance(e, LeaseAcquired) and e.group == group
+        )
+        return output
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(Controller, "take_output", take_and_record)
-        fleet.run_until(lambda: acquired)
+        simulation.run_until(lambda: acquired)
     assert acquired[0] == LeaseAcquired(group, epoch + 1, {"h": 77}, (1.0, 0.5), 300.0)
--- a/tests/test_lease_mutants.py
+++ b/tests/test_lease_mutants.py
@@ -11,8 +11,14 @@
 from kelpcourse.shared.lease_timing import LeaseReply, LeaseRequest, LeaseTiming
 from kelpcourse.shared.raft.messages import MemberId
 from kelpcourse.shared.replicated_state import ReplicatedState
-from tests.leaseworld import LEASE_TIMING, LONG_LEASE_TIMING, SCENARIOS, Fleet, run_lease_faults
-from tests.raftworld import MS, InvariantError
+from tests.lease_simulation import (
+    LEASE_TIMING,
+    LONG_LEASE_TIMING,
+    SCENARIOS,
+    LeaseSimulation,
+    run_lease_faults,
+)
+from tests.raft_simulation import MS, InvariantError
 
 
 class CountsLeaseFromReply(LeaseHolder):
@@ -69,11 +75,11 @@
         factories: dict[str, Any] = {
             "holder" if issubclass(mutant, LeaseHolder) else "manager": mutant
         }
-        fleet = Fleet(
+        simulation = LeaseSimulation(
             seed, 5, **factories, timing=LONG_LEASE_TIMING if seed % 3 == 1 else LEASE_TIMING
         )
         try:
-            SCENARIOS[seed % 3](fleet)
+            SCENARIOS[seed % 3](simulation)
         except InvariantError:
             return
     raise AssertionError(f"{mutant.__name__} is not detected")
@@ -83,18 +89,18 @@
 def test_scenarios_pass_without_mutation(scenario: int) -> None:
     for seed in range(8):
         SCENARIOS[scenario](
-            Fleet(seed, 5, timing=LONG_LEASE_TIMING if scenario == 1 else LEASE_TIMING)
+            LeaseSimulation(seed, 5, timing=LONG_LEASE_TIMING if scenario == 1 else LEASE_TIMING)
         )
 
 
 def test_clock_drift_beyond_the_maximum_is_detected() -> None:
     """Shows that the check can fail: clocks that break the drift assumption violate a property."""
     for seed in range(80):
-        fleet = Fleet(
+        simulation = LeaseSimulation(
             seed, 3, rates=(0.6, 1.0, 1.5), timing=LeaseTiming(300 * MS, 0.0, 50 * MS, 200 * MS, 2)
         )
         try:
-            run_lease_faults(fleet, 40)
+            run_lease_faults(simulation, 40)
         except InvariantError:
             return
     raise AssertionError("no violation is detected")
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -11,8 +11,8 @@
 from kelpcourse.shared.lease_manager import LeaseManager
 from kelpcourse.shared.lease_timing import LeaseReply, LeaseRequest
 from kelpcourse.shared.replicated_state import ReplicatedState
-from tests.leaseworld import GROUP_COUNT, LEASE_TIMING
-from tests.raftworld import MS
+from tests.lease_simulation import GROUP_COUNT, LEASE_TIMING
+from tests.raft_simulation import MS
 
 
 def state_with_grant(holder: str = "a") -> ReplicatedState:
--- a/tests/test_member.py
+++ b/tests/test_member.py
@@ -11,17 +11,17 @@
 from kelpcourse.shared.errors import (
     RequestRejectedError,
 )
-from tests.memberrig import Rig
+from tests.member_rig import MemberRig
 
 
 @pytest.fixture
-def rig(tmp_path: Path) -> Iterator[Rig]:
-    member_rig = Rig(tmp_path, 3, True)
+def rig(tmp_path: Path) -> Iterator[MemberRig]:
+    member_rig = MemberRig(tmp_path, 3, True)
     yield member_rig
     member_rig.close()
 
 
-def test_cluster_of_one_member_grows_and_distributes_proxy_groups(rig: Rig) -> None:
+def test_cluster_of_one_member_grows_and_distributes_proxy_groups(rig: MemberRig) -> None:
     for name in rig.names:
         rig.start(name)
     rig.add_all_voters()
@@ -38,7 +38,7 @@
     rig.run_until(lambda: all(m.status()["withdrawn"] == ["h"] for m in rig.members.values()))
 
 
-def test_killed_member_is_replaced_and_restarts_with_its_state(rig: Rig) -> None:
+def test_killed_member_is_replaced_and_restarts_with_its_state(rig: MemberRig) -> None:
     for name in rig.names:
         rig.start(name)
     rig.add_all_voters()
@@ -55,7 +55,7 @@
     rig.run_until(lambda: len(set(rig.holders().values())) == 3)
 
 
-def test_member_with_the_certificate_of_another_is_rejected(rig: Rig) -> None:
+def test_member_with_the_certificate_of_another_is_rejected(rig: MemberRig) -> None:
     rig.start("n0")
     rig.start("n1", certificate="n2")
     rig.run_until(
--- a/tests/test_member_storage.py
+++ b/tests/test_member_storage.py
@@ -20,10 +20,10 @@
 from kelpcourse.shared.storage import MemberStorage
 from kelpcourse.wire.loop import Loop
 from kelpcourse.wire.storage import StorageThread
-from tests.memberrig import Rig
+from tests.member_rig import MemberRig
 
 
-def test_lost_state_is_reported_and_an_empty_folder_makes_a_new_member(tmp_path: Path) -> None:
+def test_lost_state_is_reported_and_empty_folder_creates_new_member(tmp_path: Path) -> None:
     loop = Loop(lambda: 0, lambda *_: None)
 
     def open_storage(path: Path) -> MemberStorage:
@@ -31,7 +31,7 @@
             path, "n0", True, loop, Limits(), StorageThread(), lambda _: None, lambda _: None
         )
 
-    rig = Rig(tmp_path, 1, False)
+    rig = MemberRig(tmp_path, 1, False)
     member = rig.start("n0")
     rig.run_until(lambda: member.status().get("role") == "leader")
     member_id = member.member_id
--- a/tests/test_page_examples.py
+++ b/tests/test_page_examples.py
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 def shared_folder(tmp_path: Path) -> Path:
-    """Creates a folder with the certificates that the example on the page names."""
+    """A folder with the certificates that the example on the page names."""
     run("shared", "keys", str(tmp_path), "n1")
     return tmp_path
 
--- a/tests/test_persistent_state.py
+++ b/tests/test_persistent_state.py
@@ -22,17 +22,17 @@
 
 CONFIG = Configuration(frozenset({"a", "b"}), frozenset({"c"}))
 
-
+# Steps, each with the number of entries to truncate, the number to append, and whether to compact the log.
 writes = st.lists(st.tuples(st.integers(0, 3), st.integers(1, 4), st.booleans()), max_size=12)
 
 
 @given(writes)
 @settings(max_examples=200, deadline=None, derandomize=True)
 def test_replay_equals_applying_writes_one_by_one(steps: list[tuple[int, int, bool]]) -> None:
-    stored, start, payloads = initial_state(CONFIG), initial_state(CONFIG), []
-    for number, (back, count, compacts) in enumerate(steps, 1):
+    stored, initial, payloads = initial_state(CONFIG), initial_state(CONFIG), []
+    for number, (truncated_count, count, compacts) in enumerate(steps, 1):
         last = stored.entries[-1].index if stored.entries else stored.snapshot.index
-        truncate_index = max(stored.snapshot.index + 1, last + 1 - back)
+        truncate_index = max(stored.snapshot.index + 1, last + 1 - truncated_count)
         write = StateWrite(
             number,
             number,
@@ -54,4 +54,4 @@
         payloads.append(encode_write(write))
         assert decode_write(payloads[-1]) == write
         stored = apply_write(stored, write)
-    assert replay(start, payloads) == stored
+    assert replay(initial, payloads) == stored
--- a/tests/test_raft_model.py
+++ b/tests/test_raft_model.py
@@ -26,8 +26,8 @@
 from kelpcourse.shared.raft.output import RaftOutput
 from kelpcourse.shared.raft.persistent import PersistentState, apply_write
 from kelpcourse.shared.raft.role import Role
-from tests.raftmutants import CommitsWithoutMajority, CountsDeniedVotes, VotesTwicePerTerm
-from tests.raftworld import InvariantError
+from tests.raft_mutants import CommitsWithoutMajority, CountsDeniedVotes, VotesTwicePerTerm
+from tests.raft_simulation import InvariantError
 
 NAMES = ("a", "b", "c")
 # Time between two steps, long enough that no member still has a current leader.
--- a/tests/test_raft_mutants.py
+++ b/tests/test_raft_mutants.py
@@ -9,28 +9,30 @@
 
 from kelpcourse.shared.errors import LogConflictError
 from kelpcourse.shared.raft.node import Raft
-from tests.raftmutants import MUTANTS, SCENARIOS, figure_8, run_crashes
-from tests.raftworld import MS, InvariantError, World, run_faults
+from tests.raft_mutants import MUTANTS, SCENARIOS, run_crashes, run_figure_8
+from tests.raft_simulation import MS, InvariantError, RaftSimulation, run_faults
 
 
 class TestMutants:
-    found: ClassVar[dict[str, int]] = {}
+    detecting_seeds: ClassVar[dict[str, int]] = {}
 
     @pytest.mark.parametrize("mutant", MUTANTS)
     def test_mutant_is_detected(self, mutant: type[Raft]) -> None:
         for seed in range(400):
-            world = World(seed, 3 + 2 * (seed % 2), mutant)
-            world.sync_us = (0, 60 * MS)
+            simulation = RaftSimulation(seed, 3 + 2 * (seed % 2), mutant)
+            simulation.sync_us = (0, 60 * MS)
             try:
-                SCENARIOS.get(mutant, run_faults)(world, 60)
+                SCENARIOS.get(mutant, run_faults)(simulation, 60)
             except (InvariantError, LogConflictError, AssertionError, TypeError):
-                self.found[mutant.__name__] = seed
+                self.detecting_seeds[mutant.__name__] = seed
                 return
         raise AssertionError(f"{mutant.__name__} is not detected")
 
-    @pytest.mark.parametrize("scenario", [run_crashes, figure_8])
-    def test_scenarios_pass_without_mutation(self, scenario: Callable[[World, int], None]) -> None:
+    @pytest.mark.parametrize("scenario", [run_crashes, run_figure_8])
+    def test_scenarios_pass_without_mutation(
+        self, scenario: Callable[[RaftSimulation, int], None]
+    ) -> None:
         for seed in range(16):
-            world = World(seed, 3 + 2 * (seed % 2))
-            world.sync_us = (0, 60 * MS)
-            scenario(world, 30)
+            simulation = RaftSimulation(seed, 3 + 2 * (seed % 2))
+            simulation.sync_us = (0, 60 * MS)
+            scenario(simulation, 30)
--- a/tests/test_replicated_state.py
+++ b/tests/test_replicated_state.py
@@ -19,7 +19,7 @@
 from kelpcourse.shared.replicated_state import Lease, ReplicatedState, overdue_drains
 
 
-def test_rejected_commands_change_nothing() -> None:
+def test_rejected_commands_do_not_change_the_state() -> None:
     state = ReplicatedState()
     assert state.apply(SetGroupCount(2))
     for command, accepted in (
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -17,7 +17,7 @@
 
 
 class ManualRunner:
-    """A JobRunner that runs a job only when the test calls `run_job`."""
+    """A `JobRunner` that runs a job only when the test calls `run_job`."""
 
     def __init__(self) -> None:
         self.fd = os.eventfd(0, os.EFD_NONBLOCK)
--- a/tests/test_stored_controller.py
+++ b/tests/test_stored_controller.py
@@ -41,7 +41,7 @@
 FRAME_BYTES = 18
 
 
-class Opener:
+class StorageOpener:
     """Opens state folders, and closes them at the end of a test."""
 
     def __init__(self) -> None:
@@ -63,22 +63,22 @@
         return storage
 
     def close(self) -> None:
-        for disk in self._opened:
-            disk.close()
+        for storage in self._opened:
+            storage.close()
         self._loop.close()
 
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """Returns a copy of the golden folder."""
+    """A copy of the golden folder."""
     return shutil.copytree(GOLDEN, tmp_path / "state")
 
 
 @pytest.fixture
-def opener() -> Iterator[Opener]:
-    opener = Opener()
-    yield opener
-    opener.close()
+def storage_opener() -> Iterator[StorageOpener]:
+    storage_opener = StorageOpener()
+    yield storage_opener
+    storage_opener.close()
 
 
 def plain_config(config: Configuration | None) -> list[list[str]] | None:
@@ -86,7 +86,7 @@
 
 
 def plain_state(snapshot: bytes, commands: list[bytes]) -> dict[str, Any]:
-    """Returns the replicated state after a snapshot and the commands that follow it, without names of classes."""
+    """Returns the replicated state after a snapshot and the commands after it, as plain lists and dictionaries."""
     state = ReplicatedState.decode(snapshot)
     for command in commands:
         state.apply(decode_command(command))
@@ -98,8 +98,8 @@
     }
 
 
-def plain(stored: PersistentState) -> dict[str, Any]:
-    """Returns the contents of a disk, without names of classes."""
+def plain_persistent_state(stored: PersistentState) -> dict[str, Any]:
+    """Returns a persistent state as plain lists and dictionaries."""
     snapshot, entries = stored.snapshot, stored.entries
     commands = [entry.data for entry in entries if entry.kind.value == "data"]
     return {
@@ -118,63 +118,67 @@
     }
 
 
-def test_state_of_earlier_release_is_read(folder: Path, opener: Opener) -> None:
-    storage = opener.open(folder)
-    assert plain(storage.state) == RECORDED["whole"]
+def test_state_of_earlier_release_is_read(folder: Path, storage_opener: StorageOpener) -> None:
+    storage = storage_opener.open(folder)
+    assert plain_persistent_state(storage.state) == RECORDED["whole"]
     assert storage.member_id == RECORDED["member"]
     assert storage.warnings == []
 
 
 @pytest.mark.parametrize("cut_bytes", [1, FRAME_BYTES, LAST_RECORD_BYTES - 1])
 def test_torn_last_write_is_reported_and_earlier_writes_are_kept(
-    folder: Path, opener: Opener, cut_bytes: int
+    folder: Path, storage_opener: StorageOpener, cut_bytes: int
 ) -> None:
     data = (folder / JOURNAL).read_bytes()
     (folder / JOURNAL).write_bytes(data[:-cut_bytes])
-    storage = opener.open(folder)
-    assert plain(storage.state) == RECORDED["without_last_write"]
+    storage = storage_opener.open(folder)
+    assert plain_persistent_state(storage.state) == RECORDED["without_last_write"]
     assert [(r.file, r.problem, r.lost_bytes, r.alarming) for r in storage.warnings] == [
         (JOURNAL, "the last write is incomplete", LAST_RECORD_BYTES - cut_bytes, False)
     ]
 
 
 def test_damaged_last_write_is_reported_and_earlier_writes_are_kept(
-    folder: Path, opener: Opener
+    folder: Path, storage_opener: StorageOpener
 ) -> None:
     data = bytearray((folder / JOURNAL).read_bytes())
     data[-1] ^= 1
     (folder / JOURNAL).write_bytes(data)
-    storage = opener.open(folder)
-    assert plain(storage.state) == RECORDED["without_last_write"]
+    storage = storage_opener.open(folder)
+    assert plain_persistent_state(storage.state) == RECORDED["without_last_write"]
     assert [(r.file, r.problem, r.lost_bytes) for r in storage.warnings] == [
         (JOURNAL, "the last write is incomplete", LAST_RECORD_BYTES)
     ]
 
 
-def test_damage_inside_journal_is_reported_and_file_is_kept(folder: Path, opener: Opener) -> None:
+def test_damage_inside_journal_is_reported_and_file_is_kept(
+    folder: Path, storage_opener: StorageOpener
+) -> None:
     """Acknowledged writes are lost, so the member must not continue without them."""
     data = bytearray((folder / JOURNAL).read_bytes())
     data[HEADER_BYTES + FRAME_BYTES] ^= 1
     (folder / JOURNAL).write_bytes(data)
     with pytest.raises(StateLostError, match=r"state is damaged: damaged before intact records"):
-        opener.open(folder)
+        storage_opener.open(folder)
     assert (folder / f"{JOURNAL}.damaged").read_bytes() == data
     assert (folder / SNAPSHOT).read_bytes() == (GOLDEN / SNAPSHOT).read_bytes()
 
 
-def test_truncated_snapshot_is_reported_and_files_are_kept(folder: Path, opener: Opener) -> None:
+def test_truncated_snapshot_is_reported_and_files_are_kept(
+    folder: Path, storage_opener: StorageOpener
+) -> None:
     data = (folder / SNAPSHOT).read_bytes()[:-3]
     (folder / SNAPSHOT).write_bytes(data)
     with pytest.raises(
         StateLostError, match=r"state is damaged: the snapshot is incomplete or damaged"
     ):
-        opener.open(folder)
+        storage_opener.open(folder)
     kept = [path.read_bytes() for path in sorted(folder.glob(f"{SNAPSHOT}*"))]
     assert kept == [data]
     assert (folder / JOURNAL).exists()
 
 
-def test_unknown_entry_kind_is_reported(folder: Path, opener: Opener) -> None:
+def test_unknown_entry_kind_is_reported(folder: Path, storage_opener: StorageOpener) -> None:
     """The record has a valid checksum, as if a later release had written it."""
     contents = read(Kind.JOURNAL, (folder / JOURNAL).read_bytes())
     records = [
@@ -185,7 +189,7 @@
         + b"".join(map(frame, records))
     )
     with pytest.raises(StateLostError, match=r"an entry can't be read: .*nonsens"):
-        opener.open(folder)
+        storage_opener.open(folder)
 
 
 def stored_maps(payload: bytes) -> tuple[list[str], object]:
