--- a/tests/discovery_service.py
+++ b/tests/discovery_service.py
@@ -1,4 +1,4 @@
-"""A scripted discovery service on the test's loop."""
+"""A scripted discovery service on the loop of a test."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DiscoveryService:
-    """Handles each connection with the next function of a script."""
+    """Handles each connection by the next function of a script, and records the requested paths."""
 
     def __init__(self, bench: Bench, *script: Callable[[Caller], Coroutine[None]]) -> None:
         self.targets: list[str] = []
--- a/tests/listening.py
+++ b/tests/listening.py
@@ -1,4 +1,4 @@
-"""A listener on the test's loop, and plain client sockets connected to it."""
+"""A listener on the loop of a test, and plain client sockets connected to it."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
             peer.close()
 
 
-def push(peer: socket.socket, data: bytes) -> bool:
+def send_available(peer: socket.socket, data: bytes) -> bool:
     """Sends as much data as the system accepts; returns False once the other side has closed."""
     try:
         peer.send(data)
@@ -64,8 +64,8 @@
 
 
 def is_closed_after(bench: Bench, peer: socket.socket, data: bytes) -> bool:
-    is_open = push(peer, data)
-    bench.turn()
+    is_open = send_available(peer, data)
+    bench.run_round()
     return not is_open
 
 
--- a/tests/relay_service.py
+++ b/tests/relay_service.py
@@ -1,4 +1,4 @@
-"""A scripted relay on the test's loop that accepts or rejects calls, closes connections or does not respond."""
+"""A scripted relay on the loop of a test: it accepts or rejects calls, closes connections or does not respond."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
             assert target == "/v3/kv/orders"
             orders = orjson.loads(body)["orders"]
             self.calls.append(orders)
-            answer = self.script.pop(0) if self.script else accept_all
-            yield from answer(caller, len(orders))
+            respond = self.script.pop(0) if self.script else accept_all
+            yield from respond(caller, len(orders))
         self.closed_count += 1
 
     def verbs(self) -> list[list[object]]:
--- a/tests/relays.py
+++ b/tests/relays.py
@@ -27,7 +27,7 @@
         self._bench = bench
         self._openings = list(openings)
         self.lines: list[bytes] = []  # lines to send on every connection
-        # Closes the first connection that checks the flag, which is reset then.
+        # Whether to close a connection; the first connection that checks this flag closes and clears it.
         self.disconnect_next = False
         self.stand_in = StandIn(bench.loop, self._serve)
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -93,7 +93,7 @@
 
 
 class Bench:
-    """The runtime of a controller on a fake clock, which advances only in rounds that wake no task."""
+    """The runtime of a controller on a fake clock, which advances by 1 ms in each round that wakes no task."""
 
     def __init__(self, limits: Limits = FAST_LIMITS, settings: Settings = SETTINGS) -> None:
         self.clock = FakeClock()
@@ -105,21 +105,21 @@
         self.counters = Counters()
         self.runtime = Runtime(self.facade, limits, self.counters, self.log, self.loop)
 
-    def until(self, condition: Callable[[], object], max_turns: int = 4000) -> None:
-        for _ in range(max_turns):
+    def until(self, condition: Callable[[], object], max_rounds: int = 4000) -> None:
+        for _ in range(max_rounds):
             if condition():
                 return
-            self.turn()
+            self.run_round()
         raise AssertionError(
             f"condition not met; log: {self.log.lines[-5:]}, unexpected errors: {self.unexpected_errors}"
         )
 
-    def turn(self) -> None:
+    def run_round(self) -> None:
         if not self.loop.run_once(self.clock.now + MS):
             self.clock.now += MS
         self.facade.tick(self.clock.now)
 
-    def pass_us(self, span_us: int) -> None:
+    def run_for_us(self, span_us: int) -> None:
         until_us = self.clock.now + span_us
         self.until(lambda: self.clock.now >= until_us)
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration: both wires share one settings reader, and an error names the invalid field."""
+"""The configuration: nested JSON and name=value pairs share one settings reader, and errors name the invalid field."""
 
 from __future__ import annotations
 
@@ -264,7 +264,7 @@
 
 
 DEPLOYMENTS: dict[str, dict[str, object]] = {
-    "as it is": {},
+    "unchanged": {},
     "one zone": {"zones": ["room-a"]},
     "nine zones": {"zones": [f"z{k}" for k in range(8)] + ["room-a"]},
     "one class": {
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -73,7 +73,7 @@
     bench.until(lambda: reported_lists(bench))
     discovery.fetch()
     bench.until(lambda: len(reported_lists(bench)) == 2)
-    bench.pass_us(3 * FAST_LIMITS.list_timeout_us)
+    bench.run_for_us(3 * FAST_LIMITS.list_timeout_us)
     assert [event.kind for event in reported_lists(bench)] == [EndpointListKind.UNAVAILABLE] * 2
     assert len(bench.log.named("discovery_unavailable")) == 2
 
@@ -91,7 +91,7 @@
         bench, watch_stream(bench, listed(42, complete=False), then_silent=False)
     )
     discovery_client_for(bench, with_heartbeats).watch(True)
-    bench.pass_us(5 * FAST_LIMITS.watch_silence_us)
+    bench.run_for_us(5 * FAST_LIMITS.watch_silence_us)
     assert [event.kind for event in reported_lists(bench)] == [EndpointListKind.CHANGES]
     without_heartbeats = DiscoveryService(bench, watch_stream(bench, listed(42, complete=False)))
     discovery_client_for(bench, without_heartbeats).watch(True)
@@ -124,7 +124,7 @@
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 2)
     assert service.targets[1].endswith("index=43")
-    bench.pass_us(10 * MS)
+    bench.run_for_us(10 * MS)
     # The stopped watch is not reported as lost.
     assert reported_lists(bench)[1].kind is EndpointListKind.CHANGES
 
@@ -150,7 +150,7 @@
     host = reported_lists(bench)[0].endpoints[0].id
     bench.policy.scripted_actions = [[CheckHealth(host), WatchEndpoints(False)]]
     bench.facade.report_list_unavailable()
-    bench.pass_us(5 * MS)
+    bench.run_for_us(5 * MS)
     work = bench.facade.pick()
     assert work.health_checks == [HealthCheckRequest("a", ("127.0.0.2", 7))]
     assert work.watch is False
--- a/tests/test_discovery_codec.py
+++ b/tests/test_discovery_codec.py
@@ -34,10 +34,10 @@
             errors.append,
         )
         assert f"'{name}'" in str(errors.pop())
-    for wrong in (
+    for invalid in (
         {"revision": 1, "complete": True},
         {"revision": "1", "complete": True, "members": []},
         {"revision": 1, "complete": "so", "members": []},
     ):
         with pytest.raises(InvalidMessageError):
-            decode_endpoint_list(wrong, errors.append)
+            decode_endpoint_list(invalid, errors.append)
--- a/tests/test_discovery_versions.py
+++ b/tests/test_discovery_versions.py
@@ -15,7 +15,7 @@
 
 
 def test_changes_older_than_the_known_version_end_the_watch(bench: Bench) -> None:
-    """Some changes are missing, and only a new call can return them."""
+    """Some changes are missing, and only a new watch or fetch can return them."""
     service = DiscoveryService(bench, watch_stream(bench, listed(40, entry("a"), complete=False)))
     discovery_client_for(bench, service, 41).watch(True)
     bench.until(lambda: reported_lists(bench))
@@ -42,38 +42,38 @@
 
 def test_repeated_older_list_is_accepted_as_a_restart_of_discovery(bench: Bench) -> None:
     """Otherwise all of its changes would be rejected, and drains would be missed."""
-    times = FAST_LIMITS.max_stale_lists
+    limit = FAST_LIMITS.max_stale_lists
     service = DiscoveryService(
         bench,
-        *[response_body(listed(3, entry("a")))] * times,
+        *[response_body(listed(3, entry("a")))] * limit,
         watch_stream(bench, listed(4, entry("b"), complete=False)),
     )
     discovery = discovery_client_for(bench, service)
-    for count in range(times):
+    for count in range(limit):
         discovery.fetch()
         bench.until(lambda count=count: len(reported_lists(bench)) == count + 1)  # type: ignore[misc]
     assert [reported.kind for reported in reported_lists(bench)] == [
         EndpointListKind.UNAVAILABLE
-    ] * (times - 1) + [EndpointListKind.FULL]
+    ] * (limit - 1) + [EndpointListKind.FULL]
     discovery.watch(True)
-    bench.until(lambda: len(reported_lists(bench)) == times + 1)
+    bench.until(lambda: len(reported_lists(bench)) == limit + 1)
     assert service.targets[-1].endswith("index=3")
 
 
 def test_repeated_older_changes_lead_to_a_request_for_the_complete_list(bench: Bench) -> None:
-    times = FAST_LIMITS.max_stale_lists
+    limit = FAST_LIMITS.max_stale_lists
     service = DiscoveryService(
         bench,
-        *[watch_stream(bench, listed(3, complete=False))] * times,
+        *[watch_stream(bench, listed(3, complete=False))] * limit,
         watch_stream(bench, listed(3, entry("a"))),
     )
     discovery = discovery_client_for(bench, service)
-    for count in range(times):
+    for count in range(limit):
         discovery.watch(True)
         bench.until(lambda count=count: len(reported_lists(bench)) == count + 1)  # type: ignore[misc]
     discovery.watch(True)
-    bench.until(lambda: len(reported_lists(bench)) == times + 1)
-    assert [target.split("=")[-1] for target in service.targets] == ["41"] * times + ["0"]
+    bench.until(lambda: len(reported_lists(bench)) == limit + 1)
+    assert [target.split("=")[-1] for target in service.targets] == ["41"] * limit + ["0"]
     assert reported_lists(bench)[-1].kind is EndpointListKind.FULL
 
 
@@ -84,10 +84,10 @@
     for count in range(6):
         discovery.fetch()
         bench.until(lambda count=count: len(reported_lists(bench)) == count + 1)  # type: ignore[misc]
-    lost = EndpointListKind.UNAVAILABLE
+    unavailable = EndpointListKind.UNAVAILABLE
     assert [reported.kind for reported in reported_lists(bench)] == [
-        lost,
-        lost,
+        unavailable,
+        unavailable,
         EndpointListKind.FULL,
     ] * 2
 
@@ -96,7 +96,7 @@
     """The fetch advanced the version, so the next line of the watch was mistaken for a gap."""
     pending_lines: list[bytes] = []
 
-    def watched(caller: Caller) -> Coroutine[None]:
+    def serve_watch(caller: Caller) -> Coroutine[None]:
         yield from caller.open_body()
         yield from caller.line(listed(42, entry("a"), complete=False))
         while True:
@@ -104,7 +104,9 @@
                 yield Wait(bench.clock() + MS)
             yield from caller.line(pending_lines.pop(0))
 
-    service = DiscoveryService(bench, watched, response_body(listed(45, entry("a", "draining"))))
+    service = DiscoveryService(
+        bench, serve_watch, response_body(listed(45, entry("a", "draining")))
+    )
     discovery = discovery_client_for(bench, service)
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 1)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -26,7 +26,7 @@
     ROOT / "deploy" / "sites" / "README.md",
     *sorted(DOCS.rglob("*.md")),
 ]
-# These pages keep the names that were used when they were written. Only their links are checked.
+# These pages keep the names that were in use when they were written. Only their links are checked.
 HISTORICAL_PAGES = ("CHANGELOG.md", "docs/history/", "docs/incidents/")
 CURRENT_PAGES = [
     page for page in PAGES if not page.relative_to(ROOT).as_posix().startswith(HISTORICAL_PAGES)
@@ -34,10 +34,10 @@
 OPERATOR_PAGES = [
     DOCS / name for name in ("on-call.md", "operating-zones.md", "operating-shared.md")
 ]
-RENAMED = "Renamed log events, fields and counters"
+RENAMED_NAMES_TITLE = "Renamed log events, fields and counters"
 
 LOG_METHODS = {"event", "always"}
-CODE = re.compile(r"`([^`\n]+)`")
+CODE_SPAN = re.compile(r"`([^`\n]+)`")
 LINK = re.compile(r"\]\(([^)\s]+)\)")
 
 
@@ -165,8 +165,14 @@
     """Returns the rows of the tables in a text, without the header and delimiter rows."""
     table = [line for line in text.splitlines() if line.startswith("|")]
     cells = [[cell.strip() for cell in line.strip("|").split("|")] for line in table]
-    rules = {at for at, row in enumerate(cells) if all(set(cell) <= set("-: ") for cell in row)}
-    return [row for at, row in enumerate(cells) if at not in rules and at + 1 not in rules]
+    delimiter_rows = {
+        at for at, row in enumerate(cells) if all(set(cell) <= set("-: ") for cell in row)
+    }
+    return [
+        row
+        for at, row in enumerate(cells)
+        if at not in delimiter_rows and at + 1 not in delimiter_rows
+    ]
 
 
 def explained_names(title: str) -> dict[str, list[str]]:
@@ -175,7 +181,7 @@
         name: row
         for page in OPERATOR_PAGES
         for row in table_rows(section(page, title))
-        for name in CODE.findall(row[0])
+        for name in CODE_SPAN.findall(row[0])
     }
 
 
@@ -218,7 +224,7 @@
 
 def test_every_name_that_is_explained_is_in_the_source() -> None:
     pages = "".join(text_of(page) for page in OPERATOR_PAGES)
-    renamed_section = section(DOCS / "on-call.md", RENAMED)
+    renamed_section = section(DOCS / "on-call.md", RENAMED_NAMES_TITLE)
     names = re.findall(r"^\| `([a-z_]+)` \|", pages.replace(renamed_section, ""), re.MULTILINE)
     assert len(names) > 15
     source = "".join(text_of(path) for path in SOURCES)
@@ -227,9 +233,9 @@
 
 def renamed_names() -> list[list[list[str]]]:
     """Returns the tables of old and new names: log events, fields with the new name of their event, and counters."""
-    blocks = section(DOCS / "on-call.md", RENAMED).split("\n\n")
+    blocks = section(DOCS / "on-call.md", RENAMED_NAMES_TITLE).split("\n\n")
     tables = [table_rows(block) for block in blocks if block.lstrip().startswith("|")]
-    return [[CODE.findall(" ".join(row)) for row in table] for table in tables]
+    return [[CODE_SPAN.findall(" ".join(row)) for row in table] for table in tables]
 
 
 def test_renamed_log_events_are_written_only_under_their_new_names() -> None:
@@ -288,7 +294,7 @@
     """Returns the texts in backticks on a page, except in indented and fenced blocks."""
     text = re.sub(r"^```.*?^```$", "", text_of(page), flags=re.MULTILINE | re.DOTALL)
     lines = [line for line in text.splitlines() if not line.startswith("    ")]
-    return CODE.findall("\n".join(lines))
+    return CODE_SPAN.findall("\n".join(lines))
 
 
 @pytest.mark.parametrize("page", CURRENT_PAGES, ids=name_of)
@@ -327,7 +333,9 @@
 
 def test_every_limit_that_is_explained_is_a_field() -> None:
     names = [
-        name for row in table_rows(text_of(DOCS / "limits.md")) for name in CODE.findall(row[0])
+        name
+        for row in table_rows(text_of(DOCS / "limits.md"))
+        for name in CODE_SPAN.findall(row[0])
     ]
     fields = {field.name for field in dataclasses.fields(Limits)}
     assert len(names) > 15
--- a/tests/test_end_result.py
+++ b/tests/test_end_result.py
@@ -168,6 +168,6 @@
     for number in range(STEPS):
         order_queue.add(step(number))
         orders_queued.set()
-        bench.pass_us(pace_ms * MS)
+        bench.run_for_us(pace_ms * MS)
     bench.until(lambda: not order_queue.batch_count)
     assert relay.state == expected_state()
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -15,10 +15,10 @@
 
 @pytest.fixture
 def bench() -> Iterator[Bench]:
-    created = Bench()
-    created.facade.report_cached_list([member("h1")], 1)
-    yield created
-    created.close()
+    test_bench = Bench()
+    test_bench.facade.report_cached_list([member("h1")], 1)
+    yield test_bench
+    test_bench.close()
 
 
 def responding(status: int, body: bytes) -> Callable[[Caller], Coroutine[None]]:
@@ -99,7 +99,7 @@
 
 
 def test_a_check_that_fails_unexpectedly_is_reported_and_the_next_one_runs(bench: Bench) -> None:
-    """No result was reported, which the policy waits for, and the checks queued after it were never made."""
+    """The policy never received a result of such a check, and the checks queued after it were not made."""
     bench.runtime = replace(
         bench.runtime, limits=replace(FAST_LIMITS, max_concurrent_health_checks=1)
     )
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -57,9 +57,9 @@
     state = state_with_grant("dead")
     manager = LeaseManager(LEASE_TIMING, state, 1000 * MS)
     proposed = []
-    for now in range(1000 * MS, 2000 * MS, 10 * MS):
-        manager.on_request("b", LeaseRequest(0, {}), now, 1 << 60)
-        proposed += [(now, command) for command in manager.next_commands(now, ["b", "dead"])]
+    for now_us in range(1000 * MS, 2000 * MS, 10 * MS):
+        manager.on_request("b", LeaseRequest(0, {}), now_us, 1 << 60)
+        proposed += [(now_us, command) for command in manager.next_commands(now_us, ["b", "dead"])]
     # Proposed only once while it is uncommitted.
     assert [command for _, command in proposed] == [GrantLease(0, "b", 2)]
     assert proposed[0][0] == 1000 * MS + LEASE_TIMING.leader_duration_us
@@ -74,17 +74,17 @@
         state.apply(GrantLease(group, "a", 1))
     manager = LeaseManager(LEASE_TIMING, state, 0)
     held_epochs = dict.fromkeys(range(GROUP_COUNT), 1)
-    now = 150 * MS
-    manager.on_request("a", LeaseRequest(now, held_epochs), now, 1 << 60)
-    manager.on_request("b", LeaseRequest(now, {}), now, 1 << 60)
-    assert manager.next_commands(now, ["a", "b"]) == []
-    reply = manager.on_request("a", LeaseRequest(now, held_epochs), now, 1 << 60)
+    now_us = 150 * MS
+    manager.on_request("a", LeaseRequest(now_us, held_epochs), now_us, 1 << 60)
+    manager.on_request("b", LeaseRequest(now_us, {}), now_us, 1 << 60)
+    assert manager.next_commands(now_us, ["a", "b"]) == []
+    reply = manager.on_request("a", LeaseRequest(now_us, held_epochs), now_us, 1 << 60)
     assert reply is not None
     assert len(reply.epochs) == GROUP_COUNT - LEASE_TIMING.max_migrations
-    now += LEASE_TIMING.leader_duration_us
-    manager.on_request("b", LeaseRequest(now, {}), now, 1 << 60)
-    manager.on_request("a", LeaseRequest(now, reply.epochs), now, 1 << 60)
-    assert len(manager.next_commands(now, ["a", "b"])) == LEASE_TIMING.max_migrations
+    now_us += LEASE_TIMING.leader_duration_us
+    manager.on_request("b", LeaseRequest(now_us, {}), now_us, 1 << 60)
+    manager.on_request("a", LeaseRequest(now_us, reply.epochs), now_us, 1 << 60)
+    assert len(manager.next_commands(now_us, ["a", "b"])) == LEASE_TIMING.max_migrations
 
 
 def test_fence_rejects_lower_epochs() -> None:
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -14,9 +14,9 @@
     DEMAND_REPORT,
     ListenerRig,
     is_closed_after,
-    push,
     received,
     received_until_closed,
+    send_available,
 )
 from tests.standins import FAST_LIMITS, MS, SHORT_IDLE_LIMITS, Bench
 
@@ -39,10 +39,10 @@
 ) -> None:
     listener_rig = short_timeout_listener_rig
     client, collector = listener_rig.connect(), listener_rig.collector()
-    listener_rig.bench.pass_us(SHORT_IDLE_LIMITS.handshake_timeout_us + 20 * MS)
+    listener_rig.bench.run_for_us(SHORT_IDLE_LIMITS.handshake_timeout_us + 20 * MS)
     assert received(client) == b"refused\r\n"
     assert received(collector) is None
-    listener_rig.bench.pass_us(SHORT_IDLE_LIMITS.collector_idle_us)
+    listener_rig.bench.run_for_us(SHORT_IDLE_LIMITS.collector_idle_us)
     assert received(collector) == b""
 
 
@@ -50,13 +50,13 @@
 def test_an_incomplete_line_does_not_extend_the_handshake_timeout(
     short_timeout_listener_rig: ListenerRig, sent: bytes
 ) -> None:
-    """The timeout starts with the message, not with its last byte."""
+    """The timeout runs from the connection or from the first byte of the message, not from the latest byte."""
     listener_rig = short_timeout_listener_rig
     peer = listener_rig.connect()
-    push(peer, sent)
+    send_available(peer, sent)
     for _ in range(20):
-        push(peer, b"x")
-        listener_rig.bench.pass_us(SHORT_IDLE_LIMITS.handshake_timeout_us // 10)
+        send_available(peer, b"x")
+        listener_rig.bench.run_for_us(SHORT_IDLE_LIMITS.handshake_timeout_us // 10)
     assert b"refused" in received_until_closed(peer)
 
 
@@ -66,16 +66,16 @@
     listener_rig = short_timeout_listener_rig
     peer = listener_rig.connect()
     for _ in range(3):
-        push(peer, b"ping\r\n")
-        listener_rig.bench.pass_us(SHORT_IDLE_LIMITS.handshake_timeout_us + 20 * MS)
+        send_available(peer, b"ping\r\n")
+        listener_rig.bench.run_for_us(SHORT_IDLE_LIMITS.handshake_timeout_us + 20 * MS)
         assert received(peer) == b"pong\r\n"
-    listener_rig.bench.pass_us(SHORT_IDLE_LIMITS.ping_client_idle_us)
+    listener_rig.bench.run_for_us(SHORT_IDLE_LIMITS.ping_client_idle_us)
     assert received(peer) == b"refused\r\n"
 
 
 def test_unauthenticated_client_has_a_small_read_buffer(listener_rig: ListenerRig) -> None:
     for _ in range(50):
-        push(listener_rig.connect(), b"colle")
+        send_available(listener_rig.connect(), b"colle")
     listener_rig.bench.until(lambda: listener_rig.bench.counters["bytes_in"] == 250)
     assert (
         listener_rig.bench.counters["max_read_buffer_bytes"]
@@ -106,7 +106,7 @@
     collector = listener_rig.collector()
     for _ in range(100):
         listener_rig.connect()
-        bench.turn()
+        bench.run_round()
     bench.until(lambda: bench.counters["connections_evicted"] == 100 + 1 - 8)
     collector.sendall(DEMAND_REPORT)
     bench.until(listener_rig.reports)
@@ -134,7 +134,7 @@
     listener_rig: ListenerRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     collector, client = listener_rig.collector(), listener_rig.connect()
-    listener_rig.bench.pass_us(FAST_LIMITS.accept_retry_us)
+    listener_rig.bench.run_for_us(FAST_LIMITS.accept_retry_us)
     FailingAccept(monkeypatch, 1)
     later = listener_rig.connect()
     later.sendall(b"collector az=east\r\n" + DEMAND_REPORT)
@@ -163,9 +163,9 @@
     peers = [listener_rig.collector() for _ in range(12)]
     for _ in range(20):
         for peer in peers:
-            push(peer, b"heard" + b" x=" * 2700)
-        bench.turn()
-    bench.pass_us(20 * MS)
+            send_available(peer, b"heard" + b" x=" * 2700)
+        bench.run_round()
+    bench.run_for_us(20 * MS)
     ended = bench.log.named("connection_broken")
     assert any("exceed their total limit" in str(line["reason"]) for line in ended)
     assert bench.counters["max_read_buffer_bytes"] <= 2 * (256 << 10)
@@ -186,11 +186,11 @@
 
 
 def test_an_address_in_use_is_retried(bench: Bench) -> None:
-    before = socket.create_server(("127.0.0.1", 0))
-    address = before.getsockname()
+    occupying = socket.create_server(("127.0.0.1", 0))
+    address = occupying.getsockname()
     bench.loop.start("listener", Listener(bench.runtime, address).run())
     bench.until(lambda: len(bench.log.named("address_in_use")) >= 2)
-    before.close()
+    occupying.close()
     bench.until(lambda: bench.log.named("ready"))
     peer = socket.create_connection(address)
     peer.close()
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -28,7 +28,7 @@
     assert len(rig.loop) == 0
 
 
-def test_nothing_is_resumed_before_its_deadline(pair: SocketPair) -> None:
+def test_coroutine_is_not_resumed_before_its_deadline(pair: SocketPair) -> None:
     rig = LoopRig()
     rig.loop.start("task", rig.record_waits(Wait(rig.clock.now + 10, pair[0].fileno(), READ)))
     assert rig.loop.run_once(rig.clock.now) == 0
@@ -75,7 +75,7 @@
         raise ZeroDivisionError
 
     rig.loop.start("failing", failing())
-    rig.loop.start("sound", rig.record_waits(Wait(rig.clock.now)))
+    rig.loop.start("unaffected", rig.record_waits(Wait(rig.clock.now)))
     rig.loop.run_once(rig.clock.now)
     assert [(name, type(error)) for name, error in rig.unexpected_errors] == [
         ("failing", ZeroDivisionError)
@@ -211,7 +211,7 @@
     pair[0].close()
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        if ours.fileno() != fd:  # give the new descriptor that number, even if others are open
+        if ours.fileno() != fd:  # the system assigned another number
             os.dup2(ours.fileno(), fd)
         rig.loop.start("new", rig.record_waits(Wait(fd=fd, event_mask=READ)))
         rig.loop.stop(old)
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -59,19 +59,19 @@
 ]
 
 
-def unusual_event(rng: random.Random, now: int) -> Event:
-    number, proxy, zone = (
+def unusual_event(rng: random.Random, now_us: int) -> Event:
+    endpoint, proxy, zone = (
         rng.randrange(1, 9),
         rng.randrange(4),
         rng.choice(("east", "west", "elsewhere")),
     )
-    count, span = rng.choice((0, 1, 40)), rng.choice((0, 1, 1_000_000, 5_000_000))
+    count, span_us = rng.choice((0, 1, 40)), rng.choice((0, 1, 1_000_000, 5_000_000))
     listed = tuple(
         make_endpoint(
             rng.randrange(1, 9),
             zone,
             rng.choice(list(EndpointStatus)),
-            rng.choice((0, now - 1, now + 9)),
+            rng.choice((0, now_us - 1, now_us + 9)),
             weight=rng.choice((0.0, 1.0, 4.0)),
         )
         for _ in range(rng.randrange(4))
@@ -85,19 +85,19 @@
             ProxyLeft(proxy),
             OrdersAcknowledged(proxy, rng.randrange(9), 5),
             EndpointReport(
-                number,
+                endpoint,
                 zone,
                 count,
                 rng.randrange(count + 1),
-                span,
+                span_us,
                 rng.choice((0, 3_000_000)),
                 rng.choice(((), (("util", 0.0),), (("util", 0.9), ("qps", 0.0)))),
             ),
-            DemandReport(proxy, rng.randrange(2), count, 0, span),
-            SliceDemand(1, 0, count, 0, span),
-            HealthCheckCompleted(number, rng.choice(list(HealthCheckStatus)), 1, ()),
+            DemandReport(proxy, rng.randrange(2), count, 0, span_us),
+            SliceDemand(1, 0, count, 0, span_us),
+            HealthCheckCompleted(endpoint, rng.choice(list(HealthCheckStatus)), 1, ()),
             SliceLeased(1, rng.random() < 0.5),
-            SliceWeight(1, number, 1.0),
+            SliceWeight(1, endpoint, 1.0),
             PeerMessage(1, b""),
             TimerFired("other"),
         )
@@ -107,11 +107,11 @@
 @pytest.mark.parametrize("variant", range(len(VARIANTS)))
 def test_unusual_events_raise_no_error_and_yield_valid_orders(variant: int) -> None:
     rng = random.Random(variant)
-    policy, now = RoutingPolicy(VARIANTS[variant]), 10_000_000
-    policy.step(now, [Started(1), EndpointList(EndpointListKind.RESTORED, 0, ())])
+    policy, now_us = RoutingPolicy(VARIANTS[variant]), 10_000_000
+    policy.step(now_us, [Started(1), EndpointList(EndpointListKind.RESTORED, 0, ())])
     for _ in range(1500):
-        now += rng.choice((0, 2_000, 700_000))
-        actions = policy.step(now, [unusual_event(rng, now) for _ in range(rng.randrange(5))])
+        now_us += rng.choice((0, 2_000, 700_000))
+        actions = policy.step(now_us, [unusual_event(rng, now_us) for _ in range(rng.randrange(5))])
         assert all(
             a.weight >= 0 and 1 <= a.endpoint < 9 for a in actions_of_type(actions, SetWeight)
         )
--- a/tests/test_order_queue.py
+++ b/tests/test_order_queue.py
@@ -62,7 +62,7 @@
 
 
 def test_removals_of_withdrawn_endpoints_are_sent_with_the_withdrawals() -> None:
-    """If sent separately, withdrawal and removal would each cost an entry at every proxy that has the endpoint."""
+    """If sent separately, withdrawal and removal would each add an entry for every proxy that has the endpoint."""
     queue = OrderQueue(100, 8)
     queue.add([SetWeight(0, "a", 1.0), SetWeight(0, "c", 0.0), Checkpoint(1, False)])
     queue.add(
@@ -133,7 +133,7 @@
     assert queue.checkpoints_in_call() == (1, 2, 3)
 
 
-def test_accepting_a_call_returns_the_checkpoints_of_written_messages() -> None:
+def test_accepting_a_call_returns_the_checkpoints_of_completed_steps() -> None:
     queue = OrderQueue(100, 8)
     assert queue.accept(0) == []
     queue.add([SetWeight(0, "a", 1.0), SetWeight(0, "b", 1.0), Checkpoint(1, False)])
@@ -143,7 +143,7 @@
     assert queue.accept(4) == [3, 4]
 
 
-def test_withdrawals_sent_first_end_in_the_checkpoint_too() -> None:
+def test_withdrawals_sent_first_are_followed_by_a_checkpoint() -> None:
     """Withdrawals are the largest calls.
 
     Without a checkpoint in their batch, proxies that received nothing from the other batch never acknowledged them:
@@ -195,7 +195,7 @@
     return queue
 
 
-def test_an_acknowledged_checkpoint_proves_that_its_call_was_carried_out() -> None:
+def test_an_acknowledged_checkpoint_confirms_its_call() -> None:
     queue = queue_in_call(SetWeight(0, "a", 1.0), Checkpoint(1, False))
     queue.acknowledge(7)
     assert not queue.call_acknowledged
@@ -208,10 +208,10 @@
     assert queue.call_acknowledged
 
 
-def test_an_acknowledged_checkpoint_of_an_earlier_call_proves_nothing() -> None:
-    """Withdrawals end in the checkpoint of the next batch.
+def test_an_acknowledged_checkpoint_of_an_earlier_call_confirms_no_later_call() -> None:
+    """Withdrawals that are sent first end in the checkpoint of the next batch.
 
-    If its acknowledgement were taken as proof, that batch would be lost.
+    If an acknowledgement of that checkpoint confirmed the next batch too, that batch would be lost.
     """
     queue = OrderQueue(100, 8)
     queue.add([WithdrawEndpoint("a"), Checkpoint(1, False)])
@@ -223,7 +223,7 @@
     assert not queue.call_acknowledged
 
 
-def test_an_acknowledged_checkpoint_proves_nothing_after_a_partly_accepted_call() -> None:
+def test_an_acknowledged_checkpoint_confirms_no_call_after_a_partly_accepted_one() -> None:
     queue = queue_in_call(SetWeight(0, "a", 1.0), SetWeight(0, "b", 1.0), Checkpoint(1, False))
     queue.accept(1)  # the relay received a checkpoint after this part too
     queue.begin_call()
@@ -290,8 +290,8 @@
 
 
 def test_no_withdrawal_is_dropped() -> None:
-    # On a fleet of 1,600 proxies, the oldest orders were dropped while the relay was unreachable, and withdrawals are
-    # among the oldest.
+    # On a fleet of 1,600 proxies, the oldest orders were dropped while the relay was unreachable, and these included
+    # withdrawals.
     queue = OrderQueue(10, 8)
     assert (
         queue.add(
--- a/tests/test_proxies.py
+++ b/tests/test_proxies.py
@@ -1,11 +1,11 @@
-"""ProxyRegistry: events are reported once, without a gap next to a synchronised stream, and reconciled after a gap."""
+"""ProxyRegistry: events are reported once, without a gap while a stream is synchronised, and reconciled after one."""
 
 from __future__ import annotations
 
 from kelpcourse.memory.proxies import Applied, Joined, Left, ProxyEvent, ProxyRegistry
 
 OVERLAP_US = 300
-FAR = 10**12
+NO_DEADLINE_US = 10**12
 
 
 def joined(proxy: int) -> Joined:
@@ -14,7 +14,7 @@
 
 def open_stream(proxies: ProxyRegistry, stream: int, *snapshot: ProxyEvent) -> list[ProxyEvent]:
     """Opens a stream, receives its snapshot and a heartbeat, and returns the reported events."""
-    proxies.stream_opened(stream, 0, FAR)
+    proxies.stream_opened(stream, 0, NO_DEADLINE_US)
     return [
         reported for event in (*snapshot, None) for reported in proxies.receive(stream, event, 0)
     ]
@@ -86,10 +86,10 @@
     assert proxies.receive(1, Left(4), 0) == [Left(4)]
 
 
-def overlapping(until_us: int) -> ProxyRegistry:
+def registry_with_overlapping_streams(until_us: int) -> ProxyRegistry:
     """Opens two streams at one address and later a third at another; the first two continue until the given time."""
     proxies = synchronised_registry(joined(1), joined(2))
-    proxies.stream_opened(2, 1000, FAR)
+    proxies.stream_opened(2, 1000, NO_DEADLINE_US)
     for event in (joined(1), joined(2), None):
         assert proxies.receive(2, event, 1000) == []
     for stream in (0, 1):
@@ -101,7 +101,7 @@
 
 def test_a_stream_that_outlives_the_snapshot_of_another_leaves_no_gap() -> None:
     """When a relay changes its address, both streams to the old address end before two heartbeats are received."""
-    proxies = overlapping(1000 + OVERLAP_US)
+    proxies = registry_with_overlapping_streams(1000 + OVERLAP_US)
     assert proxies.receive(2, Applied(1, 7, 1.0), 1400) == []
     assert proxies.receive(2, Left(2), 1400) == []
     assert proxies.stream_lost(0) == []
@@ -111,7 +111,7 @@
 
 
 def test_a_proxy_that_rejoins_after_the_old_streams_went_silent_is_reported() -> None:
-    proxies = overlapping(1000 + OVERLAP_US)
+    proxies = registry_with_overlapping_streams(1000 + OVERLAP_US)
     for event in (Applied(1, 7, 1.0), Left(2), joined(2)):
         assert proxies.receive(2, event, 1400) == []
     proxies.stream_lost(0)
@@ -119,7 +119,7 @@
 
 
 def test_streams_silent_since_before_a_snapshot_leave_a_gap() -> None:
-    proxies = overlapping(1000 + OVERLAP_US - 1)
+    proxies = registry_with_overlapping_streams(1000 + OVERLAP_US - 1)
     proxies.stream_lost(0)
     assert proxies.stream_lost(1) == [joined(1), joined(2)]
 
@@ -137,8 +137,8 @@
     proxies = ProxyRegistry(100, OVERLAP_US)
     open_stream(proxies, 0, joined(1))
     proxies.stream_lost(0)
-    proxies.stream_opened(0, 0, FAR)
-    proxies.stream_opened(1, 0, FAR)
+    proxies.stream_opened(0, 0, NO_DEADLINE_US)
+    proxies.stream_opened(1, 0, NO_DEADLINE_US)
     assert proxies.receive(1, joined(2), 0) == []
     assert proxies.stream_lost(0) == [joined(2)]
     assert proxies.receive(1, None, 0) == [Left(1)]
--- a/tests/test_reconnect_storms.py
+++ b/tests/test_reconnect_storms.py
@@ -189,7 +189,7 @@
     def run(self, ms: int) -> None:
         until_us = self.bench.clock.now + ms * MS
         while self.bench.clock.now < until_us:
-            self.bench.turn()
+            self.bench.run_round()
             work = self.facade.pick()
             if work.orders:
                 assert self.order_queue.add(work.orders) == 0
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the relay: batches, refusals, throttling, connections and addresses."""
+"""Calls to the relay: batches, rejections, throttling, connections and addresses."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     assert bench.counters["relay_orders_accepted"] == 5
 
 
-def test_an_order_refused_twice_is_dropped_and_the_rest_is_resent(bench: Bench) -> None:
+def test_an_order_rejected_twice_is_dropped_and_the_rest_is_resent(bench: Bench) -> None:
     relay = Relay(bench, accept_two, accept_none)
     order_queue = order_queue_of(SET_WEIGHT, SetWeight(0, "h2", 1.0), BIND, CHECKPOINT)
     start_calls(bench, relay, order_queue)
@@ -54,7 +54,7 @@
     assert bench.counters["relay_calls_throttled"] == 2
 
 
-def test_an_order_refused_once_is_not_dropped(bench: Bench) -> None:
+def test_an_order_rejected_once_is_not_dropped(bench: Bench) -> None:
     relay, order_queue = (
         Relay(bench, accept_two),
         order_queue_of(SET_WEIGHT, SetWeight(0, "h2", 1.0), BIND, CHECKPOINT),
@@ -73,7 +73,7 @@
     assert bench.log.named("relay_call_rejected")[0]["dropped"] is False
 
 
-def test_a_call_that_stays_invalid_is_dropped_for_later_orders(bench: Bench) -> None:
+def test_a_call_rejected_repeatedly_is_dropped_and_later_orders_are_sent(bench: Bench) -> None:
     times = FAST_LIMITS.max_invalid_responses
     relay, order_queue = (
         Relay(bench, *[reject_as_invalid] * times),
@@ -92,7 +92,7 @@
     relay, order_queue = Relay(bench, close_when_idle), order_queue_of(SET_WEIGHT, CHECKPOINT)
     orders_queued = start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
-    bench.pass_us(10 * MS)
+    bench.run_for_us(10 * MS)
     order_queue.add([BIND])
     orders_queued.set()
     bench.until(lambda: not order_queue.batch_count)
@@ -113,24 +113,24 @@
     relay, order_queue = Relay(bench), order_queue_of(SET_WEIGHT, CHECKPOINT)
     orders_queued = start_calls(bench, relay, order_queue)
     bench.until(lambda: not order_queue.batch_count)
-    bench.pass_us(2 * FAST_LIMITS.idle_connection_us)
+    bench.run_for_us(2 * FAST_LIMITS.idle_connection_us)
     order_queue.add([BIND])
     orders_queued.set()
     bench.until(lambda: not order_queue.batch_count)
     assert relay.stand_in.connections == 2
 
 
-def test_calls_resume_when_a_failed_relay_is_back(bench: Bench) -> None:
+def test_calls_resume_after_the_relay_recovers(bench: Bench) -> None:
     relay, order_queue = Relay(bench), order_queue_of(SET_WEIGHT, CHECKPOINT)
     relay.stand_in.close()
     start_calls(bench, relay, order_queue)
     bench.until(lambda: bench.counters["relay_calls_failed"] >= 3)
     assert not relay.calls
-    back = Relay(bench)
-    calls = RelayCalls(bench.runtime, back.stand_in.address, order_queue, Signal())
+    recovered = Relay(bench)
+    calls = RelayCalls(bench.runtime, recovered.stand_in.address, order_queue, Signal())
     bench.loop.start("calls", calls.run())
     bench.until(lambda: not order_queue.batch_count)
-    assert back.verbs() == [["SET", "SYNC"]]
+    assert recovered.verbs() == [["SET", "SYNC"]]
 
 
 def test_call_without_a_response_is_resent_at_the_new_address(bench: Bench) -> None:
@@ -190,7 +190,7 @@
     for checkpoint_id in range(6, 206):
         order_queue.add([SetWeight(0, "h1", checkpoint_id), Checkpoint(checkpoint_id, False)])
         orders_queued.set()
-        bench.pass_us(MS)
+        bench.run_for_us(MS)
     assert 10 < bench.counters["relay_calls_failed"] <= 10 + 200 * MS // FAST_LIMITS.max_backoff_us
 
 
@@ -203,7 +203,7 @@
     calls = RelayCalls(bench.runtime, relay.stand_in.address, order_queue, Signal())
     bench.loop.start("calls", calls.run())
     bench.until(lambda: len(relay.calls) == 1)
-    bench.pass_us(20 * MS)
+    bench.run_for_us(20 * MS)
     assert len(relay.calls) == 1
     bench.loop.start(
         "events",
--- a/tests/test_relay_codec.py
+++ b/tests/test_relay_codec.py
@@ -51,7 +51,7 @@
     assert encode_order(order).decode() == text
 
 
-def test_a_call_holds_what_fits_and_each_part_ends_with_the_checkpoint() -> None:
+def test_a_call_is_limited_in_size_and_ends_with_the_checkpoint() -> None:
     orders: list[Order] = [*(SetWeight(0, f"h{k}", 1.0) for k in range(50)), CHECKPOINT]
     body = encode_call(orders, 1000)
     assert len(body.data) <= 1000
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -39,7 +39,7 @@
 
 
 def test_after_a_gap_the_snapshot_is_reconciled(bench: Bench) -> None:
-    """A proxy in both snapshots may have left and rejoined; one that is missing in the second has left."""
+    """A proxy in both snapshots may have left and rejoined; one that is missing from the second has left."""
     source = EventBroadcaster(bench, [joined(0), joined(1), b"{}"], [joined(1), joined(2), b"{}"])
     start_streams(bench, source)
     bench.until(lambda: len(bench.policy.events) == 3)
@@ -60,12 +60,12 @@
     bench.order_checkpoints(5)
     source.lines += [b"{}", b"{}", b"{}", applied(0, 5)]
     bench.until(lambda: OrdersAcknowledged(0, 5, 1500) in bench.policy.events)
-    bench.pass_us(5 * MS)
+    bench.run_for_us(5 * MS)
     source.disconnect_next = True
     bench.until(lambda: source.stand_in.connections == 3)
     source.lines += [left(1), b"{}"]
     bench.until(lambda: ProxyLeft(1) in bench.policy.events)
-    bench.pass_us(5 * MS)
+    bench.run_for_us(5 * MS)
     assert bench.policy.events[3:] == [OrdersAcknowledged(0, 5, 1500), ProxyLeft(1)]
     assert bench.log.named("event_stream_lost")[0]["synchronised"] is True
 
@@ -83,9 +83,9 @@
     source = EventBroadcaster(bench, [b"{}"])
     start_streams(bench, source)
     for _ in range(6):
-        bench.pass_us(FAST_LIMITS.event_stream_silence_us // 2)
+        bench.run_for_us(FAST_LIMITS.event_stream_silence_us // 2)
         source.lines.append(b"{}")
-    bench.pass_us(FAST_LIMITS.event_stream_silence_us // 2)
+    bench.run_for_us(FAST_LIMITS.event_stream_silence_us // 2)
     assert source.stand_in.connections == 1
 
 
@@ -143,11 +143,11 @@
     for stream in reader.streams():
         bench.loop.start("events", reader.run(stream))
     bench.until(lambda: len(bench.log.named("event_stream_opened")) == 4)
-    bench.pass_us(5 * MS)
+    bench.run_for_us(5 * MS)
     assert bench.log.named("event_stream_lost") == []
     for _ in range(4):
         old.lines += [b"{}"]
-        bench.pass_us(5 * MS)
+        bench.run_for_us(5 * MS)
     assert [line["reason"] for line in bench.log.named("event_stream_lost")] == ["moved", "moved"]
     new.lines += [left(1)]
     bench.until(lambda: ProxyLeft(1) in bench.policy.events)
--- a/tests/test_relay_outcome_unknown.py
+++ b/tests/test_relay_outcome_unknown.py
@@ -1,4 +1,4 @@
-"""Calls to the relay whose outcome is unknown, as they may or may not have been carried out."""
+"""Calls to the relay whose outcome is unknown: the relay may or may not have carried them out."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
         [1.5, 5, 2.0, 6],
     )
     assert bench.counters["relay_calls_failed"] == 1
-    # The relay may hold the step twice: 36,000 entries ordered again without being counted would exceed the limit.
+    # The relay may queue the step twice: 36,000 entries, resent without being counted, would exceed the limit.
     assert [event for event in bench.policy.events if isinstance(event, OrdersOutcomeUnknown)] == [
         OrdersOutcomeUnknown((5,))
     ]
@@ -76,7 +76,7 @@
 def start_calls_that_must_not_be_resent(
     bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
 ) -> tuple[Relay, OrderQueue]:
-    """Starts calls of which the first fails, while the policy does not allow it to be resent yet."""
+    """Starts calls of which the first fails, while the policy does not allow any call to be resent."""
     bench.policy.allows_resend = False
     relay, order_queue = Relay(bench, fault), order_queue_of(SET_WEIGHT, CHECKPOINT)
     start_calls(bench, relay, order_queue)
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize(
     "fault", [never_respond, reset_connection, truncated_response, not_http, not_json]
 )
-def test_a_call_of_unknown_outcome_waits_until_the_policy_allows_to_resend(
+def test_a_call_of_unknown_outcome_is_not_resent_before_the_policy_allows_it(
     bench: Bench, fault: Callable[[Caller, int], Coroutine[None]]
 ) -> None:
     """A call whose response was lost was resent while its first copy was pending.
@@ -98,7 +98,7 @@
         lambda: len([e for e in bench.policy.events if isinstance(e, OrdersOutcomeUnknown)]) > 3
     )
     order_queue.add([SetWeight(0, "h1", 2.0), Checkpoint(6, False)])
-    bench.pass_us(50 * MS)
+    bench.run_for_us(50 * MS)
     assert len(relay.calls) == 1
     bench.policy.allows_resend = True
     bench.until(lambda: not order_queue.batch_count)
@@ -128,8 +128,8 @@
 def test_call_that_fails_before_its_last_byte_is_resent_immediately(bench: Bench) -> None:
     """The relay reads none of it, so only what the system buffers is sent, and the call is never carried out."""
     bench.runtime = replace(bench.runtime, limits=replace(FAST_LIMITS, max_call_bytes=1 << 30))
-    long = "h" * 2_000
-    orders: list[Order] = [SetWeight(0, f"{long}{k}", 1.0) for k in range(10_000)]
+    long_name = "h" * 2_000
+    orders: list[Order] = [SetWeight(0, f"{long_name}{k}", 1.0) for k in range(10_000)]
 
     def read_nothing(_: Caller) -> Coroutine[None]:
         while True:
@@ -149,7 +149,7 @@
     assert not [e for e in bench.policy.events if isinstance(e, OrdersOutcomeUnknown)]
 
 
-def test_a_call_of_unknown_outcome_waits_at_the_new_address_too(
+def test_a_call_of_unknown_outcome_is_not_resent_at_a_new_address_either(
     bench: Bench,
 ) -> None:
     bench.policy.allows_resend = False
@@ -162,7 +162,7 @@
     bench.loop.start("calls", calls.run())
     bench.until(lambda: old.calls)
     calls.reconnect_to(new.stand_in.address)
-    bench.pass_us(4 * FAST_LIMITS.call_timeout_us)
+    bench.run_for_us(4 * FAST_LIMITS.call_timeout_us)
     assert not new.calls
     # Back to the old address before the first change was completed.
     calls.reconnect_to(old.stand_in.address)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -25,9 +25,9 @@
         )
         for stand_in in old:
             stand_in.close()
-        drains = ENDPOINTS[version - 41]
-        deployment.lists.append(listed(version, {**drains, "phase": "draining"}, complete=False))
-        deployment.until(partial(deployment.has_order, verb="OUT", host=drains["id"]))
+        draining = ENDPOINTS[version - 41]
+        deployment.lists.append(listed(version, {**draining, "phase": "draining"}, complete=False))
+        deployment.until(partial(deployment.has_order, verb="OUT", host=draining["id"]))
     deployment.events += [joined(1).replace(b"east", b"room-b")]
     deployment.until(lambda: deployment.has_order(verb="USE", sidecar=1))
     bound = [o["cluster"] for o in deployment.orders if o["verb"] == "USE" and o["sidecar"] == 0]
@@ -35,7 +35,9 @@
     assert deployment.ping()
 
 
-def test_a_reload_of_an_unusable_file_changes_nothing(deployment: Deployment) -> None:
+def test_the_configuration_is_kept_if_a_reload_finds_an_unusable_file(
+    deployment: Deployment,
+) -> None:
     deployment.start()
     deployment.until(deployment.ping)
     unusable: list[tuple[dict[str, object], str]] = [
@@ -45,7 +47,7 @@
     for changes, reason in unusable:
         deployment.config(**changes)
         deployment.reload()
-        # The reload before this one may still log its last retry.
+        # The previous reload may still log its last retry.
         while deployment.wait_for_log_event("configuration_reload_failed")["reason"] != reason:
             pass
     deployment.path.write_bytes(b'{"name": ')
--- a/tests/test_report_handler.py
+++ b/tests/test_report_handler.py
@@ -31,7 +31,7 @@
 
 def test_reports_that_arrive_together_are_one_step(listener_rig: ListenerRig) -> None:
     one, other = listener_rig.collector(), listener_rig.collector()
-    listener_rig.bench.pass_us(5 * MS)
+    listener_rig.bench.run_for_us(5 * MS)
     steps = len(listener_rig.bench.policy.steps)
     one.sendall(ENDPOINT_REPORT * 40)
     other.sendall(DEMAND_REPORT * 40)
@@ -43,7 +43,7 @@
     peer = listener_rig.connect()
     for byte in b"collector az=east\r\n" + ENDPOINT_REPORT:
         peer.sendall(bytes([byte]))
-        listener_rig.bench.turn()
+        listener_rig.bench.run_round()
     listener_rig.bench.until(listener_rig.reports)
     assert len(listener_rig.reports()) == 1
 
@@ -53,7 +53,7 @@
     peer.sendall(b"ping\r\nping\r\n")
     answer = b""
     while len(answer) < 12:
-        listener_rig.bench.turn()
+        listener_rig.bench.run_round()
         answer += received(peer) or b""
     assert answer == b"pong\r\npong\r\n"
 
@@ -123,7 +123,7 @@
 def test_a_malformed_line_disconnects_its_collector_alone(
     listener_rig: ListenerRig, rest: bytes
 ) -> None:
-    """Valid lines before it are handled. Its end is not awaited, because a malformed line may never end."""
+    """Valid lines before it are handled. The controller does not wait for its end, because it may never end."""
     peer, other = listener_rig.collector(), listener_rig.collector()
     peer.sendall(ENDPOINT_REPORT + rest)
     listener_rig.bench.until(lambda: listener_rig.bench.counters["collectors_disconnected"])
@@ -165,7 +165,7 @@
 def test_an_incomplete_line_before_a_reset_is_dropped(listener_rig: ListenerRig) -> None:
     peer = listener_rig.collector()
     peer.sendall(ENDPOINT_REPORT[:30])
-    listener_rig.bench.pass_us(3 * MS)
+    listener_rig.bench.run_for_us(3 * MS)
     peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     peer.close()
     other = listener_rig.collector()
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -55,7 +55,7 @@
 
 
 def test_sigterm_ends_the_process_while_a_call_is_unanswered(deployment: Deployment) -> None:
-    """Queued orders are lost, because from SIGTERM on proxies join another controller, which binds them."""
+    """Queued orders may be dropped: after SIGTERM, proxies join another controller, which binds them."""
     deployment.relay_is_silent = True
     deployment.start()
     deployment.until(deployment.ping)
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -397,9 +397,9 @@
     bench.until(
         lambda: any(isinstance(event, HealthCheckCompleted) for event in bench.policy.events)
     )
-    answered = bench.policy.events[-1]
-    assert isinstance(answered, HealthCheckCompleted)
-    assert answered.load == (("inflight", 7.0), ("queue", 2.0), ("util", 0.61))
+    completed = bench.policy.events[-1]
+    assert isinstance(completed, HealthCheckCompleted)
+    assert completed.load == (("inflight", 7.0), ("queue", 2.0), ("util", 0.61))
 
 
 # Report collectors
@@ -435,7 +435,7 @@
         (b"\xff\r\n", b"refused\r\n"),
     ],
 )
-def test_bytes_of_the_listeners_responses(bench: Bench, sent: bytes, answer: bytes) -> None:
+def test_response_bytes_of_the_listener(bench: Bench, sent: bytes, answer: bytes) -> None:
     with socket.create_server(("127.0.0.1", 0)) as unused:
         address = unused.getsockname()
     run_listener(bench, address)
@@ -444,7 +444,7 @@
         client.setblocking(False)
         client.sendall(sent)
 
-        def answered() -> bool:
+        def is_response_received() -> bool:
             nonlocal received
             try:
                 received += client.recv(4096)
@@ -452,8 +452,8 @@
                 return False
             return len(received) >= len(answer)
 
-        bench.until(answered)
-        bench.turn()
+        bench.until(is_response_received)
+        bench.run_round()
     assert received == answer
 
 
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -67,8 +67,10 @@
     """Counts a step in which one list replaces nine tenths of the endpoints by endpoints that are warming up."""
     harness = fleet_harness(size)
     new = [make_endpoint(9000 + k, started_us=harness.now_us) for k in range(size * 9 // 10)]
-    gone = [replace(h, status=type(h.status).GONE) for h in make_endpoints(size)[: size * 9 // 10]]
-    return executed_instructions(lambda: harness.send(list_changes([*gone, *new])))
+    removed = [
+        replace(h, status=type(h.status).GONE) for h in make_endpoints(size)[: size * 9 // 10]
+    ]
+    return executed_instructions(lambda: harness.send(list_changes([*removed, *new])))
 
 
 def acknowledgement_instructions(size: int) -> int:
