--- a/tests/lease_simulation.py
+++ b/tests/lease_simulation.py
@@ -11,7 +11,7 @@
 from kelpcourse.shared.lease_manager import LeaseManager
 from kelpcourse.shared.lease_timing import LeaseTiming
 from kelpcourse.shared.raft.messages import LogEntry, MemberId
-from tests.raft_simulation import MS, TIMING, InvariantError, Node, RaftSimulation
+from tests.raft_simulation import MS, RAFT_OPTIONS, InvariantError, Node, RaftSimulation
 
 GROUP_COUNT = 6
 LEASE_TIMING = LeaseTiming(
@@ -43,7 +43,7 @@
         timing: LeaseTiming = LEASE_TIMING,
         max_log_entries: int = 4096,
     ) -> None:
-        self.options = ControllerOptions(GROUP_COUNT, TIMING, timing, max_log_entries)
+        self.options = ControllerOptions(GROUP_COUNT, RAFT_OPTIONS, timing, max_log_entries)
         self.holder_factory = holder
         self.manager_factory = manager
         self.controllers: dict[MemberId, Controller] = {}
--- a/tests/member_rig.py
+++ b/tests/member_rig.py
@@ -22,7 +22,7 @@
 from kelpcourse.wire.storage import StorageThread
 from tests.standins import RecordingLog
 
-MS = 1000
+MS = 1000  # microseconds per millisecond
 
 
 class MemberRig:
--- a/tests/raft_mutants.py
+++ b/tests/raft_mutants.py
@@ -15,7 +15,7 @@
 )
 from kelpcourse.shared.raft.node import Raft
 from kelpcourse.shared.raft.role import Role
-from tests.raft_simulation import MS, TIMING, Node, RaftSimulation
+from tests.raft_simulation import MS, RAFT_OPTIONS, Node, RaftSimulation
 
 
 def run_crashes(simulation: RaftSimulation, steps: int) -> None:
@@ -50,7 +50,7 @@
         return
     for node in simulation.nodes.values():
         assert node.raft is not None
-        node.raft._options = replace(TIMING, max_entries_per_message=1)
+        node.raft._options = replace(RAFT_OPTIONS, max_entries_per_message=1)
     simulation.run_until(lambda: simulation.leader is not None)
     first = simulation.leader
     assert first is not None
@@ -84,7 +84,7 @@
     for node in (first, simulation.nodes[second]):
         simulation.start(node)
         assert node.raft is not None
-        node.raft._options = replace(TIMING, max_entries_per_message=1)
+        node.raft._options = replace(RAFT_OPTIONS, max_entries_per_message=1)
     for _ in range(2000):
         if any(data == b"<e>" for _, data in simulation.committed.values()):
             break
--- a/tests/raft_simulation.py
+++ b/tests/raft_simulation.py
@@ -23,8 +23,8 @@
 from kelpcourse.shared.raft.persistent import PersistentState, StateWrite, apply_write
 from kelpcourse.shared.raft.role import Role
 
-MS = 1000
-TIMING = RaftOptions(
+MS = 1000  # microseconds per millisecond
+RAFT_OPTIONS = RaftOptions(
     heartbeat_interval_us=20 * MS,
     min_election_timeout_us=100 * MS,
     max_entries_per_message=8,
@@ -54,6 +54,8 @@
 
 @dataclass
 class Node:
+    """A simulated member with its disk and clock; `raft` is None while it is stopped."""
+
     name: MemberId
     disk: Disk
     clock_rate: float
@@ -64,6 +66,8 @@
 
 
 class RaftSimulation:
+    """Members on a virtual clock; the seed determines delays, losses and faults."""
+
     def __init__(
         self,
         seed: int,
@@ -120,15 +124,19 @@
 
     def start(self, node: Node) -> None:
         node.raft = raft = self.raft_factory(
-            node.name, node.disk.stored, TIMING, self.random.randrange(1 << 30), self.clock(node)
+            node.name,
+            node.disk.stored,
+            RAFT_OPTIONS,
+            self.random.randrange(1 << 30),
+            self.clock(node),
         )
         node.applied = [(node.disk.stored.snapshot.index, node.disk.stored.snapshot.data)]
         self._tick(node, raft)
 
     def crash(self, node: Node) -> None:
         """Stops a node. A random part of its pending writes becomes durable, the rest is lost."""
-        keep = self.random.randint(0, len(node.disk.pending_writes))
-        del node.disk.pending_writes[keep:]
+        durable_count = self.random.randint(0, len(node.disk.pending_writes))
+        del node.disk.pending_writes[durable_count:]
         node.disk.sync()
         node.raft = None
 
@@ -200,6 +208,7 @@
     # Safety properties
 
     def check(self) -> None:
+        """Checks that each term has one leader, and that the newest leader has all committed entries."""
         for node in self.nodes.values():
             raft = node.raft
             if raft is None:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -20,7 +20,7 @@
 from kelpcourse.wire.stream import Address
 from tests.fleet import SETTINGS
 
-MS = 1000
+MS = 1000  # microseconds per millisecond
 FAST_LIMITS = replace(
     Limits(),
     step_batching_us=2 * MS,
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -261,8 +261,8 @@
 
 def test_no_name_is_renamed_twice() -> None:
     for table in renamed_names():
-        for kept in (slice(0, -1), slice(-1, None)):
-            names = [tuple(row[:-2] + row[-2:][kept]) for row in table]
+        for old_or_new in (slice(0, -1), slice(-1, None)):
+            names = [tuple(row[:-2] + row[-2:][old_or_new]) for row in table]
             assert len(names) == len(set(names))
 
 
@@ -273,8 +273,8 @@
     """Returns the anchors that GitHub generates for the headings of a page."""
     found: set[str] = set()
     for heading in re.findall(r"^#+ (.+)$", text_of(page), re.MULTILINE):
-        kept = re.sub(r"[^\w\- ]", "", heading.lower())
-        found.add(kept.replace(" ", "-"))
+        without_punctuation = re.sub(r"[^\w\- ]", "", heading.lower())
+        found.add(without_punctuation.replace(" ", "-"))
     return found
 
 
--- a/tests/test_group_controller.py
+++ b/tests/test_group_controller.py
@@ -28,7 +28,7 @@
 from kelpcourse.zones.settings import format_address
 from tests.standins import RecordingLog
 
-MS = 1000
+MS = 1000  # microseconds per millisecond
 GROUP_COUNT, PROXY_COUNT = 6, 6
 
 
--- a/tests/test_lease_faults.py
+++ b/tests/test_lease_faults.py
@@ -78,9 +78,9 @@
 
 
 def test_member_stays_drained_under_later_leaders_until_removed() -> None:
-    """Guards against drains that only the leader knows.
+    """A drain of a member is in the replicated state, not only in the memory of the leader.
 
-    The drain command was kept by the leader that received it, and the next leader could grant groups to the drained
+    When only the leader that received the command recorded it, the next leader could grant groups to the drained
     member again.
     """
     removed = 0
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -21,7 +21,7 @@
 from tests.standins import FAST_LIMITS, MS, SHORT_IDLE_LIMITS, Bench
 
 
-def test_a_line_over_the_limit_disconnects_its_client_alone(bench: Bench) -> None:
+def test_a_line_over_the_limit_disconnects_only_its_client(bench: Bench) -> None:
     bench.runtime = replace(bench.runtime, limits=replace(FAST_LIMITS, max_line_bytes=64 << 10))
     listener_rig = ListenerRig(bench)
     sending_endlessly, unaffected = listener_rig.collector(), listener_rig.collector()
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -67,7 +67,7 @@
     assert rig.recorded == []
 
 
-def test_an_unexpected_error_ends_its_coroutine_alone_and_is_reported() -> None:
+def test_an_unexpected_error_ends_only_its_coroutine_and_is_reported() -> None:
     rig = LoopRig()
 
     def failing() -> Coroutine[None]:
@@ -159,7 +159,7 @@
 # Descriptors that are closed, reused or waited for twice within one round
 
 
-def test_a_descriptor_closed_before_the_wait_ends_that_coroutine_alone(pair: SocketPair) -> None:
+def test_a_descriptor_closed_before_the_wait_ends_only_that_coroutine(pair: SocketPair) -> None:
     rig = LoopRig()
     fd = pair[0].fileno()
     pair[0].close()
--- a/tests/test_order_queue.py
+++ b/tests/test_order_queue.py
@@ -161,7 +161,7 @@
     assert queue.begin_call() == [SetWeight(0, "b", 1.0), Checkpoint(2, False, (1,))]
 
 
-def test_withdrawals_alone_are_one_call() -> None:
+def test_batches_of_only_withdrawals_are_coalesced() -> None:
     queue = OrderQueue(100, 8)
     for checkpoint_id in (1, 2):
         queue.add([WithdrawEndpoint(f"h{checkpoint_id}"), Checkpoint(checkpoint_id, False)])
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -8,7 +8,7 @@
 
 from kelpcourse.shared.errors import RequestRejectedError
 from kelpcourse.shared.raft.role import Role
-from tests.raft_simulation import MS, TIMING, RaftSimulation, run_faults
+from tests.raft_simulation import MS, RAFT_OPTIONS, RaftSimulation, run_faults
 
 SEEDS = range(60)
 
@@ -250,7 +250,7 @@
     assert leader is not None
     assert leader.raft is not None
     simulation.blocked_links = {(a, b) for a in simulation.nodes for b in simulation.nodes}
-    leader.raft._options = replace(TIMING, max_uncommitted_entries=50)
+    leader.raft._options = replace(RAFT_OPTIONS, max_uncommitted_entries=50)
     for k in range(50 - leader.raft.log.last_index + leader.raft.commit_index):
         leader.raft.propose(simulation.clock(leader), b"%d" % k)
     with pytest.raises(RequestRejectedError, match="entries wait already"):
--- a/tests/test_report_handler.py
+++ b/tests/test_report_handler.py
@@ -100,7 +100,7 @@
     assert received(peer) is None
 
 
-def test_a_report_of_failures_alone_has_no_mean_time(listener_rig: ListenerRig) -> None:
+def test_a_report_of_only_failures_has_no_mean_time(listener_rig: ListenerRig) -> None:
     listener_rig.collector().sendall(b"heard az=east host=h1 n=3 bad=3 window=1000\r\n")
     listener_rig.bench.until(listener_rig.reports)
     assert listener_rig.reports() == [EndpointReport(1, "east", 3, 3, 1_000_000, 0, ())]
@@ -120,7 +120,7 @@
     ],
     ids=repr,
 )
-def test_a_malformed_line_disconnects_its_collector_alone(
+def test_a_malformed_line_disconnects_only_its_collector(
     listener_rig: ListenerRig, rest: bytes
 ) -> None:
     """Valid lines before it are handled. The controller does not wait for its end, because it may never end."""
--- a/tests/test_stored_controller.py
+++ b/tests/test_stored_controller.py
@@ -173,8 +173,8 @@
         StateLostError, match=r"state is damaged: the snapshot is incomplete or damaged"
     ):
         storage_opener.open(folder)
-    kept = [path.read_bytes() for path in sorted(folder.glob(f"{SNAPSHOT}*"))]
-    assert kept == [data]
+    damaged_contents = [path.read_bytes() for path in sorted(folder.glob(f"{SNAPSHOT}*"))]
+    assert damaged_contents == [data]
     assert (folder / JOURNAL).exists()
 
 
