--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -253,7 +253,7 @@
     leader.raft._options = replace(RAFT_OPTIONS, max_uncommitted_entries=50)
     for k in range(50 - leader.raft.log.last_index + leader.raft.commit_index):
         leader.raft.propose(simulation.clock(leader), b"%d" % k)
-    with pytest.raises(RequestRejectedError, match="entries wait already"):
+    with pytest.raises(RequestRejectedError, match="entries are already uncommitted"):
         leader.raft.propose(simulation.clock(leader), b"one more")
     simulation.blocked_links.clear()
     simulation.run(300 * MS)
--- a/tests/test_zone_file_watcher.py
+++ b/tests/test_zone_file_watcher.py
@@ -34,7 +34,7 @@
     # The serial of this file is behind the current one.
     path.write_text(valid_text.replace("127.0.0.10", "127.0.0.77"))
     world.run_until(lambda: len(node.log.named("zone_file_rejected")) == 2)
-    assert "serial 1 is not believed beside 2: behind" in str(
+    assert "serial 1 is rejected, current serial is 2: behind" in str(
         node.log.named("zone_file_rejected")[1]["reason"]
     )
     assert (node.serial, len(node.statuses)) == (2, 4)
