--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -1,4 +1,4 @@
-"""Test deployment: a controller in a process, with stand-ins for its relay and discovery."""
+"""Test deployment: a controller in a process, with test servers as its relay and discovery."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Deployment:
-    """A controller process with stand-ins for the relay, which receives calls and sends events, and for discovery."""
+    """A controller process with test servers as its relay, which receives calls and sends events, and its discovery."""
 
     def __init__(self, folder: Path) -> None:
         self.unexpected_errors: list[Exception] = []
--- a/tests/discovery_service.py
+++ b/tests/discovery_service.py
@@ -16,7 +16,7 @@
     def __init__(self, bench: Bench, *script: Callable[[HttpConnection], Coroutine[None]]) -> None:
         self.targets: list[str] = []
         self._script = list(script)
-        self.stand_in = HttpServer(bench.loop, self._serve)
+        self.server = HttpServer(bench.loop, self._serve)
 
     def _serve(self, http_connection: HttpConnection) -> Coroutine[None]:
         call = yield from http_connection.read_request()
@@ -72,4 +72,4 @@
 def discovery_client_for(
     bench: Bench, service: DiscoveryService, version: int = 41
 ) -> DiscoveryClient:
-    return DiscoveryClient(bench.runtime, service.stand_in.address, version)
+    return DiscoveryClient(bench.runtime, service.server.address, version)
--- a/tests/relay_service.py
+++ b/tests/relay_service.py
@@ -21,7 +21,7 @@
         self.calls: list[list[dict[str, object]]] = []
         self.script = list(script)
         self.closed_count = 0  # number of connections that the client closed
-        self.stand_in = HttpServer(bench.loop, self._serve)
+        self.server = HttpServer(bench.loop, self._serve)
 
     def _serve(self, connection: HttpConnection) -> Coroutine[None]:
         while (call := (yield from connection.read_request())) is not None:
@@ -96,6 +96,6 @@
     orders_queued = Signal()
     bench.loop.start(
         "calls",
-        RelayCalls(bench.runtime, relay.stand_in.address, order_queue, orders_queued).run(),
+        RelayCalls(bench.runtime, relay.server.address, order_queue, orders_queued).run(),
     )
     return orders_queued
--- a/tests/relays.py
+++ b/tests/relays.py
@@ -27,9 +27,9 @@
         self._bench = bench
         self._openings = list(openings)
         self.lines: list[bytes] = []  # lines to send on every connection
-        # Whether to close a connection; the first connection that checks this flag closes and clears it.
+        # Whether to close one connection: the first one that checks the flag is closed and resets the flag.
         self.disconnect_next = False
-        self.stand_in = HttpServer(bench.loop, self._serve)
+        self.server = HttpServer(bench.loop, self._serve)
 
     def _serve(self, http_connection: HttpConnection) -> Coroutine[None]:
         call = yield from http_connection.read_request()
@@ -37,7 +37,7 @@
         yield from http_connection.start_chunked_response()
         for line in self._openings.pop(0):
             yield from http_connection.send_line(line)
-        sent_count = 0 if self.stand_in.connections == 1 else len(self.lines)
+        sent_count = 0 if self.server.connections == 1 else len(self.lines)
         while not self.disconnect_next:
             for line in self.lines[sent_count:]:
                 yield from http_connection.send_line(line)
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -80,7 +80,7 @@
 
 def test_discovery_that_is_down_is_reported_unavailable(bench: Bench) -> None:
     service = DiscoveryService(bench)
-    service.stand_in.close()
+    service.server.close()
     discovery_client_for(bench, service).watch(True)
     bench.until(lambda: reported_lists(bench))
     assert reported_lists(bench)[0].kind is EndpointListKind.UNAVAILABLE
@@ -177,7 +177,7 @@
     assert [reported.kind for reported in reported_lists(bench)] == [EndpointListKind.UNAVAILABLE]
     assert [type(error) for error in bench.unexpected_errors] == [OverflowError]
     bench.unexpected_errors.clear()
-    discovery.reconnect_to(service.stand_in.address)
+    discovery.reconnect_to(service.server.address)
     discovery.watch(True)
     bench.until(lambda: service.targets)
 
--- a/tests/test_discovery_reconnect.py
+++ b/tests/test_discovery_reconnect.py
@@ -28,7 +28,7 @@
     discovery.watch(True)
     bench.until(lambda: reported_lists(bench))
     other = DiscoveryService(bench, *new)
-    discovery.reconnect_to(other.stand_in.address)
+    discovery.reconnect_to(other.server.address)
     return discovery, other
 
 
@@ -70,7 +70,7 @@
     bench.until(lambda: len(reported_lists(bench)) == 2)
     assert reported_lists(bench)[1].kind is EndpointListKind.UNAVAILABLE
     reachable = DiscoveryService(bench, watch_stream(bench, listed(44, entry("h1"))))
-    discovery.reconnect_to(reachable.stand_in.address)
+    discovery.reconnect_to(reachable.server.address)
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 3)
     assert reported_lists(bench)[2].version == 44
@@ -101,7 +101,7 @@
     last = DiscoveryService(
         bench, watch_stream(bench, listed(43, entry("h1"), complete=False), then_silent=False)
     )
-    discovery.reconnect_to(last.stand_in.address)
+    discovery.reconnect_to(last.server.address)
     bench.until(lambda: len(reported_lists(bench)) == 2)
     bench.run_for_us(2 * FAST_LIMITS.watch_silence_us)
     assert [reported.version for reported in reported_lists(bench)] == [42, 43]
@@ -135,7 +135,7 @@
     discovery = discovery_client_for(bench, old)
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 1)
-    discovery.reconnect_to(new.stand_in.address)
+    discovery.reconnect_to(new.server.address)
     bench.until(lambda: any(reported.version == 44 for reported in reported_lists(bench)))
     assert EndpointListKind.UNAVAILABLE not in {reported.kind for reported in reported_lists(bench)}
     assert len(new.targets) == 1
@@ -156,9 +156,9 @@
     discovery = discovery_client_for(bench, first)
     discovery.watch(True)
     bench.until(lambda: len(reported_lists(bench)) == 1)
-    discovery.reconnect_to(other.stand_in.address)
+    discovery.reconnect_to(other.server.address)
     bench.until(lambda: other.targets)
-    discovery.reconnect_to(first.stand_in.address)
+    discovery.reconnect_to(first.server.address)
     bench.until(lambda: any(reported.version == 43 for reported in reported_lists(bench)))
     bench.run_for_us(3 * FAST_LIMITS.list_timeout_us)
     assert EndpointListKind.UNAVAILABLE not in {reported.kind for reported in reported_lists(bench)}
--- a/tests/test_end_result.py
+++ b/tests/test_end_result.py
@@ -105,7 +105,7 @@
         self.state = RelayState()
         self.faults = faults
         self.call_count = 0
-        self.stand_in = HttpServer(bench.loop, self._serve)
+        self.server = HttpServer(bench.loop, self._serve)
 
     def _serve(self, connection: HttpConnection) -> Coroutine[None]:
         while (call := (yield from connection.read_request())) is not None:
@@ -185,7 +185,7 @@
     )
     bench.loop.start(
         "calls",
-        RelayCalls(bench.runtime, relay.stand_in.address, order_queue, orders_queued).run(),
+        RelayCalls(bench.runtime, relay.server.address, order_queue, orders_queued).run(),
     )
     for number in range(STEPS):
         order_queue.add(step(number))
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -33,7 +33,7 @@
     orders_queued.set()
     bench.until(lambda: not order_queue.batch_count)
     assert relay.verbs() == [["SET", "USE", "SYNC"], ["OUT", "SYNC"]]
-    assert relay.stand_in.connections == 1
+    assert relay.server.connections == 1
     assert bench.counters["relay_orders_accepted"] == 5
 
 
@@ -117,17 +117,17 @@
     order_queue.add([BIND])
     orders_queued.set()
     bench.until(lambda: not order_queue.batch_count)
-    assert relay.stand_in.connections == 2
+    assert relay.server.connections == 2
 
 
 def test_calls_resume_after_the_relay_recovers(bench: Bench) -> None:
     relay, order_queue = Relay(bench), order_queue_of(SET_WEIGHT, CHECKPOINT)
-    relay.stand_in.close()
+    relay.server.close()
     start_calls(bench, relay, order_queue)
     bench.until(lambda: bench.counters["relay_calls_failed"] >= 3)
     assert not relay.calls
     recovered = Relay(bench)
-    calls = RelayCalls(bench.runtime, recovered.stand_in.address, order_queue, Signal())
+    calls = RelayCalls(bench.runtime, recovered.server.address, order_queue, Signal())
     bench.loop.start("calls", calls.run())
     bench.until(lambda: not order_queue.batch_count)
     assert recovered.verbs() == [["SET", "SYNC"]]
@@ -139,10 +139,10 @@
         Relay(bench),
         order_queue_of(SET_WEIGHT, CHECKPOINT),
     )
-    calls = RelayCalls(bench.runtime, old.stand_in.address, order_queue, Signal())
+    calls = RelayCalls(bench.runtime, old.server.address, order_queue, Signal())
     bench.loop.start("calls", calls.run())
     bench.until(lambda: old.calls)
-    calls.reconnect_to(new.stand_in.address)
+    calls.reconnect_to(new.server.address)
     bench.until(lambda: not order_queue.batch_count)
     assert old.verbs() == new.verbs() == [["SET", "SYNC"]]
 
@@ -153,10 +153,10 @@
     )
     old, new, order_queue = Relay(bench), Relay(bench), order_queue_of(SET_WEIGHT, CHECKPOINT)
     orders_queued = Signal()
-    calls = RelayCalls(bench.runtime, old.stand_in.address, order_queue, orders_queued)
+    calls = RelayCalls(bench.runtime, old.server.address, order_queue, orders_queued)
     bench.loop.start("calls", calls.run())
     bench.until(lambda: not order_queue.batch_count)
-    calls.reconnect_to(new.stand_in.address)
+    calls.reconnect_to(new.server.address)
     bench.until(lambda: old.closed_count)
     order_queue.add([BIND])
     orders_queued.set()
@@ -170,14 +170,14 @@
         Relay(bench),
         order_queue_of(SET_WEIGHT, CHECKPOINT),
     )
-    down.stand_in.close()
-    calls = RelayCalls(bench.runtime, old.stand_in.address, order_queue, Signal())
+    down.server.close()
+    calls = RelayCalls(bench.runtime, old.server.address, order_queue, Signal())
     bench.loop.start("calls", calls.run())
     bench.until(lambda: old.calls)
-    calls.reconnect_to(down.stand_in.address)
+    calls.reconnect_to(down.server.address)
     bench.until(lambda: not order_queue.batch_count)
     assert old.verbs() == [["SET", "SYNC"]] * 2
-    assert old.stand_in.connections == 1
+    assert old.server.connections == 1
 
 
 def test_new_orders_do_not_shorten_the_backoff(
@@ -185,7 +185,7 @@
 ) -> None:
     """The signal of new orders, set while a call failed, ended each delay immediately."""
     relay, order_queue = Relay(bench), order_queue_of(SET_WEIGHT, CHECKPOINT)
-    relay.stand_in.close()
+    relay.server.close()
     orders_queued = start_calls(bench, relay, order_queue)
     for checkpoint_id in range(6, 206):
         order_queue.add([SetWeight(0, "h1", checkpoint_id), Checkpoint(checkpoint_id, False)])
@@ -200,14 +200,14 @@
     )
     relay, order_queue = Relay(bench, throttle), order_queue_of(SET_WEIGHT, CHECKPOINT)
     source = EventBroadcaster(bench, [b"{}"])
-    calls = RelayCalls(bench.runtime, relay.stand_in.address, order_queue, Signal())
+    calls = RelayCalls(bench.runtime, relay.server.address, order_queue, Signal())
     bench.loop.start("calls", calls.run())
     bench.until(lambda: len(relay.calls) == 1)
     bench.run_for_us(20 * MS)
     assert len(relay.calls) == 1
     bench.loop.start(
         "events",
-        RelayEventStreams(bench.runtime, source.stand_in.address, order_queue, calls.reachable).run(
+        RelayEventStreams(bench.runtime, source.server.address, order_queue, calls.reachable).run(
             0
         ),
     )
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -16,7 +16,7 @@
 ) -> None:
     reader = RelayEventStreams(
         bench.runtime,
-        source.stand_in.address,
+        source.server.address,
         orders if orders is not None else order_queue_of(),
         Signal(),
     )
@@ -56,13 +56,13 @@
 def test_loss_of_one_of_two_streams_causes_no_gap(bench: Bench) -> None:
     source = EventBroadcaster(bench, *([joined(0), joined(1), b"{}"] for _ in range(3)))
     start_streams(bench, source, streams=2)
-    bench.until(lambda: source.stand_in.connections == 2 and len(bench.policy.events) == 3)
+    bench.until(lambda: source.server.connections == 2 and len(bench.policy.events) == 3)
     bench.order_checkpoints(5)
     source.lines += [b"{}", b"{}", b"{}", applied(0, 5)]
     bench.until(lambda: OrdersAcknowledged(0, 5, 1500) in bench.policy.events)
     bench.run_for_us(5 * MS)
     source.disconnect_next = True
-    bench.until(lambda: source.stand_in.connections == 3)
+    bench.until(lambda: source.server.connections == 3)
     source.lines += [left(1), b"{}"]
     bench.until(lambda: ProxyLeft(1) in bench.policy.events)
     bench.run_for_us(5 * MS)
@@ -73,7 +73,7 @@
 def test_silence_ends_a_stream(bench: Bench) -> None:
     source = EventBroadcaster(bench, [joined(0), b"{}"], [joined(0), b"{}"])
     start_streams(bench, source)
-    bench.until(lambda: source.stand_in.connections == 2)
+    bench.until(lambda: source.server.connections == 2)
     assert (
         bench.log.named("event_stream_lost")[0]["reason"] == "no data received before the deadline"
     )
@@ -86,7 +86,7 @@
         bench.run_for_us(FAST_LIMITS.event_stream_silence_us // 2)
         source.lines.append(b"{}")
     bench.run_for_us(FAST_LIMITS.event_stream_silence_us // 2)
-    assert source.stand_in.connections == 1
+    assert source.server.connections == 1
 
 
 def test_a_line_that_is_not_json_leads_to_a_new_snapshot(bench: Bench) -> None:
@@ -94,7 +94,7 @@
     source = EventBroadcaster(bench, [joined(0), b"{}", b'{"type":"jo'], [joined(1), b"{}"])
     start_streams(bench, source)
     bench.until(lambda: ProxyLeft(0) in bench.policy.events)
-    assert source.stand_in.connections == 2
+    assert source.server.connections == 2
 
 
 def test_an_invalid_event_is_skipped(bench: Bench) -> None:
@@ -102,7 +102,7 @@
     start_streams(bench, source)
     bench.until(lambda: ProxyJoined(2, "east", 2.0, True) in bench.policy.events)
     assert bench.counters["relay_messages_rejected"] == 2
-    assert source.stand_in.connections == 1
+    assert source.server.connections == 1
 
 
 def test_bindings_of_a_proxy_that_left_are_dropped(bench: Bench) -> None:
@@ -135,11 +135,11 @@
         EventBroadcaster(bench, snapshot, snapshot),
         EventBroadcaster(bench, snapshot, snapshot),
     )
-    reader = RelayEventStreams(bench.runtime, old.stand_in.address, order_queue_of(), Signal())
+    reader = RelayEventStreams(bench.runtime, old.server.address, order_queue_of(), Signal())
     for stream in reader.streams():
         bench.loop.start("events", reader.run(stream))
-    bench.until(lambda: old.stand_in.connections == 2 and len(bench.policy.events) == 3)
-    reader.reconnect_to(new.stand_in.address)
+    bench.until(lambda: old.server.connections == 2 and len(bench.policy.events) == 3)
+    reader.reconnect_to(new.server.address)
     for stream in reader.streams():
         bench.loop.start("events", reader.run(stream))
     bench.until(lambda: len(bench.log.named("event_stream_opened")) == 4)
@@ -152,4 +152,4 @@
     new.lines += [left(1)]
     bench.until(lambda: ProxyLeft(1) in bench.policy.events)
     assert len(bench.policy.events) == 4
-    assert old.stand_in.connections == 2
+    assert old.server.connections == 2
--- a/tests/test_relay_outcome_unknown.py
+++ b/tests/test_relay_outcome_unknown.py
@@ -158,14 +158,14 @@
         Relay(bench),
         order_queue_of(SET_WEIGHT, CHECKPOINT),
     )
-    calls = RelayCalls(bench.runtime, old.stand_in.address, order_queue, Signal())
+    calls = RelayCalls(bench.runtime, old.server.address, order_queue, Signal())
     bench.loop.start("calls", calls.run())
     bench.until(lambda: old.calls)
-    calls.reconnect_to(new.stand_in.address)
+    calls.reconnect_to(new.server.address)
     bench.run_for_us(4 * FAST_LIMITS.call_timeout_us)
     assert not new.calls
     # Back to the old address before the first change was completed.
-    calls.reconnect_to(old.stand_in.address)
+    calls.reconnect_to(old.server.address)
     bench.policy.allows_resend = True
     bench.until(lambda: not order_queue.batch_count)
     assert (old.verbs(), new.verbs()) == ([["SET", "SYNC"]] * 2, [])
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -23,8 +23,8 @@
         deployment.until(
             lambda: deployment.relay.connections >= 2 and deployment.discovery.connections
         )
-        for stand_in in old:
-            stand_in.close()
+        for server in old:
+            server.close()
         draining = ENDPOINTS[version - 41]
         deployment.lists.append(listed(version, {**draining, "phase": "draining"}, complete=False))
         deployment.until(partial(deployment.has_order, verb="OUT", host=draining["id"]))
