--- a/tests/relay_service.py
+++ b/tests/relay_service.py
@@ -1,4 +1,4 @@
-"""A scripted relay on the test's loop that accepts or rejects calls, closes connections or does not respond."""
+"""A scripted relay on the loop of a test: it accepts or rejects calls, closes connections or does not respond."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         self.calls: list[list[dict[str, object]]] = []
         self.script = list(script)
         self.closed_count = 0  # number of connections that the client closed
-        self.stand_in = HttpServer(bench.loop, self._serve)
+        self.server = HttpServer(bench.loop, self._serve)
 
     def _serve(self, connection: HttpConnection) -> Coroutine[None]:
         while (call := (yield from connection.read_request())) is not None:
@@ -29,8 +29,8 @@
             assert target == "/v3/kv/orders"
             orders = orjson.loads(body)["orders"]
             self.calls.append(orders)
-            answer = self.script.pop(0) if self.script else accept_all
-            yield from answer(connection, len(orders))
+            respond = self.script.pop(0) if self.script else accept_all
+            yield from respond(connection, len(orders))
         self.closed_count += 1
 
     def verbs(self) -> list[list[object]]:
@@ -96,6 +96,6 @@
     orders_queued = Signal()
     bench.loop.start(
         "calls",
-        RelayCalls(bench.runtime, relay.stand_in.address, order_queue, orders_queued).run(),
+        RelayCalls(bench.runtime, relay.server.address, order_queue, orders_queued).run(),
     )
     return orders_queued
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -28,7 +28,7 @@
     assert len(rig.loop) == 0
 
 
-def test_nothing_is_resumed_before_its_deadline(pair: SocketPair) -> None:
+def test_coroutine_is_not_resumed_before_its_deadline(pair: SocketPair) -> None:
     rig = LoopRig()
     rig.loop.start("task", rig.record_waits(Wait(rig.clock.now + 10, pair[0].fileno(), READ)))
     assert rig.loop.run_once(rig.clock.now) == 0
@@ -67,7 +67,7 @@
     assert rig.recorded == []
 
 
-def test_an_unexpected_error_ends_its_coroutine_alone_and_is_reported() -> None:
+def test_an_unexpected_error_ends_only_its_coroutine_and_is_reported() -> None:
     rig = LoopRig()
 
     def failing() -> Coroutine[None]:
@@ -75,7 +75,7 @@
         raise ZeroDivisionError
 
     rig.loop.start("failing", failing())
-    rig.loop.start("sound", rig.record_waits(Wait(rig.clock.now)))
+    rig.loop.start("unaffected", rig.record_waits(Wait(rig.clock.now)))
     rig.loop.run_once(rig.clock.now)
     assert [(name, type(error)) for name, error in rig.unexpected_errors] == [
         ("failing", ZeroDivisionError)
@@ -159,7 +159,7 @@
 # Descriptors that are closed, reused or waited for twice within one round
 
 
-def test_a_descriptor_closed_before_the_wait_ends_that_coroutine_alone(pair: SocketPair) -> None:
+def test_a_descriptor_closed_before_the_wait_ends_only_that_coroutine(pair: SocketPair) -> None:
     rig = LoopRig()
     fd = pair[0].fileno()
     pair[0].close()
@@ -211,7 +211,7 @@
     pair[0].close()
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        if ours.fileno() != fd:  # give the new descriptor that number, even if others are open
+        if ours.fileno() != fd:  # the system assigned another number
             os.dup2(ours.fileno(), fd)
         rig.loop.start("new", rig.record_waits(Wait(fd=fd, event_mask=READ)))
         rig.loop.stop(old)
