--- a/kelpcourse/zones/dns_request.py
+++ b/kelpcourse/zones/dns_request.py
@@ -71,7 +71,7 @@
         """Sends a response, truncated if it is too large for UDP (RFC 2181, section 9)."""
         request.send([self._encode(request, response)])
 
-    def reject(self, request: DnsRequest, rcode: dns.rcode.Rcode) -> None:
+    def send_rcode(self, request: DnsRequest, rcode: dns.rcode.Rcode) -> None:
         """Sends a response without records that has this response code, and counts it by the code."""
         self._counters.add(f"dns_{dns.rcode.to_text(rcode).lower()}")
         response = self.new_response(request)
--- a/kelpcourse/zones/notify_handler.py
+++ b/kelpcourse/zones/notify_handler.py
@@ -46,10 +46,10 @@
         origin = canonical(request.message.question[0].name) if request.message.question else ""
         settings = self._settings.get(origin)
         if settings is None or not settings.primaries:
-            self._responder.reject(request, dns.rcode.NOTAUTH)
+            self._responder.send_rcode(request, dns.rcode.NOTAUTH)
             return
         if not _is_from_primary(request, settings):
-            self._responder.reject(request, dns.rcode.REFUSED)
+            self._responder.send_rcode(request, dns.rcode.REFUSED)
             return
         self._counters.add("zone_notifies_received")
         self._context.notify_received(origin)
--- a/kelpcourse/zones/query_handler.py
+++ b/kelpcourse/zones/query_handler.py
@@ -47,10 +47,10 @@
         self._counters.add("dns_queries")
         zone = self._zone_of(owner)
         if zone is None or question.rdclass != dns.rdataclass.IN:
-            self._responder.reject(request, dns.rcode.REFUSED)
+            self._responder.send_rcode(request, dns.rcode.REFUSED)
         elif not zone.zone.exists or zone.reconciler.expired:
             # An expired zone is not served (RFC 1034, section 4.3.5).
-            self._responder.reject(request, dns.rcode.SERVFAIL)
+            self._responder.send_rcode(request, dns.rcode.SERVFAIL)
         elif type_ in (AXFR, IXFR):
             self._transfers.handle(request, zone, owner)
         else:
--- a/kelpcourse/zones/request_handler.py
+++ b/kelpcourse/zones/request_handler.py
@@ -109,15 +109,15 @@
     def _dispatch(self, request: DnsRequest) -> None:
         message = request.message
         if message.edns > 0:
-            self._responder.reject(request, dns.rcode.BADVERS)
+            self._responder.send_rcode(request, dns.rcode.BADVERS)
         elif isinstance(message, dns.update.UpdateMessage):
             self._updates.handle(request, message)
         elif message.opcode() == dns.opcode.NOTIFY:
             self._notifies.handle(request)
         elif message.opcode() != dns.opcode.QUERY:
-            self._responder.reject(request, dns.rcode.NOTIMP)
+            self._responder.send_rcode(request, dns.rcode.NOTIMP)
         elif len(message.question) != 1:
-            self._responder.reject(request, dns.rcode.FORMERR)
+            self._responder.send_rcode(request, dns.rcode.FORMERR)
         else:
             self._queries.handle(request, message.question[0])
 
--- a/kelpcourse/zones/transfer_handler.py
+++ b/kelpcourse/zones/transfer_handler.py
@@ -63,7 +63,7 @@
         """Responds to an AXFR or IXFR query for `owner`, a name in `zone`."""
         rdtype = request.message.question[0].rdtype
         if owner != zone.origin:
-            self._responder.reject(request, dns.rcode.NOTAUTH)
+            self._responder.send_rcode(request, dns.rcode.NOTAUTH)
         elif not self._is_allowed(request, zone):
             self._log.event(
                 "zone_transfer_rejected",
@@ -71,13 +71,13 @@
                 peer=format_address(request.peer),
                 key=request.key_name,
             )
-            self._responder.reject(request, dns.rcode.REFUSED)
+            self._responder.send_rcode(request, dns.rcode.REFUSED)
         elif not request.over_tcp and rdtype == AXFR:
-            self._responder.reject(request, dns.rcode.FORMERR)  # RFC 5936, section 4.2
+            self._responder.send_rcode(request, dns.rcode.FORMERR)  # RFC 5936, section 4.2
         elif not request.over_tcp:
             self._send_soa(request, zone)
         elif self._running_transfers >= self._limits.max_outgoing_zone_transfers:
-            self._responder.reject(request, dns.rcode.REFUSED)
+            self._responder.send_rcode(request, dns.rcode.REFUSED)
         else:
             request.send(self._start_transfer(request, zone))
 
--- a/kelpcourse/zones/update_handler.py
+++ b/kelpcourse/zones/update_handler.py
@@ -65,23 +65,23 @@
         """Applies or rejects an update; the response may be sent after this method returns."""
         self._counters.add("zone_updates")
         if len(message.zone) != 1 or message.zone[0].rdtype != dns.rdatatype.SOA:
-            self._responder.reject(request, dns.rcode.FORMERR)
+            self._responder.send_rcode(request, dns.rcode.FORMERR)
             return
         origin = canonical(message.zone[0].name)
         zone = self._zones.get(origin)
         if zone is None or message.zone[0].rdclass != dns.rdataclass.IN:
-            self._responder.reject(request, dns.rcode.NOTAUTH)
+            self._responder.send_rcode(request, dns.rcode.NOTAUTH)
             return
         grant = self._grant_of(request.key_name, origin)
         if grant is None:
             reason = f"key {request.key_name} has no grant" if request.key_name else "not signed"
             self.log_denied(origin, reason, request.key_name)
-            self._responder.reject(request, dns.rcode.REFUSED)
+            self._responder.send_rcode(request, dns.rcode.REFUSED)
             return
         mac = bytes(message.mac or b"")
 
         def send_response(rcode: dns.rcode.Rcode) -> None:
-            self._responder.reject(request, rcode)
+            self._responder.send_rcode(request, rcode)
 
         if not self._deduplicator.register(mac, self._context.now_us(), send_response):
             self._counters.add("zone_updates_deduplicated")
