--- a/kelpcourse/zones/endpoint_extraction.py
+++ b/kelpcourse/zones/endpoint_extraction.py
@@ -67,7 +67,7 @@
         """Initializes an extractor without endpoints.
 
         Args:
-            origin: Key of the zone's origin.
+            origin: Canonical name of the zone's origin.
             service: Label prefix of the owners of the SRV records that announce endpoints.
 
         Raises:
--- a/kelpcourse/zones/errors.py
+++ b/kelpcourse/zones/errors.py
@@ -190,7 +190,7 @@
     """Raised for a response that cannot be parsed or whose signature is wrong."""
 
     def __init__(self, error: Exception) -> None:
-        """Initializes the error with that of the parser."""
+        """Initializes the error with the exception that the parser raised."""
         super().__init__(f"the response cannot be read: {type(error).__name__}: {error}")
         self.error = error
 
@@ -199,7 +199,7 @@
     """Raised when the response to a signed query has no signature (RFC 8945, section 5.4)."""
 
     def __init__(self) -> None:
-        """Initializes the error with a text that is the same for all responses."""
+        """Initializes the error with a fixed message."""
         super().__init__("the response to a signed query is not signed")
 
 
@@ -241,5 +241,5 @@
     """Raised when the settings have no state folder, so that no former version is stored."""
 
     def __init__(self) -> None:
-        """Initializes the error with a text that is the same for all settings."""
+        """Initializes the error with a fixed message."""
         super().__init__("the settings have no state folder, so no former version is stored")
--- a/kelpcourse/zones/file_watcher.py
+++ b/kelpcourse/zones/file_watcher.py
@@ -90,6 +90,7 @@
         self._offer(origin, path, version)
 
     def _has_changed(self, origin: str, path: Path) -> bool:
+        """Updates the fingerprint of a file and returns whether the file has changed since the last call."""
         fingerprint = _fingerprint(path)
         has_changed = fingerprint != self._fingerprints.get(origin)
         self._fingerprints[origin] = fingerprint
--- a/kelpcourse/zones/follower.py
+++ b/kelpcourse/zones/follower.py
@@ -101,7 +101,8 @@
         if self._zone.reconciler.expired or not self._timer.is_expired(self._clock()):
             return
         self._zone.reconciler.expire()
-        self._timer.notify(self._clock())  # from now on any version of a primary is accepted
+        # An expired zone accepts any version of a primary, so the next round of queries is brought forward.
+        self._timer.notify(self._clock())
         self._listener.zone_expired(self._zone)
 
     def _refresh_from(self, primary: DnsPeer) -> Coroutine[None]:
--- a/kelpcourse/zones/merged_list.py
+++ b/kelpcourse/zones/merged_list.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class EndpointConflict:
-    """The beginning or the end of a disagreement of zones on other attributes than status and start.
+    """The beginning or the end of a disagreement of zones on attributes other than status and start.
 
     Attributes:
         endpoint: Name of the endpoint.
@@ -52,9 +52,9 @@
         self._max_remembered = max_remembered
         self._announced: dict[str, dict[str, ListedEndpoint]] = {zone: {} for zone in zones}
         self.endpoints: dict[str, ListedEndpoint] = {}
-        # Loop time at which each absent endpoint was removed, in microseconds, oldest first.
+        # Loop time at which each absent endpoint was removed, in microseconds, by name; oldest first.
         self._removed_us: dict[str, int] = {}
-        # Unix time in milliseconds at which each endpoint was listed again after an absence longer than the grace.
+        # Unix time in milliseconds at which an endpoint was listed again after the grace period, by name.
         self._returned_ms: dict[str, int] = {}
         self._conflicts: dict[str, tuple[str, ...]] = {}
         self._loaded: set[str] = set()
--- a/kelpcourse/zones/reconciliation.py
+++ b/kelpcourse/zones/reconciliation.py
@@ -3,8 +3,8 @@
 A version with a serial ahead of the accepted one (RFC 1982) is accepted. A version with a serial behind it is
 rejected: it comes from a stale primary, or from one that was restored from a backup, and accepting it would list
 endpoints that have been removed. The contradiction is reported once. While it lasts, the source does not count as
-confirming the accepted version, so the zone expires as it does without a response of the primary. Once a zone has
-expired, any version is accepted. To have the version accepted earlier, an operator raises the serial at the primary.
+confirming the accepted version, so the zone expires as if the primary did not respond. Once a zone has expired, any
+version is accepted. To have the version accepted earlier, an operator raises the serial at the primary.
 This module does no input or output.
 """
 
--- a/kelpcourse/zones/refresh.py
+++ b/kelpcourse/zones/refresh.py
@@ -25,16 +25,15 @@
         self._soa: Soa | None = None
         self._next_us = now_us
         self._expires_us: int | None = None  # None if the secondary has no version of the zone
-        self._queried_count = 0  # number of primaries whose query failed in this round
-        self._first_index = (
-            0  # index of the primary that a round queries first: the last that responded
-        )
+        self._failed_count = 0  # number of primaries whose query failed in this round
+        # Index of the primary that a round queries first, which is the last one that responded.
+        self._first_index = 0
         self._notified_in_round = False
         self._round_running = False
         self._round_ended_us = now_us - limits.notify_batching_us
 
     def set_soa(self, soa: Soa, confirmed_us: int) -> None:
-        """Sets the timers from the SOA record of the current version, which a primary last confirmed at this time."""
+        """Sets the timers from the SOA record of the current version, last confirmed by a primary at `confirmed_us`."""
         self._soa = soa
         self._expires_us = confirmed_us + soa.expire * SECOND_US
 
@@ -56,7 +55,7 @@
             if now_us < self._next_us:
                 return None
             self._round_running = True
-            self._queried_count = 0
+            self._failed_count = 0
             self._notified_in_round = False
         return self._primaries[self._current_index()]
 
@@ -82,19 +81,19 @@
         self._end_round(now_us, wait_s, self._limits.min_zone_refresh_us)
 
     def query_failed(self, now_us: int) -> bool:
-        """Records that a primary did not respond, or sent a response that cannot be used.
+        """Records that a primary did not respond, or that its response cannot be used or contradicts the zone.
 
         Returns whether another primary is to be queried immediately; if not, the round has ended.
         """
-        self._queried_count += 1
-        if self._queried_count < len(self._primaries):
+        self._failed_count += 1
+        if self._failed_count < len(self._primaries):
             return True
         wait_s = self._soa.retry if self._soa is not None else 0
         self._end_round(now_us, wait_s, self._limits.min_zone_retry_us)
         return False
 
     def _current_index(self) -> int:
-        return (self._first_index + self._queried_count) % len(self._primaries)
+        return (self._first_index + self._failed_count) % len(self._primaries)
 
     def _end_round(self, now_us: int, wait_s: int, min_wait_us: int) -> None:
         """Ends a round and schedules the next one within the limits, whatever the times of the SOA record are."""
--- a/kelpcourse/zones/settings.py
+++ b/kelpcourse/zones/settings.py
@@ -62,7 +62,7 @@
     """The resolved settings of one zone.
 
     Attributes:
-        origin: Key of the zone's origin.
+        origin: Canonical name of the zone's origin.
         file: Path of the zone file; None if the zone has none.
         primaries: Servers that the zone is transferred from.
         grants: Rights of keys to update the zone.
@@ -191,7 +191,7 @@
         return self._path.parent / text
 
     def _resolve_name(self, block: Block, text: str, field: str) -> str:
-        """Returns the key of a domain name; empty if the text is not a domain name."""
+        """Returns the canonical form of a domain name; empty if the text is not a domain name."""
         try:
             return read_name(text, "")
         except ZoneError:
@@ -220,7 +220,7 @@
             )
 
     def _resolve_key_name(self, block: Block, name: str, field: str) -> str:
-        """Returns the name of a key, and adds a problem if the file does not define the key."""
+        """Returns the canonical name of a TSIG key, and adds a problem if the file does not define the key."""
         key_name = self._resolve_name(block, name, field)
         if key_name and key_name not in self._key_names:
             self._add_problem(block, field, f"key {name!r:.80} is not defined")
@@ -281,7 +281,7 @@
             return None
 
     def _check_origins(self, zones: Sequence[ZoneSettings]) -> None:
-        """Adds a problem for each pair of zones of which one is the other or below it."""
+        """Adds a problem for each pair of zones with the same origin or with one origin below the other."""
         for index, zone in enumerate(zones):
             for other in zones[:index]:
                 if is_under(zone.origin, other.origin) or is_under(other.origin, zone.origin):
--- a/kelpcourse/zones/standalone.py
+++ b/kelpcourse/zones/standalone.py
@@ -17,7 +17,7 @@
 
 
 class StandaloneZones:
-    """The process, which logs changes of the merged endpoint list."""
+    """A process that runs the zone service and logs changes of the merged endpoint list."""
 
     def __init__(self, settings: ZonesSettings, limits: Limits, log_fd: int = STDOUT_FD) -> None:
         """Opens the store of the zones.
--- a/kelpcourse/zones/tcp_server.py
+++ b/kelpcourse/zones/tcp_server.py
@@ -27,7 +27,7 @@
         last_message_us: Time of the last complete message, or of the accept before the first one, in microseconds.
         partial_since_us: Time since which the buffer contains an incomplete message, in microseconds; None if it
             contains none.
-        responses: The messages of each response that is not sent completely, oldest response first.
+        responses: The messages of each response that has not been sent completely, oldest response first.
         response_added: Signal that is set when a response is added.
         pending_count: Number of requests without a response so far.
         task: Task that serves the connection; None until it is started.
@@ -61,7 +61,7 @@
         return self.last_message_us + limits.dns_idle_timeout_us
 
     def close(self) -> None:
-        """Closes the stream and the generators of responses that are not sent completely."""
+        """Closes the stream and the generators of responses that have not been sent completely."""
         for messages in self.responses:
             if isinstance(messages, Generator):
                 messages.close()
--- a/kelpcourse/zones/transfer.py
+++ b/kelpcourse/zones/transfer.py
@@ -20,7 +20,7 @@
 AXFR = dns.rdatatype.AXFR
 IXFR = dns.rdatatype.IXFR
 
-# Size of the records in a message, in bytes, from which on the next record goes into the next message. A compression
+# Size of the records in a message, in bytes, at which the message is complete and a new one begins. A compression
 # pointer cannot refer to a name beyond 16 383 bytes (RFC 1035, section 4.1.4), and a reader that parses one message at
 # a time blocks only briefly for a small one.
 MESSAGE_RECORD_BYTES = 16_000
--- a/kelpcourse/zones/update.py
+++ b/kelpcourse/zones/update.py
@@ -30,9 +30,8 @@
 from kelpcourse.zones.serials import SerialOrder, compare_serials
 
 ANY = int(dns.rdatatype.ANY)
-META_TYPES = range(
-    128, 256
-)  # types that occur in queries only, not in records (RFC 6895, section 3.1)
+# Types that occur in queries only, not in records (RFC 6895, section 3.1).
+META_TYPES = range(128, 256)
 # Minimum size of SOA data in wire format: its numbers and two names, each of which is at least the root (one byte).
 MIN_SOA_BYTES = SOA_NUMBERS_BYTES + 2
 
--- a/kelpcourse/zones/update_policy.py
+++ b/kelpcourse/zones/update_policy.py
@@ -56,8 +56,8 @@
         types: Numbers of the record types that the key may change; empty for all types.
         max_removed_fraction: Maximum fraction of the ready endpoints, of the zone and of each request class, that may
             be removed.
-        window_us: Length of the window, in microseconds, in which removals by earlier updates count too; 0 if they
-            don't.
+        window_us: Length of the window, in microseconds, in which removals by earlier updates are counted too; 0 if
+            they are not counted.
     """
 
     key: str
--- a/kelpcourse/zones/versions.py
+++ b/kelpcourse/zones/versions.py
@@ -54,9 +54,8 @@
         # Number of owners below each name that has owners below it (RFC 4592, section 2.2.2).
         self._ancestors: dict[str, int] = {}
         self._count = 0
-        self._soa: bytes | None = (
-            None  # data of the SOA record, cached because every change needs it
-        )
+        # Data of the SOA record, cached because every change needs it; None if there is no SOA record.
+        self._soa: bytes | None = None
 
     def __len__(self) -> int:
         """Returns the number of records."""
--- a/kelpcourse/zones/zone_state.py
+++ b/kelpcourse/zones/zone_state.py
@@ -32,7 +32,7 @@
         """Initializes a zone without any version.
 
         Args:
-            origin: Key of the zone's origin.
+            origin: Canonical name of the zone's origin.
             service: Label prefix of the owners of the SRV records that announce endpoints.
             limits: Limits of the records, the history and the removals.
         """
@@ -97,9 +97,9 @@
             self._accept_current()
             self.extractor.start(self.zone)
 
-    def difference_to(self, new: Zone, at_ms: int) -> Difference:
+    def difference_to(self, new: Zone, accepted_ms: int) -> Difference:
         """Returns the difference from the current version to a version that was received in full."""
-        return difference_between(self.zone, new, at_ms)
+        return difference_between(self.zone, new, accepted_ms)
 
     def new_pending_version(self) -> PendingVersion:
         """Returns a pending version on top of the head, for the changes of one update."""
--- a/kelpcourse/zones/zonefile.py
+++ b/kelpcourse/zones/zonefile.py
@@ -57,7 +57,7 @@
 
     Args:
         text: Text of the file.
-        origin: Key of the zone's origin.
+        origin: Canonical name of the zone's origin.
         limits: Limits with the maximum number of records.
         name: Name of the file in errors.
 
