--- a/kelpcourse/store/recovery.py
+++ b/kelpcourse/store/recovery.py
@@ -209,7 +209,7 @@
 def obsolete(names: Sequence[str], generation: int) -> list[str]:
     """Returns the names of the files that no recovery needs once `generation` exists.
 
-    These are the files of all generations before the last earlier one that has a snapshot, and unfinished files.
+    These are unfinished files, and the files of all generations before the newest earlier one that has a snapshot.
     """
     earlier = [snapshot for snapshot in sort_files(names).snapshots if snapshot < generation]
     min_generation = max(earlier, default=generation)
