--- a/kelpcourse/kdl/lines.py
+++ b/kelpcourse/kdl/lines.py
@@ -1,4 +1,4 @@
-"""Finds the lines on which the nodes of a KDL document begin, as ckdl does not report them."""
+"""Finds the lines on which the nodes of a KDL document begin, because ckdl does not report them."""
 
 from __future__ import annotations
 
--- a/kelpcourse/kdl/reader.py
+++ b/kelpcourse/kdl/reader.py
@@ -41,7 +41,7 @@
     """Reads a file and returns the valid settings and all problems, so that callers can add their own.
 
     Raises:
-        SettingsError: The file can't be read, or is not UTF-8 or not KDL.
+        SettingsError: The file cannot be read, is not UTF-8 or is not KDL.
     """
     file = str(path)
     try:
