--- a/kelpcourse/cli/errors.py
+++ b/kelpcourse/cli/errors.py
@@ -23,7 +23,7 @@
 
 
 def exit_with_problems(problems: Iterable[str]) -> NoReturn:
-    """Exits after writing problems to standard error, with exit code 0 if there are none."""
+    """Writes problems to standard error, and exits with EXIT_PROBLEMS or, if there are none, with 0."""
     exit_code = 0
     for problem in problems:
         click.echo(problem, err=True)
--- a/kelpcourse/cli/zone_commands.py
+++ b/kelpcourse/cli/zone_commands.py
@@ -37,7 +37,7 @@
 def check(zonefile: Path, origin: str, service: str, as_json: bool) -> None:
     """List the endpoints that ZONEFILE announces.
 
-    Records that can't be used are reported one a line, with exit code 1.
+    Records that cannot be used are reported one per line, with exit code 1.
     """
     from kelpcourse.limits import Limits
     from kelpcourse.zones.errors import ZoneError
@@ -121,7 +121,7 @@
 
 
 def _show(endpoints: Iterable[ListedEndpoint], as_json: bool) -> None:
-    """Prints endpoints as JSON in discovery's format, or one a line."""
+    """Prints endpoints as JSON in discovery's format, or one per line."""
     import orjson
 
     from kelpcourse.zones.offline import discovery_entry
