--- a/kelpcourse/lab/proxy.py
+++ b/kelpcourse/lab/proxy.py
@@ -16,7 +16,7 @@
     WithdrawEndpoint,
 )
 
-UNBOUND = -1  # Placeholder for the table of a class that is bound to none.
+UNBOUND = -1  # Placeholder for the table of a request class without one.
 
 
 @dataclass
@@ -27,8 +27,8 @@
         number: Number of the proxy.
         zone: Zone of the proxy.
         classes: Names of all request classes.
-        tables: Weight by endpoint of each table.
-        bound: Table by request class.
+        tables: Weights of the endpoints in each table.
+        bound: Table that each request class is bound to.
         withdrawn: Endpoints that are withdrawn.
         admission: Admission ratio by table and request class; the table None means all tables.
     """
--- a/kelpcourse/lab/traffic.py
+++ b/kelpcourse/lab/traffic.py
@@ -16,7 +16,7 @@
 
 ROUND_US = 100_000
 REQUESTS_PER_ROUND = 20  # Requests of each proxy in a round.
-REQUESTS_PER_SUBMIT = 4  # One in this many requests is of the class SUBMIT.
+REQUESTS_PER_SUBMIT = 4  # Number of requests of which one is of the class SUBMIT.
 REQUESTS_PER_S = REQUESTS_PER_ROUND * 1e6 / ROUND_US
 REPORT_INTERVAL_US = 1_000_000
 MEAN_LATENCY_MS = 40.0
@@ -54,8 +54,10 @@
         self._serving = serving
         self._rng = random.Random(seed)
         self._collectors: dict[str, socket.socket] = {}
-        self._attempts: Counter[tuple[str, str]] = Counter()  # Number by zone and endpoint.
-        self._offered: Counter[tuple[int, str]] = Counter()  # Number by proxy and class.
+        # Number of attempts since the last report, by zone and endpoint.
+        self._attempts: Counter[tuple[str, str]] = Counter()
+        # Number of requests since the last report, admitted or not, by proxy and request class.
+        self._offered: Counter[tuple[int, str]] = Counter()
 
     def run(self) -> Coroutine[None]:
         """Generates requests of both classes for each proxy and reports the totals once a second."""
--- a/kelpcourse/lab/world.py
+++ b/kelpcourse/lab/world.py
@@ -31,7 +31,7 @@
 MAX_TURN_US = 20_000  # Maximum wait in a turn of the loop.
 DEFAULT_TIMEOUT_S = 60.0
 STOP_TIMEOUT_S = 5.0
-# Turns of the loop after the controller has ended, in which its last log lines are read.
+# Number of turns of the loop after the controller has ended, in which its last log lines are read.
 FINAL_TURNS = 10
 
 
@@ -125,7 +125,7 @@
         return True
 
     def run_for(self, seconds: float) -> None:
-        """Runs the loop for some seconds."""
+        """Runs the loop for a number of seconds."""
         end_us = now_us() + round(seconds * 1e6)
         self.run_until(lambda: now_us() >= end_us, seconds + 1)
 
