--- a/kelpcourse/simhost/events.py
+++ b/kelpcourse/simhost/events.py
@@ -76,7 +76,11 @@
 
 
 def read_endpoint(fields: Fields) -> Endpoint:
-    """Decodes an entry of an endpoint list. Raises FieldError."""
+    """Decodes an entry of an endpoint list.
+
+    Raises:
+        FieldError: A field is missing or invalid.
+    """
     return Endpoint(
         id=fields.count("host"),
         zone=fields.text("az"),
--- a/kelpcourse/simhost/server.py
+++ b/kelpcourse/simhost/server.py
@@ -60,7 +60,11 @@
         return line.rstrip("\r\n")
 
     def next_batch_line(self) -> str:
-        """Returns the next line inside a batch. Raises UnexpectedLineError if the input ends."""
+        """Returns the next line inside a batch.
+
+        Raises:
+            UnexpectedLineError: The input ends.
+        """
         line = self.next_line()
         if line is None:
             raise UnexpectedLineError("input ends inside a batch")
@@ -83,7 +87,11 @@
         self._lists: dict[int, tuple[Endpoint, ...]] = {}
 
     def replies(self) -> Iterator[str]:
-        """Yields the reply to each batch. Raises InputError for a line that can't be parsed."""
+        """Yields the reply to each batch.
+
+        Raises:
+            InputError: A line is malformed or not allowed at its position.
+        """
         while True:
             line = self.lines.next_line()
             if line is None:
