--- a/kelpcourse/store/recovery.py
+++ b/kelpcourse/store/recovery.py
@@ -113,7 +113,7 @@
     recovered.needs_generation = True
     if files.snapshots or files.journals:
         recovered.generation = files.newest
-        # If a crash interrupted the creation of the first generation, its journal has no change.
+        # An empty journal contains no change, as after a crash that interrupted the creation of the first generation.
         lost = any(load(file_name(Kind.JOURNAL, generation)) for generation in files.journals)
         problem = "no usable snapshot: nothing was restored"
         recovered.warnings.append(RecoveryWarning(STATE, problem, alarming=lost))
