--- a/tests/raftworld.py
+++ b/tests/raft_simulation.py
@@ -23,8 +23,8 @@
 from kelpcourse.shared.raft.persistent import PersistentState, StateWrite, apply_write
 from kelpcourse.shared.raft.role import Role
 
-MS = 1000
-TIMING = RaftOptions(
+MS = 1000  # microseconds per millisecond
+RAFT_OPTIONS = RaftOptions(
     heartbeat_interval_us=20 * MS,
     min_election_timeout_us=100 * MS,
     max_entries_per_message=8,
@@ -54,6 +54,8 @@
 
 @dataclass
 class Node:
+    """A simulated member with its disk and clock; `raft` is None while it is stopped."""
+
     name: MemberId
     disk: Disk
     clock_rate: float
@@ -63,7 +65,9 @@
     paused: bool = False
 
 
-class World:
+class RaftSimulation:
+    """Members on a virtual clock; the seed determines delays, losses and faults."""
+
     def __init__(
         self,
         seed: int,
@@ -120,15 +124,19 @@
 
     def start(self, node: Node) -> None:
         node.raft = raft = self.raft_factory(
-            node.name, node.disk.stored, TIMING, self.random.randrange(1 << 30), self.clock(node)
+            node.name,
+            node.disk.stored,
+            RAFT_OPTIONS,
+            self.random.randrange(1 << 30),
+            self.clock(node),
         )
         node.applied = [(node.disk.stored.snapshot.index, node.disk.stored.snapshot.data)]
         self._tick(node, raft)
 
     def crash(self, node: Node) -> None:
         """Stops a node. A random part of its pending writes becomes durable, the rest is lost."""
-        keep = self.random.randint(0, len(node.disk.pending_writes))
-        del node.disk.pending_writes[keep:]
+        durable_count = self.random.randint(0, len(node.disk.pending_writes))
+        del node.disk.pending_writes[durable_count:]
         node.disk.sync()
         node.raft = None
 
@@ -200,6 +208,7 @@
     # Safety properties
 
     def check(self) -> None:
+        """Checks that each term has one leader, and that the newest leader has all committed entries."""
         for node in self.nodes.values():
             raft = node.raft
             if raft is None:
@@ -304,53 +313,55 @@
     NONE_SECOND = 9
 
 
-def inject_node_fault(world: World, node: Node, fault: Fault, allow_crashes: bool) -> None:
+def inject_node_fault(
+    simulation: RaftSimulation, node: Node, fault: Fault, allow_crashes: bool
+) -> None:
     """Injects a fault of one node; does nothing for other faults."""
     match fault:
         case Fault.CRASH_OR_START if allow_crashes:
             if node.raft is None:
-                world.start(node)
+                simulation.start(node)
             else:
-                world.crash(node)
+                simulation.crash(node)
         case Fault.PAUSE_OR_CONTINUE:
             node.paused = not node.paused
         case Fault.ADVANCE_CLOCK if node.raft is not None:
-            node.clock_offset_us += world.random.choice([0, 50 * MS])
+            node.clock_offset_us += simulation.random.choice([0, 50 * MS])
 
 
-def inject_network_fault(world: World, fault: Fault) -> None:
+def inject_network_fault(simulation: RaftSimulation, fault: Fault) -> None:
     """Injects a fault of the network; does nothing for other faults."""
-    rng = world.random
-    names = sorted(world.nodes)
+    rng = simulation.random
+    names = sorted(simulation.nodes)
     match fault:
         case Fault.BLOCK_RANDOM_LINKS:
-            world.blocked_links = {(a, b) for a in names for b in names if rng.random() < 0.3}
+            simulation.blocked_links = {(a, b) for a in names for b in names if rng.random() < 0.3}
         case Fault.PARTITION:
             half = set(rng.sample(names, len(names) // 2))
-            world.blocked_links = {
+            simulation.blocked_links = {
                 (a, b) for a in names for b in names if (a in half) != (b in half)
             }
         case Fault.UNBLOCK_LINKS:
-            world.blocked_links.clear()
+            simulation.blocked_links.clear()
         case Fault.CHANGE_LOSS:
             ratios = rng.choice([(0.0, 0.0), (0.2, 0.0), (0.1, 0.3)])
-            world.loss_ratio, world.duplicate_ratio = ratios
+            simulation.loss_ratio, simulation.duplicate_ratio = ratios
         case Fault.CHANGE_DELAY:
-            world.delay_us = rng.choice([(1 * MS, 5 * MS), (1 * MS, 80 * MS)])
+            simulation.delay_us = rng.choice([(1 * MS, 5 * MS), (1 * MS, 80 * MS)])
 
 
-def run_faults(world: World, steps: int, allow_crashes: bool = True) -> None:
-    """Injects faults drawn from the world's seed, with proposals between them."""
-    rng = world.random
-    names = sorted(world.nodes)
+def run_faults(simulation: RaftSimulation, steps: int, allow_crashes: bool = True) -> None:
+    """Injects faults drawn from the simulation's seed, with proposals between them."""
+    rng = simulation.random
+    names = sorted(simulation.nodes)
     for step in range(steps):
-        node = world.nodes[rng.choice(names)]
+        node = simulation.nodes[rng.choice(names)]
         fault = Fault(rng.randrange(10))
-        inject_node_fault(world, node, fault, allow_crashes)
-        inject_network_fault(world, fault)
+        inject_node_fault(simulation, node, fault, allow_crashes)
+        inject_network_fault(simulation, fault)
         for position in range(rng.randint(0, 3)):
             data = b"<%d.%d>" % (step, position)
-            if world.propose(data):
-                world.accepted.append(data)
-        world.run(rng.randint(5 * MS, 150 * MS))
-        world.check_logs()
+            if simulation.propose(data):
+                simulation.accepted.append(data)
+        simulation.run(rng.randint(5 * MS, 150 * MS))
+        simulation.check_logs()
