--- a/kelpcourse/store/recovery.py
+++ b/kelpcourse/store/recovery.py
@@ -113,7 +113,7 @@
     recovered.needs_generation = True
     if files.snapshots or files.journals:
         recovered.generation = files.newest
-        # If a crash interrupted the creation of the first generation, its journal has no change.
+        # An empty journal contains no change, as after a crash that interrupted the creation of the first generation.
         lost = any(load(file_name(Kind.JOURNAL, generation)) for generation in files.journals)
         problem = "no usable snapshot: nothing was restored"
         recovered.warnings.append(RecoveryWarning(STATE, problem, alarming=lost))
@@ -209,7 +209,7 @@
 def obsolete(names: Sequence[str], generation: int) -> list[str]:
     """Returns the names of the files that no recovery needs once `generation` exists.
 
-    These are the files of all generations before the last earlier one that has a snapshot, and unfinished files.
+    These are unfinished files, and the files of all generations before the newest earlier one that has a snapshot.
     """
     earlier = [snapshot for snapshot in sort_files(names).snapshots if snapshot < generation]
     min_generation = max(earlier, default=generation)
